--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -14,29 +14,29 @@
 
 #include "configuration/store.hpp"
 #include "control_log.hpp"
+#include "fake_upstream_config.hpp"
+#include "finchstile/load_balancer.hpp"
 #include "measure.hpp"
 #include "net/config.hpp"
 #include "net/tenants.hpp"
-#include "ridgeshift/ridgeshift.hpp"
-#include "standin_config.hpp"
 
 namespace finchstile::bench {
 namespace {
 
+using fake_upstream::hostName;
+using fake_upstream::tenantName;
+using fake_upstream::zoneName;
+using load_balancing::HostEntry;
+using load_balancing::HostListUpdate;
+using load_balancing::HostPhase;
+using load_balancing::LoadBalancer;
+using load_balancing::Settings;
 using nlohmann::json;
-using ridgeshift::Balancer;
-using ridgeshift::HostEntry;
-using ridgeshift::ListKind;
-using ridgeshift::Phase;
-using ridgeshift::Settings;
-using standin::hostName;
-using standin::tenantName;
-using standin::zoneName;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 constexpr std::uint32_t kGateways = 520;
-constexpr std::size_t kZones = 5;  // as standin::zoneName spreads them
+constexpr std::size_t kZones = 5;  // as fake_upstream::zoneName spreads them
 constexpr std::size_t kUsualHosts = 46, kUsualClasses = 8, kUsualTenants = 0;
 constexpr int kRequestsPerSample = 2000;
 constexpr int kChangesPerSample = 20;
@@ -52,27 +52,27 @@
   for (std::size_t i = 0; i < count; ++i) {
     all[i].address = hostName(i);
     all[i].zone = zoneName(i);
-    all[i].kind = "std";
+    all[i].machineType = "std";
   }
   return all;
 }
 
 Settings settingsOf(std::size_t classes, std::size_t tenants) {
   Settings s;
-  s.groupSize = kGateways;
-  s.myNumber = kGateways / 2;
+  s.gatewayCount = kGateways;
+  s.gatewayIndex = kGateways / 2;
   s.zone = zoneName(0);
   s.maxAttempts = 3;
-  s.retryAfter = true;
-  s.coldTime = seconds(9);
-  s.coldShare = 0.32;
-  s.fallWindow = seconds(2);
+  s.retryAfterEnabled = true;
+  s.warmUpTime = seconds(9);
+  s.initialCapacityFraction = 0.32;
+  s.collapseWindow = seconds(2);
   for (std::size_t i = 0; i < classes; ++i) {
-    ridgeshift::ClassSettings c;
+    load_balancing::ClassSettings c;
     c.name = "class-" + std::to_string(i);
-    c.aim = milliseconds(400);
-    c.giveUp = seconds(1);
-    c.effect = ridgeshift::Effect::retryable;
+    c.latencyObjective = milliseconds(400);
+    c.clientTimeout = seconds(1);
+    c.idempotency = load_balancing::Idempotency::idempotent;
     s.classes.push_back(c);
   }
   for (std::size_t i = 0; i < tenants; ++i) s.tenants.push_back({tenantName(i), 50});
@@ -84,41 +84,42 @@
  public:
   Driven(std::size_t hosts, std::size_t classes, std::size_t tenants)
       : classes_(classes), tenants_(tenants), balancer_(settingsOf(classes, tenants), now_) {
-    balancer_.onHosts(now_, ListKind::replace, entries(hosts));
+    balancer_.onHostListUpdate(now_, HostListUpdate::complete, entries(hosts));
     balancer_.actions().clear();
   }
-  Balancer& balancer() { return balancer_; }
-  ridgeshift::Time now() const { return now_; }
+  LoadBalancer& balancer() { return balancer_; }
+  load_balancing::Time now() const { return now_; }
 
   void request() {
     now_ += std::chrono::nanoseconds(static_cast<std::int64_t>(1e9 / kRequestsPerSecond));
-    ridgeshift::Request q;
+    load_balancing::Request q;
     q.id = ++last_;
     q.classIndex = static_cast<std::uint32_t>(last_ % classes_);
     if (tenants_ > 0) q.tenantIndex = static_cast<std::uint32_t>(last_ * 7919 % tenants_);
-    q.left = seconds(1);
+    q.timeLeft = seconds(1);
     balancer_.onRequest(now_, q);
-    ridgeshift::AttemptResult done;
+    load_balancing::AttemptResult done;
     for (const auto& action : balancer_.actions())
-      if (action.kind == ridgeshift::ActionKind::send)
-        done = {
-            action.request, action.attempt, action.host, ridgeshift::Outcome::served, milliseconds(20), true};
+      if (action.kind == load_balancing::ActionKind::sendAttempt)
+        done = {action.request,   action.attempt,
+                action.host,      load_balancing::Outcome::served,
+                milliseconds(20), true};
     balancer_.actions().clear();
     if (done.request == 0) return;
-    balancer_.onResult(now_, done);
+    balancer_.onAttemptResult(now_, done);
     balancer_.actions().clear();
   }
   void sweep() {
     now_ += seconds(60);  // longer than the period of a sweep at any size
-    balancer_.onWake(now_);
+    balancer_.onTimer(now_);
     balancer_.actions().clear();
   }
 
  private:
   std::size_t classes_, tenants_;
-  ridgeshift::Time now_ = seconds(1000);
-  ridgeshift::RequestId last_ = 0;
-  Balancer balancer_;
+  load_balancing::Time now_ = seconds(1000);
+  load_balancing::RequestId last_ = 0;
+  LoadBalancer balancer_;
 };
 
 class Capacity {
@@ -163,14 +164,16 @@
 
   void hosts(std::size_t n) {
     const Clock clock;
-    const std::string list = standin::listJson(1, true, standin::hostsJson(n, "10.1.0.18:8443")).dump();
+    const std::string list =
+        fake_upstream::listJson(1, true, fake_upstream::hostsJson(n, "10.1.0.18:8443")).dump();
     add("hosts", n, "bytes of the whole list", "kB", [&] { return static_cast<double>(list.size()) * 1e-3; });
     add("hosts", n, "whole list, read", "ms",
         [&] { return 1e3 * processorSecondsOf([&] { parseHostList(list, clock); }); });
     add("hosts", n, "whole list, taken", "ms", [&] {
-      Balancer balancer(settingsOf(kUsualClasses, kUsualTenants), seconds(1));
+      LoadBalancer balancer(settingsOf(kUsualClasses, kUsualTenants), seconds(1));
       const auto all = entries(n);
-      return 1e3 * processorSecondsOf([&] { balancer.onHosts(seconds(1), ListKind::replace, all); });
+      return 1e3 * processorSecondsOf(
+                       [&] { balancer.onHostListUpdate(seconds(1), HostListUpdate::complete, all); });
     });
     Driven driven(n, kUsualClasses, kUsualTenants);
     auto all = entries(n);
@@ -178,8 +181,8 @@
       return 1e6 / kChangesPerSample * processorSecondsOf([&] {
                for (int i = 0; i < kChangesPerSample; ++i) {
                  HostEntry& host = all[static_cast<std::size_t>(i) * 7 % n];
-                 host.phase = host.phase == Phase::in ? Phase::draining : Phase::in;
-                 driven.balancer().onHosts(driven.now(), ListKind::update, {host});
+                 host.phase = host.phase == HostPhase::active ? HostPhase::draining : HostPhase::active;
+                 driven.balancer().onHostListUpdate(driven.now(), HostListUpdate::incremental, {host});
                  driven.balancer().actions().clear();
                }
              });
@@ -187,14 +190,15 @@
     add("hosts", n, "a zone's changes at once", "ms", [&] {
       std::vector<HostEntry> zone;
       for (std::size_t i = 0; i < n; i += kZones) {
-        all[i].phase = all[i].phase == Phase::in ? Phase::draining : Phase::in;
+        all[i].phase = all[i].phase == HostPhase::active ? HostPhase::draining : HostPhase::active;
         zone.push_back(all[i]);
       }
-      return 1e3 *
-             processorSecondsOf([&] { driven.balancer().onHosts(driven.now(), ListKind::update, zone); });
+      return 1e3 * processorSecondsOf([&] {
+               driven.balancer().onHostListUpdate(driven.now(), HostListUpdate::incremental, zone);
+             });
     });
-    for (HostEntry& host : all) host.phase = Phase::in;
-    driven.balancer().onHosts(driven.now(), ListKind::replace, all);
+    for (HostEntry& host : all) host.phase = HostPhase::active;
+    driven.balancer().onHostListUpdate(driven.now(), HostListUpdate::complete, all);
     driven.balancer().actions().clear();
     addRequest("hosts", n, driven);
     add("hosts", n, "a sweep", "us", [&] { return 1e6 * processorSecondsOf([&] { driven.sweep(); }); });
@@ -203,12 +207,12 @@
 
   void tenants(std::size_t n) {
     const Clock clock;
-    json config = {
-        {"listen", "127.0.0.1:0"},
-        {"discovery", "127.0.0.1:1"},
-        {"seed", "1"},
-        {"settings", standin::settingsJson(json::array({standin::gradeJson({"read", "retryable", "all", 1})}),
-                                           true, zoneName(0))}};
+    json config = {{"listen", "127.0.0.1:0"},
+                   {"discovery", "127.0.0.1:1"},
+                   {"seed", "1"},
+                   {"settings", fake_upstream::settingsJson(
+                                    json::array({fake_upstream::gradeJson({"read", "retryable", "all", 1})}),
+                                    true, zoneName(0))}};
     for (std::size_t i = 0; i < n; ++i)
       config["settings"]["tenants"].push_back({{"name", tenantName(i)}, {"quotaRps", 50.0}});
     const std::string text = config.dump();
@@ -228,7 +232,7 @@
   // loop reads them, and what the loop takes over.
   void configuration(std::size_t n) {
     using namespace finchstile::configuration;
-    standin::ControlLog log({1, 1'000'000, 0});
+    fake_upstream::ControlLog log({1, 1'000'000, 0});
     std::vector<Change> all;
     for (std::size_t i = 0; i < n; ++i)
       all.push_back({std::string(kTenantPrefix) + tenantName(i), TenantDocument{tenantName(i), 50}});
@@ -248,7 +252,7 @@
       return static_cast<double>(allocatedBytes() - before) * 1e-6;
     });
     Store store(start);
-    const TermsChange terms = store.apply(parseUpdate(whole)).terms;
+    const SettingsChange terms = store.apply(parseUpdate(whole)).terms;
     add("configuration", n, "whole, taken by the loop", "ms", [&] {
       Driven driven(kUsualHosts, kUsualClasses, kUsualTenants);
       TenantTable table({});
@@ -268,21 +272,21 @@
     });
   }
   // As Gateway::takeTerms does it.
-  static void take(const finchstile::configuration::TermsChange& change, Balancer& balancer,
-                   TenantTable& table, ridgeshift::Time now) {
-    ridgeshift::Terms terms;
+  static void take(const finchstile::configuration::SettingsChange& change, LoadBalancer& balancer,
+                   TenantTable& table, load_balancing::Time now) {
+    load_balancing::DynamicSettings terms;
     for (const auto& tenant : change.tenants) {
       terms.tenants.push_back({tenant.index, *tenant.quotaPerSecond});
       table.list(tenant.index, tenant.name);
     }
-    balancer.onTerms(now, terms);
+    balancer.onDynamicSettings(now, terms);
     balancer.actions().clear();
   }
 
   // A route is a class today: the first part of a path. Nothing else stands for one.
   void classes(std::size_t n) {
     add("classes", n, "start of the module", "us", [&] {
-      return 1e6 * processorSecondsOf([&] { Balancer(settingsOf(n, kUsualTenants), seconds(1)); });
+      return 1e6 * processorSecondsOf([&] { LoadBalancer(settingsOf(n, kUsualTenants), seconds(1)); });
     });
     Driven driven(kUsualHosts, n, kUsualTenants);
     addRequest("classes", n, driven);
@@ -292,7 +296,7 @@
   const Options options_;
   Table table_;
   double quota_ = 50;
-  finchstile::configuration::TermsChange last_;
+  finchstile::configuration::SettingsChange last_;
 };
 
 Options readOptions(int argc, char** argv) {
--- a/bench/configuration_changes.cpp
+++ b/bench/configuration_changes.cpp
@@ -81,15 +81,16 @@
   Play(Mode mode, const Size& size) : mode_(mode), size_(size) {
     std::vector<Change> all;
     for (std::size_t i = 0; i < kTenants; ++i) all.push_back(tenant(i, 1e6));
-    machine_ = std::make_unique<standin::ControlMachine>(control_.io, standin::ControlLog::Settings{});
+    machine_ =
+        std::make_unique<fake_upstream::ControlMachine>(control_.io, fake_upstream::ControlLog::Settings{});
     machine_->log.publish(all);
   }
 
   Round run() {
     if (mode_ == Mode::direct) return ask(host_.at());
-    const nlohmann::json config = configFor(host_, standin::gradeJson({"get", "retryable", "all"}));
-    Config read = readConfig(config.dump(), clock_);
-    const ridgeshift::Settings start = read.settings;
+    const nlohmann::json config = configFor(host_, fake_upstream::gradeJson({"get", "retryable", "all"}));
+    GatewayConfig read = readConfig(config.dump(), clock_);
+    const load_balancing::Settings start = read.settings;
     asio::io_context io(1);
     asio::thread_pool worker(1);
     Gateway gateway(io, clock_, std::move(read));
@@ -102,8 +103,8 @@
       settings.pace = std::chrono::milliseconds(0);  // each change by itself
       client = std::make_unique<configuration::Client>(
           io, worker.get_executor(), clock_, settings, "b", 1, start,
-          [&](const configuration::TermsChange& change) {
-            gateway.takeTerms(change);
+          [&](const configuration::SettingsChange& change) {
+            gateway.applyDynamicSettings(change);
             inForce = change.version.revision;
           },
           [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); });
@@ -167,7 +168,7 @@
   const Clock clock_;
   Host host_;
   Loop control_;
-  std::unique_ptr<standin::ControlMachine> machine_;
+  std::unique_ptr<fake_upstream::ControlMachine> machine_;
 };
 
 void run(const Size& size, const std::string& out) {
--- a/bench/crossing.cpp
+++ b/bench/cross_zone.cpp
@@ -16,12 +16,12 @@
 #include <utility>
 #include <vector>
 
-#include "crossing/account.hpp"
-#include "crossing/budget.hpp"
-#include "ridgeshift/ridgeshift.hpp"
+#include "cross_zone/account.hpp"
+#include "cross_zone/budget.hpp"
+#include "finchstile/load_balancer.hpp"
 
-using namespace ridgeshift;
-namespace crossing = finchstile::crossing;
+using namespace finchstile::load_balancing;
+namespace cross_zone = finchstile::cross_zone;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -29,15 +29,15 @@
 
 struct Kind {
   const char* name;
-  Effect effect;
+  Idempotency effect;
   double share, worth, workMs;
   Duration aim, giveUp;
   double out, in;  // bytes
 };
 constexpr Kind kKinds[] = {
-    {"cut-plan", Effect::retryable, 0.16, 12, 60, milliseconds(600), milliseconds(1200), 300, 24000},
-    {"stock-out", Effect::fragile, 0.53, 1, 25, milliseconds(400), milliseconds(2000), 400, 300},
-    {"log-in", Effect::dedup, 0.31, 1, 25, milliseconds(400), milliseconds(1000), 2000, 300},
+    {"cut-plan", Idempotency::idempotent, 0.16, 12, 60, milliseconds(600), milliseconds(1200), 300, 24000},
+    {"stock-out", Idempotency::nonIdempotent, 0.53, 1, 25, milliseconds(400), milliseconds(2000), 400, 300},
+    {"log-in", Idempotency::idempotentWithKey, 0.31, 1, 25, milliseconds(400), milliseconds(1000), 2000, 300},
 };
 constexpr int kHosts = 12, kCores = 4;  // the first half is ours
 
@@ -89,30 +89,30 @@
       HostEntry e;
       e.address = "h" + std::to_string(100 + i);
       e.zone = i < kHosts / 2 ? "brasov" : "cluj";
-      e.kind = "std";
-      if (i < kHosts / 2 && i >= ours) e.phase = ridgeshift::Phase::out;
+      e.machineType = "std";
+      if (i < kHosts / 2 && i >= ours) e.phase = finchstile::load_balancing::HostPhase::removed;
       out.push_back(e);
     }
     return out;
   }
 
-  void start(Balancer& b, int host, const Work& w) {
+  void start(LoadBalancer& b, int host, const Work& w) {
     ++hosts[static_cast<std::size_t>(host)].busy;
     events.push({now + w.takes, 1, w.request, w.attempt, host});
     (void)b;
   }
 
-  void carryOut(Balancer& b, crossing::Budget* budget) {
+  void carryOut(LoadBalancer& b, cross_zone::Budget* budget) {
     while (!b.actions().empty()) {
       const std::vector<Action> actions = std::exchange(b.actions(), {});
       for (const Action& a : actions) {
         const auto o = open.find(a.request);
-        if (a.kind == ActionKind::refuse && o != open.end() && !o->second.over) {
+        if (a.kind == ActionKind::reject && o != open.end() && !o->second.over) {
           phase(o->second.at).refused += 1;
           o->second.over = true;
         }
-        if (a.kind != ActionKind::send || o == open.end()) continue;
-        const int host = std::atoi(b.address(a.host).c_str() + 1) - 100;
+        if (a.kind != ActionKind::sendAttempt || o == open.end()) continue;
+        const int host = std::atoi(b.hostAddress(a.host).c_str() + 1) - 100;
         const Kind& k = kKinds[o->second.kind];
         o->second.sent[a.attempt] = {host, now};
         if (host >= kHosts / 2) {
@@ -131,24 +131,24 @@
     }
   }
 
-  void run(double perSecond, crossing::Budget* budget) {
+  void run(double perSecond, cross_zone::Budget* budget) {
     for (const Kind& k : kKinds) {
       ClassSettings c;
       c.name = k.name;
-      c.effect = k.effect;
-      c.worth = k.worth;
-      c.aim = k.aim;
-      c.giveUp = k.giveUp;
-      c.window = seconds(2);
-      c.group = Group::zone;
+      c.idempotency = k.effect;
+      c.priorityWeight = k.worth;
+      c.latencyObjective = k.aim;
+      c.clientTimeout = k.giveUp;
+      c.deduplicationWindow = seconds(2);
+      c.deduplicationScope = DeduplicationScope::zone;
       settings.classes.push_back(c);
     }
     settings.zone = "brasov";
-    settings.cancel = true;
+    settings.cancellationEnabled = true;
     settings.maxAttempts = 3;
-    settings.step = milliseconds(1);
-    Balancer b(settings, now);
-    b.onHosts(now, ListKind::replace, list(kHosts / 2));
+    settings.eventInterval = milliseconds(1);
+    LoadBalancer b(settings, now);
+    b.onHostListUpdate(now, HostListUpdate::complete, list(kHosts / 2));
     carryOut(b, budget);
     RequestId last = 0;
     const Time end = now + length;
@@ -162,8 +162,8 @@
         wake += milliseconds(20);
         const bool lost = (now - seconds(1000)) * 3 / length == 1;
         const int want = lost ? kHosts / 8 : kHosts / 2;
-        if (want != ours) b.onHosts(now, ListKind::replace, list(ours = want));
-        b.onWake(now);
+        if (want != ours) b.onHostListUpdate(now, HostListUpdate::complete, list(ours = want));
+        b.onTimer(now);
         carryOut(b, budget);
       }
       events.pop();
@@ -176,9 +176,9 @@
         Request q;
         q.id = ++last;
         q.classIndex = static_cast<std::uint32_t>(kind);
-        q.left = kKinds[kind].giveUp;
-        q.homeFirst = budget && !budget->allows(now, kKinds[kind].worth);
-        open[q.id] = {kind, now, q.homeFirst, false, {}};
+        q.timeLeft = kKinds[kind].giveUp;
+        q.preferLocalZone = budget && !budget->allows(now, kKinds[kind].worth);
+        open[q.id] = {kind, now, q.preferLocalZone, false, {}};
         phase(now).offered += kKinds[kind].worth;
         b.onRequest(now, q);
         events.push({now + Duration(static_cast<std::int64_t>(-std::log(1 - unit()) / perSecond * 1e9)), 0});
@@ -198,10 +198,10 @@
         r.request = e.request;
         r.attempt = e.attempt;
         r.host = b.findHost("h" + std::to_string(100 + host));
-        r.taken = now - at;
-        r.terminal = true;
+        r.elapsed = now - at;
+        r.requestEnded = true;
         o.over = true;
-        b.onResult(now, r);
+        b.onAttemptResult(now, r);
       }
       carryOut(b, budget);
     }
@@ -218,9 +218,9 @@
   for (const double bytes : {-1.0, 200000.0, 50000.0, 0.0}) {
     Model m;
     m.length = seconds(length);
-    crossing::CrossingSettings s;
+    cross_zone::CrossingSettings s;
     s.bytesPerSecond = bytes;
-    crossing::Budget budget(s, 12, m.now);
+    cross_zone::Budget budget(s, 12, m.now);
     m.run(rate, bytes < 0 ? nullptr : &budget);
     for (int i = 0; i < 3; ++i) {
       const Third& p = m.phases[i];
--- a/bench/moves.cpp
+++ b/bench/discovery_migration.cpp
@@ -13,7 +13,7 @@
 
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 struct Terms {
@@ -40,13 +40,14 @@
     for (std::size_t g = 0; g < gateways_.size(); ++g) {
       Settings s = makeSettings();
       s.seed = seed * 1000 + g;
-      s.groupSize = static_cast<std::uint32_t>(t_.gateways);
-      s.myNumber = static_cast<std::uint32_t>(g);
-      s.askDiscovery = true;
-      s.askWithin = seconds(10);
-      gateways_[g].balancer = std::make_unique<Balancer>(s, now_);
-      gateways_[g].balancer->onHosts(now_, ListKind::restored, list);
-      gateways_[g].balancer->onHosts(now_, ListKind::update, {});  // its watch at the old one is on
+      s.gatewayCount = static_cast<std::uint32_t>(t_.gateways);
+      s.gatewayIndex = static_cast<std::uint32_t>(g);
+      s.pollsDiscovery = true;
+      s.maxDiscoverySilence = seconds(10);
+      gateways_[g].balancer = std::make_unique<LoadBalancer>(s, now_);
+      gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::restored, list);
+      gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::incremental,
+                                              {});  // its watch at the old one is on
       gateways_[g].balancer->actions().clear();
       const auto when = static_cast<std::int64_t>(unit() * static_cast<double>(t_.spread.count()));
       at(now_ + Duration(when), [this, g] { move(g); });
@@ -66,7 +67,7 @@
 
  private:
   struct Gateway {
-    std::unique_ptr<Balancer> balancer;
+    std::unique_ptr<LoadBalancer> balancer;
     Time moved{};
     bool heard = false;
   };
@@ -82,7 +83,7 @@
 
   void move(std::size_t g) {
     gateways_[g].moved = now_;
-    if (told_) gateways_[g].balancer->onHosts(now_, ListKind::moved, {});
+    if (told_) gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::moved, {});
     carryOut(g);
     call(g);
   }
@@ -91,7 +92,7 @@
     if (begin - now_ > t_.timeout || now_ < start_ + t_.full) {
       ++result_.callsTurnedAway;
       return at(now_ + t_.turnedAway, [this, g] {
-        gateways_[g].balancer->onHosts(now_, ListKind::unavailable, {});
+        gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::unavailable, {});
         carryOut(g);
       });
     }
@@ -105,11 +106,11 @@
     std::vector<Action> actions;
     actions.swap(gateways_[g].balancer->actions());
     for (const Action& a : actions) {
-      if (a.kind == ActionKind::subscribe) call(g);
-      if (a.kind == ActionKind::wake)
-        at(a.span, [this, g] {
+      if (a.kind == ActionKind::pollDiscovery) call(g);
+      if (a.kind == ActionKind::setTimer)
+        at(a.duration, [this, g] {
           if (gateways_[g].heard) return;
-          gateways_[g].balancer->onWake(now_);
+          gateways_[g].balancer->onTimer(now_);
           carryOut(g);
         });
     }
@@ -150,12 +151,12 @@
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
 
 int main(int argc, char** argv) {
-  using namespace ridgeshift::testing;
+  using namespace finchstile::load_balancing::testing;
   const int seeds = std::max(1, argc > 1 ? std::atoi(argv[1]) : 3);
-  const auto rows = [&](int gateways, int hosts, double lines, ridgeshift::Duration full) {
+  const auto rows = [&](int gateways, int hosts, double lines, finchstile::load_balancing::Duration full) {
     Terms t;
     t.gateways = gateways;
     t.hosts = hosts;
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -8,7 +8,7 @@
 #include <functional>
 #include <string>
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 void day(const char* name, int seeds, FleetSettings set, const std::function<void(Fleet&)>& plan,
@@ -47,9 +47,9 @@
 
 void lists(int hosts, std::uint32_t gateways) {
   Settings s = makeSettings();
-  s.groupSize = gateways;
-  s.myNumber = gateways / 2;
-  Balancer b(s, seconds(1));
+  s.gatewayCount = gateways;
+  s.gatewayIndex = gateways / 2;
+  LoadBalancer b(s, seconds(1));
   std::vector<HostEntry> all;
   for (int i = 0; i < hosts; ++i) all.push_back(makeHost(i));
   const auto took = [](const std::function<void()>& what) {
@@ -57,20 +57,20 @@
     what();
     return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begun).count();
   };
-  const double whole = took([&] { b.onHosts(seconds(1), ListKind::replace, all); });
-  all[0].phase = Phase::draining;
-  const double change = took([&] { b.onHosts(seconds(1), ListKind::update, {all[0]}); });
-  const double none = took([&] { b.onHosts(seconds(1), ListKind::replace, {}); });
+  const double whole = took([&] { b.onHostListUpdate(seconds(1), HostListUpdate::complete, all); });
+  all[0].phase = HostPhase::draining;
+  const double change = took([&] { b.onHostListUpdate(seconds(1), HostListUpdate::incremental, {all[0]}); });
+  const double none = took([&] { b.onHostListUpdate(seconds(1), HostListUpdate::complete, {}); });
   std::printf("%6d hosts, %5u gateways: whole list %.1f ms, one change %.1f ms, an empty list %.1f ms\n",
               hosts, gateways, whole, change, none);
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
 
 int main(int argc, char** argv) {
-  using namespace ridgeshift;
-  using namespace ridgeshift::testing;
+  using namespace finchstile::load_balancing;
+  using namespace finchstile::load_balancing::testing;
   const int seeds = argc > 1 ? std::max(1, std::atoi(argv[1])) : 4;
   const auto calm = [](Fleet&) {};
   day("calm 3x12", seeds, sized(3, 12, 460), calm, seconds(15));
--- a/bench/gossip.cpp
+++ b/bench/gossip.cpp
@@ -67,7 +67,8 @@
       Gateway* const raw = g.get();
       g->gossip = std::make_unique<Gossip>(s, o.seed * 1'000'003 + i, start,
                                            [raw](HostKey h) { return raw->answered[h - 1]; });
-      for (HostKey h = 1; h <= hosts_; ++h) g->gossip->onListed(h, 0, ridgeshift::Phase::in, 1, start);
+      for (HostKey h = 1; h <= hosts_; ++h)
+        g->gossip->onListed(h, 0, finchstile::load_balancing::HostPhase::active, 1, start);
       g->nextTick = unit() * 0.2;
       gateways_.push_back(std::move(g));
     }
--- a/bench/hooks.cpp
+++ b/bench/hooks.cpp
@@ -1,6 +1,6 @@
 // What hooks cost. Prints one line a figure; docs/design/hooks.md says what they mean.
 //
-//   cmake -B build-bench -DRIDGESHIFT_BENCH=ON && cmake --build build-bench -j4 --target bench_hooks
+//   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target bench_hooks
 //   build-bench/bench_hooks
 #include <pthread.h>
 #include <time.h>
@@ -18,8 +18,8 @@
 #include <vector>
 
 #include "hook/compiler.hpp"
+#include "hook/filter.hpp"
 #include "hook/machine.hpp"
-#include "hook/stage.hpp"
 #include "hook/verifier.hpp"
 #include "host.hpp"
 #include "net/gateway.hpp"
@@ -191,7 +191,7 @@
   Host host;
   asio::io_context io(1);
   const Clock clock;
-  const json config = bench::configFor(host, standin::gradeJson({"read", "retryable", "all"}));
+  const json config = bench::configFor(host, fake_upstream::gradeJson({"read", "retryable", "all"}));
   const auto setOf = [&](int version) {
     auto set = std::make_shared<HookSet>();
     for (std::size_t i = 0; i < hooks; ++i) {
@@ -203,7 +203,7 @@
     }
     return set;
   };
-  HookStage stage(clock, Duration{}, [](std::string_view) {});
+  HookFilter stage(clock, Duration{}, [](std::string_view) {});
   Gateway gateway(io, clock, readConfig(config.dump(), clock));
   if (hooks > 0) {
     stage.chain().take(setOf(0));
--- a/bench/host.hpp
+++ b/bench/host.hpp
@@ -15,7 +15,7 @@
 #include <thread>
 #include <vector>
 
-#include "standin_config.hpp"
+#include "fake_upstream_config.hpp"
 
 namespace finchstile::bench {
 
@@ -70,13 +70,14 @@
 inline nlohmann::json configFor(const Host& host, const nlohmann::json& grade) {
   using nlohmann::json;
   const auto at = host.at().address().to_string() + ":" + std::to_string(host.at().port());
-  return {{"name", "b"},
-          {"listen", "127.0.0.1:0"},
-          {"discovery", "127.0.0.1:1"},
-          {"seed", "1"},
-          {"limits", {{"sockets", 256}}},
-          {"settings", standin::settingsJson(json::array({grade}), false, "east")},
-          {"known", standin::listJson(1, true, json::array({standin::hostJson("s", at, "east")}))}};
+  return {
+      {"name", "b"},
+      {"listen", "127.0.0.1:0"},
+      {"discovery", "127.0.0.1:1"},
+      {"seed", "1"},
+      {"limits", {{"sockets", 256}}},
+      {"settings", fake_upstream::settingsJson(json::array({grade}), false, "east")},
+      {"known", fake_upstream::listJson(1, true, json::array({fake_upstream::hostJson("s", at, "east")}))}};
 }
 
 }  // namespace finchstile::bench
--- a/bench/idempotency.cpp
+++ b/bench/idempotency.cpp
@@ -1,6 +1,6 @@
 // What the store of keyed requests costs: look-ups a second and bytes an entry by size.
 //
-//   cmake -B build-bench -DRIDGESHIFT_BENCH=ON && cmake --build build-bench -j4 --target bench_idempotency
+//   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target bench_idempotency
 //   build-bench/bench_idempotency
 #include <malloc.h>
 
@@ -38,7 +38,7 @@
   limits.keep = std::chrono::hours(1);
   const std::size_t before = mallinfo2().uordblks + mallinfo2().hblkhd;
   Store store(limits, 1, Seed{1, 2});
-  ridgeshift::Time now = std::chrono::hours(1);
+  finchstile::load_balancing::Time now = std::chrono::hours(1);
   const auto key = [](std::size_t i) {
     return "5c0f6e1a2b3d4c59a8b7c6d5e4f" + std::to_string(10'000'000 + i);
   };
--- a/bench/idempotency_log.cpp
+++ b/bench/idempotency_log.cpp
@@ -1,7 +1,7 @@
 // What the log of keyed requests costs: requests a second and the time that each waits for its record, by
 // sync policy; how long a start takes by the size of the log.
 //
-//   cmake -B build-bench -DRIDGESHIFT_BENCH=ON && cmake --build build-bench -j4 --target
+//   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target
 //   bench_idempotency_log build-bench/bench_idempotency_log FOLDER      (empty or missing, on the disk to be
 //   measured; left empty)
 #include <algorithm>
--- a/bench/idempotency_owners.cpp
+++ b/bench/idempotency_owners.cpp
@@ -1,8 +1,10 @@
 // What a repeat takes that lands at another gateway, beside one that lands at the first again and one that is
 // new: three gateways that ask each other for owners of keys, on loopback, one request after the other.
 //
-//   cmake -B build-bench -DRIDGESHIFT_BENCH=ON && cmake --build build-bench -j4 --target
+//   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target
 //   bench_idempotency_owners && build-bench/bench_idempotency_owners FOLDER   (for the secret; left empty)
+#include "app/idempotency_owners.hpp"
+
 #include <sys/stat.h>
 
 #include <algorithm>
@@ -16,9 +18,8 @@
 #include <thread>
 #include <vector>
 
-#include "app/key_owners.hpp"
 #include "host.hpp"
-#include "idempotency/stage.hpp"
+#include "idempotency/filter.hpp"
 #include "net/gateway.hpp"
 
 namespace {
@@ -34,9 +35,10 @@
 struct One {
   One(const nlohmann::json& config, const IdempotencySettings& settings, const peer::PeerSettings& peers)
       : read(readConfig(config.dump(), clock)), gateway(io, clock, read) {
-    stage = std::make_unique<IdempotencyStage>(clock, settings, 0, Seed{1, peers.own}, gateway.stageHost());
+    stage = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{1, peers.own},
+                                                gateway.filterCallbacks());
     link = std::make_unique<PeerLink>(io, clock, peers);
-    owners = std::make_unique<KeyOwners>(io, clock, settings, *link, read.settings, *stage);
+    owners = std::make_unique<IdempotencyOwnership>(io, clock, settings, *link, read.settings, *stage);
     gateway.attach(*stage);
     gateway.start();
     at = gateway.endpoint();
@@ -48,11 +50,11 @@
   }
   const Clock clock;
   asio::io_context io{1};
-  const Config read;
-  std::unique_ptr<IdempotencyStage> stage;
+  const GatewayConfig read;
+  std::unique_ptr<IdempotencyFilter> stage;
   Gateway gateway;
   std::unique_ptr<PeerLink> link;
-  std::unique_ptr<KeyOwners> owners;
+  std::unique_ptr<IdempotencyOwnership> owners;
   asio::ip::tcp::endpoint at;
   std::thread loop;
 };
@@ -110,7 +112,7 @@
     }
   }
   bench::Host host;
-  const nlohmann::json config = bench::configFor(host, standin::gradeJson({"put", "dedup", "zone"}));
+  const nlohmann::json config = bench::configFor(host, fake_upstream::gradeJson({"put", "dedup", "zone"}));
   IdempotencySettings settings;
   settings.owners.enabled = true;
   settings.limits.entries = 1'000'000;
--- a/bench/idempotency_request.cpp
+++ b/bench/idempotency_request.cpp
@@ -1,7 +1,7 @@
 // What the store and its log add to a keyed request: the time from its first byte to its answer, one after
 // the other, through the gateway on loopback.
 //
-//   cmake -B build-bench -DRIDGESHIFT_BENCH=ON && cmake --build build-bench -j4 --target
+//   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target
 //   bench_idempotency_request build-bench/bench_idempotency_request FOLDER   (empty or missing, on the disk
 //   to be measured; left empty)
 #include <algorithm>
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "host.hpp"
-#include "idempotency/stage.hpp"
+#include "idempotency/filter.hpp"
 #include "net/gateway.hpp"
 #include "wal/sync_thread.hpp"
 
@@ -39,7 +39,7 @@
   bench::Host host;
   asio::io_context io(1);
   const Clock clock;
-  const json config = bench::configFor(host, standin::gradeJson({"put", "dedup", "zone"}));
+  const json config = bench::configFor(host, fake_upstream::gradeJson({"put", "dedup", "zone"}));
   // In the order in which they have to outlive one another.
   std::filesystem::remove_all(path);
   std::string why;
@@ -48,11 +48,11 @@
   std::unique_ptr<wal::Log> log;
   std::unique_ptr<wal::SyncThread> thread;
   std::unique_ptr<Journal> journal;
-  std::unique_ptr<IdempotencyStage> stage;
+  std::unique_ptr<IdempotencyFilter> stage;
   Gateway gateway(io, clock, readConfig(config.dump(), clock));
   IdempotencySettings settings;
   if (mode.store)
-    stage = std::make_unique<IdempotencyStage>(clock, settings, 0, Seed{1, 2}, gateway.stageHost());
+    stage = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{1, 2}, gateway.filterCallbacks());
   if (mode.log) {
     folder = wal::openFolder(path, why);
     if (!folder) std::fprintf(stderr, "%s\n", why.c_str()), std::exit(1);
--- a/bench/streams.cpp
+++ b/bench/streams.cpp
@@ -4,7 +4,7 @@
 //
 //   bench_streams [STREAMS ...]      (10 1000 9900; two descriptors each in either process)
 //
-//   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DRIDGESHIFT_BENCH=ON && cmake --build build-bench -j4
+//   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4
 //   --target bench_streams && build-bench/bench_streams
 #include <fcntl.h>
 #include <netinet/tcp.h>
@@ -28,11 +28,11 @@
 #include <unordered_map>
 #include <vector>
 
+#include "fake_upstream_config.hpp"
 #include "net/gateway.hpp"
-#include "standin_config.hpp"
 #include "stream/table.hpp"
-#include "stream/tcp_front.hpp"
-#include "websocket/front.hpp"
+#include "stream/tcp_proxy_handler.hpp"
+#include "websocket/web_socket_handler.hpp"
 
 namespace {
 
@@ -207,11 +207,12 @@
       {"discovery", text(silent.local_endpoint().port())},
       {"seed", "1"},
       {"limits", {{"sockets", 100'000}}},
-      {"known", standin::listJson(1, true, nlohmann::json::array({standin::hostJson("h", text(host), "a")}))},
+      {"known", fake_upstream::listJson(
+                    1, true, nlohmann::json::array({fake_upstream::hostJson("h", text(host), "a")}))},
       {"settings",
-       standin::settingsJson(nlohmann::json::array({standin::gradeJson({"live", "retryable", "all"})}), false,
-                             "a")}};
-  Config read = readConfig(config.dump(), clock);
+       fake_upstream::settingsJson(
+           nlohmann::json::array({fake_upstream::gradeJson({"live", "retryable", "all"})}), false, "a")}};
+  GatewayConfig read = readConfig(config.dump(), clock);
   stream::StreamSettings s;
   s.enabled = true;
   s.most = streams + 16;
@@ -223,17 +224,18 @@
   l.at = {asio::ip::address_v4::loopback(), 0};
   l.className = "live";
   if (mode == Mode::tcp) s.listen.push_back(l);
-  read.tuning.otherShare = 0.5;
+  read.options.reservedDescriptorFraction = 0.5;
   Gateway gateway(io, clock, read);
-  stream::StreamTable table(io, clock, s, s.most, 1, gateway.frontHost(), [](std::string_view) {});
-  stream::TcpFront front(io, clock, s, read.settings, gateway.frontHost(), table);
+  stream::StreamTable table(io, clock, s, s.most, 1, gateway.protocolHandlerCallbacks(),
+                            [](std::string_view) {});
+  stream::TcpProxyHandler front(io, clock, s, read.settings, gateway.protocolHandlerCallbacks(), table);
   websocket::WebSocketSettings w;
   w.inspect = mode == Mode::inspect;
   std::mt19937 dice(1);
-  websocket::WebSocketFront upgrades(
+  websocket::WebSocketHandler upgrades(
       clock, w, "bench", [&] { return static_cast<std::uint32_t>(dice()); }, table);
   gateway.attach(front);
-  gateway.setUpgrades(upgrades);
+  gateway.setUpgradeHandler(upgrades);
   front.start();
   gateway.start();
   const std::uint16_t port = mode == Mode::tcp ? front.endpoint(0).port() : gateway.endpoint().port();
--- a/bench/trace.cpp
+++ b/bench/trace.cpp
@@ -20,7 +20,7 @@
   };
   boost::asio::io_context io;
   const Clock clock;
-  ridgeshift::ClassSettings type;
+  finchstile::load_balancing::ClassSettings type;
   type.name = "stock-out";
   const auto play = [&](double share, double perSecond) {
     trace::TraceSettings settings;
@@ -34,10 +34,11 @@
              for (int i = 0; i < requests; ++i) {
                const std::string id = "574506fc" + std::to_string(i);
                const auto now = clock.now();
-               const HostKnown known{now, now, {}, false};
-               log.onAttempt({id, type, 0, "s-68200762", "brasov", 3, now, now, ridgeshift::Outcome::served,
-                              false, false, known});
-               log.onRequest({id, type, now, std::chrono::milliseconds(480), RequestEnd::served, 200, 1, 0});
+               const HostObservation known{now, now, {}, false};
+               log.onAttempt({id, type, 0, "s-68200762", "brasov", 3, now, now,
+                              finchstile::load_balancing::Outcome::served, false, false, known});
+               log.onRequest(
+                   {id, type, now, std::chrono::milliseconds(480), RequestResult::served, 200, 1, 0});
              }
            }) /
            requests * 1e6;
--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -16,16 +16,16 @@
 
 }  // namespace
 
-AdminApi::AdminApi(boost::asio::io_context& io, const Clock& clock, const Config& c, const std::string& file,
-                   Gateway& gateway)
+AdminApi::AdminApi(boost::asio::io_context& io, const Clock& clock, const GatewayConfig& c,
+                   const std::string& file, Gateway& gateway)
     : clock_(clock),
-      keep_(c.settings.coldTime),
+      keep_(c.settings.warmUpTime),
       gateway_(gateway),
       file_(file),
       timer_(io),
-      server_(io, c.ops.value(), *this, {}) {
+      server_(io, c.adminEndpoint.value(), *this, {}) {
   refresh();
-  gateway_.addHostFilter(*this);
+  gateway_.addHostEntryFilter(*this);
   waitToLook();
 }
 
@@ -44,7 +44,7 @@
   timer_.expires_after(kLook);
   timer_.async_wait([this](const boost::system::error_code& stopped) {
     if (stopped) return;
-    if (refresh()) gateway_.refilter();
+    if (refresh()) gateway_.reapplyHostFilters();
     out_.expire(clock_.now(), keep_);
     waitToLook();
   });
@@ -56,15 +56,15 @@
       if (gateway_.ready()) return {200, "ready\n"};
       return {503, "not ready\n"};
     case ops::CallKind::telemetry:
-      return {200, ops::exposition(gateway_.figures(), config) + (more ? more() : std::string())};
+      return {200, ops::exposition(gateway_.metrics(), config) + (more ? more() : std::string())};
     case ops::CallKind::exclude: return takeOut(call.host);
     case ops::CallKind::include: return putBack(call.host);
     case ops::CallKind::evacuate:
-      gateway_.sendAway();
+      gateway_.enterLameDuck();
       std::fprintf(stderr, "ops: clients are sent away\n");
       return {200, "done\n"};
     case ops::CallKind::rejoin:
-      gateway_.takeBack();
+      gateway_.leaveLameDuck();
       std::fprintf(stderr, "ops: clients are taken again\n");
       return {200, "done\n"};
     case ops::CallKind::hosts: {
@@ -78,26 +78,26 @@
 
 ops::Reply AdminApi::takeOut(const std::string& host) {
   if (!known(host)) return {404, "no such host in the list\n"};
-  if (!out_.takeOut(host)) return {507, "too many hosts are out by hand\n"};
+  if (!out_.cordon(host)) return {507, "too many hosts are out by hand\n"};
   return changed(host, "out by hand");
 }
 
 ops::Reply AdminApi::putBack(const std::string& host) {
   if (!known(host)) return {404, "no such host in the list\n"};
-  if (!out_.isOut(host)) return {200, "was not out\n"};
-  out_.putBack(host, clock_.now());
+  if (!out_.isCordoned(host)) return {200, "was not out\n"};
+  out_.uncordon(host, clock_.now());
   return changed(host, "put back");
 }
 
 // Danger: what another process was told is read once; whatever becomes of this call, it takes effect here.
 bool AdminApi::known(const std::string& host) {
-  if (refresh()) gateway_.refilter();
-  return gateway_.lists(host) || out_.knows(host);
+  if (refresh()) gateway_.reapplyHostFilters();
+  return gateway_.isListed(host) || out_.knows(host);
 }
 
 // Danger: a yes that the next process does not know of would be broken by it.
 ops::Reply AdminApi::changed(const std::string& host, const char* how) {
-  gateway_.refilter();
+  gateway_.reapplyHostFilters();
   std::fprintf(stderr, "ops: host %s is %s\n", host.c_str(), how);
   if (file_.path().empty() || file_.write(out_.encode())) return {200, "done\n"};
   std::fprintf(stderr, "ops: %s can not be written\n", file_.path().c_str());
--- a/src/app/admin_api.hpp
+++ b/src/app/admin_api.hpp
@@ -12,26 +12,26 @@
 #include "net/config.hpp"
 #include "net/gateway.hpp"
 #include "ops/exposition.hpp"
-#include "ops/hand_out.hpp"
+#include "ops/host_cordon.hpp"
 #include "ops/server.hpp"
 #include "ops/state_file.hpp"
 
 namespace finchstile {
 
-class AdminApi : ops::CallEvents, HostFilter {
+class AdminApi : ops::CallEvents, HostEntryFilter {
  public:
   // `file`: where hosts out by hand are written down; empty: nowhere.
-  AdminApi(boost::asio::io_context& io, const Clock& clock, const Config& config, const std::string& file,
-           Gateway& gateway);
+  AdminApi(boost::asio::io_context& io, const Clock& clock, const GatewayConfig& config,
+           const std::string& file, Gateway& gateway);
 
-  ops::ConfigFigures config;          // counted by whoever reads configurations
+  ops::ConfigMetrics config;          // counted by whoever reads configurations
   std::function<std::string()> more;  // further figures, as lines of the exposition format
   // What is known of a host, of all if none is named; none: no list names it. Empty: nobody keeps it.
   std::function<std::optional<std::string>(const std::string& host)> hosts;
 
  private:
   ops::Reply onCall(const ops::Call& call) override;
-  void apply(ridgeshift::HostEntry& entry) const override { out_.apply(entry); }
+  void apply(load_balancing::HostEntry& entry) const override { out_.apply(entry); }
   ops::Reply takeOut(const std::string& host);
   ops::Reply putBack(const std::string& host);
   bool known(const std::string& host);
@@ -42,7 +42,7 @@
   const Clock& clock_;
   const Duration keep_;  // how long a host is cold at the most
   Gateway& gateway_;
-  ops::HandOut out_;
+  ops::HostCordon out_;
   ops::StateFile file_;
   boost::asio::steady_timer timer_;
   ops::Server server_;
--- a/src/app/key_log.cpp
+++ b/src/app/idempotency_log.cpp
@@ -1,4 +1,4 @@
-#include "app/key_log.hpp"
+#include "app/idempotency_log.hpp"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -24,7 +24,7 @@
 }
 
 idempotency::JournalSettings journalSettings(const idempotency::IdempotencySettings& settings,
-                                             const ridgeshift::Settings& known) {
+                                             const load_balancing::Settings& known) {
   idempotency::JournalSettings j;
   j.sync = settings.log.sync;
   j.syncInterval = settings.log.syncInterval;
@@ -35,9 +35,9 @@
 
 }  // namespace
 
-KeyLog::KeyLog(boost::asio::io_context& io, const Clock& clock,
-               const idempotency::IdempotencySettings& settings, const ridgeshift::Settings& known,
-               idempotency::IdempotencyStage& stage)
+IdempotencyLog::IdempotencyLog(boost::asio::io_context& io, const Clock& clock,
+                               const idempotency::IdempotencySettings& settings,
+                               const load_balancing::Settings& known, idempotency::IdempotencyFilter& stage)
     : clock_(clock),
       folder_(opened(settings.log.folder)),
       names_(idempotency::Names::of(known)),
@@ -63,7 +63,7 @@
   waitToTick();
 }
 
-void KeyLog::waitToTick() {
+void IdempotencyLog::waitToTick() {
   timer_.expires_after(every_);
   timer_.async_wait([this](const boost::system::error_code& stopped) {
     if (stopped) return;
--- a/src/app/key_log.hpp
+++ b/src/app/idempotency_log.hpp
@@ -5,7 +5,7 @@
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
 
-#include "idempotency/stage.hpp"
+#include "idempotency/filter.hpp"
 #include "net/clock.hpp"
 #include "wal/env.hpp"
 #include "wal/log.hpp"
@@ -13,13 +13,14 @@
 
 namespace finchstile {
 
-class KeyLog {
+class IdempotencyLog {
  public:
   // Puts what the log holds into the stage's store, before it is attached; reads the whole log. Says on
   // standard error what it found. Throws std::runtime_error if the folder can't be used at all: the operator
   // asked for what this process can't give. What has ended since shows in the stage's summary.
-  KeyLog(boost::asio::io_context& io, const Clock& clock, const idempotency::IdempotencySettings& settings,
-         const ridgeshift::Settings& known, idempotency::IdempotencyStage& stage);
+  IdempotencyLog(boost::asio::io_context& io, const Clock& clock,
+                 const idempotency::IdempotencySettings& settings, const load_balancing::Settings& known,
+                 idempotency::IdempotencyFilter& stage);
 
  private:
   void waitToTick();
--- a/src/app/key_owners.cpp
+++ b/src/app/idempotency_owners.cpp
@@ -1,10 +1,10 @@
-#include "app/key_owners.hpp"
+#include "app/idempotency_owners.hpp"
 
 namespace finchstile {
 namespace {
 
 idempotency::OwnerSettings ownerSettings(const idempotency::IdempotencySettings& settings,
-                                         const PeerLink& link, const ridgeshift::Settings& known) {
+                                         const PeerLink& link, const load_balancing::Settings& known) {
   idempotency::OwnerSettings o = settings.owners.owners;
   o.own = link.own();
   o.gateways = link.gateways();
@@ -15,9 +15,10 @@
 
 }  // namespace
 
-KeyOwners::KeyOwners(boost::asio::io_context& io, const Clock& clock,
-                     const idempotency::IdempotencySettings& settings, PeerLink& link,
-                     const ridgeshift::Settings& known, idempotency::IdempotencyStage& stage)
+IdempotencyOwnership::IdempotencyOwnership(boost::asio::io_context& io, const Clock& clock,
+                                           const idempotency::IdempotencySettings& settings, PeerLink& link,
+                                           const load_balancing::Settings& known,
+                                           idempotency::IdempotencyFilter& stage)
     : clock_(clock),
       stage_(stage),
       names_(idempotency::Names::of(known)),
@@ -30,11 +31,11 @@
   stage_.join(owners_, *this, names_, settings.owners.all);
 }
 
-void KeyOwners::send(idempotency::GatewayNumber to, std::string_view payload) {
+void IdempotencyOwnership::send(idempotency::GatewayNumber to, std::string_view payload) {
   channel_.send(peer::Topic::keys, to, payload);
 }
 
-void KeyOwners::wakeAt(std::optional<Time> at) {
+void IdempotencyOwnership::wakeAt(std::optional<Time> at) {
   if (at == armed_) return;
   armed_ = at;
   if (!at) {
--- a/src/app/key_owners.hpp
+++ b/src/app/idempotency_owners.hpp
@@ -6,24 +6,25 @@
 #include <memory>
 
 #include "app/peer_link.hpp"
-#include "idempotency/stage.hpp"
+#include "idempotency/filter.hpp"
 #include "net/clock.hpp"
 
 namespace finchstile {
 
-class KeyOwners : idempotency::OwnerLink {
+class IdempotencyOwnership : idempotency::OwnerLink {
  public:
   // Has the stage ask the other gateways. `link` must outlive it.
-  KeyOwners(boost::asio::io_context& io, const Clock& clock, const idempotency::IdempotencySettings& settings,
-            PeerLink& link, const ridgeshift::Settings& known, idempotency::IdempotencyStage& stage);
-  ~KeyOwners() override = default;
+  IdempotencyOwnership(boost::asio::io_context& io, const Clock& clock,
+                       const idempotency::IdempotencySettings& settings, PeerLink& link,
+                       const load_balancing::Settings& known, idempotency::IdempotencyFilter& stage);
+  ~IdempotencyOwnership() override = default;
 
  private:
   void send(idempotency::GatewayNumber to, std::string_view payload) override;
   void wakeAt(std::optional<Time> at) override;
 
   const Clock& clock_;
-  idempotency::IdempotencyStage& stage_;
+  idempotency::IdempotencyFilter& stage_;
   const idempotency::Names names_;
   peer::Channel& channel_;
   idempotency::Owners owners_;
--- a/src/app/members.cpp
+++ b/src/app/membership_service.cpp
@@ -1,4 +1,4 @@
-#include "app/members.hpp"
+#include "app/membership_service.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -9,8 +9,8 @@
 // Names of machine kinds that are kept for snapshots: one for each of as many hosts, were it so.
 constexpr std::size_t kKindsMost = 4096;
 
+using load_balancing::HostPhase;
 using membership::HostKey;
-using ridgeshift::Phase;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -21,8 +21,8 @@
 
 membership::List listOf(const HostList& from) {
   membership::List out;
-  out.index = from.index;
-  out.whole = from.whole;
+  out.index = from.version;
+  out.whole = from.complete;
   for (const ListedHost& h : from.hosts)
     out.hosts.push_back(
         {h.entry, h.endpoint.address().to_string() + ":" + std::to_string(h.endpoint.port())});
@@ -31,9 +31,9 @@
 
 }  // namespace
 
-Members::Members(boost::asio::io_context& io, const Clock& clock,
-                 const membership::MembershipSettings& settings, const Config& config, Gateway& gateway,
-                 PeerLink* link)
+MembershipService::MembershipService(boost::asio::io_context& io, const Clock& clock,
+                                     const membership::MembershipSettings& settings,
+                                     const GatewayConfig& config, Gateway& gateway, PeerLink* link)
     : clock_(clock),
       settings_(settings),
       known_(config.settings),
@@ -52,27 +52,29 @@
     g.gateways = link_->gateways();
     gossip_ = std::make_unique<membership::Gossip>(g, config.settings.seed, now, [this](HostKey key) {
       const auto it = names_.find(key);
-      return it == names_.end() ? Time{} : gateway_.answeredAt(it->second);
+      return it == names_.end() ? Time{} : gateway_.lastResponseAt(it->second);
     });
     // Spread, or gateways that start together would speak together.
     gossipAt_ = now + g.period * static_cast<int>(config.settings.seed % 100) / 100;
     link_->channel().take(peer::Topic::hosts, [this](peer::Number from, std::uint64_t,
                                                      std::string_view payload) { fromPeer(from, payload); });
   }
-  gateway_.setListGate(*this);
-  gateway_.addHostFilter(*this);
+  gateway_.setHostListInterceptor(*this);
+  gateway_.addHostEntryFilter(*this);
   gateway_.setHostObserver(*this);
 }
 
-HostKey Members::keyOf(std::string_view name) const { return SipHasher(nameKey_).add(name).end().low; }
+HostKey MembershipService::keyOf(std::string_view name) const {
+  return SipHasher(nameKey_).add(name).end().low;
+}
 
-std::int64_t Members::unixMs(Time upSince) const {
+std::int64_t MembershipService::unixMs(Time upSince) const {
   return upSince == Time{} ? 0 : clock_.unixAt(upSince) / milliseconds(1);
 }
 
 // --- Lists
 
-void Members::onStart(const HostList& known) {
+void MembershipService::onInitialList(const HostList& known) {
   const Time now = clock_.now();
   membership::List list = listOf(known);
   policy_.start(list, now);
@@ -88,10 +90,10 @@
   arm();
 }
 
-std::optional<HostList> Members::onList(HostList&& list) {
+std::optional<HostList> MembershipService::onList(HostList&& list) {
   const Time now = clock_.now();
   membership::ListPolicy::Told t = policy_.onList(listOf(list), now, [&](std::string_view host) {
-    const Time at = gateway_.answeredAt(std::string(host));
+    const Time at = gateway_.lastResponseAt(std::string(host));
     return at != Time{} && now - at < kAnswering;
   });
   if (policy_.counts().renumbered != renumbered_) {
@@ -101,7 +103,7 @@
   if (t.askWhole) {
     std::fprintf(stderr, "membership: list %lld leaves out too many hosts that answer; asked for again\n",
                  static_cast<long long>(policy_.version()));
-    gateway_.askWholeList();
+    gateway_.requestCompleteList();
   }
   arm();
   if (!t.list) return std::nullopt;
@@ -109,16 +111,16 @@
 }
 
 // What goes to the gateway is noted first: its filter is asked about each entry.
-HostList Members::told(membership::List&& list) {
+HostList MembershipService::told(membership::List&& list) {
   const Time now = clock_.now();
   const auto version = static_cast<std::uint64_t>(std::max<std::int64_t>(list.index, 0));
   HostList out;
-  out.index = list.index;
-  out.whole = list.whole;
+  out.version = list.index;
+  out.complete = list.whole;
   std::unordered_set<std::string_view> named;
   for (const membership::Named& n : list.hosts) {
     const std::string& name = n.entry.address;
-    view_.onListed(name, n.entry.upSince, n.entry.phase, version, now);
+    view_.onListed(name, n.entry.startedAt, n.entry.phase, version, now);
     if (const auto* facts = view_.find(name); facts && gossip_) {
       const auto [it, fresh] = keys_.emplace(name, 0);
       if (fresh) {
@@ -127,7 +129,7 @@
       }
       gossip_->onListed(it->second, unixMs(facts->started), n.entry.phase, version, now);
     }
-    if (kinds_.size() < kKindsMost) kinds_.insert(n.entry.kind);
+    if (kinds_.size() < kKindsMost) kinds_.insert(n.entry.machineType);
     out.hosts.push_back({n.entry, readEndpoint(n.at)});
     named.insert(name);
   }
@@ -137,37 +139,37 @@
       for (const auto& [name, key] : keys_)
         if (named.count(name) == 0)
           if (const auto* facts = view_.find(name))
-            gossip_->onListed(key, unixMs(facts->started), Phase::out, version, now);
+            gossip_->onListed(key, unixMs(facts->started), HostPhase::removed, version, now);
   }
   return out;
 }
 
-void Members::onLost() { policy_.onLost(); }
+void MembershipService::onWatchLost() { policy_.onLost(); }
 
-void Members::onMoved() {
+void MembershipService::onDiscoveryMoved() {
   policy_.onMoved();
   view_.renumber();
 }
 
-void Members::apply(ridgeshift::HostEntry& entry) const {
+void MembershipService::apply(load_balancing::HostEntry& entry) const {
   const Time now = clock_.now();
   if (!view_.find(entry.address)) return;  // no place, or not named yet: nothing is known against it
   entry.phase = membership::worse(entry.phase, view_.phase(entry.address, now));
-  if (!gossip_ || entry.phase != Phase::in) return;
+  if (!gossip_ || entry.phase != HostPhase::active) return;
   const auto key = keys_.find(entry.address);
-  if (key != keys_.end() && gossip_->silentByOthers(key->second, now)) entry.phase = Phase::draining;
+  if (key != keys_.end() && gossip_->silentByOthers(key->second, now)) entry.phase = HostPhase::draining;
 }
 
 // --- First hand
 
-void Members::onSilent(const std::string& host) {
+void MembershipService::onHostSilent(const std::string& host) {
   const auto key = keys_.find(host);
   const auto* facts = view_.find(host);
   if (gossip_ && key != keys_.end() && facts)
     gossip_->onSilent(key->second, unixMs(facts->started), clock_.now());
 }
 
-void Members::onReport(const std::string& host, const ridgeshift::LoadReport& report) {
+void MembershipService::onLoadReport(const std::string& host, const load_balancing::LoadReport& report) {
   const auto* facts = view_.find(host);
   if (!facts) return;
   const Time now = clock_.now();
@@ -176,7 +178,7 @@
 
 // --- Other gateways
 
-void Members::fromPeer(peer::Number from, std::string_view payload) {
+void MembershipService::fromPeer(peer::Number from, std::string_view payload) {
   const Time now = clock_.now();
   switch (payload.empty() ? 0 : payload.front()) {
     case membership::kAskForm:
@@ -195,14 +197,14 @@
   arm();
 }
 
-membership::Snapshot Members::snapshot() const {
+membership::Snapshot MembershipService::snapshot() const {
   membership::Snapshot s = membership::snapshotOf(
-      gateway_.learned(), [this](std::string_view name) { return keyOf(name); },
+      gateway_.learnedState(), [this](std::string_view name) { return keyOf(name); },
       [this](const std::string& host) { return factOf(host); });
   // Of those that drain nothing is learned, but that they do is to be known.
   for (const Gateway::HostView& h : gateway_.hosts()) {
     const auto fact = factOf(h.listed.address);
-    if (!fact || fact->phase == Phase::in) continue;
+    if (!fact || fact->phase == HostPhase::active) continue;
     membership::ToldHost told;
     told.host = keyOf(h.listed.address);
     told.started = fact->started;
@@ -214,15 +216,15 @@
   return s;
 }
 
-std::optional<membership::ListedFact> Members::factOf(const std::string& host) const {
+std::optional<membership::ListedFact> MembershipService::factOf(const std::string& host) const {
   const auto* facts = view_.find(host);
   if (!facts) return std::nullopt;
-  const Time at = gateway_.answeredAt(host);
+  const Time at = gateway_.lastResponseAt(host);
   return membership::ListedFact{unixMs(facts->started), facts->listed.phase, facts->listed.version,
                                 at == Time{} ? membership::kAgeMost : clock_.now() - at};
 }
 
-membership::Names Members::names() const {
+membership::Names MembershipService::names() const {
   membership::Names n;
   for (const auto& c : known_.classes) n.classes.emplace_back(keyOf(c.name), c.name);
   for (const std::string& k : kinds_) n.kinds.emplace_back(keyOf(k), k);
@@ -239,13 +241,13 @@
   return n;
 }
 
-void Members::endWarmStart() {
+void MembershipService::endWarmStart() {
   if (std::exchange(warmed_, true)) return;
   const Time now = clock_.now();
   const auto learned = warm_->learned(names(), now);
   for (const auto& [from, host] : warm_->phases()) {
-    const auto what =
-        host.phase == Phase::draining ? membership::Rumour::What::draining : membership::Rumour::What::out;
+    const auto what = host.phase == HostPhase::draining ? membership::Rumour::What::draining
+                                                        : membership::Rumour::What::out;
     gossip_->hear(from, {host.host, host.started, what, host.version, {}}, now);
   }
   const auto& c = warm_->counts();
@@ -253,11 +255,11 @@
                static_cast<unsigned long long>(c.asked), static_cast<unsigned long long>(c.complete),
                static_cast<unsigned long long>(c.young), learned ? learned->hosts.size() : 0,
                learned ? "" : " nothing to go by");
-  if (learned) gateway_.recall(*learned);
+  if (learned) gateway_.restoreLearnedState(*learned);
   settle();
 }
 
-void Members::settle() {
+void MembershipService::settle() {
   for (const Time until : gossip_->takeSilent()) {
     until_.insert(until);
     changed_ = true;
@@ -272,7 +274,7 @@
   }
 }
 
-void Members::sendOut() {
+void MembershipService::sendOut() {
   if (!link_) return;
   if (warm_)
     for (const auto& o : warm_->takeOutgoing()) link_->channel().send(peer::Topic::hosts, o.to, o.payload);
@@ -280,7 +282,7 @@
 
 // --- Time
 
-void Members::forget() {
+void MembershipService::forget() {
   view_.sweep(clock_.now());
   if (!gossip_) return;
   for (auto it = keys_.begin(); it != keys_.end();) {
@@ -294,7 +296,7 @@
   }
 }
 
-void Members::arm() {
+void MembershipService::arm() {
   Time want = sweepAt_;
   if (const auto at = policy_.wake()) want = std::min(want, *at);
   if (gossip_) want = std::min(want, gossipAt_);
@@ -311,12 +313,12 @@
   });
 }
 
-void Members::onTimer() {
+void MembershipService::onTimer() {
   armed_ = Time{};
   const Time now = clock_.now();
   if (const auto at = policy_.wake(); at && *at <= now) {
     auto t = policy_.onWake(now);
-    if (t.list) gateway_.takeList(told(std::move(*t.list)));
+    if (t.list) gateway_.applyHostList(told(std::move(*t.list)));
   }
   if (gossip_ && gossipAt_ <= now) {
     gossipAt_ = now + settings_.gossip.gossip.period;
@@ -337,7 +339,7 @@
   if (changed_ && now >= refilteredAt_ + kRefilterLeast) {
     changed_ = false;
     refilteredAt_ = now;
-    gateway_.refilter();
+    gateway_.reapplyHostFilters();
   }
   if (now >= sweepAt_) {
     sweepAt_ = now + kSweep;
--- a/src/app/members.hpp
+++ b/src/app/membership_service.hpp
@@ -17,16 +17,17 @@
 #include "net/clock.hpp"
 #include "net/config.hpp"
 #include "net/gateway.hpp"
-#include "net/hosts.hpp"
+#include "net/host_list_hooks.hpp"
 
 namespace finchstile {
 
-class Members : ListGate, HostFilter, HostObserver {
+class MembershipService : HostListInterceptor, HostEntryFilter, HostObserver {
  public:
   // To be made before the gateway starts; both and `link` must outlive it. `link`: null if there are no
   // peers.
-  Members(boost::asio::io_context& io, const Clock& clock, const membership::MembershipSettings& settings,
-          const Config& config, Gateway& gateway, PeerLink* link);
+  MembershipService(boost::asio::io_context& io, const Clock& clock,
+                    const membership::MembershipSettings& settings, const GatewayConfig& config,
+                    Gateway& gateway, PeerLink* link);
 
   std::string summary() const;     // one line, for the log
   std::string exposition() const;  // in the exposition format
@@ -41,13 +42,13 @@
   membership::HostKey keyOf(std::string_view name) const;
 
  private:
-  void onStart(const HostList& known) override;
+  void onInitialList(const HostList& known) override;
   std::optional<HostList> onList(HostList&& list) override;
-  void onLost() override;
-  void onMoved() override;
-  void apply(ridgeshift::HostEntry& entry) const override;
-  void onSilent(const std::string& host) override;
-  void onReport(const std::string& host, const ridgeshift::LoadReport& report) override;
+  void onWatchLost() override;
+  void onDiscoveryMoved() override;
+  void apply(load_balancing::HostEntry& entry) const override;
+  void onHostSilent(const std::string& host) override;
+  void onLoadReport(const std::string& host, const load_balancing::LoadReport& report) override;
 
   HostList told(membership::List&& list);
   void fromPeer(peer::Number from, std::string_view payload);
@@ -65,7 +66,7 @@
 
   const Clock& clock_;
   const membership::MembershipSettings settings_;
-  const ridgeshift::Settings& known_;
+  const load_balancing::Settings& known_;
   Gateway& gateway_;
   PeerLink* const link_;
   const SipKey nameKey_;
--- a/src/app/members_text.cpp
+++ b/src/app/membership_text.cpp
@@ -3,14 +3,16 @@
 #include <cstdarg>
 #include <cstdio>
 
-#include "app/members.hpp"
+#include "app/membership_service.hpp"
 
 namespace finchstile {
 namespace {
 
-using ridgeshift::Phase;
+using load_balancing::HostPhase;
 
-const char* nameOf(Phase p) { return p == Phase::in ? "in" : p == Phase::draining ? "draining" : "out"; }
+const char* nameOf(HostPhase p) {
+  return p == HostPhase::active ? "in" : p == HostPhase::draining ? "draining" : "out";
+}
 
 std::string ago(Duration age) {
   const double ms = std::chrono::duration<double, std::milli>(age).count();
@@ -31,19 +33,20 @@
 
 }  // namespace
 
-std::string Members::line(const Gateway::HostView& h) const {
+std::string MembershipService::line(const Gateway::HostView& h) const {
   const Time now = clock_.now();
   const std::string& name = h.listed.address;
   std::string out = name + " at=" + h.endpoint.address().to_string() + ":" +
-                    std::to_string(h.endpoint.port()) + " zone=" + h.listed.zone + " kind=" + h.listed.kind +
-                    " now=" + nameOf(h.inForce) + "\n";
+                    std::to_string(h.endpoint.port()) + " zone=" + h.listed.zone +
+                    " kind=" + h.listed.machineType + " now=" + nameOf(h.phaseInForce) + "\n";
   const auto fact = [&](const std::string& text) { out += "  " + text + "\n"; };
   const auto* facts = view_.find(name);
   fact(std::string("list: ") + nameOf(h.listed.phase) +
        (facts ? " version " + std::to_string(facts->listed.version) : "") +
-       (h.listed.upSince == Time{} ? ", up long" : ", up " + ago(now - h.listed.upSince)));
+       (h.listed.startedAt == Time{} ? ", up long" : ", up " + ago(now - h.listed.startedAt)));
   if (const auto why = policy_.reason(name); !why.empty()) fact("list in doubt: " + std::string(why));
-  fact(h.answered == Time{} ? "own: no answer yet" : "own: answered " + ago(now - h.answered) + " ago");
+  fact(h.lastResponseAt == Time{} ? "own: no answer yet"
+                                  : "own: answered " + ago(now - h.lastResponseAt) + " ago");
   if (h.avoided) fact("own: avoided by choice");
   if (h.streams > 0) fact("own: streams " + std::to_string(h.streams));
   if (const auto load = view_.load(name, now); facts && facts->load) {
@@ -68,7 +71,7 @@
   return out;
 }
 
-std::optional<std::string> Members::text(const std::string& host) const {
+std::optional<std::string> MembershipService::text(const std::string& host) const {
   std::string out;
   const auto all = gateway_.hosts();
   if (host.empty()) {
@@ -88,7 +91,7 @@
   return out;
 }
 
-std::string Members::summary() const {
+std::string MembershipService::summary() const {
   const auto& l = policy_.counts();
   std::string out = "membership lists=" + std::to_string(l.lists);
   for (const Figure& f : {Figure{"older", l.older},
@@ -115,7 +118,7 @@
   return out;
 }
 
-std::string Members::exposition() const {
+std::string MembershipService::exposition() const {
   std::string out;
   const auto family = [&](const char* name, const char* type, const char* label,
                           std::initializer_list<Figure> figures) {
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -14,19 +14,19 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-void readTuning(SettingReader& root, GatewayTuning& t) {
+void readTuning(SettingReader& root, GatewayOptions& t) {
   root.table("clients", [&](SettingReader& r) {
-    r.duration("idle", t.clients.idle, seconds(1), hours(1));
-    r.duration("request", t.clients.request, milliseconds(100), minutes(1));
-    r.duration("write", t.clients.write, milliseconds(100), minutes(1));
-    r.number("descriptor_share", t.clientShare, 0.05, 0.9);
-    r.duration("serve_draining", t.serveDraining, milliseconds(0), hours(1));
+    r.duration("idle", t.clients.idleTimeout, seconds(1), hours(1));
+    r.duration("request", t.clients.requestTimeout, milliseconds(100), minutes(1));
+    r.duration("write", t.clients.writeTimeout, milliseconds(100), minutes(1));
+    r.number("descriptor_share", t.clientDescriptorFraction, 0.05, 0.9);
+    r.duration("serve_draining", t.drainServeTime, milliseconds(0), hours(1));
   });
   root.table("upstream", [&](SettingReader& r) {
-    r.size("connecting", t.connecting, 1, 64);
-    r.duration("proof_least", t.proofLeast, milliseconds(0), milliseconds(100));
-    r.number("descriptor_share", t.upstreamShare, 0.05, 0.9);
-    if (t.clientShare + t.upstreamShare > 0.95)
+    r.size("connecting", t.maxConnectingPerHost, 1, 64);
+    r.duration("proof_least", t.minConnectionCheck, milliseconds(0), milliseconds(100));
+    r.number("descriptor_share", t.upstreamDescriptorFraction, 0.05, 0.9);
+    if (t.clientDescriptorFraction + t.upstreamDescriptorFraction > 0.95)
       r.error("descriptor_share", "and clients.descriptor_share must be 0.95 together at most");
   });
 }
@@ -54,7 +54,7 @@
     hook::readHookSettings(root, folder, out.hooks);
     idempotency::readIdempotencySettings(root, folder, out.idempotency);
     peer::readPeerSettings(root, folder, out.peers);
-    crossing::readCrossingSettings(root, out.crossing);
+    cross_zone::readCrossingSettings(root, out.crossing);
     membership::readMembershipSettings(root, out.membership);
     trace::readTraceSettings(root, folder, out.trace);
     configuration::readConfigurationSettings(root, folder, out.configuration);
--- a/src/app/operator_file.hpp
+++ b/src/app/operator_file.hpp
@@ -8,11 +8,11 @@
 #include <vector>
 
 #include "configuration/settings.hpp"
-#include "crossing/settings.hpp"
+#include "cross_zone/settings.hpp"
 #include "hook/settings.hpp"
 #include "idempotency/settings.hpp"
 #include "membership/settings.hpp"
-#include "net/tuning.hpp"
+#include "net/gateway_options.hpp"
 #include "operator/document.hpp"
 #include "peer/settings.hpp"
 #include "stream/settings.hpp"
@@ -22,11 +22,11 @@
 namespace finchstile {
 
 struct OperatorFile {
-  GatewayTuning tuning;
+  GatewayOptions tuning;
   hook::HookSettings hooks;
   idempotency::IdempotencySettings idempotency;
   peer::PeerSettings peers;
-  crossing::CrossingSettings crossing;
+  cross_zone::CrossingSettings crossing;
   membership::MembershipSettings membership;
   stream::StreamSettings streams;
   trace::TraceSettings trace;
--- a/src/app/succession.cpp
+++ b/src/app/process_handover.cpp
@@ -1,4 +1,4 @@
-#include "app/succession.hpp"
+#include "app/process_handover.hpp"
 
 #include <unistd.h>
 
@@ -15,7 +15,8 @@
 using handover::Kind;
 using handover::Message;
 
-Succession::Succession(boost::asio::io_context& io, std::string path, std::string name, Gateway& gateway)
+ProcessHandover::ProcessHandover(boost::asio::io_context& io, std::string path, std::string name,
+                                 Gateway& gateway)
     : io_(io), path_(std::move(path)), name_(std::move(name)), gateway_(gateway) {
   predecessor_ = handover::connectTo(io_, path_);
   if (!predecessor_) {
@@ -24,7 +25,7 @@
   }
   predecessor_->onMessage = [this](const Message& m, std::unique_ptr<Descriptor> client) {
     if (m.kind == Kind::learned) {
-      if (const auto learned = handover::decodeLearned(m.text)) gateway_.recall(*learned);
+      if (const auto learned = handover::decodeLearnedState(m.text)) gateway_.restoreLearnedState(*learned);
     }
     if (m.kind != Kind::client) return;
     ++taken_;
@@ -39,14 +40,14 @@
   predecessor_->send({Kind::hello, name_});
 }
 
-Succession::~Succession() {
+ProcessHandover::~ProcessHandover() {
   for (const auto& channel : {predecessor_, knocking_, successor_})
     if (channel) channel->close();
 }
 
 // Danger: while the last process serves the name is its own; a next one that dies at its start must not take
 // it along.
-void Succession::openDoor() {
+void ProcessHandover::openDoor() {
   try {
     door_ = std::make_unique<handover::Door>(
         io_, path_, [this](std::shared_ptr<Channel> channel) { onSuccessor(channel); });
@@ -55,7 +56,7 @@
   }
 }
 
-void Succession::onSuccessor(const std::shared_ptr<Channel>& channel) {
+void ProcessHandover::onSuccessor(const std::shared_ptr<Channel>& channel) {
   if (knocking_) knocking_->close();
   knocking_ = channel;
   channel->onMessage = [this](const Message& m, std::unique_ptr<Descriptor>) {
@@ -65,12 +66,12 @@
     if (successor_) successor_->close();  // the latest one it is
     successor_ = who;
     who->send({Kind::welcome, name_});
-    handover::LearnedText learned = handover::encodeLearned(gateway_.learned());
+    handover::LearnedStateText learned = handover::encodeLearnedState(gateway_.learnedState());
     if (learned.leftOut > 0)
       std::fprintf(stderr,
                    "handover: what was learned of %zu hosts has no room in %zu bytes; the next process "
                    "learns it anew\n",
-                   learned.leftOut, handover::kLearnedMost);
+                   learned.leftOut, handover::kMaxLearnedStateBytes);
     who->send({Kind::learned, std::move(learned.text)});
     if (giving_) begin();
   };
@@ -82,10 +83,10 @@
   channel->start();
 }
 
-void Succession::begin() {
+void ProcessHandover::begin() {
   giving_ = true;
   if (!successor_) return;
-  gateway_.handOver([this](int fd) {
+  gateway_.handOverClients([this](int fd) {
     if (!successor_) return false;
     switch (successor_->send({Kind::client, {}}, fd)) {
       case Channel::Sent::done: ++given_; return true;
@@ -96,21 +97,21 @@
   });
 }
 
-void Succession::lostSuccessor() {
+void ProcessHandover::lostSuccessor() {
   successor_.reset();
   if (!giving_) return;
   std::fprintf(stderr, "handover: the next process is lost after %zu connections; the others are closed\n",
                given_);
-  gateway_.handOver({});
+  gateway_.handOverClients({});
 }
 
-void Succession::over() {
+void ProcessHandover::over() {
   if (!successor_) return;
   successor_->send({Kind::bye, {}});
   std::fprintf(stderr, "handover: gave %zu connections to the next process\n", given_);
 }
 
-std::string successionPath(const std::string& name) {
+std::string handoverSocketPath(const std::string& name) {
   const std::string beside = opsFile(name);
   return beside.empty() ? beside : beside.substr(0, beside.size() - 4) + ".next";
 }
--- a/src/app/succession.hpp
+++ b/src/app/process_handover.hpp
@@ -14,11 +14,11 @@
 
 namespace finchstile {
 
-class Succession {
+class ProcessHandover {
  public:
   // `path`: the name, the same for all processes of this gateway.
-  Succession(boost::asio::io_context& io, std::string path, std::string name, Gateway& gateway);
-  ~Succession();
+  ProcessHandover(boost::asio::io_context& io, std::string path, std::string name, Gateway& gateway);
+  ~ProcessHandover();
 
   bool tookOver() const { return predecessor_ != nullptr; }  // another process serves beside this one
   // To be called when the gateway begins to drain, and when it is through.
@@ -40,6 +40,6 @@
 };
 
 // The name in the folder that processes share; empty if there is none.
-std::string successionPath(const std::string& name);
+std::string handoverSocketPath(const std::string& name);
 
 }  // namespace finchstile
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -20,22 +20,22 @@
 #include <vector>
 
 #include "app/admin_api.hpp"
-#include "app/key_log.hpp"
-#include "app/key_owners.hpp"
-#include "app/members.hpp"
+#include "app/idempotency_log.hpp"
+#include "app/idempotency_owners.hpp"
+#include "app/membership_service.hpp"
 #include "app/operator_file.hpp"
 #include "app/peer_link.hpp"
-#include "app/succession.hpp"
+#include "app/process_handover.hpp"
 #include "app/trace_log.hpp"
 #include "configuration/client.hpp"
-#include "crossing/stage.hpp"
+#include "cross_zone/filter.hpp"
 #include "hook/files.hpp"
-#include "hook/stage.hpp"
-#include "idempotency/stage.hpp"
+#include "hook/filter.hpp"
+#include "idempotency/filter.hpp"
 #include "net/gateway.hpp"
 #include "stream/table.hpp"
-#include "stream/tcp_front.hpp"
-#include "websocket/front.hpp"
+#include "stream/tcp_proxy_handler.hpp"
+#include "websocket/web_socket_handler.hpp"
 
 namespace finchstile {
 namespace {
@@ -83,7 +83,7 @@
       : options_(options),
         built_(options.operatorFile.empty() ? Built{} : build(options.operatorFile, version_)),
         config_(configured()),
-        hooks_(clock_, config_.settings.retryAfter ? config_.settings.maxRetryAfter : Duration{}, say),
+        hooks_(clock_, config_.settings.retryAfterEnabled ? config_.settings.maxRetryAfter : Duration{}, say),
         gateway_(io_, clock_, config_),
         signals_(io_, SIGTERM, SIGINT, SIGHUP),
         report_(io_) {}
@@ -101,9 +101,9 @@
     attachStreams();
     attachConfiguration();
     if (built_.file.membership.enabled)
-      members_ =
-          std::make_unique<Members>(io_, clock_, built_.file.membership, config_, gateway_, peers_.get());
-    if (config_.ops) {
+      members_ = std::make_unique<MembershipService>(io_, clock_, built_.file.membership, config_, gateway_,
+                                                     peers_.get());
+    if (config_.adminEndpoint) {
       adminApi_ = std::make_unique<AdminApi>(io_, clock_, config_, opsFile(config_.name), gateway_);
       adminApi_->more = [this] {
         std::string more;
@@ -123,25 +123,26 @@
       waitToReport();
     }
     gateway_.start();
-    if (const std::string path = successionPath(config_.name);
-        config_.inheritedListener >= 0 && !path.empty())
-      succession_ = std::make_unique<Succession>(io_, path, config_.name, gateway_);
+    if (const std::string path = handoverSocketPath(config_.name);
+        config_.inheritedListenerDescriptor >= 0 && !path.empty())
+      succession_ = std::make_unique<ProcessHandover>(io_, path, config_.name, gateway_);
     io_.run();
   }
 
  private:
-  Config configured() const {
-    Config c = loadConfig(options_.config, clock_);
-    c.tuning = built_.file.tuning;
+  GatewayConfig configured() const {
+    GatewayConfig c = loadConfig(options_.config, clock_);
+    c.options = built_.file.tuning;
     if (const stream::StreamSettings& s = built_.file.streams; s.enabled) {
-      c.tuning.otherShare = s.descriptorShare;
-      c.settings.mostStreams = static_cast<std::uint32_t>(stream::streamsOf(s, c.sockets));
-      c.settings.hostStreams = static_cast<std::uint32_t>(s.hostStreams);
-      c.settings.streamRate = s.hostRate;
-      c.settings.streamReturn = s.returnWithin;
+      c.options.reservedDescriptorFraction = s.descriptorShare;
+      c.settings.maxStreams = static_cast<std::uint32_t>(stream::streamsOf(s, c.descriptorLimit));
+      c.settings.maxStreamsPerHost = static_cast<std::uint32_t>(s.hostStreams);
+      c.settings.hostStreamRate = s.hostRate;
+      c.settings.streamRetrySpread = s.returnWithin;
     }
     if (built_.file.configuration.enabled) c.reservedDescriptors = configuration::kDescriptors;
-    if (const char* fd = std::getenv("LB_INHERITED_FD"); fd && *fd) c.inheritedListener = readDescriptor(fd);
+    if (const char* fd = std::getenv("LB_INHERITED_FD"); fd && *fd)
+      c.inheritedListenerDescriptor = readDescriptor(fd);
     return c;
   }
 
@@ -207,7 +208,7 @@
     loading_ = false;
     if (next) {
       built_ = std::move(*next);
-      gateway_.tune(built_.file.tuning);
+      gateway_.setOptions(built_.file.tuning);
       takeHooks();
       std::fprintf(stderr, "finchstile: operator's file reloaded, version %llu\n",
                    static_cast<unsigned long long>(built_.hooks->version));
@@ -228,7 +229,7 @@
   void attachCrossing() {
     if (!built_.file.crossing.enabled) return;
     if (!std::exchange(attached_, true)) gateway_.attach(hooks_);
-    crossing_ = std::make_unique<crossing::CrossingStage>(clock_, built_.file.crossing, config_.settings);
+    crossing_ = std::make_unique<cross_zone::CrossZoneFilter>(clock_, built_.file.crossing, config_.settings);
     gateway_.attach(*crossing_);
     waitToReport();
   }
@@ -240,14 +241,14 @@
     if (!std::exchange(attached_, true)) gateway_.attach(hooks_);  // before it, should hooks come later
     std::random_device dice;
     const auto word = [&] { return static_cast<std::uint64_t>(dice()) << 32 | dice(); };
-    idempotency_ = std::make_unique<idempotency::IdempotencyStage>(
+    idempotency_ = std::make_unique<idempotency::IdempotencyFilter>(
         clock_, settings, config_.settings.tenants.size(), idempotency::Seed{word(), word()},
-        gateway_.stageHost());
+        gateway_.filterCallbacks());
     if (!settings.log.folder.empty())
-      keyLog_ = std::make_unique<KeyLog>(io_, clock_, settings, config_.settings, *idempotency_);
+      keyLog_ = std::make_unique<IdempotencyLog>(io_, clock_, settings, config_.settings, *idempotency_);
     if (settings.owners.enabled)
-      keyOwners_ =
-          std::make_unique<KeyOwners>(io_, clock_, settings, *peers_, config_.settings, *idempotency_);
+      keyOwners_ = std::make_unique<IdempotencyOwnership>(io_, clock_, settings, *peers_, config_.settings,
+                                                          *idempotency_);
     gateway_.attach(*idempotency_);
     waitToReport();
   }
@@ -255,16 +256,17 @@
   void attachStreams() {
     const stream::StreamSettings& settings = built_.file.streams;
     if (!settings.enabled) return;
-    streams_ = std::make_unique<stream::StreamTable>(io_, clock_, settings, config_.settings.mostStreams,
-                                                     config_.settings.seed, gateway_.frontHost(), say);
-    tcp_ = std::make_unique<stream::TcpFront>(io_, clock_, settings, config_.settings, gateway_.frontHost(),
-                                              *streams_);
+    streams_ = std::make_unique<stream::StreamTable>(io_, clock_, settings, config_.settings.maxStreams,
+                                                     config_.settings.seed,
+                                                     gateway_.protocolHandlerCallbacks(), say);
+    tcp_ = std::make_unique<stream::TcpProxyHandler>(io_, clock_, settings, config_.settings,
+                                                     gateway_.protocolHandlerCallbacks(), *streams_);
     gateway_.attach(*tcp_);
     tcp_->start();
     if (built_.file.webSocket.enabled) {
-      webSocket_ = std::make_unique<websocket::WebSocketFront>(
+      webSocket_ = std::make_unique<websocket::WebSocketHandler>(
           clock_, built_.file.webSocket, config_.name, [this] { return dice_(); }, *streams_);
-      gateway_.setUpgrades(*webSocket_);
+      gateway_.setUpgradeHandler(*webSocket_);
     }
     waitToReport();
   }
@@ -275,7 +277,7 @@
     worker_ = std::make_unique<boost::asio::thread_pool>(1);
     configuration_ = std::make_unique<configuration::Client>(
         io_, worker_->get_executor(), clock_, settings, config_.name, config_.settings.seed, config_.settings,
-        [this](const configuration::TermsChange& change) { gateway_.takeTerms(change); }, say);
+        [this](const configuration::SettingsChange& change) { gateway_.applyDynamicSettings(change); }, say);
     configuration_->start();
     waitToReport();
   }
@@ -307,23 +309,23 @@
   std::uint64_t version_ = 1;
   boost::asio::io_context io_{1};
   Built built_;
-  const Config config_;
+  const GatewayConfig config_;
   // Stages outlive the gateway.
-  hook::HookStage hooks_;
-  std::unique_ptr<idempotency::IdempotencyStage> idempotency_;
-  std::unique_ptr<crossing::CrossingStage> crossing_;
-  std::unique_ptr<KeyLog> keyLog_;
+  hook::HookFilter hooks_;
+  std::unique_ptr<idempotency::IdempotencyFilter> idempotency_;
+  std::unique_ptr<cross_zone::CrossZoneFilter> crossing_;
+  std::unique_ptr<IdempotencyLog> keyLog_;
   std::unique_ptr<PeerLink> peers_;
-  std::unique_ptr<KeyOwners> keyOwners_;
+  std::unique_ptr<IdempotencyOwnership> keyOwners_;
   std::unique_ptr<TraceLog> trace_;
   Gateway gateway_;
   std::unique_ptr<stream::StreamTable> streams_;
-  std::unique_ptr<stream::TcpFront> tcp_;
+  std::unique_ptr<stream::TcpProxyHandler> tcp_;
   std::random_device dice_;
-  std::unique_ptr<websocket::WebSocketFront> webSocket_;
-  std::unique_ptr<Members> members_;
+  std::unique_ptr<websocket::WebSocketHandler> webSocket_;
+  std::unique_ptr<MembershipService> members_;
   std::unique_ptr<AdminApi> adminApi_;
-  std::unique_ptr<Succession> succession_;
+  std::unique_ptr<ProcessHandover> succession_;
   std::unique_ptr<boost::asio::thread_pool> worker_;  // outlives the client, which has a strand of it
   std::unique_ptr<configuration::Client> configuration_;
   bool attached_ = false, drains_ = false;
--- a/src/app/trace_log.cpp
+++ b/src/app/trace_log.cpp
@@ -7,8 +7,8 @@
 namespace finchstile {
 namespace {
 
-using ridgeshift::Outcome;
-using ridgeshift::Time;
+using load_balancing::Outcome;
+using load_balancing::Time;
 using trace::Ran;
 using trace::Why;
 
@@ -24,28 +24,28 @@
 }
 
 Ran ranOf(Outcome outcome) {
-  if (!ridgeshift::mayHaveRun(outcome)) return Ran::no;
-  return outcome == Outcome::served || outcome == Outcome::rejected ? Ran::yes : Ran::maybe;
+  if (!load_balancing::mayHaveRun(outcome)) return Ran::no;
+  return outcome == Outcome::served || outcome == Outcome::invalidRequest ? Ran::yes : Ran::maybe;
 }
 
-Why whyOf(const AttemptSeen& a) {
-  if (a.byLimit) return Why::limit;
-  if (a.outcome != Outcome::cancelled && a.outcome != Outcome::moot) return Why::host;
-  return a.over ? Why::over : Why::again;
+Why whyOf(const AttemptLogEntry& a) {
+  if (a.timedOut) return Why::limit;
+  if (a.outcome != Outcome::cancelled && a.outcome != Outcome::notSent) return Why::host;
+  return a.requestEnded ? Why::over : Why::again;
 }
 
-trace::End endOf(RequestEnd end) {
+trace::End endOf(RequestResult end) {
   switch (end) {
-    case RequestEnd::served: return trace::End::served;
-    case RequestEnd::refused: return trace::End::refused;
-    case RequestEnd::failed: return trace::End::failed;
-    case RequestEnd::rejected: return trace::End::rejected;
-    case RequestEnd::left: return trace::End::left;
+    case RequestResult::served: return trace::End::served;
+    case RequestResult::rejected: return trace::End::refused;
+    case RequestResult::failed: return trace::End::failed;
+    case RequestResult::rejectedByFilter: return trace::End::rejected;
+    case RequestResult::clientDisconnected: return trace::End::left;
   }
   return trace::End::failed;
 }
 
-std::int64_t inMs(ridgeshift::Duration d) {
+std::int64_t inMs(load_balancing::Duration d) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(d).count();
 }
 
@@ -69,55 +69,55 @@
 }
 
 std::int64_t TraceLog::ageMs(Time since, Time at) const {
-  return since == Time{} ? trace::kNever : inMs(std::max(at - since, ridgeshift::Duration{}));
+  return since == Time{} ? trace::kNever : inMs(std::max(at - since, load_balancing::Duration{}));
 }
 
 void TraceLog::describe(trace::About& about, std::string_view id,
-                        const ridgeshift::ClassSettings& type) const {
+                        const load_balancing::ClassSettings& type) const {
   about.gateway = gateway_;
   about.id = id;
   about.className = type.name;
-  about.effect = type.effect;
+  about.effect = type.idempotency;
 }
 
-void TraceLog::onAttempt(const AttemptSeen& a) {
+void TraceLog::onAttempt(const AttemptLogEntry& a) {
   if (!trace::chosen(a.id, settings_.share)) return;
   trace::AttemptLine line;
-  describe(line, a.id, a.type);
+  describe(line, a.id, a.classSettings);
   line.host = a.host;
   line.zone = a.zone;
   line.cell = a.cell;
-  line.sent = unixUs(a.sent);
-  line.begun = unixUs(a.begun);
+  line.sent = unixUs(a.chosenAt);
+  line.begun = unixUs(a.firstByteAt);
   line.ended = unixUs(clock_.now());
   line.number = a.number;
-  line.group = a.type.group;
-  line.window = inMs(a.type.window);
+  line.group = a.classSettings.deduplicationScope;
+  line.window = inMs(a.classSettings.deduplicationWindow);
   line.outcome = a.outcome;
   line.why = whyOf(a);
   line.ran = ranOf(a.outcome);
-  line.word = ageMs(a.known.word, a.sent);
-  line.heard = ageMs(a.known.heard, a.sent);
-  line.up = std::max(ageMs(a.known.upSince, a.sent), std::int64_t{0});
-  line.avoided = a.known.avoided;
+  line.word = ageMs(a.hostObservation.lastListedAt, a.chosenAt);
+  line.heard = ageMs(a.hostObservation.lastResponseAt, a.chosenAt);
+  line.up = std::max(ageMs(a.hostObservation.startedAt, a.chosenAt), std::int64_t{0});
+  line.avoided = a.hostObservation.avoided;
   add(line);
 }
 
-void TraceLog::onRequest(const RequestSeen& r) {
+void TraceLog::onRequest(const RequestLogEntry& r) {
   if (!trace::chosen(r.id, settings_.share)) return;
   trace::RequestLine line;
-  describe(line, r.id, r.type);
-  line.came = unixUs(r.came);
+  describe(line, r.id, r.classSettings);
+  line.came = unixUs(r.arrivedAt);
   line.ended = unixUs(clock_.now());
-  line.left = inMs(r.left);
-  line.end = endOf(r.end);
+  line.left = inMs(r.timeLeft);
+  line.end = endOf(r.result);
   line.status = r.status;
   line.attempts = static_cast<std::uint32_t>(r.attempts);
   line.cut = static_cast<std::uint32_t>(std::max(r.cutoff, 0.0));
   add(line);
 }
 
-void TraceLog::onPhase(const std::string& host, ridgeshift::Phase phase) {
+void TraceLog::onHostPhase(const std::string& host, load_balancing::HostPhase phase) {
   add(trace::HostLine{gateway_, host, unixUs(clock_.now()), phase});
 }
 
--- a/src/app/trace_log.hpp
+++ b/src/app/trace_log.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 
 #include "app/trace_file.hpp"
-#include "net/attempts.hpp"
+#include "net/attempt_log.hpp"
 #include "net/clock.hpp"
 #include "trace/budget.hpp"
 #include "trace/line.hpp"
@@ -23,19 +23,19 @@
            const std::string& gateway);
   ~TraceLog() override { flush(); }
 
-  void onAttempt(const AttemptSeen& attempt) override;
-  void onRequest(const RequestSeen& request) override;
-  void onPhase(const std::string& host, ridgeshift::Phase phase) override;
+  void onAttempt(const AttemptLogEntry& attempt) override;
+  void onRequest(const RequestLogEntry& request) override;
+  void onHostPhase(const std::string& host, load_balancing::HostPhase phase) override;
   void stop(std::size_t open);  // the process ends in order, with so many requests open
   std::string summary() const;
 
  private:
-  void describe(trace::About& about, std::string_view id, const ridgeshift::ClassSettings& type) const;
+  void describe(trace::About& about, std::string_view id, const load_balancing::ClassSettings& type) const;
   void add(const trace::Line& line);
   void flush();
   void waitToFlush();
-  std::int64_t unixUs(ridgeshift::Time at) const;  // 0 for never
-  std::int64_t ageMs(ridgeshift::Time since, ridgeshift::Time at) const;
+  std::int64_t unixUs(load_balancing::Time at) const;  // 0 for never
+  std::int64_t ageMs(load_balancing::Time since, load_balancing::Time at) const;
 
   const Clock& clock_;
   const trace::TraceSettings settings_;
--- a/src/configuration/client.cpp
+++ b/src/configuration/client.cpp
@@ -19,7 +19,7 @@
 
 // Used by one job of the worker at a time.
 struct Client::Shared {
-  Shared(const ridgeshift::Settings& start, std::string path) : store(start), file(std::move(path)) {}
+  Shared(const load_balancing::Settings& start, std::string path) : store(start), file(std::move(path)) {}
   Store store;
   const std::string file;
 
@@ -44,7 +44,7 @@
 
 Client::Client(boost::asio::io_context& io, const boost::asio::any_io_executor& worker, const Clock& clock,
                const ConfigurationSettings& settings, const std::string& gateway, std::uint64_t seed,
-               const ridgeshift::Settings& start, std::function<void(const TermsChange&)> take,
+               const load_balancing::Settings& start, std::function<void(const SettingsChange&)> take,
                std::function<void(const std::string&)> say)
     : io_(io),
       worker_(boost::asio::make_strand(worker)),
@@ -133,7 +133,7 @@
   schedule(clock_.now());
 }
 
-void Client::onWatchAnswer(WatchAnswer&& answer) {
+void Client::onWatchResponse(WatchResponse&& answer) {
   if (answer.status == kUnavailable && answer.retryAfter > Duration{}) {
     sources_.busy(source_, clock_.now(), answer.retryAfter, draw());
     return schedule(clock_.now());
--- a/src/configuration/client.hpp
+++ b/src/configuration/client.hpp
@@ -28,7 +28,7 @@
 // That a client needs at the most: its connection, one that it has just left, and the file that is written.
 inline constexpr std::size_t kDescriptors = 3;
 
-class Client : WatchEvents {
+class Client : WatchCallbacks {
  public:
   struct Figures {
     Version inForce;
@@ -43,7 +43,7 @@
   // configuration that holds before any version.
   Client(boost::asio::io_context& io, const boost::asio::any_io_executor& worker, const Clock& clock,
          const ConfigurationSettings& settings, const std::string& gateway, std::uint64_t seed,
-         const ridgeshift::Settings& start, std::function<void(const TermsChange&)> take,
+         const load_balancing::Settings& start, std::function<void(const SettingsChange&)> take,
          std::function<void(const std::string&)> say);
   ~Client();
   Client(const Client&) = delete;
@@ -66,7 +66,7 @@
   void recover();
   void schedule(Time notBefore);
   void ask();
-  void onWatchAnswer(WatchAnswer&& answer) override;
+  void onWatchResponse(WatchResponse&& answer) override;
   void onWatchLost() override;
   void done(const Done& done);
   void note(const Done& done);
@@ -80,7 +80,7 @@
   const Clock& clock_;
   const ConfigurationSettings settings_;
   const std::string gateway_;
-  const std::function<void(const TermsChange&)> take_;
+  const std::function<void(const SettingsChange&)> take_;
   const std::function<void(const std::string&)> say_;
   std::mt19937_64 engine_;
   Sources sources_;
--- a/src/configuration/document.hpp
+++ b/src/configuration/document.hpp
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::configuration {
 
@@ -22,7 +22,7 @@
 struct ClassDocument {
   std::string name;
   double worth = 1;
-  ridgeshift::Duration aim{};
+  load_balancing::Duration aim{};
   double lateShare = 0;
 };
 
--- a/src/configuration/poll.hpp
+++ b/src/configuration/poll.hpp
@@ -14,7 +14,7 @@
 struct Poll {
   std::string gateway;
   Position position;
-  ridgeshift::Duration wait{};  // how long the answer may take if there is no news
+  load_balancing::Duration wait{};  // how long the answer may take if there is no news
 };
 
 // "/configuration?gateway=NAME&epoch=E&since=R&hash=H&timeout_ms=N&refused=E.R.H&reason=TEXT". Without
--- a/src/configuration/sources.hpp
+++ b/src/configuration/sources.hpp
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::configuration {
 
-using ridgeshift::Duration;
-using ridgeshift::Time;
+using load_balancing::Duration;
+using load_balancing::Time;
 
 struct SourceSettings {
   Duration failover = std::chrono::milliseconds(250);  // another machine is asked within this, evenly spread
--- a/src/configuration/store.cpp
+++ b/src/configuration/store.cpp
@@ -26,7 +26,7 @@
   return "";
 }
 
-Store::Store(const ridgeshift::Settings& start) {
+Store::Store(const load_balancing::Settings& start) {
   for (const auto& tenant : start.tenants) {
     tenants_.try_emplace(tenant.name, Tenant{places_, tenant.quotaPerSecond, 0, 0, true});
     ++places_;
@@ -102,9 +102,9 @@
   for (const Change& change : update.changes) {
     const std::string name = nameOf(change.key);
     if (isTenant(change.key)) {
-      if (change.document && tenants_.count(name) == 0 && ++places > ridgeshift::kTenantsMost)
+      if (change.document && tenants_.count(name) == 0 && ++places > load_balancing::kMaxTenants)
         problems.push_back({change.key, "",
-                            "is one more than the " + std::to_string(ridgeshift::kTenantsMost) +
+                            "is one more than the " + std::to_string(load_balancing::kMaxTenants) +
                                 " names that fit; a restart forgets those removed"});
       continue;
     }
@@ -113,7 +113,7 @@
       problems.push_back({change.key, "", "is no class of this gateway's configuration"});
     } else if (change.document) {
       const auto& cls = std::get<ClassDocument>(*change.document);
-      const auto giveUp = classes_[*index].start.giveUp;
+      const auto giveUp = classes_[*index].start.clientTimeout;
       if (cls.aim > giveUp)
         problems.push_back(
             {change.key, "aim_ms",
@@ -145,7 +145,7 @@
   return hash;
 }
 
-void Store::take(const Change& change, TermsChange& terms) {
+void Store::take(const Change& change, SettingsChange& terms) {
   if (!isTenant(change.key)) {
     const std::optional<ClassDocument> document =
         change.document ? std::optional(std::get<ClassDocument>(*change.document)) : std::nullopt;
@@ -157,7 +157,7 @@
   }
 }
 
-void Store::setTenant(const TenantDocument& document, TermsChange& terms) {
+void Store::setTenant(const TenantDocument& document, SettingsChange& terms) {
   const auto [at, fresh] = tenants_.try_emplace(document.name, Tenant{places_});
   if (fresh) ++places_;
   Tenant& tenant = at->second;
@@ -170,7 +170,7 @@
   if (!same) terms.tenants.push_back({tenant.index, document.name, document.quotaPerSecond});
 }
 
-void Store::removeTenant(const std::string& name, TermsChange& terms) {
+void Store::removeTenant(const std::string& name, SettingsChange& terms) {
   const auto at = tenants_.find(name);
   if (at == tenants_.end() || !at->second.listed) return;
   at->second.listed = false;
@@ -178,15 +178,18 @@
   terms.tenants.push_back({at->second.index, name, std::nullopt});
 }
 
-void Store::setClass(std::uint32_t index, const std::optional<ClassDocument>& document, TermsChange& terms) {
+void Store::setClass(std::uint32_t index, const std::optional<ClassDocument>& document,
+                     SettingsChange& terms) {
   Class& cls = classes_[index];
   cls.document = document;
   if (document) terms.classes.push_back({index, document->aim, document->worth, document->lateShare});
-  else terms.classes.push_back({index, cls.start.aim, cls.start.worth, cls.start.lateShare});
+  else
+    terms.classes.push_back(
+        {index, cls.start.latencyObjective, cls.start.priorityWeight, cls.start.lateValueFraction});
 }
 
 // What a whole leaves out is not listed any more; a class returns to the terms of the start.
-void Store::removeUnnamed(const Update& whole, TermsChange& terms) {
+void Store::removeUnnamed(const Update& whole, SettingsChange& terms) {
   std::unordered_set<std::string> named;
   for (const Change& change : whole.changes)
     if (!isTenant(change.key)) named.insert(nameOf(change.key));
--- a/src/configuration/store.hpp
+++ b/src/configuration/store.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "configuration/update.hpp"
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::configuration {
 
@@ -32,16 +32,16 @@
 };
 
 // What the gateway takes over in one step.
-struct TermsChange {
+struct SettingsChange {
   Version version;
   std::vector<TenantChange> tenants;
-  std::vector<ridgeshift::Terms::ClassTerms> classes;
+  std::vector<load_balancing::DynamicSettings::ClassUpdate> classes;
 };
 
 struct Result {
   Verdict verdict = Verdict::unchanged;
   std::vector<Problem> problems;  // of one that was refused
-  TermsChange terms;              // of one that was taken
+  SettingsChange terms;           // of one that was taken
 };
 
 // What a poll tells: the version in force, and one that was turned down and is not to be sent again.
@@ -60,7 +60,7 @@
 class Store {
  public:
   // Begins with the tenants and classes of the start's configuration, before any version.
-  explicit Store(const ridgeshift::Settings& start);
+  explicit Store(const load_balancing::Settings& start);
 
   Result apply(const Update& update);
   const Position& position() const { return position_; }
@@ -77,7 +77,7 @@
     bool listed = false;      // else its place is kept, and it has no terms
   };
   struct Class {
-    ridgeshift::ClassSettings start;
+    load_balancing::ClassSettings start;
     std::optional<ClassDocument> document;  // none: the terms of the start hold
   };
 
@@ -85,11 +85,11 @@
   void check(const Update& update, std::vector<Problem>& problems) const;
   std::uint64_t hashAfter(const Update& update) const;
   Result turnDown(const Update& update, Verdict verdict, std::vector<Problem> problems);
-  void take(const Change& change, TermsChange& terms);
-  void setTenant(const TenantDocument& document, TermsChange& terms);
-  void removeTenant(const std::string& name, TermsChange& terms);
-  void setClass(std::uint32_t index, const std::optional<ClassDocument>& document, TermsChange& terms);
-  void removeUnnamed(const Update& whole, TermsChange& terms);
+  void take(const Change& change, SettingsChange& terms);
+  void setTenant(const TenantDocument& document, SettingsChange& terms);
+  void removeTenant(const std::string& name, SettingsChange& terms);
+  void setClass(std::uint32_t index, const std::optional<ClassDocument>& document, SettingsChange& terms);
+  void removeUnnamed(const Update& whole, SettingsChange& terms);
   std::uint64_t hashOfKey(const std::string& key) const;
   const std::uint32_t* classIndex(const std::string& name) const;
 
--- a/src/configuration/update.cpp
+++ b/src/configuration/update.cpp
@@ -75,7 +75,7 @@
 std::optional<Document> readClass(EntryReader& reader, const std::string& name) {
   ClassDocument cls{name, reader.number("worth", 0, kNumberMost), {}, 0};
   const double aimMs = reader.number("aim_ms", kAimLeastMs, kAimMostMs);
-  cls.aim = ridgeshift::Duration(std::llround(aimMs * kNanosecondsPerMs));
+  cls.aim = load_balancing::Duration(std::llround(aimMs * kNanosecondsPerMs));
   cls.lateShare = reader.number("late_share", 0, 1);
   reader.refuseOthers({"worth", "aim_ms", "late_share"});
   return reader.good() ? std::optional<Document>(cls) : std::nullopt;
--- a/src/crossing/account.cpp
+++ b/src/cross_zone/account.cpp
@@ -1,10 +1,10 @@
-#include "crossing/account.hpp"
+#include "cross_zone/account.hpp"
 
 #include <numeric>
 
 #include "base/metric_label.hpp"
 
-namespace finchstile::crossing {
+namespace finchstile::cross_zone {
 namespace {
 
 constexpr std::string_view kOther = "other";
@@ -87,4 +87,4 @@
   return out;
 }
 
-}  // namespace finchstile::crossing
+}  // namespace finchstile::cross_zone
--- a/src/crossing/account.hpp
+++ b/src/cross_zone/account.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-namespace finchstile::crossing {
+namespace finchstile::cross_zone {
 
 struct Crossed {
   std::uint64_t attempts = 0;     // sent to another zone
@@ -46,4 +46,4 @@
   std::map<std::string, std::vector<Crossed>, std::less<>> zones_;  // by class in each
 };
 
-}  // namespace finchstile::crossing
+}  // namespace finchstile::cross_zone
--- a/src/crossing/budget.cpp
+++ b/src/cross_zone/budget.cpp
@@ -1,8 +1,8 @@
-#include "crossing/budget.hpp"
+#include "cross_zone/budget.hpp"
 
 #include <algorithm>
 
-namespace finchstile::crossing {
+namespace finchstile::cross_zone {
 namespace {
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
@@ -40,4 +40,4 @@
   return most_ > 0 ? held_ / most_ : 0;
 }
 
-}  // namespace finchstile::crossing
+}  // namespace finchstile::cross_zone
--- a/src/crossing/budget.hpp
+++ b/src/cross_zone/budget.hpp
@@ -11,12 +11,12 @@
 // The worthiest may use it up, the cheapest leave the reserve.
 #pragma once
 
-#include "crossing/settings.hpp"
-#include "ridgeshift/ridgeshift.hpp"
+#include "cross_zone/settings.hpp"
+#include "finchstile/load_balancer.hpp"
 
-namespace finchstile::crossing {
+namespace finchstile::cross_zone {
 
-using ridgeshift::Time;
+using load_balancing::Time;
 
 class Budget {
  public:
@@ -36,4 +36,4 @@
   Time at_;
 };
 
-}  // namespace finchstile::crossing
+}  // namespace finchstile::cross_zone
--- a/src/crossing/settings.cpp
+++ b/src/cross_zone/settings.cpp
@@ -1,6 +1,6 @@
-#include "crossing/settings.hpp"
+#include "cross_zone/settings.hpp"
 
-namespace finchstile::crossing {
+namespace finchstile::cross_zone {
 
 void readCrossingSettings(SettingReader& root, CrossingSettings& out) {
   root.table("crossing", [&](SettingReader& r) {
@@ -11,4 +11,4 @@
   });
 }
 
-}  // namespace finchstile::crossing
+}  // namespace finchstile::cross_zone
--- a/src/crossing/settings.hpp
+++ b/src/cross_zone/settings.hpp
@@ -3,9 +3,9 @@
 
 #include "operator/reader.hpp"
 
-namespace finchstile::crossing {
+namespace finchstile::cross_zone {
 
-using ridgeshift::Duration;
+using load_balancing::Duration;
 
 struct CrossingSettings {
   bool enabled = false;
@@ -19,4 +19,4 @@
 
 void readCrossingSettings(SettingReader& root, CrossingSettings& out);
 
-}  // namespace finchstile::crossing
+}  // namespace finchstile::cross_zone
--- a/src/drain/plan.hpp
+++ b/src/drain/plan.hpp
@@ -16,12 +16,12 @@
 // seen while draining, and everything from serveUntil on moves ahead with it.
 #pragma once
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::drain {
 
-using ridgeshift::Duration;
-using ridgeshift::Time;
+using load_balancing::Duration;
+using load_balancing::Time;
 
 struct Terms {
   Duration longest{};   // the longest deadline of any request; 0 or more
--- a/src/handover/learned_text.hpp
+++ b/src/handover/learned_text.hpp
@@ -5,20 +5,21 @@
 #include <string>
 #include <string_view>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::handover {
 
-inline constexpr std::size_t kLearnedMost = 60'000;  // bytes: room for 600 hosts of which something is known
+inline constexpr std::size_t kMaxLearnedStateBytes =
+    60'000;  // bytes: room for 600 hosts of which something is known
 
-struct LearnedText {
+struct LearnedStateText {
   std::string text;
   std::size_t leftOut = 0;  // hosts that had no room
 };
 // Hosts of which nothing has been learned are not said. Those that are avoided come first.
-LearnedText encodeLearned(const ridgeshift::Learned& learned);
+LearnedStateText encodeLearnedState(const load_balancing::LearnedState& learned);
 // Nothing if it is not whole or not ours. Numbers are taken as they are; the module holds them to what makes
 // sense.
-std::optional<ridgeshift::Learned> decodeLearned(std::string_view text);
+std::optional<load_balancing::LearnedState> decodeLearnedState(std::string_view text);
 
 }  // namespace finchstile::handover
--- a/src/hook/chain.hpp
+++ b/src/hook/chain.hpp
@@ -14,13 +14,13 @@
 #include <vector>
 
 #include "base/header_line.hpp"
+#include "finchstile/load_balancer.hpp"
 #include "hook/machine.hpp"
-#include "ridgeshift/ridgeshift.hpp"
 
 namespace finchstile::hook {
 
-using ridgeshift::Duration;
-using ridgeshift::Time;
+using load_balancing::Duration;
+using load_balancing::Time;
 
 inline constexpr std::size_t kHooksMost = 64;
 
--- a/src/hook/stage.cpp
+++ b/src/hook/filter.cpp
@@ -1,4 +1,4 @@
-#include "hook/stage.hpp"
+#include "hook/filter.hpp"
 
 #include <algorithm>
 
@@ -22,11 +22,11 @@
   const http::fields& fields_;
 };
 
-std::string_view idOf(const Exchange& x) { return view((*x.message)["X-Correlation-Id"]); }
+std::string_view idOf(const RequestContext& x) { return view((*x.message)["X-Correlation-Id"]); }
 
 }  // namespace
 
-Input HookStage::inputOf(const Exchange& x, Time now) const {
+Input HookFilter::inputOf(const RequestContext& x, Time now) const {
   Input in;
   const std::string_view target = view(x.message->target());
   const std::size_t split = std::min(target.find('?'), target.size());
@@ -39,11 +39,11 @@
       std::string_view(x.message->body()).substr(0, chain_.set() ? chain_.set()->settings.bodyLimit : 0);
   in.bodyLength = static_cast<std::int64_t>(x.message->body().size());
   in.timeLeft = std::max<std::int64_t>(0, (x.deadline - now).count());
-  in.attempt = x.attempts;
+  in.attempt = x.attemptCount;
   return in;
 }
 
-Arrival HookStage::onArrived(Exchange& x) {
+FilterDecision HookFilter::onRequestReceived(RequestContext& x) {
   if (chain_.empty()) return {};
   const Time now = clock_.now();
   auto own = std::make_unique<State>();
@@ -53,9 +53,9 @@
   const FieldsSource request(*x.message);
   Input in = inputOf(x, now);
   in.request = &request;
-  Verdict v = chain_.onRequest(now, q, in, idOf(x), x.toHost);
+  Verdict v = chain_.onRequest(now, q, in, idOf(x), x.upstreamHeaders);
   if (v.status == 0) return {};
-  Answer a;
+  Response a;
   a.status = static_cast<http::status>(v.status);
   a.body = std::move(v.reason);
   if (!a.body.empty()) a.contentType = "text/plain";
@@ -63,7 +63,7 @@
   return {std::move(a), false};
 }
 
-void HookStage::onSent(Exchange& x, UpstreamRequest& to) {
+void HookFilter::onAttemptSending(RequestContext& x, UpstreamRequest& to) {
   if (!state(x)) return;  // it arrived before there were hooks
   HookedRequest& q = static_cast<State&>(*state(x)).hooked;
   const Time now = clock_.now();
@@ -79,7 +79,8 @@
   to.set(q.set->settings.tagHeader, tags);
 }
 
-void HookStage::onAnswerHead(Exchange& x, const AnswerHead& head, std::vector<HeaderLine>& toClient) {
+void HookFilter::onResponseHeaders(RequestContext& x, const ResponseHead& head,
+                                   std::vector<HeaderLine>& toClient) {
   if (!state(x)) return;
   HookedRequest& q = static_cast<State&>(*state(x)).hooked;
   const Time now = clock_.now();
@@ -89,7 +90,7 @@
   in.request = &request;
   in.answer = &answer;
   in.status = head.status;
-  in.fromHost = head.fromHost;
+  in.fromHost = head.fromUpstream;
   chain_.onAnswer(now, q, in, idOf(x), toClient);
 }
 
--- a/src/idempotency/stage.cpp
+++ b/src/idempotency/filter.cpp
@@ -1,4 +1,4 @@
-#include "idempotency/stage.hpp"
+#include "idempotency/filter.hpp"
 
 #include "net/config.hpp"
 #include "net/request.hpp"
@@ -8,8 +8,8 @@
 
 namespace http = boost::beast::http;
 
-Answer answerOf(const KeptAnswer& kept) {
-  Answer a;
+Response answerOf(const KeptAnswer& kept) {
+  Response a;
   a.status = static_cast<http::status>(kept.status);
   a.contentType = kept.contentType;
   a.body = kept.body;
@@ -23,29 +23,30 @@
   return {std::move(boot), steady.count(), clock.unixAt(Time{}).count()};
 }
 
-Duration longestRun(const ridgeshift::Settings& settings) {
-  return longestGiveUp(settings) + std::chrono::seconds(1);
+Duration longestRun(const load_balancing::Settings& settings) {
+  return longestClientTimeout(settings) + std::chrono::seconds(1);
 }
 
-IdempotencyStage::IdempotencyStage(const Clock& clock, const IdempotencySettings& settings,
-                                   std::size_t tenants, const Seed& seed, StageHost& host)
+IdempotencyFilter::IdempotencyFilter(const Clock& clock, const IdempotencySettings& settings,
+                                     std::size_t tenants, const Seed& seed, RequestFilterCallbacks& host)
     : clock_(clock),
       settings_(settings),
       tenants_(static_cast<std::uint32_t>(tenants)),
       host_(host),
       store_(settings.limits, tenants_ + 1, seed) {}
 
-std::uint8_t IdempotencyStage::phases() const {
-  return phaseBit(RequestPhase::arrived) | phaseBit(RequestPhase::sent) | phaseBit(RequestPhase::settled) |
-         phaseBit(RequestPhase::answerHead) | phaseBit(RequestPhase::ended);
+std::uint8_t IdempotencyFilter::phases() const {
+  return phaseBit(RequestPhase::received) | phaseBit(RequestPhase::attemptSending) |
+         phaseBit(RequestPhase::attemptEnded) | phaseBit(RequestPhase::responseHeaders) |
+         phaseBit(RequestPhase::completed);
 }
 
 // Those that the settings do not name are one.
-std::uint32_t IdempotencyStage::tenantOf(const Exchange& x) const {
+std::uint32_t IdempotencyFilter::tenantOf(const RequestContext& x) const {
   return std::min(x.tenantIndex, tenants_);
 }
 
-Store::Arrival IdempotencyStage::arrivalOf(const Exchange& x) const {
+Store::Arrival IdempotencyFilter::arrivalOf(const RequestContext& x) const {
   const ClientRequest& m = *x.message;
   Store::Arrival a;
   a.tenant = tenantOf(x);
@@ -57,7 +58,7 @@
   return a;
 }
 
-JournalRecovery IdempotencyStage::recover(Journal& journal) {
+JournalRecovery IdempotencyFilter::recover(Journal& journal) {
   const JournalRecovery r = journal.recover(clock_.now(), store_);
   journal_ = &journal;
   uncertainUntil_ = r.uncertainUntil;
@@ -66,19 +67,19 @@
 }
 
 // One that has begun in the store: it runs now, or when its record is synced, or not at all.
-IdempotencyStage::Start IdempotencyStage::start(Exchange& x, const Store::Result& r) {
+IdempotencyFilter::Start IdempotencyFilter::start(RequestContext& x, const Store::Result& r) {
   State& s = static_cast<State&>(*state(x));
   s.entry = r.entry;
   s.waits = false;
   s.again = r.admission == Admission::again;
-  if (s.again) x.earlier = *r.earlier;
+  if (s.again) x.earlierAttempt = *r.earlier;
   s.run = lastRun_;
   const bool recorded = !journal_ || journal_->recorded();
   if (journal_ && !s.again && clock_.now() < uncertainUntil_) {
     // Danger: the log lost something, and that may have been of this key.
     ++counts_.unknown;
     s.again = true;
-    x.earlier = Earlier{};
+    x.earlierAttempt = Earlier{};
     store_.bind(r.entry, Earlier{}, uncertainUntil_);
   }
   if (!recorded) {
@@ -92,7 +93,7 @@
   }
   s.asking = ask(x, s);
   // While others are asked, one of theirs may run.
-  x.heldUnrun = s.recording && !s.asking && !s.again;
+  x.heldBeforeExecution = s.recording && !s.asking && !s.again;
   // Danger: what it waits for may be there at once, and then asks for its answer; it is held all the same.
   const bool held = s.recording || s.asking;
   if (s.recording) journal_->wait(clock_.now());
@@ -101,7 +102,7 @@
 }
 
 // What others know of its key is asked, or they are only told that it runs. True: it waits for a decision.
-bool IdempotencyStage::ask(Exchange& x, State& s) {
+bool IdempotencyFilter::ask(RequestContext& x, State& s) {
   if (!owners_) return false;
   const ClientRequest& m = *x.message;
   // Danger: one that is uncertain here waits too. Another gateway may have it run again just now.
@@ -115,7 +116,7 @@
   return wait;
 }
 
-void IdempotencyStage::join(Owners& owners, OwnerLink& link, const Names& names, bool all) {
+void IdempotencyFilter::join(Owners& owners, OwnerLink& link, const Names& names, bool all) {
   owners_ = &owners;
   link_ = &link;
   names_ = &names;
@@ -123,49 +124,49 @@
   store_.observe(*this);
 }
 
-void IdempotencyStage::onBegan(std::uint64_t run, Time, const Store::Arrival&, const Earlier*) {
+void IdempotencyFilter::onBegan(std::uint64_t run, Time, const Store::Arrival&, const Earlier*) {
   lastRun_ = run;
 }
 
-void IdempotencyStage::onEnded(std::uint64_t run, Time at, idempotency::State to, const KeptAnswer& answer,
-                               const Earlier* ran) {
+void IdempotencyFilter::onEnded(std::uint64_t run, Time at, idempotency::State to, const KeptAnswer& answer,
+                                const Earlier* ran) {
   owners_->over(clock_.now(), run, ran ? to : idempotency::State::free, ran ? *ran : Earlier{},
                 at + settings_.limits.keep, &answer);
 }
 
-void IdempotencyStage::fromGateway(GatewayNumber from, std::uint64_t epoch, std::string_view payload) {
+void IdempotencyFilter::fromGateway(GatewayNumber from, std::uint64_t epoch, std::string_view payload) {
   owners_->receive(clock_.now(), from, epoch, payload);
   pump();
 }
 
-void IdempotencyStage::onWake() {
+void IdempotencyFilter::onWake() {
   owners_->tick(clock_.now());
   pump();
 }
 
-void IdempotencyStage::pump() {
+void IdempotencyFilter::pump() {
   if (!owners_) return;
   for (const Owners::Outgoing& out : owners_->takeOutgoing()) link_->send(out.to, out.payload);
   for (const Owners::Decision& d : owners_->takeDecisions()) decided(d);
   link_->wakeAt(owners_->wake());
 }
 
-void IdempotencyStage::admitIfReady(const Exchange& x) {
-  const State& s = static_cast<const State&>(*x.states[place()]);
+void IdempotencyFilter::admitIfReady(const RequestContext& x) {
+  const State& s = static_cast<const State&>(*x.filterStates[place()]);
   if (!s.asking && !s.recording) host_.admitHeld(x.id);
 }
 
-void IdempotencyStage::decided(const Owners::Decision& d) {
+void IdempotencyFilter::decided(const Owners::Decision& d) {
   const auto it = askingOf_.find(d.run);
   if (it == askingOf_.end()) return;  // over since
-  Exchange& x = *it->second;
+  RequestContext& x = *it->second;
   askingOf_.erase(it);
   State& s = static_cast<State&>(*state(x));
   s.asking = false;
   switch (d.kind) {
-    case Owners::Decision::Kind::run: x.heldUnrun = s.recording && !s.again; return admitIfReady(x);
+    case Owners::Decision::Kind::run: x.heldBeforeExecution = s.recording && !s.again; return admitIfReady(x);
     case Owners::Decision::Kind::uncertain:
-      x.earlier = s.again ? agreed(*x.earlier, d.earlier) : d.earlier;
+      x.earlierAttempt = s.again ? agreed(*x.earlierAttempt, d.earlier) : d.earlier;
       s.again = true;
       store_.bind(s.entry, d.earlier, d.until);
       return admitIfReady(x);
@@ -173,44 +174,44 @@
       store_.bind(s.entry, d.earlier, d.until);
       s.had = true;
       s.answer = d.answer;
-      return host_.answerHeld(x.id, answerOf(d.answer));
+      return host_.respondToHeld(x.id, answerOf(d.answer));
     case Owners::Decision::Kind::mismatch:
-      return host_.answerHeld(x.id, plainAnswer(http::status::unprocessable_entity));
+      return host_.respondToHeld(x.id, plainResponse(http::status::unprocessable_entity));
   }
 }
 
 // Of one that must not run without a record: unsent, but what came before it may have run.
-Answer IdempotencyStage::withoutRecord(const State& s) const {
-  return plainAnswer(s.again ? http::status::bad_gateway : http::status::service_unavailable);
+Response IdempotencyFilter::withoutRecord(const State& s) const {
+  return plainResponse(s.again ? http::status::bad_gateway : http::status::service_unavailable);
 }
 
-Arrival IdempotencyStage::onArrived(Exchange& x) {
-  if (x.effect != ridgeshift::Effect::dedup) return {};
-  if (!x.whole) {  // what is not here can't be compared: it goes on as if there were no store
+FilterDecision IdempotencyFilter::onRequestReceived(RequestContext& x) {
+  if (x.idempotency != load_balancing::Idempotency::idempotentWithKey) return {};
+  if (!x.bodyComplete) {  // what is not here can't be compared: it goes on as if there were no store
     ++counts_.large;
     return {};
   }
   const Store::Result r = store_.arrive(clock_.now(), arrivalOf(x));
-  Arrival out;
+  FilterDecision out;
   switch (r.admission) {
     case Admission::fresh: ++counts_.fresh; break;
     case Admission::again: ++counts_.again; break;
     case Admission::join: ++counts_.joined; break;
     case Admission::replay:
       ++counts_.replayed;
-      out.answer = answerOf(*r.answer);
+      out.response = answerOf(*r.answer);
       return out;
     case Admission::mismatch:
       ++counts_.mismatched;
-      out.answer = plainAnswer(http::status::unprocessable_entity);
+      out.response = plainResponse(http::status::unprocessable_entity);
       return out;
     case Admission::crowded:  // the first may run: no refusal
       ++counts_.crowded;
-      out.answer = plainAnswer(http::status::bad_gateway);
+      out.response = plainResponse(http::status::bad_gateway);
       return out;
     case Admission::full:
       ++counts_.full;
-      if (settings_.refuseWhenFull) out.answer = plainAnswer(http::status::service_unavailable);
+      if (settings_.refuseWhenFull) out.response = plainResponse(http::status::service_unavailable);
       return out;
   }
   auto own = std::make_unique<State>();
@@ -225,44 +226,45 @@
   switch (start(x, r)) {
     case Start::now: break;
     case Start::held: out.hold = true; break;
-    case Start::refused: out.answer = withoutRecord(static_cast<State&>(*state(x))); break;
+    case Start::refused: out.response = withoutRecord(static_cast<State&>(*state(x))); break;
   }
   return out;
 }
 
 // Those whose records are safe now run. Behind a sync that failed nothing is safe any more.
-void IdempotencyStage::onSynced() {
+void IdempotencyFilter::onSynced() {
   while (!recording_.empty() && (journal_->broken() || recording_.front().position <= journal_->durable())) {
     const Recording one = recording_.front();
     const bool safe = one.position <= journal_->durable();
     recording_.pop_front();
     const auto it = recordingOf_.find(one.request);
     if (it == recordingOf_.end()) continue;  // over since
-    Exchange& x = *it->second;
+    RequestContext& x = *it->second;
     State& s = static_cast<State&>(*state(x));
     recordingOf_.erase(it);
     s.recording = false;
     if (!safe) ++counts_.unrecorded;
     if (safe || !settings_.log.refuseUnrecorded) admitIfReady(x);
-    else host_.answerHeld(one.request, withoutRecord(s));
+    else host_.respondToHeld(one.request, withoutRecord(s));
   }
 }
 
-void IdempotencyStage::onSent(Exchange& x, UpstreamRequest&) {
+void IdempotencyFilter::onAttemptSending(RequestContext& x, UpstreamRequest&) {
   if (!state(x)) return;
   store_.sent(static_cast<State&>(*state(x)).entry, {std::string(x.zone), x.cell, clock_.now()});
 }
 
-void IdempotencyStage::onSettled(Exchange& x, bool mayHaveRun) {
+void IdempotencyFilter::onAttemptEnded(RequestContext& x, bool mayHaveRun) {
   if (state(x)) store_.settled(static_cast<State&>(*state(x)).entry, mayHaveRun);
 }
 
 // Written down before its client has it: what was answered is known after a kill, or nobody has heard of it.
-void IdempotencyStage::onAnswerHead(Exchange& x, const AnswerHead& head, std::vector<HeaderLine>&) {
+void IdempotencyFilter::onResponseHeaders(RequestContext& x, const ResponseHead& head,
+                                          std::vector<HeaderLine>&) {
   if (!state(x)) return;
   State& s = static_cast<State&>(*state(x));
   if (s.waits) return;
-  if (!head.whole) {  // it ran, and what it answered can't be kept: a repeat is bound by it
+  if (!head.bodyComplete) {  // it ran, and what it answered can't be kept: a repeat is bound by it
     const Store::EntryId entry = s.entry;
     if (s.recording) recordingOf_.erase(x.id);
     if (s.asking) askingOf_.erase(s.run);
@@ -271,7 +273,7 @@
     over(store_.end(clock_.now(), entry, Store::End::mayHaveRun), nullptr);
     return pump();
   }
-  if (head.fromHost) s.answer = {head.status, std::string(head.contentType), std::string(head.body)};
+  if (head.fromUpstream) s.answer = {head.status, std::string(head.contentType), std::string(head.body)};
   else if (!s.had) return;
   if (s.recording) recordingOf_.erase(x.id);  // another gateway's answer came before its own record was safe
   orphans_.erase(s.entry);
@@ -285,7 +287,7 @@
 }
 
 // Others wait for it: what runs goes on without its own client.
-bool IdempotencyStage::keepsWork(Exchange& x) {
+bool IdempotencyFilter::continuesWithoutClient(RequestContext& x) {
   if (!state(x)) return false;
   const State& s = static_cast<const State&>(*state(x));
   if (s.waits || !store_.awaited(s.entry)) return false;
@@ -294,7 +296,7 @@
   return true;
 }
 
-void IdempotencyStage::onEnded(Exchange& x, RequestEnd) {
+void IdempotencyFilter::onRequestCompleted(RequestContext& x, RequestResult) {
   if (!state(x)) return;
   State& s = static_cast<State&>(*state(x));
   if (s.recording) recordingOf_.erase(x.id);
@@ -304,7 +306,7 @@
     store_.leave(s.entry, x.id);
     const auto orphan = orphans_.find(s.entry);
     if (orphan == orphans_.end() || store_.awaited(s.entry)) return;
-    host_.abandon(orphan->second);
+    host_.abandonContinued(orphan->second);
     orphans_.erase(orphan);
     return;
   }
@@ -316,16 +318,16 @@
 
 // Those that waited: answered from the first, or one of them runs in its place and the rest wait for that
 // one. Each has its own worth and time there: the module refuses or sends it like any other.
-void IdempotencyStage::over(const std::vector<Store::Waiter>& waiting, const KeptAnswer* answer) {
+void IdempotencyFilter::over(const std::vector<Store::Waiter>& waiting, const KeptAnswer* answer) {
   for (const Store::Waiter w : waiting) {
     const auto it = waiting_.find(w);
     if (it == waiting_.end()) continue;
-    Exchange& x = *it->second;
+    RequestContext& x = *it->second;
     if (answer) {
       ++counts_.answeredFromFirst;
       waiting_.erase(it);
       state(x).reset();  // its part here is over
-      host_.answerHeld(w, answerOf(*answer));
+      host_.respondToHeld(w, answerOf(*answer));
       continue;
     }
     const Store::Result r = store_.arrive(clock_.now(), arrivalOf(x));
@@ -343,12 +345,12 @@
     switch (start(x, r)) {
       case Start::now: host_.admitHeld(w); break;
       case Start::held: break;  // still
-      case Start::refused: host_.answerHeld(w, withoutRecord(static_cast<State&>(*state(x)))); break;
+      case Start::refused: host_.respondToHeld(w, withoutRecord(static_cast<State&>(*state(x)))); break;
     }
   }
 }
 
-std::string IdempotencyStage::summary() const {
+std::string IdempotencyFilter::summary() const {
   const auto n = [](const char* name, std::uint64_t value) {
     return std::string(" ") + name + "=" + std::to_string(value);
   };
--- a/src/idempotency/stage.hpp
+++ b/src/idempotency/filter.hpp
@@ -11,7 +11,7 @@
 #include "idempotency/settings.hpp"
 #include "idempotency/store.hpp"
 #include "net/clock.hpp"
-#include "net/stage.hpp"
+#include "net/request_filter.hpp"
 
 namespace finchstile::idempotency {
 
@@ -26,7 +26,7 @@
 // What this gateway's clock says of itself in the log. `boot`: see TimeBase.
 TimeBase timeBase(const Clock& clock, std::string boot);
 // No request runs for longer: what is sent right before its client's time is up is not over at once.
-Duration longestRun(const ridgeshift::Settings& settings);
+Duration longestRun(const load_balancing::Settings& settings);
 
 // The way to the other gateways.
 class OwnerLink {
@@ -37,12 +37,12 @@
       std::optional<Time> at) = 0;  // IdempotencyStage::onWake is to be called then, if at all
 };
 
-class IdempotencyStage : public Stage, StoreObserver {
+class IdempotencyFilter : public RequestFilter, StoreObserver {
  public:
   // `host` carries out what is to become of requests that wait; it must outlive this. `tenants`: how many the
   // settings name.
-  IdempotencyStage(const Clock& clock, const IdempotencySettings& settings, std::size_t tenants,
-                   const Seed& seed, StageHost& host);
+  IdempotencyFilter(const Clock& clock, const IdempotencySettings& settings, std::size_t tenants,
+                    const Seed& seed, RequestFilterCallbacks& host);
 
   // Before the first request. What outlived the last process is put into the store, and each step written
   // down from now on. Both must outlive this.
@@ -59,15 +59,16 @@
   std::string summary() const;
 
   std::uint8_t phases() const override;
-  Arrival onArrived(Exchange& x) override;
-  void onSent(Exchange& x, UpstreamRequest& to) override;
-  void onSettled(Exchange& x, bool mayHaveRun) override;
-  void onAnswerHead(Exchange& x, const AnswerHead& head, std::vector<HeaderLine>& toClient) override;
-  void onEnded(Exchange& x, RequestEnd end) override;
-  bool keepsWork(Exchange& x) override;
+  FilterDecision onRequestReceived(RequestContext& x) override;
+  void onAttemptSending(RequestContext& x, UpstreamRequest& to) override;
+  void onAttemptEnded(RequestContext& x, bool mayHaveRun) override;
+  void onResponseHeaders(RequestContext& x, const ResponseHead& head,
+                         std::vector<HeaderLine>& toClient) override;
+  void onRequestCompleted(RequestContext& x, RequestResult end) override;
+  bool continuesWithoutClient(RequestContext& x) override;
 
  private:
-  struct State : StageState {
+  struct State : RequestFilterState {
     Store::EntryId entry = Store::kNone;
     bool waits = false;      // for the one that runs
     bool recording = false;  // waits for its record to be synced
@@ -78,45 +79,45 @@
     KeptAnswer answer;
   };
   enum class Start : std::uint8_t { now, held, refused };
-  Store::Arrival arrivalOf(const Exchange& x) const;
-  std::uint32_t tenantOf(const Exchange& x) const;
-  Start start(Exchange& x, const Store::Result& r);
-  Answer withoutRecord(const State& s) const;
+  Store::Arrival arrivalOf(const RequestContext& x) const;
+  std::uint32_t tenantOf(const RequestContext& x) const;
+  Start start(RequestContext& x, const Store::Result& r);
+  Response withoutRecord(const State& s) const;
   void onSynced();
   void onBegan(std::uint64_t run, Time at, const Store::Arrival& request, const Earlier* earlier) override;
   void onSent(std::uint64_t, const Earlier&) override {}
   void onNeverRan(std::uint64_t) override {}
   void onEnded(std::uint64_t run, Time at, idempotency::State to, const KeptAnswer& answer,
                const Earlier* ran) override;
-  bool ask(Exchange& x, State& s);
+  bool ask(RequestContext& x, State& s);
   void decided(const Owners::Decision& d);
   void pump();
-  void admitIfReady(const Exchange& x);
+  void admitIfReady(const RequestContext& x);
   void over(const std::vector<Store::Waiter>& waiting, const KeptAnswer* answer);
 
   const Clock& clock_;
   IdempotencySettings settings_;
   std::uint32_t tenants_;
-  StageHost& host_;
+  RequestFilterCallbacks& host_;
   Store store_;
   Counts counts_;
-  std::unordered_map<Store::Waiter, Exchange*> waiting_;  // by request; each until its `ended`
+  std::unordered_map<Store::Waiter, RequestContext*> waiting_;  // by request; each until its `ended`
   Journal* journal_ = nullptr;
   Time uncertainUntil_{};
   struct Recording {
     std::uint64_t position;  // of the log
-    ridgeshift::RequestId request;
+    load_balancing::RequestId request;
   };
   std::deque<Recording> recording_;  // in the order of their records; some may be over already
-  std::unordered_map<ridgeshift::RequestId, Exchange*> recordingOf_;
+  std::unordered_map<load_balancing::RequestId, RequestContext*> recordingOf_;
   Owners* owners_ = nullptr;
   OwnerLink* link_ = nullptr;
   const Names* names_ = nullptr;
   bool askAll_ = false;
-  std::uint64_t lastRun_ = 0;                              // that began
-  std::unordered_map<std::uint64_t, Exchange*> askingOf_;  // by run
+  std::uint64_t lastRun_ = 0;                                    // that began
+  std::unordered_map<std::uint64_t, RequestContext*> askingOf_;  // by run
   // Running ones whose own client has gone, by entry. The last that waits for one takes it along.
-  std::unordered_map<Store::EntryId, ridgeshift::RequestId> orphans_;
+  std::unordered_map<Store::EntryId, load_balancing::RequestId> orphans_;
 };
 
 }  // namespace finchstile::idempotency
--- a/src/idempotency/journal.cpp
+++ b/src/idempotency/journal.cpp
@@ -56,7 +56,7 @@
   if (!recorded_ && log_.nearlyFull()) ++unrecorded_;
 }
 
-void Journal::onSent(std::uint64_t run, const Earlier& where) { write(Sent{run, where}, where.at); }
+void Journal::onSent(std::uint64_t run, const Earlier& where) { write(Sent{run, where}, where.sentAt); }
 void Journal::onNeverRan(std::uint64_t run) { write(NeverRan{run}, lastAt_); }
 void Journal::onEnded(std::uint64_t run, Time at, State to, const KeptAnswer& answer, const Earlier*) {
   // Danger: answers must not take what is left from the ends of others. Without its answer it is uncertain.
--- a/src/idempotency/owners.cpp
+++ b/src/idempotency/owners.cpp
@@ -18,7 +18,7 @@
 
 Earlier agreed(const Earlier& a, const Earlier& b) {
   if (a.zone != b.zone || a.cell != b.cell) return {};
-  return a.at < b.at ? a : b;
+  return a.sentAt < b.sentAt ? a : b;
 }
 
 Owners::Owners(const OwnerSettings& settings, const SipKey& secret, Time now)
@@ -52,8 +52,8 @@
 }
 
 Whereabouts Owners::told(Time now, const Earlier& where) const {
-  if (where.at == Time{}) return {};
-  const auto ago = std::chrono::ceil<std::chrono::milliseconds>(now - where.at + kOnTheWay).count();
+  if (where.sentAt == Time{}) return {};
+  const auto ago = std::chrono::ceil<std::chrono::milliseconds>(now - where.sentAt + kOnTheWay).count();
   if (ago < 0 || ago >= Whereabouts::kLongAgo) return {};
   return {where.zone, where.cell, static_cast<std::uint32_t>(ago)};
 }
--- a/src/idempotency/recall.cpp
+++ b/src/idempotency/recall.cpp
@@ -5,7 +5,7 @@
 
 namespace finchstile::idempotency {
 
-Names Names::of(const ridgeshift::Settings& settings) {
+Names Names::of(const load_balancing::Settings& settings) {
   Names names;
   for (const auto& t : settings.tenants) names.tenants.push_back(t.name);
   for (const auto& c : settings.classes) names.classes.push_back(c.name);
@@ -45,8 +45,8 @@
 Earlier Recall::here(const Earlier& then) const {
   // Unknown stays unknown; and a machine that started anew took longer than any host remembers repeats, by a
   // calendar that may have stepped.
-  if (then.at == Time{} || !sameBoot_) return {};
-  return {then.zone, then.cell, std::max(here(then.at), Time{})};
+  if (then.sentAt == Time{} || !sameBoot_) return {};
+  return {then.zone, then.cell, std::max(here(then.sentAt), Time{})};
 }
 
 void Recall::putBack(Began&& request, State state, KeptAnswer&& answer, Earlier&& earlier, Time due) {
--- a/src/idempotency/recall.hpp
+++ b/src/idempotency/recall.hpp
@@ -17,7 +17,7 @@
   std::vector<std::string> tenants;  // one more index behind them stands for all others, which have no name
   std::vector<std::string> classes;
 
-  static Names of(const ridgeshift::Settings& settings);
+  static Names of(const load_balancing::Settings& settings);
   std::string tenant(std::uint32_t index) const { return index < tenants.size() ? tenants[index] : ""; }
   std::uint32_t tenantIndex(const std::string& name) const;  // of the others, if none is named so
   std::optional<std::uint32_t> classIndex(const std::string& name) const;
--- a/src/idempotency/record.cpp
+++ b/src/idempotency/record.cpp
@@ -8,7 +8,7 @@
 enum Kind : std::uint8_t { session = 1, began, sent, neverRan, ended };
 
 FieldWriter& put(FieldWriter& w, const Earlier& e) {
-  return w.text(e.zone).number(e.cell).number(static_cast<std::int64_t>(e.at.count()));
+  return w.text(e.zone).number(e.cell).number(static_cast<std::int64_t>(e.sentAt.count()));
 }
 std::int64_t ns(Time t) { return t.count(); }
 Time readTime(FieldReader& r) { return Time(r.number<std::int64_t>()); }
@@ -16,7 +16,7 @@
   Earlier e;
   e.zone = r.text();
   e.cell = r.number<std::int64_t>();
-  e.at = readTime(r);
+  e.sentAt = readTime(r);
   return e;
 }
 
--- a/src/idempotency/store.hpp
+++ b/src/idempotency/store.hpp
@@ -13,12 +13,12 @@
 #include <vector>
 
 #include "base/siphash.hpp"
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::idempotency {
 
-using ridgeshift::Duration;
-using ridgeshift::Time;
+using load_balancing::Duration;
+using load_balancing::Time;
 
 // Keyed, so that nobody who does not hold the seed can make two requests alike, or fill one chain of a table.
 using Seed = SipKey;
@@ -33,7 +33,7 @@
 };
 
 // The first attempt that may have run: what a later request with the key has to go by.
-using Earlier = ridgeshift::EarlierAttempt;
+using Earlier = load_balancing::EarlierAttempt;
 
 struct StoreLimits {
   std::size_t entries = 100'000;
--- a/src/membership/facts.cpp
+++ b/src/membership/facts.cpp
@@ -49,7 +49,7 @@
   return std::exp2(-inSeconds(age) / inSeconds(half));
 }
 
-void View::onListed(std::string_view host, Incarnation started, Phase phase, std::uint64_t version,
+void View::onListed(std::string_view host, Incarnation started, HostPhase phase, std::uint64_t version,
                     Time now) {
   auto it = hosts_.find(host);
   if (it == hosts_.end()) {
@@ -62,14 +62,14 @@
     it->second.facts = join(it->second.facts, {started, {phase, version}, {}, {}});
   }
   Known& k = it->second;
-  if (k.facts.listed.phase != Phase::out) k.gone = Time{};
+  if (k.facts.listed.phase != HostPhase::removed) k.gone = Time{};
   else if (k.gone == Time{}) k.gone = now;
 }
 
 void View::onWhole(std::uint64_t version, Time now) {
   for (auto& [name, k] : hosts_) {
     if (k.facts.listed.version >= version) continue;
-    k.facts.listed = {Phase::out, version};
+    k.facts.listed = {HostPhase::removed, version};
     if (k.gone == Time{}) k.gone = now;
   }
 }
@@ -105,9 +105,9 @@
   return any;
 }
 
-Phase View::phase(std::string_view host, Time now) const {
+HostPhase View::phase(std::string_view host, Time now) const {
   const auto it = hosts_.find(host);
-  if (it == hosts_.end()) return Phase::out;
+  if (it == hosts_.end()) return HostPhase::removed;
   const HostFacts& f = it->second.facts;
   if (!f.heard || f.heard->version <= f.listed.version) return f.listed.phase;
   // A peer that has a newer list than ours, for as long as ours may lag. Danger: kept for ever, a peer that
--- a/src/membership/facts.hpp
+++ b/src/membership/facts.hpp
@@ -22,12 +22,12 @@
 using Incarnation = Time;  // when it last started; 0: long ago
 
 struct PhaseFact {
-  Phase phase = Phase::in;
+  HostPhase phase = HostPhase::active;
   std::uint64_t version = 0;  // of the list that had it
 };
 
 struct LoadFact {
-  ridgeshift::LoadReport report;
+  load_balancing::LoadReport report;
   Time observed{};  // when it was so, by our clock
   Time heard{};     // when we came to know
 };
@@ -35,7 +35,7 @@
 // What another gateway said of a host's phase. It counts as long as no list of ours is newer than what it
 // saw.
 struct HeardPhase {
-  Phase phase = Phase::in;
+  HostPhase phase = HostPhase::active;
   std::uint64_t version = 0;  // of its list
   Time observed{};
 };
@@ -69,7 +69,7 @@
   explicit View(const Limits& limits) : limits_(limits) {}
 
   // Of a list, whole or of changes. Names a host if it is new.
-  void onListed(std::string_view host, Incarnation started, Phase phase, std::uint64_t version, Time now);
+  void onListed(std::string_view host, Incarnation started, HostPhase phase, std::uint64_t version, Time now);
   // What a whole list leaves out is gone, as of that version.
   void onWhole(std::uint64_t version, Time now);
   // Versions begin anew: another discovery is asked, or it has lost its count. Phases stand as they are, and
@@ -83,9 +83,9 @@
   bool onPeer(std::string_view host, const HostFacts& facts, Time observed);
 
   // In force: the worse of what lists and peers say. `out` if it is not known.
-  Phase phase(std::string_view host, Time now) const;
+  HostPhase phase(std::string_view host, Time now) const;
   struct Load {
-    ridgeshift::LoadReport report;
+    load_balancing::LoadReport report;
     double confidence = 0;  // 0: none, or too old
     Duration age{};
   };
--- a/src/membership/gossip.cpp
+++ b/src/membership/gossip.cpp
@@ -11,7 +11,9 @@
 constexpr Duration kAgeUnit = std::chrono::milliseconds(10);
 constexpr std::size_t kVotesOver = 3;  // kept beyond the quorum, so that one that ages leaves it standing
 
-Phase phaseOf(Rumour::What w) { return w == Rumour::What::draining ? Phase::draining : Phase::out; }
+HostPhase phaseOf(Rumour::What w) {
+  return w == Rumour::What::draining ? HostPhase::draining : HostPhase::removed;
+}
 
 }  // namespace
 
@@ -99,10 +101,10 @@
   if (!before || telling_.find(key) == telling_.end()) tell(key, it->second, Rumour::What::silent);
 }
 
-void Gossip::onListed(HostKey key, std::int64_t started, Phase phase, std::uint64_t version, Time now) {
+void Gossip::onListed(HostKey key, std::int64_t started, HostPhase phase, std::uint64_t version, Time now) {
   auto it = hosts_.find(key);
   if (it == hosts_.end()) {
-    if (phase == Phase::out) return;
+    if (phase == HostPhase::removed) return;
     it = hosts_.emplace(key, Host{}).first;
   }
   Host& h = it->second;
@@ -112,7 +114,7 @@
     h.seenSilent = {};
     telling_.erase(key);
   }
-  const Phase before = h.known ? h.phase : Phase::in;
+  const HostPhase before = h.known ? h.phase : HostPhase::active;
   listed_ += !h.known;
   h.known = true;
   h.started = started;
@@ -121,9 +123,9 @@
   // Danger: a list that has not come as far says nothing of a claim.
   if (h.claim && version >= h.claim->version) dropClaim(h, rank(phase) >= rank(h.claim->phase), now);
   else if (h.claim && rank(phase) >= rank(h.claim->phase)) dropClaim(h, true, now);
-  if (phase != Phase::in && phase != before)
-    tell(key, h, phase == Phase::draining ? Rumour::What::draining : Rumour::What::out);
-  else if (phase == Phase::in && before != Phase::in) telling_.erase(key);
+  if (phase != HostPhase::active && phase != before)
+    tell(key, h, phase == HostPhase::draining ? Rumour::What::draining : Rumour::What::out);
+  else if (phase == HostPhase::active && before != HostPhase::active) telling_.erase(key);
 }
 
 void Gossip::onForgotten(HostKey key) {
@@ -203,7 +205,7 @@
 }
 
 void Gossip::claimed(HostKey key, Host& h, GatewayNumber from, const Rumour& r, Time now) {
-  const Phase phase = phaseOf(r.what);
+  const HostPhase phase = phaseOf(r.what);
   if (r.version <= h.version || rank(phase) <= rank(h.phase)) return;  // ours is as new, or as bad
   if (h.claim) {
     // Said again, or by another: it gets no younger, and whoever said it first answers for it.
--- a/src/membership/gossip.hpp
+++ b/src/membership/gossip.hpp
@@ -90,7 +90,7 @@
   struct Accepted {
     HostKey host = 0;
     std::int64_t started = 0;
-    Phase phase = Phase::in;
+    HostPhase phase = HostPhase::active;
     std::uint64_t version = 0;
     Time since{};
   };
@@ -99,7 +99,7 @@
   // At first hand: our own attempts have met silence.
   void onSilent(HostKey host, std::int64_t started, Time now);
   // Of our own list. `in` too: it bears out or ends what others claim.
-  void onListed(HostKey host, std::int64_t started, Phase phase, std::uint64_t version, Time now);
+  void onListed(HostKey host, std::int64_t started, HostPhase phase, std::uint64_t version, Time now);
   void onForgotten(HostKey host);
 
   void receive(GatewayNumber from, std::string_view payload, Time now);
@@ -126,14 +126,14 @@
   };
   struct Claim {
     GatewayNumber from = 0;
-    Phase phase = Phase::in;
+    HostPhase phase = HostPhase::active;
     std::uint64_t version = 0;
     Time since{};  // heard first; a claim that is said again is no younger
   };
   struct Host {
     bool known = false;  // our list names it
     std::int64_t started = 0;
-    Phase phase = Phase::in;
+    HostPhase phase = HostPhase::active;
     std::uint64_t version = 0;
     Time seenSilent{};        // what we are convinced of, at first hand: when it was seen
     std::vector<Vote> votes;  // one for each gateway, `quorum` and a few more at the most
--- a/src/membership/list_policy.cpp
+++ b/src/membership/list_policy.cpp
@@ -24,12 +24,12 @@
     if (fresh) continue;
     Named& first = hosts[it->second];
     const Named& other = hosts[i];
-    const Phase phase = worse(first.entry.phase, other.entry.phase);
-    if (other.entry.upSince > first.entry.upSince) {
+    const HostPhase phase = worse(first.entry.phase, other.entry.phase);
+    if (other.entry.startedAt > first.entry.startedAt) {
       first.at = other.at;
-      first.entry.upSince = other.entry.upSince;
+      first.entry.startedAt = other.entry.startedAt;
       first.entry.zone = other.entry.zone;
-      first.entry.kind = other.entry.kind;
+      first.entry.machineType = other.entry.machineType;
       first.entry.cell = other.entry.cell;
     }
     first.entry.phase = phase;
@@ -77,10 +77,10 @@
     for (const Named& n : named) names.insert(n.entry.address);
     std::size_t alive = 0, lost = 0;
     for (const auto& [name, h] : hosts_) {
-      if (h.listed.phase == Phase::out) continue;
+      if (h.listed.phase == HostPhase::removed) continue;
       const bool left = names.count(name) == 0;
       if (left) omitted.push_back(name);
-      if (h.listed.phase != Phase::in || !answers(name)) continue;
+      if (h.listed.phase != HostPhase::active || !answers(name)) continue;
       ++alive;
       lost += left;
     }
@@ -105,7 +105,7 @@
     take(n, now);
     const auto it = hosts_.find(n.entry.address);
     if (it == hosts_.end()) continue;
-    if (it->second.listed.phase == Phase::in) claim(it->first, it->second, changed);
+    if (it->second.listed.phase == HostPhase::active) claim(it->first, it->second, changed);
   }
   for (const Named& n : named)
     if (const auto it = hosts_.find(n.entry.address); it != hosts_.end())
@@ -125,16 +125,17 @@
       return;
     }
     it = hosts_.emplace(n.entry.address, Host{}).first;
-    it->second.listed.phase = Phase::out;
+    it->second.listed.phase = HostPhase::removed;
   }
   Host& h = it->second;
-  const bool wasIn = h.listed.phase == Phase::in;
-  if (wasIn && (n.entry.phase != Phase::in || n.at != h.at)) release(it->first, h);
+  const bool wasIn = h.listed.phase == HostPhase::active;
+  if (wasIn && (n.entry.phase != HostPhase::active || n.at != h.at)) release(it->first, h);
   h.listed = n.entry;
   h.at = n.at;
-  if (wasIn && n.entry.phase != Phase::in) flapped(it->first, h, now);
-  if (n.entry.phase == Phase::out) gone_.emplace_back(now + kFlapHalves * settings_.flapHalf, it->first);
-  if (n.entry.phase != Phase::in) h.displaced = false;
+  if (wasIn && n.entry.phase != HostPhase::active) flapped(it->first, h, now);
+  if (n.entry.phase == HostPhase::removed)
+    gone_.emplace_back(now + kFlapHalves * settings_.flapHalf, it->first);
+  if (n.entry.phase != HostPhase::active) h.displaced = false;
   else byAddress_.emplace(h.at, it->first);
 }
 
@@ -143,11 +144,11 @@
   const auto it = hosts_.find(name);
   if (it == hosts_.end()) return;
   Host& h = it->second;
-  if (h.listed.phase == Phase::in) {
+  if (h.listed.phase == HostPhase::active) {
     release(name, h);
     flapped(name, h, now);
   }
-  h.listed.phase = Phase::out;
+  h.listed.phase = HostPhase::removed;
   h.displaced = false;
   gone_.emplace_back(now + kFlapHalves * settings_.flapHalf, name);
 }
@@ -156,7 +157,7 @@
 void ListPolicy::forget(Time now) {
   while (!gone_.empty() && (gone_.front().first <= now || gone_.size() > 2 * settings_.hosts)) {
     const auto it = hosts_.find(gone_.front().second);
-    if (it != hosts_.end() && it->second.listed.phase == Phase::out && !it->second.held &&
+    if (it != hosts_.end() && it->second.listed.phase == HostPhase::removed && !it->second.held &&
         flapsNow(it->second, now) < 0.2)
       hosts_.erase(it);
     gone_.pop_front();
@@ -187,8 +188,8 @@
 void ListPolicy::claim(const std::string& name, Host& h, std::vector<Named>& changed) {
   std::string& owner = byAddress_[h.at];
   const auto other = owner == name ? hosts_.end() : hosts_.find(owner);
-  if (other != hosts_.end() && other->second.listed.phase == Phase::in && other->second.at == h.at) {
-    const bool later = h.listed.upSince >= other->second.listed.upSince;
+  if (other != hosts_.end() && other->second.listed.phase == HostPhase::active && other->second.at == h.at) {
+    const bool later = h.listed.startedAt >= other->second.listed.startedAt;
     Host& loser = later ? other->second : h;
     if (!std::exchange(loser.displaced, true)) ++counts_.shared;
     if (!later) return;
@@ -205,7 +206,7 @@
 
 Named ListPolicy::told(const Host& h) const {
   Named n{h.listed, h.at};
-  if ((h.held || h.displaced) && n.entry.phase == Phase::in) n.entry.phase = Phase::draining;
+  if ((h.held || h.displaced) && n.entry.phase == HostPhase::active) n.entry.phase = HostPhase::draining;
   return n;
 }
 
@@ -223,9 +224,9 @@
     ++counts_.lapsed;
     for (const std::string& name : left_) {
       const auto it = hosts_.find(name);
-      if (it == hosts_.end() || it->second.listed.phase == Phase::out) continue;
+      if (it == hosts_.end() || it->second.listed.phase == HostPhase::removed) continue;
       Named n{it->second.listed, it->second.at};
-      n.entry.phase = Phase::out;
+      n.entry.phase = HostPhase::removed;
       out.hosts.push_back(std::move(n));
       leave(name, now);
     }
@@ -239,7 +240,7 @@
     it->second.held = false;
     it->second.flaps = flapsNow(it->second, now);
     it->second.flapsAt = now;
-    if (it->second.listed.phase == Phase::out)
+    if (it->second.listed.phase == HostPhase::removed)
       gone_.emplace_back(now + kFlapHalves * settings_.flapHalf, name);
     else out.hosts.push_back(told(it->second));
   }
--- a/src/membership/list_policy.hpp
+++ b/src/membership/list_policy.hpp
@@ -21,7 +21,7 @@
 
 namespace finchstile::membership {
 
-using ridgeshift::HostEntry;
+using load_balancing::HostEntry;
 
 struct Named {
   HostEntry entry;  // `entry.address`: its name
--- a/src/membership/report.cpp
+++ b/src/membership/report.cpp
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-std::optional<ridgeshift::LoadReport> readReport(std::string_view text) {
+std::optional<load_balancing::LoadReport> readReport(std::string_view text) {
   if (text.size() > kReportMost || trimmed(text).empty()) return std::nullopt;
-  ridgeshift::LoadReport r;
+  load_balancing::LoadReport r;
   for (;;) {
     const std::size_t comma = text.find(',');
     const std::string_view part = trimmed(text.substr(0, comma));
--- a/src/membership/report.hpp
+++ b/src/membership/report.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string_view>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::membership {
 
@@ -13,6 +13,6 @@
 
 // None: malformed, too long, a figure twice, or one that is no number of 0 or more. Names that are not known
 // are passed over.
-std::optional<ridgeshift::LoadReport> readReport(std::string_view text);
+std::optional<load_balancing::LoadReport> readReport(std::string_view text);
 
 }  // namespace finchstile::membership
--- a/src/membership/snapshot.cpp
+++ b/src/membership/snapshot.cpp
@@ -68,24 +68,26 @@
   return r;
 }
 
-bool against(const ToldHost& h) { return h.phase != Phase::in || h.ejectedFor > Duration{}; }
+bool against(const ToldHost& h) { return h.phase != HostPhase::active || h.ejectedFor > Duration{}; }
 
 }  // namespace
 
-Snapshot snapshotOf(const ridgeshift::Learned& l, const std::function<NameKey(std::string_view)>& key,
+Snapshot snapshotOf(const load_balancing::LearnedState& l,
+                    const std::function<NameKey(std::string_view)>& key,
                     const std::function<std::optional<ListedFact>(const std::string&)>& listed) {
   Snapshot s;
   s.self.emplace().age = l.age;
   for (std::size_t i = 0; i < kSelfFigures.size(); ++i) (*s.self).*kSelfFigures[i] = l.*kLearnedFigures[i];
   for (const auto& c : l.classes)
-    s.classes.push_back({key(c.name), c.norm, c.meanCost, c.lateSeen, c.usualLeft});
-  for (const auto& k : l.kinds) s.kinds.push_back({key(k.name), k.proven, k.pace});
-  s.levels = l.levels;
+    s.classes.push_back(
+        {key(c.name), c.typicalLatency, c.meanExpectedWork, c.lateRetryFraction, c.typicalTimeLeft});
+  for (const auto& k : l.machineTypes) s.kinds.push_back({key(k.name), k.provenRate, k.relativeLatency});
+  s.levels = l.priorityLevels;
   for (const auto& h : l.hosts) {
     const auto fact = listed(h.address);
     if (!fact) continue;
-    s.hosts.push_back({key(h.address), fact->started, fact->phase, fact->version, fact->age, h.pace, h.fails,
-                       h.rate, h.ejectedFor, h.ejections});
+    s.hosts.push_back({key(h.address), fact->started, fact->phase, fact->version, fact->age,
+                       h.relativeLatency, h.failureRate, h.answerRate, h.ejectedFor, h.ejections});
   }
   return s;
 }
@@ -132,8 +134,8 @@
   for (const auto& l : s.levels) {
     std::string r;
     putLittleEndian(r, kLevel);
-    putFigure(r, l.worth);
-    putFigure(r, l.seen);
+    putFigure(r, l.priorityWeight);
+    putFigure(r, l.recentRequests);
     records.push_back(std::move(r));
   }
   for (const ToldHost& h : s.hosts)
@@ -195,9 +197,9 @@
         break;
       }
       case kLevel: {
-        ridgeshift::Learned::Level l;
-        l.worth = in.figure();
-        l.seen = in.figure();
+        load_balancing::LearnedState::PriorityLevel l;
+        l.priorityWeight = in.figure();
+        l.recentRequests = in.figure();
         c.part.levels.push_back(l);
         break;
       }
@@ -207,7 +209,7 @@
         h.started = static_cast<std::int64_t>(in.integer<std::uint64_t>());
         const auto phase = in.integer<std::uint8_t>();
         if (phase > 2 || h.started < 0) in.spoil();
-        h.phase = static_cast<Phase>(phase);
+        h.phase = static_cast<HostPhase>(phase);
         h.version = in.integer<std::uint64_t>();
         h.age = in.integer<std::uint16_t>() * kHundredth;
         h.pace = in.figure();
--- a/src/membership/snapshot.hpp
+++ b/src/membership/snapshot.hpp
@@ -22,8 +22,8 @@
 #include <string_view>
 #include <vector>
 
+#include "finchstile/load_balancer.hpp"
 #include "membership/gossip.hpp"
-#include "ridgeshift/ridgeshift.hpp"
 
 namespace finchstile::membership {
 
@@ -36,7 +36,7 @@
 struct ToldHost {
   HostKey host = 0;
   std::int64_t started = 0;
-  Phase phase = Phase::in;
+  HostPhase phase = HostPhase::active;
   std::uint64_t version = 0;  // of its list
   Duration age{};             // since the host answered it last
   double pace = 1, fails = 0, rate = 0;
@@ -62,7 +62,7 @@
   std::optional<Self> self;
   std::vector<Class> classes;
   std::vector<Kind> kinds;
-  std::vector<ridgeshift::Learned::Level> levels;
+  std::vector<load_balancing::LearnedState::PriorityLevel> levels;
   std::vector<ToldHost> hosts;
 };
 
@@ -71,20 +71,25 @@
                                             &Snapshot::Self::answers,     &Snapshot::Self::fastRate,
                                             &Snapshot::Self::meanAim,     &Snapshot::Self::meanWork,
                                             &Snapshot::Self::calmHeld,    &Snapshot::Self::servedShare};
-inline constexpr std::array kLearnedFigures = {
-    &ridgeshift::Learned::arrivalRate, &ridgeshift::Learned::arrivalSweeps, &ridgeshift::Learned::answers,
-    &ridgeshift::Learned::fastRate,    &ridgeshift::Learned::meanAim,       &ridgeshift::Learned::meanWork,
-    &ridgeshift::Learned::calmHeld,    &ridgeshift::Learned::servedShare};
+inline constexpr std::array kLearnedFigures = {&load_balancing::LearnedState::arrivalRate,
+                                               &load_balancing::LearnedState::arrivalSamples,
+                                               &load_balancing::LearnedState::answers,
+                                               &load_balancing::LearnedState::inTimeRate,
+                                               &load_balancing::LearnedState::meanLatencyObjective,
+                                               &load_balancing::LearnedState::meanTypicalLatency,
+                                               &load_balancing::LearnedState::unloadedConcurrency,
+                                               &load_balancing::LearnedState::servedFraction};
 static_assert(kSelfFigures.size() == kLearnedFigures.size());
 
 // The list's side of a host, which the module does not tell.
 struct ListedFact {
   std::int64_t started = 0;
-  Phase phase = Phase::in;
+  HostPhase phase = HostPhase::active;
   std::uint64_t version = 0;
   Duration age{};  // since it answered us last; kAgeMost: never
 };
-Snapshot snapshotOf(const ridgeshift::Learned& learned, const std::function<NameKey(std::string_view)>& key,
+Snapshot snapshotOf(const load_balancing::LearnedState& learned,
+                    const std::function<NameKey(std::string_view)>& key,
                     const std::function<std::optional<ListedFact>(const std::string& host)>& listed);
 
 std::string encodeAsk(std::uint64_t nonce);
--- a/src/membership/terms.hpp
+++ b/src/membership/terms.hpp
@@ -1,17 +1,17 @@
 // What all of src/membership speaks of.
 #pragma once
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::membership {
 
-using ridgeshift::Duration;
-using ridgeshift::Phase;
-using ridgeshift::Time;
+using load_balancing::Duration;
+using load_balancing::HostPhase;
+using load_balancing::Time;
 
 // From what may be used to what has gone.
-constexpr int rank(Phase p) { return p == Phase::in ? 0 : p == Phase::draining ? 1 : 2; }
-constexpr Phase worse(Phase a, Phase b) { return rank(a) >= rank(b) ? a : b; }
+constexpr int rank(HostPhase p) { return p == HostPhase::active ? 0 : p == HostPhase::draining ? 1 : 2; }
+constexpr HostPhase worse(HostPhase a, HostPhase b) { return rank(a) >= rank(b) ? a : b; }
 
 inline double inSeconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
--- a/src/membership/warm_start.cpp
+++ b/src/membership/warm_start.cpp
@@ -132,12 +132,12 @@
   std::vector<std::pair<GatewayNumber, ToldHost>> out;
   for (const auto& [number, p] : peers_)
     for (const ToldHost& h : p.told.hosts)
-      if (h.phase != Phase::in) out.emplace_back(number, h);
+      if (h.phase != HostPhase::active) out.emplace_back(number, h);
   return out;
 }
 
-std::optional<ridgeshift::Learned> WarmStart::learned(const Names& names, Time now) const {
-  ridgeshift::Learned out;
+std::optional<load_balancing::LearnedState> WarmStart::learned(const Names& names, Time now) const {
+  load_balancing::LearnedState out;
   double worth = 0;
   Mean age;
   std::array<Mean, kSelfFigures.size()> figures;
@@ -169,13 +169,13 @@
     for (const auto& [number, p] : peers_)
       for (const Snapshot::Kind& k : p.told.kinds)
         if (k.key == key && worthOf(p) > 0) proven.add(k.proven, worthOf(p)), pace.add(k.pace, worthOf(p));
-    if (proven.weight() > 0) out.kinds.push_back({name, proven.value(0), pace.value(1)});
+    if (proven.weight() > 0) out.machineTypes.push_back({name, proven.value(0), pace.value(1)});
   }
   std::map<double, double> levels;
   for (const auto& [number, p] : peers_)
     for (const auto& l : p.told.levels)
-      if (worthOf(p) > 0) levels[l.worth] += l.seen * worthOf(p);
-  for (const auto& [w, seen] : levels) out.levels.push_back({w, seen / worth});
+      if (worthOf(p) > 0) levels[l.priorityWeight] += l.recentRequests * worthOf(p);
+  for (const auto& [w, seen] : levels) out.priorityLevels.push_back({w, seen / worth});
 
   struct HostMean {
     Mean pace, fails, rate, ejected;
@@ -188,7 +188,7 @@
     const double general = worthOf(p);
     if (general <= 0) continue;
     for (const ToldHost& h : p.told.hosts) {
-      if (h.phase != Phase::in) continue;  // of those nothing was learned
+      if (h.phase != HostPhase::active) continue;  // of those nothing was learned
       const auto up = names.up(h.host, h.started);
       if (!up) continue;  // another process, or none of ours
       const Duration passed = now - p.toldAt;
@@ -209,14 +209,14 @@
   for (const auto& [key, m] : hosts) {
     const auto name = names.host(key);
     if (!name) continue;
-    ridgeshift::Learned::Host h;
+    load_balancing::LearnedState::Host h;
     h.address = *name;
-    h.up = m.up;
+    h.uptime = m.up;
     // What is worth less than a whole word is drawn towards what is assumed of any host.
     const double sure = std::min(1.0, m.pace.weight());
-    h.pace = std::exp(m.pace.value(0) * sure);
-    h.fails = m.fails.value(0) * sure;
-    h.rate = m.rate.value(0) * sure;
+    h.relativeLatency = std::exp(m.pace.value(0) * sure);
+    h.failureRate = m.fails.value(0) * sure;
+    h.answerRate = m.rate.value(0) * sure;
     if (m.ejected.value(0) > 0.5) h.ejectedFor = m.ejectedFor, h.ejections = m.ejections;
     out.hosts.push_back(std::move(h));
   }
--- a/src/membership/warm_start.hpp
+++ b/src/membership/warm_start.hpp
@@ -65,7 +65,7 @@
   };
   std::vector<Said> said(HostKey host, Time now) const;
   // All of it together, for the module; none if it is worth too little.
-  std::optional<ridgeshift::Learned> learned(const Names& names, Time now) const;
+  std::optional<load_balancing::LearnedState> learned(const Names& names, Time now) const;
   // Hosts that a peer has as draining or gone, for whoever weighs a peer's word.
   std::vector<std::pair<GatewayNumber, ToldHost>> phases() const;
 
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -56,7 +56,7 @@
 // -----------------------------------------------------------------------------------------------
 
 Listener::Listener(asio::io_context& io, const Clock& clock, const tcp::endpoint& at, int inherited,
-                   std::size_t most, const ClientTuning& tuning, ClientEvents& events)
+                   std::size_t most, const ClientConnectionOptions& tuning, ClientCallbacks& events)
     : io_(io),
       clock_(clock),
       most_(most),
@@ -185,8 +185,8 @@
 
 Duration Listener::limit(State state) const {
   switch (state) {
-    case State::idle: return tuning_.idle;
-    case State::writing: return tuning_.write;
+    case State::idle: return tuning_.idleTimeout;
+    case State::writing: return tuning_.writeTimeout;
     case State::lingering: return draining() ? kLingerDrain : kLingerMost;
     default: return Duration::max();
   }
@@ -387,20 +387,20 @@
 bool ClientSession::overdue() const {
   if (state_ == State::waiting && (!partial_ || !pulled_)) return false;
   // Danger: a body that came fast would earn its client minutes of silence.
-  if (partial_ && listener_.clock_.now() - heard_ > listener_.tuning_.request) return true;
+  if (partial_ && listener_.clock_.now() - heard_ > listener_.tuning_.requestTimeout) return true;
   double bytes = static_cast<double>(reader_.bodyRead());
   if (partial_) bytes -= static_cast<double>(kWholeMost);
   const auto grown = std::chrono::duration<double>(bytes / kBodyRate);
   return listener_.clock_.now() - since_ - (partial_ ? held_ : Duration{}) >
-         listener_.tuning_.request + std::chrono::duration_cast<Duration>(grown);
+         listener_.tuning_.requestTimeout + std::chrono::duration_cast<Duration>(grown);
 }
 
 void ClientSession::refuse(http::status status) {
   enter(State::waiting);
-  Answer a;
+  Response a;
   a.status = status;
   a.close = true;
-  answer(std::move(a));
+  respond(std::move(a));
 }
 
 void ClientSession::refuseInput(error_code error) {
@@ -441,16 +441,16 @@
 
 // Whoever has not sent its request whole can't be answered and go on: what still comes would be taken for a
 // next request.
-void ClientSession::answer(Answer&& a) {
+void ClientSession::respond(Response&& a) {
   if (state_ != State::waiting) return;
   request_ = 0;
-  if (!a.parted) {
+  if (!a.partial) {
     startHead(a, a.body.size());
     if (!headOnly_) out_ += a.body;
     return write();
   }
-  const std::optional<std::uint64_t> length = a.parted->length;
-  relay_ = a.parted->relay;
+  const std::optional<std::uint64_t> length = a.partial->length;
+  relay_ = a.partial->relay;
   chunked_ = !length && version_ >= 11;
   unbounded_ = !length && !chunked_;
   if (unbounded_) keepAlive_ = false;  // the end of the connection is the end of the body
@@ -458,7 +458,7 @@
   pass(std::move(a.body), false);
 }
 
-void ClientSession::startHead(const Answer& a, std::optional<std::uint64_t> length) {
+void ClientSession::startHead(const Response& a, std::optional<std::uint64_t> length) {
   enter(State::writing);
   if (std::exchange(partial_, false)) keepAlive_ = false;
   keepAlive_ = keepAlive_ && !a.close && !listener_.closesAfterAnswer();
@@ -530,9 +530,9 @@
   written_ = 0;
   if (more_) {
     enter(State::passing);
-    return listener_.events_.onClientTook(relay_);
+    return listener_.events_.onResponseWritten(relay_);
   }
-  if (const RelayId relay = std::exchange(relay_, 0)) listener_.events_.onClientTook(relay);
+  if (const RelayId relay = std::exchange(relay_, 0)) listener_.events_.onResponseWritten(relay);
   if (out_.capacity() > kReadMost)
     out_.shrink_to_fit();  // a long answer's buffer would stay with an idle client
   if (keepAlive_) return read();
@@ -614,9 +614,9 @@
   enter(State::closed);
   error_code ignored;
   socket_.close(ignored);
-  const ridgeshift::RequestId request = std::exchange(request_, 0);
-  if (asked && request != 0) listener_.events_.onClientLeft(request);
-  if (const RelayId relay = std::exchange(relay_, 0)) listener_.events_.onRelayBroken(relay);
+  const load_balancing::RequestId request = std::exchange(request_, 0);
+  if (asked && request != 0) listener_.events_.onClientDisconnected(request);
+  if (const RelayId relay = std::exchange(relay_, 0)) listener_.events_.onResponseAborted(relay);
 }
 
 }  // namespace finchstile
--- a/src/net/client.hpp
+++ b/src/net/client.hpp
@@ -16,10 +16,10 @@
 #include <vector>
 
 #include "base/header_line.hpp"
+#include "finchstile/load_balancer.hpp"
 #include "net/clock.hpp"
 #include "net/framing.hpp"
-#include "net/tuning.hpp"
-#include "ridgeshift/ridgeshift.hpp"
+#include "net/gateway_options.hpp"
 
 namespace finchstile {
 
@@ -28,41 +28,41 @@
 
 using RelayId = std::uint64_t;  // an answer that is passed on piece by piece
 
-struct Parted {  // what an answer is that is not whole: `body` has the first of it
+struct PartialResponse {  // what an answer is that is not whole: `body` has the first of it
   std::optional<std::uint64_t> length;
   RelayId relay = 0;
 };
 
-struct Answer {
+struct Response {
   boost::beast::http::status status = boost::beast::http::status::ok;
   std::string body;
   std::string contentType;
   std::vector<HeaderLine> headers;  // further ones
   Duration retryAfter{};            // 0: none
   bool close = false;
-  std::optional<Parted> parted;
+  std::optional<PartialResponse> partial;
 };
 
-inline Answer plainAnswer(boost::beast::http::status status) {
-  Answer a;
+inline Response plainResponse(boost::beast::http::status status) {
+  Response a;
   a.status = status;
   return a;
 }
 
 class ClientSession;
 
-class ClientEvents {
+class ClientCallbacks {
  public:
-  virtual ~ClientEvents() = default;
+  virtual ~ClientCallbacks() = default;
   // `whole`: all of it is here. Else more of its body comes when the session is asked to `pull`, a piece each
   // time, the last one marked.
   virtual void onClientRequest(const std::shared_ptr<ClientSession>& session, ClientRequest&& request,
                                bool whole) = 0;
-  virtual void onClientBody(ridgeshift::RequestId request, std::string&& piece, bool last) = 0;
-  virtual void onClientLeft(ridgeshift::RequestId request) = 0;
+  virtual void onClientBody(load_balancing::RequestId request, std::string&& piece, bool last) = 0;
+  virtual void onClientDisconnected(load_balancing::RequestId request) = 0;
   // All pieces of its answer that were handed over have been written; or its client takes no more.
-  virtual void onClientTook(RelayId relay) = 0;
-  virtual void onRelayBroken(RelayId relay) = 0;
+  virtual void onResponseWritten(RelayId relay) = 0;
+  virtual void onResponseAborted(RelayId relay) = 0;
 };
 
 class Listener {
@@ -70,9 +70,9 @@
   // Holds `most` client connections at the most. `inherited`: the descriptor of a socket that listens at `at`
   // already and that other processes share, or below 0; throws std::runtime_error if it is no such thing.
   Listener(boost::asio::io_context& io, const Clock& clock, const tcp::endpoint& at, int inherited,
-           std::size_t most, const ClientTuning& tuning, ClientEvents& events);
+           std::size_t most, const ClientConnectionOptions& tuning, ClientCallbacks& events);
 
-  void tune(const ClientTuning& tuning) { tuning_ = tuning; }
+  void setOptions(const ClientConnectionOptions& tuning) { tuning_ = tuning; }
   tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
   void start() { accept(); }
   void sweep();  // ends what is slow or idle for too long; to be called a few times a second
@@ -81,8 +81,8 @@
 
   void beginDrain() { draining_ = true; }  // answers say `Connection: close` from here on
   // The same, and connections at rest are closed from `restEnds` on; accepts as before. `takeBack` ends it.
-  void sendAway(Time restEnds) { away_ = restEnds; }
-  void takeBack() { away_ = Time{}; }
+  void enterLameDuck(Time restEnds) { away_ = restEnds; }
+  void leaveLameDuck() { away_ = Time{}; }
   // Connections at rest go to another process, one by one, as soon as they rest; answers leave them open.
   // `give` takes a copy of the descriptor, and is asked again later if it says no. An empty one ends it.
   void handOver(std::function<bool(int fd)> give) { give_ = std::move(give); }
@@ -121,8 +121,8 @@
   const Clock& clock_;
   std::size_t most_;
   std::size_t spare_;  // beyond `most_`: those that are turned away, while their ends are read out
-  ClientTuning tuning_;
-  ClientEvents& events_;
+  ClientConnectionOptions tuning_;
+  ClientCallbacks& events_;
   tcp::acceptor acceptor_;
   boost::asio::steady_timer pause_;
   std::array<Sessions, 7> sessions_;  // by state, in the order in which they entered it
@@ -143,8 +143,8 @@
   void start() { await(); }
   // Danger: a client that went away while its answer was prepared has none coming; a second answer would be
   // taken for that of the next request. Both are dropped here.
-  void answer(Answer&& answer);
-  void setRequest(ridgeshift::RequestId id) { request_ = id; }
+  void respond(Response&& answer);
+  void setRequest(load_balancing::RequestId id) { request_ = id; }
   void pull();  // the next piece of a request that is not whole yet
   // Whether its client has closed the connection; the news may lie behind bytes that are not read yet. If so,
   // it is told of as gone soon, not from within the call.
@@ -182,7 +182,7 @@
   void turnAway();
   void drop();
   void passPart();
-  void startHead(const Answer& answer, std::optional<std::uint64_t> length);
+  void startHead(const Response& answer, std::optional<std::uint64_t> length);
   void write();
   void written();
   void linger();
@@ -202,7 +202,7 @@
   State state_ = State::fresh;
   Listener::Sessions::iterator place_{};
   Time since_{};
-  ridgeshift::RequestId request_ = 0;  // 0: none, or the client has already been told of as gone
+  load_balancing::RequestId request_ = 0;  // 0: none, or the client has already been told of as gone
   std::size_t discarded_ = 0;
   unsigned version_ = 11;
   bool begun_ = false;    // bytes of a request have come
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -3,12 +3,12 @@
 
 #include <chrono>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile {
 
-using ridgeshift::Duration;
-using ridgeshift::Time;
+using load_balancing::Duration;
+using load_balancing::Time;
 
 class Clock {
  public:
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -14,9 +14,9 @@
 namespace finchstile {
 namespace {
 
+using load_balancing::HostEntry;
+using load_balancing::HostPhase;
 using nlohmann::json;
-using ridgeshift::HostEntry;
-using ridgeshift::Phase;
 
 [[noreturn]] void fail(const std::string& what) { throw std::runtime_error(what); }
 
@@ -36,10 +36,10 @@
   }
 }
 
-Phase readPhase(const std::string& status) {
-  if (status == "active") return Phase::in;
-  if (status == "leaving") return Phase::draining;
-  if (status == "left") return Phase::out;
+HostPhase readPhase(const std::string& status) {
+  if (status == "active") return HostPhase::active;
+  if (status == "leaving") return HostPhase::draining;
+  if (status == "left") return HostPhase::removed;
   fail("unknown status '" + status + "' of a host");
 }
 
@@ -65,16 +65,16 @@
   return {at->first, at->second};
 }
 
-Duration longestGiveUp(const ridgeshift::Settings& settings) {
+Duration longestClientTimeout(const load_balancing::Settings& settings) {
   Duration longest{};
-  for (const auto& c : settings.classes) longest = std::max(longest, c.giveUp);
+  for (const auto& c : settings.classes) longest = std::max(longest, c.clientTimeout);
   return longest;
 }
 
 HostList readHostList(const json& list, const Clock& clock) try {
   HostList out;
-  out.index = list.at("index").get<std::int64_t>();
-  out.whole = list.at("snapshot").get<bool>();
+  out.version = list.at("index").get<std::int64_t>();
+  out.complete = list.at("snapshot").get<bool>();
   const json& endpoints = list.at("endpoints");
   if (!endpoints.is_array()) fail("bad host list: endpoints is no list");  // else {} would empty the fleet
   for (const json& item : endpoints) {
@@ -83,9 +83,9 @@
     e.address = item.at("name").get<std::string>();
     e.phase = readPhase(item.at("status").get<std::string>());
     e.zone = item.value("zone", "");
-    e.kind = item.value("type", "");
+    e.machineType = item.value("type", "");
     e.cell = item.value("group", std::int64_t{0});
-    e.upSince = clock.fromUnix(std::chrono::milliseconds(item.value("since_ms", std::int64_t{0})));
+    e.startedAt = clock.fromUnix(std::chrono::milliseconds(item.value("since_ms", std::int64_t{0})));
     h.endpoint = readEndpoint(item.at("address").get<std::string>());
     if (e.address.empty()) fail("a host has no name");
     out.hosts.push_back(std::move(h));
@@ -95,12 +95,12 @@
   fail(std::string("bad host list: ") + bad.what());
 }
 
-HostList wholeOf(const HostList& base, HostList&& changes) {
+HostList applyChanges(const HostList& base, HostList&& changes) {
   std::unordered_set<std::string> changed;
   for (const ListedHost& h : changes.hosts) changed.insert(h.entry.address);
-  HostList whole{changes.index, true, {}};
+  HostList whole{changes.version, true, {}};
   const auto take = [&](const ListedHost& h) {
-    if (h.entry.phase != Phase::out) whole.hosts.push_back(h);
+    if (h.entry.phase != HostPhase::removed) whole.hosts.push_back(h);
   };
   for (const ListedHost& h : base.hosts)
     if (changed.count(h.entry.address) == 0) take(h);
@@ -114,27 +114,27 @@
   return readHostList(list, clock);
 }
 
-Config readConfig(std::string_view text, const Clock& clock) try {
+GatewayConfig readConfig(std::string_view text, const Clock& clock) try {
   const json all = json::parse(text);
   const json& settings = all.at("settings");
-  Config c;
+  GatewayConfig c;
   c.name = all.value("name", "gateway");
   c.listen = readEndpoint(all.at("listen").get<std::string>());
   c.discovery = readEndpoint(all.at("discovery").get<std::string>());
   if (const auto ops = all.find("ops"); ops != all.end() && !ops->is_null())
-    c.ops = readEndpoint(ops->get<std::string>());
+    c.adminEndpoint = readEndpoint(ops->get<std::string>());
   if (const auto limits = all.find("limits"); limits != all.end())
-    c.sockets = limits->value("sockets", c.sockets);
+    c.descriptorLimit = limits->value("sockets", c.descriptorLimit);
   eachLeaf(settings, "", [&](const std::string& path, const std::string& value) {
-    ridgeshift::applySetting(c.settings, path, value);
+    load_balancing::applySetting(c.settings, path, value);
   });
-  ridgeshift::completeSettings(c.settings);
+  load_balancing::completeSettings(c.settings);
   c.settings.seed = readSeed(all.at("seed").get<std::string>());
-  ridgeshift::validate(c.settings);
+  load_balancing::validate(c.settings);
   c.connectTimeout = positive(settings, "connectTimeoutNs");
-  c.idleClose = positive(settings, "idleCloseNs");
+  c.upstreamIdleTimeout = positive(settings, "idleCloseNs");
   if (const auto known = all.find("known"); known != all.end() && !known->is_null())
-    c.known = readHostList(*known, clock);
+    c.knownHosts = readHostList(*known, clock);
   return c;
 } catch (const json::exception& bad) {
   fail(std::string("bad configuration: ") + bad.what());
@@ -142,7 +142,7 @@
   fail(std::string("bad configuration: ") + bad.what());
 }
 
-Config loadConfig(const std::string& path, const Clock& clock) {
+GatewayConfig loadConfig(const std::string& path, const Clock& clock) {
   std::ifstream file(path, std::ios::binary);
   if (!file) fail("cannot read the configuration '" + path + "'");
   const std::string text{std::istreambuf_iterator<char>(file), {}};
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 Discovery::Discovery(boost::asio::io_context& io, const Clock& clock, const tcp::endpoint& at, Limits limits,
-                     std::int64_t index, DiscoveryEvents& events)
+                     std::int64_t index, DiscoveryCallbacks& events)
     : clock_(clock), at_(at), limits_(limits), index_(index), events_(events), watch_(io, kListMost, *this) {}
 
 void Discovery::watch() {
@@ -29,8 +29,8 @@
 void Discovery::move(const tcp::endpoint& at, HostList known) {
   stop();
   at_ = at;
-  const bool usable = known.index >= 0 && !known.hosts.empty();  // danger: changes to nothing are no list
-  index_ = usable ? known.index : kNoIndex;
+  const bool usable = known.version >= 0 && !known.hosts.empty();  // danger: changes to nothing are no list
+  index_ = usable ? known.version : kNoIndex;
   base_ = usable ? std::optional(std::move(known)) : std::nullopt;
   soon_ = true;  // no news is a word too: that the list which came with the move holds
   watch();
@@ -53,7 +53,7 @@
   watch_.call(at_, target, {most, {}, {}});
 }
 
-void Discovery::onWatchAnswer(WatchAnswer&& answer) {
+void Discovery::onWatchResponse(WatchResponse&& answer) {
   if (answer.status != kOk) return lost();
   HostList list;
   try {
@@ -63,15 +63,15 @@
   }
   // Danger: these may be changes to a list that we do not have: we asked for a whole one, or it has begun to
   // count anew, or is another one than our version is from.
-  if (!list.whole && (index_ < 0 || list.index < index_)) {
+  if (!list.complete && (index_ < 0 || list.version < index_)) {
     index_ = kNoIndex;
     base_.reset();
     return lost();
   }
-  index_ = list.index;
+  index_ = list.version;
   soon_ = false;
-  if (const auto base = std::exchange(base_, std::nullopt); base && !list.whole)
-    list = wholeOf(*base, std::move(list));
+  if (const auto base = std::exchange(base_, std::nullopt); base && !list.complete)
+    list = applyChanges(*base, std::move(list));
   // The next call goes out first: a watch lasts only as long as calls follow one another closely.
   ask();
   events_.onHostList(std::move(list));
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -11,14 +11,14 @@
 
 namespace finchstile {
 
-class DiscoveryEvents {
+class DiscoveryCallbacks {
  public:
-  virtual ~DiscoveryEvents() = default;
+  virtual ~DiscoveryCallbacks() = default;
   virtual void onHostList(HostList&& list) = 0;
   virtual void onDiscoveryLost() = 0;  // the watch has ended; `watch` starts a new one
 };
 
-class Discovery : WatchEvents {
+class Discovery : WatchCallbacks {
  public:
   struct Limits {
     Duration wait{};     // how long discovery may hold a call that has no news,
@@ -27,7 +27,7 @@
   };
 
   Discovery(boost::asio::io_context& io, const Clock& clock, const tcp::endpoint& at, Limits limits,
-            std::int64_t index, DiscoveryEvents& events);
+            std::int64_t index, DiscoveryCallbacks& events);
 
   void watch();  // does nothing while a watch is on
   // Watches another discovery from now on. `known`: a list as that one had it, with its version there; what
@@ -39,7 +39,7 @@
 
  private:
   void ask();
-  void onWatchAnswer(WatchAnswer&& answer) override;
+  void onWatchResponse(WatchResponse&& answer) override;
   void onWatchLost() override;
   void lost();
 
@@ -49,7 +49,7 @@
   std::int64_t index_;
   bool soon_ = false;             // nothing has been answered since a call failed, or since a move
   std::optional<HostList> base_;  // what the first answer after a move tells the changes of
-  DiscoveryEvents& events_;
+  DiscoveryCallbacks& events_;
   Watch watch_;
   bool watching_ = false;
 };
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -12,13 +12,13 @@
 
 namespace http = boost::beast::http;
 using boost::system::error_code;
-using ridgeshift::ActionKind;
-using ridgeshift::HostId;
-using ridgeshift::kNone;
-using ridgeshift::ListKind;
-using ridgeshift::Outcome;
-using ridgeshift::Phase;
-using ridgeshift::RequestId;
+using load_balancing::ActionKind;
+using load_balancing::HostId;
+using load_balancing::HostListUpdate;
+using load_balancing::HostPhase;
+using load_balancing::kNone;
+using load_balancing::Outcome;
+using load_balancing::RequestId;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -46,45 +46,47 @@
 // and one for a connection that is to be turned away. Danger: clients at rest would take those of discovery.
 constexpr std::size_t kOwnDescriptors = 16;
 
-std::size_t share(const Config& c, double part) {
+std::size_t share(const GatewayConfig& c, double part) {
   const std::size_t own = kOwnDescriptors + c.reservedDescriptors;
-  const auto rest = static_cast<double>(c.sockets - std::min(c.sockets / 4, own));
-  return std::max<std::size_t>(8, static_cast<std::size_t>(rest * part * (1 - c.tuning.otherShare)));
+  const auto rest = static_cast<double>(c.descriptorLimit - std::min(c.descriptorLimit / 4, own));
+  return std::max<std::size_t>(
+      8, static_cast<std::size_t>(rest * part * (1 - c.options.reservedDescriptorFraction)));
 }
 
 Duration part(Duration d, double by) {
   return Duration(static_cast<Duration::rep>(static_cast<double>(d.count()) * by));
 }
 
-Duration watchWait(const ridgeshift::Settings& s) {
+Duration watchWait(const load_balancing::Settings& s) {
   // Danger: the module takes a first watch that is silent for half this time for lost.
-  return s.askWithin > Duration{} ? std::min(s.askWithin / 4, kWatchMost) : kWatchMost;
+  return s.maxDiscoverySilence > Duration{} ? std::min(s.maxDiscoverySilence / 4, kWatchMost) : kWatchMost;
 }
 
 // Between the bytes of an answer that has begun: within the time in which a host shows any sign of life, and
 // soon enough that another host can still answer in time.
-Duration answerMost(const Config& config) {
+Duration answerMost(const GatewayConfig& config) {
   Duration least = config.connectTimeout;
-  for (const auto& c : config.settings.classes) least = std::min(least, part(c.aim, kStallOfAim));
+  for (const auto& c : config.settings.classes)
+    least = std::min(least, part(c.latencyObjective, kStallOfAim));
   return least;
 }
 
 }  // namespace
 
-Gateway::Gateway(boost::asio::io_context& io, const Clock& clock, Config config)
+Gateway::Gateway(boost::asio::io_context& io, const Clock& clock, GatewayConfig config)
     : io_(io),
       clock_(clock),
       config_(std::move(config)),
       balancer_(config_.settings, clock.now()),
-      listener_(io, clock, config_.listen, config_.inheritedListener,
-                share(config_, config_.tuning.clientShare), config_.tuning.clients, *this),
+      listener_(io, clock, config_.listen, config_.inheritedListenerDescriptor,
+                share(config_, config_.options.clientDescriptorFraction), config_.options.clients, *this),
       pool_(io, clock,
-            {config_.connectTimeout, answerMost(config_), part(config_.idleClose, kIdleShare),
-             config_.tuning.connecting, share(config_, config_.tuning.upstreamShare),
-             config_.tuning.proofLeast},
+            {config_.connectTimeout, answerMost(config_), part(config_.upstreamIdleTimeout, kIdleShare),
+             config_.options.maxConnectingPerHost, share(config_, config_.options.upstreamDescriptorFraction),
+             config_.options.minConnectionCheck},
             *this),
       discovery_(io, clock, config_.discovery, {watchWait(config_.settings), kWatchSoon, kSilence},
-                 config_.known.index, *this),
+                 config_.knownHosts.version, *this),
       timer_(io),
       reader_(config_.settings) {
   for (const auto& c : config_.settings.classes) counts_.push_back({c.name});
@@ -92,41 +94,41 @@
 
 void Gateway::start() {
   housekeepAt_ = clock_.now() + kHousekeep;
-  if (gate_) gate_->onStart(config_.known);
-  learnHosts(config_.known, ListKind::restored);
-  if (!config_.settings.askDiscovery) discovery_.watch();
+  if (gate_) gate_->onInitialList(config_.knownHosts);
+  learnHosts(config_.knownHosts, HostListUpdate::restored);
+  if (!config_.settings.pollsDiscovery) discovery_.watch();
   listener_.start();
 }
 
-void Gateway::reload(const Config& next) {
-  if (gate_) gate_->onMoved();
-  balancer_.onHosts(clock_.now(), ListKind::moved, {});
-  discovery_.move(next.discovery, next.known);
+void Gateway::reload(const GatewayConfig& next) {
+  if (gate_) gate_->onDiscoveryMoved();
+  balancer_.onHostListUpdate(clock_.now(), HostListUpdate::moved, {});
+  discovery_.move(next.discovery, next.knownHosts);
   carryOut();
 }
 
-void Gateway::takeTerms(const configuration::TermsChange& change) {
-  ridgeshift::Terms terms;
+void Gateway::applyDynamicSettings(const configuration::SettingsChange& change) {
+  load_balancing::DynamicSettings terms;
   terms.classes = change.classes;
   for (const auto& tenant : change.tenants)
     if (tenant.quotaPerSecond) terms.tenants.push_back({tenant.index, *tenant.quotaPerSecond});
-  balancer_.onTerms(clock_.now(), terms);
+  balancer_.onDynamicSettings(clock_.now(), terms);
   for (const auto& tenant : change.tenants) {
     if (tenant.quotaPerSecond) reader_.tenants().list(tenant.index, tenant.name);
     else reader_.tenants().unlist(tenant.name);
   }
   for (const auto& cls : change.classes) {
-    ridgeshift::ClassSettings& settings = config_.settings.classes[cls.index];
-    settings.aim = cls.aim;
-    settings.worth = cls.worth;
-    settings.lateShare = cls.lateShare;
+    load_balancing::ClassSettings& settings = config_.settings.classes[cls.index];
+    settings.latencyObjective = cls.latencyObjective;
+    settings.priorityWeight = cls.priorityWeight;
+    settings.lateValueFraction = cls.lateValueFraction;
   }
   carryOut();
 }
 
-void Gateway::tune(const GatewayTuning& tuning) {
-  listener_.tune(tuning.clients);
-  pool_.tune(tuning.connecting, tuning.proofLeast);
+void Gateway::setOptions(const GatewayOptions& tuning) {
+  listener_.setOptions(tuning.clients);
+  pool_.setConnectionOptions(tuning.maxConnectingPerHost, tuning.minConnectionCheck);
 }
 
 void Gateway::drain(std::function<void()> done) {
@@ -134,15 +136,15 @@
   done_ = std::move(done);
   // Danger: a loop that comes late finds the signal late too, and the platform's time runs since it was sent.
   const Time told = clock_.now() - std::max(lagNow(), overdue());
-  plan_.emplace(told, drain::Terms{longestGiveUp(config_.settings), config_.tuning.serveDraining,
+  plan_.emplace(told, drain::Terms{longestClientTimeout(config_.settings), config_.options.drainServeTime,
                                    listener_.inherited()});
   housekeepAt_ = clock_.now();
   if (listener_.inherited()) {  // who shares it takes what comes there from now on
     listener_.beginDrain();
     listener_.close();
-    listener_.sendAway(told + kRestAfterAway);
+    listener_.enterLameDuck(told + kRestAfterAway);
   }
-  for (Front* front : fronts_) front->onDrain(plan_->exit());
+  for (ProtocolHandler* front : fronts_) front->onDrain(plan_->exit());
   armTimer();
 }
 
@@ -156,34 +158,34 @@
     const auto it = requests_.find(id);
     if (it == requests_.end() || it->second.ended) continue;
     const bool held = it->second.heldUntil != Time{};
-    answer(id, RequestEnd::failed, plainAnswer(http::status::bad_gateway));
-    if (!held) balancer_.onClientGone(clock_.now(), id);
+    answer(id, RequestResult::failed, plainResponse(http::status::bad_gateway));
+    if (!held) balancer_.onClientDisconnected(clock_.now(), id);
   }
   listener_.refuseHalf();
   carryOut();
 }
 
-void Gateway::handOver(std::function<bool(int)> give) {
+void Gateway::handOverClients(std::function<bool(int)> give) {
   const bool ends = !give;
   listener_.handOver(std::move(give));
-  if (ends && plan_) listener_.sendAway(clock_.now() + kRestAfterAway);
+  if (ends && plan_) listener_.enterLameDuck(clock_.now() + kRestAfterAway);
 }
 
-void Gateway::recall(const ridgeshift::Learned& learned) {
-  balancer_.recall(clock_.now(), learned);
+void Gateway::restoreLearnedState(const load_balancing::LearnedState& learned) {
+  balancer_.restoreLearnedState(clock_.now(), learned);
   carryOut();
 }
 
 bool Gateway::ready() const { return !plan_ && !away_ && !hosts_.empty(); }
 
-void Gateway::sendAway() {
+void Gateway::enterLameDuck() {
   if (std::exchange(away_, true) || plan_) return;
-  listener_.sendAway(clock_.now() + kRestAfterAway);
+  listener_.enterLameDuck(clock_.now() + kRestAfterAway);
 }
 
-void Gateway::takeBack() {
+void Gateway::leaveLameDuck() {
   if (!std::exchange(away_, false) || plan_) return;
-  listener_.takeBack();
+  listener_.leaveLameDuck();
 }
 
 // Danger: carrying out an action may bring results at once, and these new actions. They are told one after
@@ -192,44 +194,46 @@
   if (carrying_) return;
   carrying_ = true;
   while (!balancer_.actions().empty() || !givenUp_.empty() || !heldActions_.empty()) {
-    const std::vector<ridgeshift::Action> actions = std::exchange(balancer_.actions(), {});
+    const std::vector<load_balancing::Action> actions = std::exchange(balancer_.actions(), {});
     // An attempt given up is closed before anything else goes out for its request, the answer included.
     for (const auto& action : actions)
-      if (action.kind == ActionKind::cancel) cancel(action);
+      if (action.kind == ActionKind::cancelAttempt) cancel(action);
     const std::vector<AttemptId> givenUp = std::exchange(givenUp_, {});
     std::vector<std::pair<AttemptId, bool>> closed;
     for (const AttemptId id : givenUp)
       if (attempts_.count(id) > 0) closed.emplace_back(id, pool_.giveUp(id));
     for (const auto& action : actions) carryOut(action);
     for (HeldAction& action : std::exchange(heldActions_, {})) carryOut(std::move(action));
-    for (const auto& [id, began] : closed) settle(id, began ? Outcome::cancelled : Outcome::moot, {});
+    for (const auto& [id, began] : closed) settle(id, began ? Outcome::cancelled : Outcome::notSent, {});
   }
   carrying_ = false;
   armTimer();
 }
 
-void Gateway::carryOut(const ridgeshift::Action& action) {
+void Gateway::carryOut(const load_balancing::Action& action) {
   if (const auto front = asked_.find(action.request);
       front != asked_.end() && carryOut(action, *front->second))
     return;
   switch (action.kind) {
-    case ActionKind::send: return send(action);
-    case ActionKind::refuse: {
-      Answer a = plainAnswer(http::status::service_unavailable);
-      a.retryAfter = action.span;
-      return answer(action.request, RequestEnd::refused, std::move(a));
+    case ActionKind::sendAttempt: return send(action);
+    case ActionKind::reject: {
+      Response a = plainResponse(http::status::service_unavailable);
+      a.retryAfter = action.duration;
+      return answer(action.request, RequestResult::rejected, std::move(a));
     }
     case ActionKind::fail: {
       const auto r = requests_.find(action.request);
-      return answer(action.request, RequestEnd::failed,
-                    plainAnswer(r == requests_.end() ? http::status::bad_gateway : r->second.failure));
+      return answer(action.request, RequestResult::failed,
+                    plainResponse(r == requests_.end() ? http::status::bad_gateway : r->second.failure));
     }
-    case ActionKind::wake: wake_ = wake_ == Time{} ? action.span : std::min(wake_, action.span); return;
-    case ActionKind::subscribe: return discovery_.watch();
+    case ActionKind::setTimer:
+      wake_ = wake_ == Time{} ? action.duration : std::min(wake_, action.duration);
+      return;
+    case ActionKind::pollDiscovery: return discovery_.watch();
     case ActionKind::log: std::fprintf(stderr, "%s\n", action.text.c_str()); return;
-    case ActionKind::cancel:
-    case ActionKind::probe:  // these two: not offered by this gateway, so never asked for
-    case ActionKind::tell: return;
+    case ActionKind::cancelAttempt:
+    case ActionKind::probeHost:  // these two: not offered by this gateway, so never asked for
+    case ActionKind::sendPeerMessage: return;
   }
 }
 
@@ -269,7 +273,7 @@
   failHeld(now);
   if (wake_ != Time{} && wake_ <= now) {
     wake_ = Time{};
-    balancer_.onWake(clock_.now());
+    balancer_.onTimer(clock_.now());
   }
   if (now >= housekeepAt_) housekeep(now);
   carryOut();
@@ -278,7 +282,7 @@
 // Nothing is kept of hosts that are gone, once the module and the sockets are through with them.
 void Gateway::forgetHosts() {
   for (auto it = hosts_.begin(); it != hosts_.end();)
-    if (it->second.phase == Phase::out && !balancer_.knows(it->first) && pool_.forget(it->first))
+    if (it->second.phase == HostPhase::removed && !balancer_.isKnown(it->first) && pool_.forget(it->first))
       it = hosts_.erase(it);
     else ++it;
 }
@@ -289,7 +293,7 @@
   listener_.sweep();
   pool_.sweep();
   // Danger: what discovery pushes counts as told during a drain too, whether or not a watch is open.
-  if (!config_.settings.askDiscovery) discovery_.watch();
+  if (!config_.settings.pollsDiscovery) discovery_.watch();
   if (!plan_) return;
   // Danger: an answer that closes its connection sends its client to a front that may have no other gateway.
   if (now >= plan_->serveUntil()) listener_.beginDrain();
