--- a/src/net/gateway_hosts.cpp
+++ b/src/net/gateway_hosts.cpp
@@ -7,27 +7,27 @@
 namespace finchstile {
 namespace {
 
-using ridgeshift::HostId;
-using ridgeshift::kNone;
-using ridgeshift::ListKind;
-using ridgeshift::Phase;
+using load_balancing::HostId;
+using load_balancing::HostListUpdate;
+using load_balancing::HostPhase;
+using load_balancing::kNone;
 
 }  // namespace
 
-void Gateway::learnHosts(const HostList& list, ListKind kind) {
-  std::vector<ridgeshift::HostEntry> entries;
+void Gateway::learnHosts(const HostList& list, HostListUpdate kind) {
+  std::vector<load_balancing::HostEntry> entries;
   for (const ListedHost& h : list.hosts) entries.push_back(inForce(h.entry));
   const Time now = clock_.now();
-  balancer_.onHosts(now, kind, entries);
+  balancer_.onHostListUpdate(now, kind, entries);
   std::vector<HostId> named;
-  std::vector<std::pair<HostId, Phase>> changed;
+  std::vector<std::pair<HostId, HostPhase>> changed;
   std::size_t noRoom = 0;
   for (std::size_t i = 0; i < list.hosts.size(); ++i) {
     const ListedHost& h = list.hosts[i];
-    const Phase phase = entries[i].phase;
+    const HostPhase phase = entries[i].phase;
     const HostId id = balancer_.findHost(h.entry.address);
     if (id == kNone) {  // one that has gone may never have been known
-      noRoom += phase != Phase::out;
+      noRoom += phase != HostPhase::removed;
       continue;
     }
     HostRecord& record = hosts_[id];
@@ -36,7 +36,7 @@
     // Danger: connections to an old address would be taken for ones to the new.
     if (record.endpoint != h.endpoint) pool_.setOpen(id, false);
     // Another process at this name has shown no life yet.
-    const Time heard = !fresh && record.listed.upSince == h.entry.upSince ? record.heard : Time{};
+    const Time heard = !fresh && record.listed.startedAt == h.entry.startedAt ? record.heard : Time{};
     record = {h.endpoint, phase, h.entry, h.entry.zone, h.entry.cell, heard, now};
     named.push_back(id);
   }
@@ -46,54 +46,54 @@
   std::sort(named.begin(), named.end());
   for (auto& [id, record] : hosts_) {
     // What a whole list leaves out is gone, and so is what the module has forgotten.
-    if (!balancer_.knows(id) ||
-        (kind != ListKind::update && !std::binary_search(named.begin(), named.end(), id))) {
-      if (record.phase != Phase::out) changed.emplace_back(id, Phase::out);
-      record.phase = record.listed.phase = Phase::out;
+    if (!balancer_.isKnown(id) ||
+        (kind != HostListUpdate::incremental && !std::binary_search(named.begin(), named.end(), id))) {
+      if (record.phase != HostPhase::removed) changed.emplace_back(id, HostPhase::removed);
+      record.phase = record.listed.phase = HostPhase::removed;
     }
-    pool_.setOpen(id, record.phase == Phase::in);
+    pool_.setOpen(id, record.phase == HostPhase::active);
   }
   if (log_)
-    for (const auto& [id, phase] : changed) log_->onPhase(hosts_.at(id).listed.address, phase);
-  for (Front* front : fronts_)
-    for (const auto& [id, phase] : changed) front->onHost(id, phase);
+    for (const auto& [id, phase] : changed) log_->onHostPhase(hosts_.at(id).listed.address, phase);
+  for (ProtocolHandler* front : fronts_)
+    for (const auto& [id, phase] : changed) front->onHostPhaseChanged(id, phase);
   carryOut();
 }
 
-ridgeshift::HostEntry Gateway::inForce(const ridgeshift::HostEntry& listed) const {
-  ridgeshift::HostEntry entry = listed;
-  for (const HostFilter* filter : filters_) filter->apply(entry);
+load_balancing::HostEntry Gateway::inForce(const load_balancing::HostEntry& listed) const {
+  load_balancing::HostEntry entry = listed;
+  for (const HostEntryFilter* filter : filters_) filter->apply(entry);
   return entry;
 }
 
 // The list as it stands, told again: what the filter has changed since shows as a change of the list.
-void Gateway::refilter() {
+void Gateway::reapplyHostFilters() {
   HostList list;
   for (const auto& [id, h] : hosts_)
-    if (h.listed.phase != Phase::out) list.hosts.push_back({h.listed, h.endpoint});
-  learnHosts(list, ListKind::update);
+    if (h.listed.phase != HostPhase::removed) list.hosts.push_back({h.listed, h.endpoint});
+  learnHosts(list, HostListUpdate::incremental);
 }
 
-bool Gateway::lists(const std::string& host) const {
+bool Gateway::isListed(const std::string& host) const {
   const HostId id = balancer_.findHost(host);
   const auto it = id == kNone ? hosts_.end() : hosts_.find(id);
-  return it != hosts_.end() && it->second.listed.phase != Phase::out;
+  return it != hosts_.end() && it->second.listed.phase != HostPhase::removed;
 }
 
 void Gateway::onHostList(HostList&& list) {
-  if (!gate_) return takeList(list);
-  if (const auto told = gate_->onList(std::move(list))) return takeList(*told);
+  if (!gate_) return applyHostList(list);
+  if (const auto told = gate_->onList(std::move(list))) return applyHostList(*told);
   // Danger: a watch that brings what is passed over is a watch all the same; else the module asks again.
-  takeList({});
+  applyHostList({});
 }
 
-void Gateway::takeList(const HostList& list) {
-  learnHosts(list, list.whole ? ListKind::replace : ListKind::update);
+void Gateway::applyHostList(const HostList& list) {
+  learnHosts(list, list.complete ? HostListUpdate::complete : HostListUpdate::incremental);
 }
 
-void Gateway::askWholeList() { discovery_.renew(); }
+void Gateway::requestCompleteList() { discovery_.renew(); }
 
-Time Gateway::answeredAt(const std::string& host) const {
+Time Gateway::lastResponseAt(const std::string& host) const {
   const HostId id = balancer_.findHost(host);
   const auto it = id == kNone ? hosts_.end() : hosts_.find(id);
   return it == hosts_.end() ? Time{} : it->second.heard;
@@ -102,16 +102,17 @@
 std::vector<Gateway::HostView> Gateway::hosts() const {
   std::vector<HostView> out;
   for (const auto& [id, h] : hosts_)
-    if (h.listed.phase != Phase::out)
-      out.push_back({h.listed, h.endpoint, h.phase, h.heard, balancer_.avoids(id), balancer_.streams(id)});
+    if (h.listed.phase != HostPhase::removed)
+      out.push_back(
+          {h.listed, h.endpoint, h.phase, h.heard, balancer_.isAvoided(id), balancer_.streamCount(id)});
   std::sort(out.begin(), out.end(),
             [](const HostView& a, const HostView& b) { return a.listed.address < b.listed.address; });
   return out;
 }
 
 void Gateway::onDiscoveryLost() {
-  if (gate_) gate_->onLost();
-  balancer_.onHosts(clock_.now(), ListKind::unavailable, {});
+  if (gate_) gate_->onWatchLost();
+  balancer_.onHostListUpdate(clock_.now(), HostListUpdate::unavailable, {});
   carryOut();
 }
 
--- a/src/net/request.cpp
+++ b/src/net/request.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 namespace http = boost::beast::http;
-using ridgeshift::Effect;
+using load_balancing::Idempotency;
 using std::chrono::milliseconds;
 
 template <class Number>
@@ -50,39 +50,39 @@
 
 }  // namespace
 
-RequestReader::RequestReader(const ridgeshift::Settings& settings) : tenants_(settings.tenants) {
+RequestReader::RequestReader(const load_balancing::Settings& settings) : tenants_(settings.tenants) {
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const auto& c = settings.classes[i];
-    classOf_.emplace(c.name, Class{static_cast<std::uint32_t>(i), c.effect, c.giveUp});
+    classOf_.emplace(c.name, Class{static_cast<std::uint32_t>(i), c.idempotency, c.clientTimeout});
   }
 }
 
-http::status RequestReader::read(const ClientRequest& message, ridgeshift::Request& q) const {
+http::status RequestReader::read(const ClientRequest& message, load_balancing::Request& q) const {
   if (only(message, "X-Correlation-Id").empty()) return http::status::bad_request;
   std::int64_t left = 0;
   if (!parse(only(message, "X-Time-Left-Ms"), left) || left <= 0) return http::status::bad_request;
   const auto cls = classOf_.find(std::string(classOfTarget(view(message.target()))));
   if (cls == classOf_.end()) return http::status::not_found;
   const Class& c = cls->second;
-  const bool safe = c.effect == Effect::retryable;
+  const bool safe = c.effect == Idempotency::idempotent;
   if (message.method() != (safe ? http::verb::get : http::verb::post))
     return http::status::method_not_allowed;
   if (safe && !message.body().empty()) return http::status::bad_request;
   const bool keyed = message.find("Idempotency-Key") != message.end();
-  if (keyed != (c.effect == Effect::dedup)) return http::status::bad_request;
+  if (keyed != (c.effect == Idempotency::idempotentWithKey)) return http::status::bad_request;
   if (keyed && only(message, "Idempotency-Key").empty()) return http::status::bad_request;
 
   q.classIndex = c.index;
   // No client waits longer than its class allows; more would only make sums of times overflow.
-  q.left = milliseconds(std::min<std::int64_t>(left, std::chrono::ceil<milliseconds>(c.giveUp).count()));
+  q.timeLeft = milliseconds(std::min<std::int64_t>(left, std::chrono::ceil<milliseconds>(c.giveUp).count()));
   q.tenantIndex = tenants_.find(view(message["X-Account"]));
   std::int64_t micros = 0;
   constexpr std::int64_t kCostMost = 24LL * 3600 * 1000 * 1000;
   if (parse(view(message["X-Weight-Hint"]), micros) && micros > 0)
-    q.cost = std::chrono::microseconds(std::min(micros, kCostMost));
+    q.expectedWork = std::chrono::microseconds(std::min(micros, kCostMost));
   const std::string_view sid = cookie(view(message[http::field::cookie]), "sid");
-  q.hasKey = !sid.empty();
-  if (q.hasKey) q.key = keyOf(sid);
+  q.hasAffinityKey = !sid.empty();
+  if (q.hasAffinityKey) q.affinityKey = keyOf(sid);
   return http::status::ok;
 }
 
--- a/src/net/request.hpp
+++ b/src/net/request.hpp
@@ -7,9 +7,9 @@
 #include <string_view>
 #include <unordered_map>
 
+#include "finchstile/load_balancer.hpp"
 #include "net/client.hpp"
 #include "net/tenants.hpp"
-#include "ridgeshift/ridgeshift.hpp"
 
 namespace finchstile {
 
@@ -17,12 +17,12 @@
 
 class RequestReader {
  public:
-  explicit RequestReader(const ridgeshift::Settings& settings);
+  explicit RequestReader(const load_balancing::Settings& settings);
 
   // `ok`, or the status with which the request is turned down: it fits no class, or not the form of its
   // class, or does not say who asks for how long. Danger: passed on, it would cost hosts work, and one that
   // repeats an id would run as a second copy.
-  boost::beast::http::status read(const ClientRequest& message, ridgeshift::Request& out) const;
+  boost::beast::http::status read(const ClientRequest& message, load_balancing::Request& out) const;
 
   TenantTable& tenants() { return tenants_; }
   const TenantTable& tenants() const { return tenants_; }
@@ -30,7 +30,7 @@
  private:
   struct Class {
     std::uint32_t index = 0;
-    ridgeshift::Effect effect{};
+    load_balancing::Idempotency effect{};
     Duration giveUp{};
   };
   std::unordered_map<std::string, Class> classOf_;
--- a/src/net/tenants.hpp
+++ b/src/net/tenants.hpp
@@ -8,13 +8,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile {
 
 class TenantTable {
  public:
-  explicit TenantTable(const std::vector<ridgeshift::TenantSettings>& start) {
+  explicit TenantTable(const std::vector<load_balancing::TenantSettings>& start) {
     for (const auto& tenant : start) list(static_cast<std::uint32_t>(names_.size()), tenant.name);
   }
 
@@ -30,7 +30,7 @@
   // kNone: no such tenant is listed.
   std::uint32_t find(std::string_view name) const {
     const auto at = places_.find(name);
-    return at == places_.end() ? ridgeshift::kNone : at->second;
+    return at == places_.end() ? load_balancing::kNone : at->second;
   }
   // Empty: no tenant has had that place. The view stays good as long as the table.
   std::string_view name(std::uint32_t index) const {
--- a/src/net/upgrade.hpp
+++ b/src/net/upgrade_handler.hpp
@@ -10,47 +10,47 @@
 #include <vector>
 
 #include "net/client.hpp"
-#include "net/stage.hpp"
+#include "net/request_filter.hpp"
 
 namespace finchstile {
 
-struct UpgradeAsked {  // one that is under way
+struct PendingUpgrade {  // one that is under way
   tcp::endpoint from;
   Time since{};
 };
 
-struct Upgraded {  // both sides have left HTTP, and nobody has told the client yet
-  ridgeshift::RequestId request = 0;
+struct UpgradedConnection {  // both sides have left HTTP, and nobody has told the client yet
+  load_balancing::RequestId request = 0;
   std::uint32_t attempt = 0;
-  ridgeshift::HostId host = ridgeshift::kNone;
+  load_balancing::HostId host = load_balancing::kNone;
   std::string hostName;
-  UpgradeAsked asked;
+  PendingUpgrade asked;
   tcp::socket client, upstream;
   std::string fromClient, fromHost;  // read behind the heads
   std::string head;                  // of the 101, to be written first
   bool agreed = false;               // as `accepted` had it
 };
 
-class Upgrades {
+class UpgradeHandler {
  public:
-  struct Accepted {
+  struct AcceptedUpgrade {
     std::vector<HeaderLine> toClient;
     bool agreed = false;  // a word of its own for `take`
   };
 
-  virtual ~Upgrades() = default;
-  virtual bool asks(const ClientRequest& message) const = 0;
+  virtual ~UpgradeHandler() = default;
+  virtual bool isUpgradeRequest(const ClientRequest& message) const = 0;
   // The answer to one that may not be; what such clients do not send of a request is added to one that may.
-  virtual std::optional<Answer> check(ClientRequest& message) = 0;
-  virtual Duration longest() const = 0;  // that the handshake may take
-  virtual std::vector<HeaderLine> toHost(const ClientRequest& message) const = 0;
+  virtual std::optional<Response> checkRequest(ClientRequest& message) = 0;
+  virtual Duration handshakeTimeout() const = 0;  // that the handshake may take
+  virtual std::vector<HeaderLine> upstreamHeaders(const ClientRequest& message) const = 0;
   // None: the host's 101 is no answer to this request.
-  virtual std::optional<Accepted> accepted(const ClientRequest& message,
-                                           const boost::beast::http::fields& answer) const = 0;
-  virtual void onAsked() = 0;
-  virtual void onNotBegun(const UpgradeAsked& asked, RequestEnd how) = 0;
+  virtual std::optional<AcceptedUpgrade> acceptResponse(const ClientRequest& message,
+                                                        const boost::beast::http::fields& answer) const = 0;
+  virtual void onUpgradeRequested() = 0;
+  virtual void onUpgradeNotEstablished(const PendingUpgrade& asked, RequestResult how) = 0;
   // From here on it tells the module, as a front does.
-  virtual void take(Upgraded&& upgraded) = 0;
+  virtual void takeOverConnection(UpgradedConnection&& upgraded) = 0;
 };
 
 }  // namespace finchstile
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -19,8 +19,8 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using boost::system::error_code;
-using ridgeshift::HostId;
-using ridgeshift::Outcome;
+using load_balancing::HostId;
+using load_balancing::Outcome;
 
 using std::chrono::milliseconds;
 
@@ -38,9 +38,10 @@
   const unsigned status = response.result_int();
   if (status == 200) return Outcome::served;
   // Danger: only the mark proves that it never ran.
-  if ((status == 503 || status == 504) && response["X-Unprocessed"] == "1") return Outcome::full;
+  if ((status == 503 || status == 504) && response["X-Unprocessed"] == "1")
+    return Outcome::rejectedForCapacity;
   // The request is at fault, not the host. 408 and 429 speak of the host's own state.
-  if (status >= 400 && status < 500 && status != 408 && status != 429) return Outcome::rejected;
+  if (status >= 400 && status < 500 && status != 408 && status != 429) return Outcome::invalidRequest;
   return Outcome::error;
 }
 
@@ -79,12 +80,12 @@
     });
   }
 
-  void carry(AttemptId attempt, Outgoing&& out, bool proveFirst) {
+  void carry(AttemptId attempt, OutgoingRequest&& out, bool proveFirst) {
     attempt_ = attempt;
     reader_.restart();
     interims_ = 0;
     relaying_ = false;
-    coming_ = !out.whole;
+    coming_ = !out.bodyComplete;
     upgrade_ = out.upgrade;
     lastByteOut_ = false;
     std::ostringstream bytes;
@@ -167,7 +168,7 @@
     request_.append(piece).append("\r\n");
   }
 
-  void wantBody() { pool_.events_.onWantBody(attempt_); }
+  void wantBody() { pool_.events_.onRequestBodyWanted(attempt_); }
 
   void write(std::size_t from, std::size_t to) {
     lastByteOut_ = !coming_ && to == request_.size();
@@ -201,7 +202,7 @@
     timer_.expires_after(proofTime());
     timer_.async_wait([this, self = shared_from_this(), at](error_code stopped) {
       if (stopped || closed_) return;
-      if (alive() && pool_.events_.mayFinish(attempt_)) return write(at, request_.size());
+      if (alive() && pool_.events_.maySendLastByte(attempt_)) return write(at, request_.size());
       over(Outcome::connectFailed);
     });
     watchEarly();
@@ -241,7 +242,7 @@
     for (;;) switch (reader_.step(buffer_, error)) {
         case Step::bad: return broken();
         case Step::head:
-          if (reader_.parser().get().result_int() >= 200) pool_.events_.onHead(attempt_);
+          if (reader_.parser().get().result_int() >= 200) pool_.events_.onResponseHeaders(attempt_);
           if (reader_.parser().get().result() == http::status::switching_protocols)
             return upgrade_ ? upgraded() : broken();
           if (reader_.parser().content_length().value_or(0) > kWholeMost) return begin();
@@ -296,7 +297,7 @@
     stopTimer();
     const auto& head = reader_.parser().get();
     const Outcome outcome = outcomeOf(head);
-    UpstreamAnswer answer;
+    UpstreamResponse answer;
     answer.status = head.result_int();
     if (outcome != Outcome::served) {
       const auto self = shared_from_this();
@@ -310,20 +311,20 @@
     std::optional<std::uint64_t> length;
     if (const auto known = reader_.parser().content_length()) length = *known;
     answer.body = reader_.takeBody();
-    pool_.events_.onAnswerBegun(attempt_, std::move(answer), length);
+    pool_.events_.onResponseBegun(attempt_, std::move(answer), length);
   }
 
   void pass(bool last) {
     stopTimer();
     std::string piece = reader_.takeBody();
-    if (!last) return pool_.events_.onAnswerPiece(attempt_, std::move(piece), false);
+    if (!last) return pool_.events_.onResponseBody(attempt_, std::move(piece), false);
     const auto self = shared_from_this();
     const AttemptId attempt = std::exchange(attempt_, 0);
     relaying_ = false;
     pool_.attempts_.erase(attempt);
     if (reusable()) pool_.assign(self);
     else drop(self);
-    pool_.events_.onAnswerPiece(attempt, std::move(piece), true);
+    pool_.events_.onResponseBody(attempt, std::move(piece), true);
   }
 
   // The request may have run. What has been begun can't be made good; its client is to see that it is not
@@ -335,7 +336,7 @@
     relaying_ = false;
     pool_.attempts_.erase(attempt);
     drop(self);
-    pool_.events_.onAnswerCut(attempt);
+    pool_.events_.onResponseTruncated(attempt);
   }
 
   // Bytes behind the answer belong to nothing that we asked for: no next answer may be read from there.
@@ -349,7 +350,7 @@
     const auto self = shared_from_this();
     const bool again = reusable();
     http::response<http::string_body> response = reader_.takeMessage();
-    UpstreamAnswer answer;
+    UpstreamResponse answer;
     const Outcome outcome = outcomeOf(response);
     answer.status = response.result_int();
     if (outcome == Outcome::served) {
@@ -394,7 +395,7 @@
   bool upgrade_ = false;  // 101 is an answer to the request
 };
 
-UpstreamPool::UpstreamPool(asio::io_context& io, const Clock& clock, Limits limits, UpstreamEvents& events)
+UpstreamPool::UpstreamPool(asio::io_context& io, const Clock& clock, Limits limits, UpstreamCallbacks& events)
     : io_(io), clock_(clock), limits_(limits), events_(events) {}
 UpstreamPool::~UpstreamPool() = default;
 
@@ -426,7 +427,7 @@
 // Writes the attempt on the connection, unless the gateway no longer wants it to go out.
 bool UpstreamPool::put(AttemptId id, const std::shared_ptr<Connection>& connection) {
   Outcome unsent = Outcome::connectFailed;
-  std::optional<Outgoing> request = events_.compose(id, unsent);
+  std::optional<OutgoingRequest> request = events_.composeRequest(id, unsent);
   if (!request) {
     asio::post(io_, [this, id, unsent] { fail(id, unsent); });
     return false;
@@ -484,11 +485,11 @@
   return it == attempts_.end() ? nullptr : it->second.connection.get();
 }
 
-void UpstreamPool::feed(AttemptId id, std::string&& piece, bool last) {
+void UpstreamPool::sendBody(AttemptId id, std::string&& piece, bool last) {
   if (Connection* const c = carrier(id)) c->feed(piece, last);
 }
 
-void UpstreamPool::readOn(AttemptId id) {
+void UpstreamPool::resumeReading(AttemptId id) {
   if (Connection* const c = carrier(id)) c->readOn();
 }
 
@@ -504,7 +505,7 @@
   return connection->lastByteOut();
 }
 
-void UpstreamPool::settle(AttemptId id, Outcome outcome, UpstreamAnswer&& answer) {
+void UpstreamPool::settle(AttemptId id, Outcome outcome, UpstreamResponse&& answer) {
   if (attempts_.erase(id) > 0) events_.onOutcome(id, outcome, std::move(answer));
 }
 
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -13,9 +13,9 @@
 #include <unordered_map>
 #include <vector>
 
+#include "finchstile/load_balancer.hpp"
 #include "net/clock.hpp"
 #include "net/framing.hpp"
-#include "ridgeshift/ridgeshift.hpp"
 
 namespace finchstile {
 
@@ -23,39 +23,41 @@
 using AttemptId = std::uint64_t;  // never used again
 using UpstreamRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-struct UpstreamAnswer {
+struct UpstreamResponse {
   unsigned status = 0;
   std::string body, contentType;
   boost::beast::http::fields head;  // of a whole answer, whatever its status
 };
 
-struct Outgoing {
+struct OutgoingRequest {
   UpstreamRequest message;
-  bool whole = true;     // else more of its body follows: by its Content-Length, or chunked if it has none
+  bool bodyComplete =
+      true;              // else more of its body follows: by its Content-Length, or chunked if it has none
   bool upgrade = false;  // it asks for a connection that leaves HTTP: 101 is an answer to it
 };
 
-class UpstreamEvents {
+class UpstreamCallbacks {
  public:
-  virtual ~UpstreamEvents() = default;
+  virtual ~UpstreamCallbacks() = default;
   // Called right before the first byte would be written; nothing goes out if it returns none.
   // `unsent`, if there is nothing to send: how the attempt ended; as it stands, it could not be sent there.
-  virtual std::optional<Outgoing> compose(AttemptId attempt, ridgeshift::Outcome& unsent) = 0;
+  virtual std::optional<OutgoingRequest> composeRequest(AttemptId attempt,
+                                                        load_balancing::Outcome& unsent) = 0;
   // Whether the last byte of one that waited for its connection's proof may still go out.
-  virtual bool mayFinish(AttemptId attempt) = 0;
+  virtual bool maySendLastByte(AttemptId attempt) = 0;
   // What there was of a request that is not whole has been written; `feed` has the next piece.
-  virtual void onWantBody(AttemptId attempt) = 0;
+  virtual void onRequestBodyWanted(AttemptId attempt) = 0;
   // The head of its final answer is here: whatever comes of it, the host has done its work.
-  virtual void onHead(AttemptId attempt) = 0;
+  virtual void onResponseHeaders(AttemptId attempt) = 0;
   // Once for each attempt that was not given up, unless its answer has begun; never from within a call of
   // UpstreamPool.
-  virtual void onOutcome(AttemptId attempt, ridgeshift::Outcome outcome, UpstreamAnswer&& answer) = 0;
+  virtual void onOutcome(AttemptId attempt, load_balancing::Outcome outcome, UpstreamResponse&& answer) = 0;
   // A served answer that is too long to be held whole, with its body as far as it has come. Each further
   // piece waits for `readOn`; the last one, or a cut, ends the attempt.
-  virtual void onAnswerBegun(AttemptId attempt, UpstreamAnswer&& answer,
-                             std::optional<std::uint64_t> length) = 0;
-  virtual void onAnswerPiece(AttemptId attempt, std::string&& piece, bool last) = 0;
-  virtual void onAnswerCut(AttemptId attempt) = 0;
+  virtual void onResponseBegun(AttemptId attempt, UpstreamResponse&& answer,
+                               std::optional<std::uint64_t> length) = 0;
+  virtual void onResponseBody(AttemptId attempt, std::string&& piece, bool last) = 0;
+  virtual void onResponseTruncated(AttemptId attempt) = 0;
   // Answered by 101: the connection is no more of the pool's. It ends the attempt.
   virtual void onUpgraded(AttemptId attempt, tcp::socket&& socket, std::string&& early,
                           const boost::beast::http::fields& head) = 0;
@@ -72,19 +74,19 @@
     Duration proofLeast = std::chrono::milliseconds(1);  // a last byte that waits for proof waits so long
   };
 
-  UpstreamPool(boost::asio::io_context& io, const Clock& clock, Limits limits, UpstreamEvents& events);
+  UpstreamPool(boost::asio::io_context& io, const Clock& clock, Limits limits, UpstreamCallbacks& events);
   ~UpstreamPool();
 
   // With `proveFirst` the last byte waits until the connection has outlived the bytes before by a round trip.
-  void send(AttemptId attempt, ridgeshift::HostId host, const tcp::endpoint& endpoint,
+  void send(AttemptId attempt, load_balancing::HostId host, const tcp::endpoint& endpoint,
             bool proveFirst = false);
   // Closes the attempt's connection; no outcome comes any more. True if its last byte may have gone out.
   bool giveUp(AttemptId attempt);
-  void feed(AttemptId attempt, std::string&& piece, bool last);
-  void readOn(AttemptId attempt);
-  void setOpen(ridgeshift::HostId host, bool open);  // not open: connections are not kept
-  bool forget(ridgeshift::HostId host);              // false while an attempt or connection is there
-  void tune(std::size_t connecting, Duration proofLeast) {
+  void sendBody(AttemptId attempt, std::string&& piece, bool last);
+  void resumeReading(AttemptId attempt);
+  void setOpen(load_balancing::HostId host, bool open);  // not open: connections are not kept
+  bool forget(load_balancing::HostId host);              // false while an attempt or connection is there
+  void setConnectionOptions(std::size_t connecting, Duration proofLeast) {
     limits_.connecting = connecting;
     limits_.proofLeast = proofLeast;
   }
@@ -108,7 +110,7 @@
     bool open = true;
   };
   struct Attempt {
-    ridgeshift::HostId host = ridgeshift::kNone;
+    load_balancing::HostId host = load_balancing::kNone;
     bool proveFirst = false;
     std::shared_ptr<Connection> connection;         // null while it waits,
     std::optional<boost::asio::steady_timer> wait;  // for this long at the most
@@ -116,17 +118,17 @@
 
   void assign(const std::shared_ptr<Connection>& connection);  // a waiting attempt, or idle
   bool put(AttemptId attempt, const std::shared_ptr<Connection>& connection);
-  void connectMore(ridgeshift::HostId host);
+  void connectMore(load_balancing::HostId host);
   void connectEnded(const std::shared_ptr<Connection>& connection, bool good);
   Connection* carrier(AttemptId attempt);  // null: it has none, or is over
-  void settle(AttemptId attempt, ridgeshift::Outcome outcome, UpstreamAnswer&& answer = {});
-  void fail(AttemptId attempt, ridgeshift::Outcome outcome = ridgeshift::Outcome::connectFailed);
+  void settle(AttemptId attempt, load_balancing::Outcome outcome, UpstreamResponse&& answer = {});
+  void fail(AttemptId attempt, load_balancing::Outcome outcome = load_balancing::Outcome::connectFailed);
 
   boost::asio::io_context& io_;
   const Clock& clock_;
   Limits limits_;
-  UpstreamEvents& events_;
-  std::unordered_map<ridgeshift::HostId, Upstream> upstreams_;
+  UpstreamCallbacks& events_;
+  std::unordered_map<load_balancing::HostId, Upstream> upstreams_;
   std::unordered_map<AttemptId, Attempt> attempts_;
   std::size_t connections_ = 0, opened_ = 0, sends_ = 0;
 };
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -39,7 +39,7 @@
   bool connected = false;
 };
 
-Watch::Watch(boost::asio::io_context& io, std::size_t bodyMost, WatchEvents& events)
+Watch::Watch(boost::asio::io_context& io, std::size_t bodyMost, WatchCallbacks& events)
     : io_(io), bodyMost_(bodyMost), events_(events), timer_(io) {}
 Watch::~Watch() { stop(); }
 
@@ -124,9 +124,9 @@
   timer_.cancel();
   const bool kept = connection->parser->keep_alive();
   auto message = connection->parser->release();
-  WatchAnswer answer{message.result_int(), retryAfterOf(message), std::move(message.body())};
+  WatchResponse answer{message.result_int(), retryAfterOf(message), std::move(message.body())};
   if (!kept) stop();
-  events_.onWatchAnswer(std::move(answer));
+  events_.onWatchResponse(std::move(answer));
 }
 
 void Watch::lost() {
--- a/src/net/watch.hpp
+++ b/src/net/watch.hpp
@@ -13,23 +13,23 @@
 
 namespace finchstile {
 
-struct WatchAnswer {
+struct WatchResponse {
   unsigned status = 0;
   Duration retryAfter{};  // 0: it names none
   std::string body;
 };
 
-class WatchEvents {
+class WatchCallbacks {
  public:
-  virtual ~WatchEvents() = default;
-  virtual void onWatchAnswer(WatchAnswer&& answer) = 0;  // the next call may go out from within
-  virtual void onWatchLost() = 0;                        // no answer will come; the connection is gone
+  virtual ~WatchCallbacks() = default;
+  virtual void onWatchResponse(WatchResponse&& answer) = 0;  // the next call may go out from within
+  virtual void onWatchLost() = 0;                            // no answer will come; the connection is gone
 };
 
 class Watch {
  public:
   // `bodyMost`: bytes of an answer at the most; a longer one counts as lost.
-  Watch(boost::asio::io_context& io, std::size_t bodyMost, WatchEvents& events);
+  Watch(boost::asio::io_context& io, std::size_t bodyMost, WatchCallbacks& events);
   ~Watch();
 
   // How long an answer may take.
@@ -56,7 +56,7 @@
 
   boost::asio::io_context& io_;
   const std::size_t bodyMost_;
-  WatchEvents& events_;
+  WatchCallbacks& events_;
   boost::asio::steady_timer timer_;
   std::shared_ptr<Connection> connection_;  // null: none
   Patience patience_;
--- a/src/operator/reader.cpp
+++ b/src/operator/reader.cpp
@@ -8,7 +8,7 @@
 namespace finchstile {
 namespace {
 
-using ridgeshift::Duration;
+using load_balancing::Duration;
 
 const SettingNode::Table kNoTable;
 
--- a/src/operator/reader.hpp
+++ b/src/operator/reader.hpp
@@ -10,14 +10,14 @@
 #include <string_view>
 #include <vector>
 
+#include "finchstile/load_balancer.hpp"
 #include "operator/document.hpp"
-#include "ridgeshift/ridgeshift.hpp"
 
 namespace finchstile {
 
 // "250ms", "1.5s", "20us", "10m", "2h": a number and its unit. None for anything else, or beyond 10 years.
-std::optional<ridgeshift::Duration> parseDuration(std::string_view text);
-std::string formatDuration(ridgeshift::Duration d);  // the shortest form that parseDuration reads back
+std::optional<load_balancing::Duration> parseDuration(std::string_view text);
+std::string formatDuration(load_balancing::Duration d);  // the shortest form that parseDuration reads back
 
 // A path that a file names, from that file's folder on.
 std::string resolvePath(const std::string& folder, const std::string& path);
@@ -40,8 +40,8 @@
   bool integer(const char* key, std::int64_t& out, std::int64_t least, std::int64_t most);
   bool size(const char* key, std::size_t& out, std::size_t least, std::size_t most);
   bool number(const char* key, double& out, double least, double most);
-  bool duration(const char* key, ridgeshift::Duration& out, ridgeshift::Duration least,
-                ridgeshift::Duration most);
+  bool duration(const char* key, load_balancing::Duration& out, load_balancing::Duration least,
+                load_balancing::Duration most);
   bool text(const char* key, std::string& out, std::size_t longest);  // of 1 byte at least
   bool choice(const char* key, std::string& out, const std::vector<std::string>& of);
   bool texts(const char* key, std::vector<std::string>& out, std::size_t most, std::size_t longest);
--- a/src/ops/exposition.cpp
+++ b/src/ops/exposition.cpp
@@ -18,22 +18,22 @@
 
 }  // namespace
 
-std::string exposition(const GatewayFigures& f, const ConfigFigures& config) {
+std::string exposition(const GatewayMetrics& f, const ConfigMetrics& config) {
   std::string out;
   out.reserve(256 + 192 * f.classes.size());
   type(out, "transactions_total", "counter");
-  for (const ClassFigures& c : f.classes) {
+  for (const ClassMetrics& c : f.classes) {
     const std::string head = "lb_transactions_total{group=\"" + metricLabel(c.name) + "\",state=\"";
-    out += head + "answered\"} " + std::to_string(c.answered) + "\n";
-    out += head + "deferred\"} " + std::to_string(c.deferred) + "\n";
-    out += head + "errored\"} " + std::to_string(c.errored) + "\n";
+    out += head + "answered\"} " + std::to_string(c.succeeded) + "\n";
+    out += head + "deferred\"} " + std::to_string(c.rejected) + "\n";
+    out += head + "errored\"} " + std::to_string(c.failed) + "\n";
   }
-  one(out, "sends_total", "counter", f.sends);
-  one(out, "current", "gauge", f.current);
-  one(out, "cluster_size", "gauge", f.listed);
-  one(out, "cluster_unhealthy", "gauge", f.avoided);
-  one(out, "load_reports_total", "counter", f.reports);
-  one(out, "load_reports_spoilt_total", "counter", f.spoiltReports);
+  one(out, "sends_total", "counter", f.attemptsSent);
+  one(out, "current", "gauge", f.activeRequests);
+  one(out, "cluster_size", "gauge", f.listedHosts);
+  one(out, "cluster_unhealthy", "gauge", f.avoidedHosts);
+  one(out, "load_reports_total", "counter", f.loadReports);
+  one(out, "load_reports_spoilt_total", "counter", f.malformedLoadReports);
   one(out, "conf_loaded_total", "counter", config.loaded);
   one(out, "conf_invalid_total", "counter", config.invalid);
   return out;
--- a/src/ops/hand_out.hpp
+++ b/src/ops/host_cordon.hpp
@@ -16,29 +16,29 @@
 #include <string>
 #include <string_view>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::ops {
 
-using ridgeshift::Duration;
-using ridgeshift::Time;
+using load_balancing::Duration;
+using load_balancing::Time;
 
-class HandOut {
+class HostCordon {
  public:
-  static constexpr std::size_t kMost = 4096;  // hosts remembered; one more is turned down
+  static constexpr std::size_t kMaxHosts = 4096;  // hosts remembered; one more is turned down
 
   // False: there is no room. Out already: true, and nothing changes.
-  bool takeOut(const std::string& host);
+  bool cordon(const std::string& host);
   // True also if it was in. `now` by the gateway's clock: it counts as started no earlier, since nobody can
   // tell what was done to it meanwhile and the list may tell late.
-  void putBack(const std::string& host, Time now);
+  void uncordon(const std::string& host, Time now);
 
-  bool isOut(const std::string& host) const;
+  bool isCordoned(const std::string& host) const;
   std::size_t count() const { return out_; }
   bool knows(const std::string& host) const { return marks_.count(host) > 0; }
 
   // What stands of an entry of the list.
-  void apply(ridgeshift::HostEntry& entry) const;
+  void apply(load_balancing::HostEntry& entry) const;
   // Forgets who came back by hand longer than `keep` ago: the list knows by then, and nobody is cold for
   // longer.
   void expire(Time now, Duration keep);
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -1,4 +1,4 @@
-// The decision module. Interface (types, events, actions): include/ridgeshift/ridgeshift.hpp.
+// The decision module. Interface (types, events, actions): include/finchstile/load_balancer.hpp.
 //
 // A request is scored 1 to 100 by worth, refused unsent when it scores below the cutoff, and otherwise sent
 // to a random ready host that holds few of our requests, else to the lighter of two draws. The cutoff is
@@ -11,13 +11,13 @@
 #include <stdexcept>
 #include <utility>
 
+#include "finchstile/load_balancer.hpp"
 #include "policy/message.hpp"
 #include "policy/settings.hpp"
 #include "policy/state.hpp"
 #include "policy/subset.hpp"
-#include "ridgeshift/ridgeshift.hpp"
 
-namespace ridgeshift {
+namespace finchstile::load_balancing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -121,7 +121,7 @@
 
 }  // namespace
 
-struct Balancer::Impl : State {
+struct LoadBalancer::Impl : State {
   Impl(Settings s, Time t) {
     set = std::move(s);
     engine.seed(set.seed);
@@ -134,13 +134,13 @@
     retryTokens = kRetryBurst;
     for (const ClassSettings& c : set.classes) {
       classes.push_back({c, 0, 0, {}, 0});
-      longestAim = std::max(longestAim, c.aim);
-      meanAim += toSeconds(c.aim) / static_cast<double>(set.classes.size());
+      longestAim = std::max(longestAim, c.latencyObjective);
+      meanAim += toSeconds(c.latencyObjective) / static_cast<double>(set.classes.size());
     }
     ClassSettings unknown = set.classes.front();  // what nobody described: never repeated, lowest worth
     unknown.name = "unknown";
-    unknown.effect = Effect::fragile;
-    unknown.worth = 0;
+    unknown.idempotency = Idempotency::nonIdempotent;
+    unknown.priorityWeight = 0;
     classes.push_back({unknown, 0, 0, {}, 0});
     for (const auto& tenant : set.tenants) tenants.push_back({tenant.quotaPerSecond, kQuotaBurst, t});
   }
@@ -152,10 +152,10 @@
     ClassState& c = classes[r.cls];
     Host& h = hosts[t.host];
     // What went out before the host's start was answered by another process, whose load is none of its.
-    if (a.report && t.at >= h.entry.upSince) reports.heard(h.reported, *a.report, now);
+    if (a.report && t.at >= h.entry.startedAt) reports.heard(h.reported, *a.report, now);
     // How long a stream lasts, or took to begin, says nothing of a host's pace.
     if (r.stream) return learn(h, a.outcome, 0, true), tally(h, a.outcome);
-    const double taken = std::max(toSeconds(a.taken), 1e-6);  // zero would make every ratio meaningless
+    const double taken = std::max(toSeconds(a.elapsed), 1e-6);  // zero would make every ratio meaningless
     if (a.outcome == Outcome::served && c.norm <= 0) c.norm = taken / r.cost;
     const double sample = c.norm > 0 ? std::min(taken / (c.norm * r.cost), 20.0) : 1;
     if (a.outcome == Outcome::served) {
@@ -181,7 +181,7 @@
     tellKeeper(h, peer::Kind::done, a.outcome, sample);
     tally(h, a.outcome);
     if (!counts(a.outcome)) return;
-    const bool lost = a.outcome == Outcome::timeout && a.taken >= lostAfter(r);
+    const bool lost = a.outcome == Outcome::timeout && a.elapsed >= lostAfter(r);
     lostShare += kNormGain * (lost - lostShare);
     lostTime += kNormGain * (lost * taken - lostTime);
     heldTime += kNormGain * (taken - heldTime);
@@ -189,14 +189,16 @@
   }
 
   static bool counts(Outcome o) {
-    return o != Outcome::cancelled && o != Outcome::moot && o != Outcome::rejected;
+    return o != Outcome::cancelled && o != Outcome::notSent && o != Outcome::invalidRequest;
   }
   void tally(Host& h, Outcome outcome) {  // for the pool's overloads
     if (!counts(outcome)) return;
     outcomeSeen += 1;
     h.outcomes += 1;
-    if (outcome == Outcome::full && h.fulls <= kFullRow) fullSeen += 1;  // beyond: only this host's trouble
-    if (outcome != Outcome::served) h.errors += outcome == Outcome::full && looks() ? kFullError : 1;
+    if (outcome == Outcome::rejectedForCapacity && h.fulls <= kFullRow)
+      fullSeen += 1;  // beyond: only this host's trouble
+    if (outcome != Outcome::served)
+      h.errors += outcome == Outcome::rejectedForCapacity && looks() ? kFullError : 1;
   }
 
   // What an outcome, our own or one told to us as the host's keeper, shows of the host.
@@ -208,7 +210,8 @@
         h.fulls = 0;
         if (sample > 0) learnPace(h, sample);
         break;
-      case Outcome::full:  // Danger: a host that stays full, or drains unannounced, looks idle.
+      case Outcome::rejectedForCapacity:  // Danger: a host that stays full, or drains unannounced, looks
+                                          // idle.
         h.heard = now;
         rest(h);
         return;
@@ -222,7 +225,7 @@
         h.heard = now;
         failed = true;
         break;
-      case Outcome::rejected: h.heard = now; return;
+      case Outcome::invalidRequest: h.heard = now; return;
       case Outcome::connectFailed:
       case Outcome::reset:
         if (answering(h)) return;
@@ -231,7 +234,7 @@
         failed = true;
         break;
       case Outcome::cancelled:
-      case Outcome::moot: return;
+      case Outcome::notSent: return;
     }
     const double gain = outcome == Outcome::error && many() ? kErrorGain : kFailGain;
     h.fails += gain * ((failed ? 1.0 : 0.0) - h.fails);
@@ -325,7 +328,8 @@
   Duration patience(const Open& r) const {
     const ClassState& c = classes[r.cls];
     const Duration left = lastUse(r) - now, least = lostAfter(r);
-    const bool again = losing() && !r.stream && c.set.effect != Effect::fragile && retryTokens >= 1;
+    const bool again =
+        losing() && !r.stream && c.set.idempotency != Idempotency::nonIdempotent && retryTokens >= 1;
     return again && left / 2 > least ? std::min(left / 2, scaled(least, kLostPatience / kLostNorms)) : left;
   }
   static bool sick(const Host& h) { return h.health != Health::good || h.silent; }
@@ -334,15 +338,15 @@
 
   // Worth of what the request can still earn, by request or by unit of work as the worth is counted.
   double worthOf(const Open& r, std::uint32_t tenant) {
-    double worth = classes[r.cls].set.worth * (now >= r.aimAt ? r.lateShare : 1);
+    double worth = classes[r.cls].set.priorityWeight * (now >= r.aimAt ? r.lateShare : 1);
     if (tenant < tenants.size() && tenants[tenant].quota > 0) {
       TenantState& t = tenants[tenant];
-      const double share = t.quota / set.groupSize;
+      const double share = t.quota / set.gatewayCount;
       // Danger: a share of under one request a second would never fill a bucket of one second.
       t.tokens = std::min(t.tokens + toSeconds(now - t.filled) * share, std::max(share, kQuotaBurst));
       t.filled = now;
       if (t.tokens >= 1) t.tokens -= 1;
-      else worth *= set.overShareWorth;
+      else worth *= set.overQuotaWeightFactor;
     }
     return worth;
   }
@@ -369,8 +373,8 @@
     const double count = static_cast<double>(std::max<std::size_t>(listed.size(), 1));
     const double ease = 1 - std::min(kFullEase * fullSeen / outcomeSeen, kFullEaseMost);
     // Before anything was measured (own start in an overload) and after a lull, per-host guesses stand in.
-    const double least =
-        guessing() ? kFirstPerHost * ease / set.groupSize : std::max(kFloorPerHost / set.groupSize, calmHeld);
+    const double least = guessing() ? kFirstPerHost * ease / set.gatewayCount
+                                    : std::max(kFloorPerHost / set.gatewayCount, calmHeld);
     return std::max(std::max(fastRate, firstRate()) * meanAim * kMaxOfAim * ease, least * count + 2);
   }
   // Danger: until the swept rate has come near the true one, fast hosts would stand idle under the guess.
@@ -384,7 +388,7 @@
   double heldNow() const {
     double held = 0;
     for (HostId id : busy)  // one bad host must not lift the pool's cut,
-      if (hosts[id].entry.phase == Phase::in && !sick(hosts[id])) held += hosts[id].inflight;
+      if (hosts[id].entry.phase == HostPhase::active && !sick(hosts[id])) held += hosts[id].inflight;
     return losing() ? held * (1 - lostTime / heldTime) : held;  // nor what nobody works at
   }
 
@@ -436,17 +440,18 @@
   // --- Cold start -------------------------------------------------------------------------------------
 
   // More gateways than hosts: our own in-flight and rates say next to nothing of what a host carries.
-  bool sparse() const { return set.groupSize > listed.size(); }
+  bool sparse() const { return set.gatewayCount > listed.size(); }
   // That, or more than are to meet each host.
-  bool many() const { return set.groupSize > std::min(listed.size(), kMany); }
+  bool many() const { return set.gatewayCount > std::min(listed.size(), kMany); }
 
   // Danger: all gateways together push a cold host over. Each keeps to its own part of what it has warm hosts
   // of that kind carry, in every window, refused attempts counted.
   bool coldMayTake(Host& h) {
     if (!isCold(h)) return true;
     if (many()) return false;  // by drawCold only
-    const double window = std::max(toSeconds(set.fallWindow), 0.1);
-    const double rate = std::max(kinds[h.kind].proven * warmth(h) * kColdPart * set.fallMultiple, 1 / window);
+    const double window = std::max(toSeconds(set.collapseWindow), 0.1);
+    const double rate =
+        std::max(kinds[h.kind].proven * warmth(h) * kColdPart * set.collapseLoadFactor, 1 / window);
     h.coldTokens =
         std::min(h.coldTokens + rate * toSeconds(now - h.coldAt), std::max(1.0, rate * window / 4));
     h.coldAt = now;
@@ -494,17 +499,19 @@
 
   // Whether one that may have run where it is said may run on this host as well,
   bool droppedThere(const ClassSettings& c, const std::string& zone, std::int64_t cell, const Host& h) const {
-    if (c.effect != Effect::dedup) return c.effect == Effect::retryable;
-    if (c.group != Group::all && zone != h.entry.zone) return false;
-    return c.group != Group::cell || cell == h.entry.cell;
+    if (c.idempotency != Idempotency::idempotentWithKey) return c.idempotency == Idempotency::idempotent;
+    if (c.deduplicationScope != DeduplicationScope::all && zone != h.entry.zone) return false;
+    return c.deduplicationScope != DeduplicationScope::cell || cell == h.entry.cell;
   }
   // and until when its last byte may go out there.
   Time repeatsUntil(const Open& r) const {
     const ClassSettings& c = classes[r.cls].set;
-    Time first = r.earlier ? r.earlier->at : Time::max();
+    Time first = r.earlier ? r.earlier->sentAt : Time::max();
     for (std::uint32_t i = 0; i < r.count; ++i)
       if (r.tries[i].mayHaveRun) first = std::min(first, r.tries[i].at);
-    return c.effect == Effect::dedup && first != Time::max() ? first + c.window - 2 * set.step : Time::max();
+    return c.idempotency == Idempotency::idempotentWithKey && first != Time::max()
+               ? first + c.deduplicationWindow - 2 * set.eventInterval
+               : Time::max();
   }
 
   bool allowed(const Open& r, const Host& h) const {  // the rule on repeats
@@ -522,7 +529,7 @@
   // not run twice would be lost there. So a trial is left to what may, if that comes, for some seconds.
   bool tries(const Open& r, const Host& h) const {
     const bool left = now - repeatableAt < kEjectFirst && now < h.until + kTrialLeft;
-    return h.inflight == 0 && (!left || classes[r.cls].set.effect == Effect::retryable);
+    return h.inflight == 0 && (!left || classes[r.cls].set.idempotency == Idempotency::idempotent);
   }
 
   bool usable(const Open& r, HostId id) const {
@@ -557,12 +564,12 @@
     order = listed;
     kept = listed.size();
     if (!narrow()) return;
-    const double each = static_cast<double>(kept) / set.groupSize;
+    const double each = static_cast<double>(kept) / set.gatewayCount;
     const auto most = static_cast<std::size_t>(std::max(kMetMost * each, 1.0));
     kept = std::max(std::min(kSubset, most), static_cast<std::size_t>(std::ceil(kMetLeast * each)));
     std::vector<std::uint64_t> hashes;
     for (HostId id : listed) hashes.push_back(hosts[id].hash);
-    const auto places = subsetOrder(hashes, set.myNumber, set.groupSize, kept);
+    const auto places = subsetOrder(hashes, set.gatewayIndex, set.gatewayCount, kept);
     for (std::size_t i = 0; i < places.size(); ++i) order[i] = listed[places[i]];
   }
 
@@ -582,11 +589,12 @@
   // Tokens for the streams that may begin at a host, and room for what it may hold: this gateway's part, for
   // a cold one its warmth of it. Danger: clients whose streams ended together come back together.
   bool streamMayGo(Host& h) {
-    const double part = warmth(h) / set.groupSize;
-    if (set.hostStreams > 0 && static_cast<double>(h.streams) >= std::max(1.0, set.hostStreams * part))
+    const double part = warmth(h) / set.gatewayCount;
+    if (set.maxStreamsPerHost > 0 &&
+        static_cast<double>(h.streams) >= std::max(1.0, set.maxStreamsPerHost * part))
       return false;
-    if (set.streamRate <= 0) return true;
-    const double rate = set.streamRate * part;
+    if (set.hostStreamRate <= 0) return true;
+    const double rate = set.hostStreamRate * part;
     h.streamTokens = std::min(h.streamTokens + rate * toSeconds(now - std::max(h.streamsAt, started)),
                               std::max(1.0, rate * toSeconds(kStreamBurst)));
     h.streamsAt = now;
@@ -597,18 +605,18 @@
   // be given next to none. Where they have a rate of their own, its part of that holds.
   bool mayTake(const Open& r, Host& h) {
     if (!r.stream) return coldMayTake(h);
-    return (set.streamRate > 0 || coldMayTake(h)) && streamMayGo(h);
+    return (set.hostStreamRate > 0 || coldMayTake(h)) && streamMayGo(h);
   }
 
   // Danger: all would go at once to the host with the fewest after a deploy. All draw, those with fewer more.
   HostId pickStream(const Open& r) {
-    if (set.mostStreams > 0 && streams >= set.mostStreams) return kNone;
+    if (set.maxStreams > 0 && streams >= set.maxStreams) return kNone;
     gather(r, false);
     if (ready.empty()) gather(r, true);
     ready.erase(
         std::remove_if(ready.begin(), ready.end(), [&](HostId id) { return !streamMayGo(hosts[id]); }),
         ready.end());
-    const bool guarded = set.streamRate > 0;
+    const bool guarded = set.hostStreamRate > 0;
     const double least = guarded ? kGuardedLeast : kStreamLeast, most = guarded ? kGuardedMost : kStreamMost;
     double all = 0, sum = 0;
     for (HostId id : ready) all += static_cast<double>(hosts[id].streams);
@@ -628,8 +636,8 @@
     gather(r, false, r.homeFirst);
     if (r.homeFirst && !roomAtHome()) gather(r, false);
     if (ready.empty()) gather(r, true);  // no healthy host: any that the rules allow beats none
-    if (ready.empty()) return drawCold(r, kColdPart * set.fallMultiple - 1);
-    if (set.warmKeys && r.hasKey) {
+    if (ready.empty()) return drawCold(r, kColdPart * set.collapseLoadFactor - 1);
+    if (set.keyAffinity && r.hasKey) {
       // Warm keys: the first hosts in the key's rendezvous order, the same at all gateways.
       const std::size_t most = std::min<std::size_t>(kWarmCandidates, ready.size());
       std::partial_sort(
@@ -667,22 +675,24 @@
     const ClassSettings& c = classes[r.cls].set;
     bool mayHaveRun = r.earlier.has_value();
     for (std::uint32_t i = 0; i < r.count; ++i) mayHaveRun |= r.tries[i].mayHaveRun;
-    const bool harmless = !mayHaveRun || c.effect == Effect::retryable ||
-                          (c.effect == Effect::dedup && c.group == Group::all && r.out == 0);
-    emit(harmless ? ActionKind::refuse : ActionKind::fail, r.id, 0, kNone,
+    const bool harmless = !mayHaveRun || c.idempotency == Idempotency::idempotent ||
+                          (c.idempotency == Idempotency::idempotentWithKey &&
+                           c.deduplicationScope == DeduplicationScope::all && r.out == 0);
+    emit(harmless ? ActionKind::reject : ActionKind::fail, r.id, 0, kNone,
          harmless && r.stream ? returnAfter(r) : Duration{});
     end(r);
   }
 
   void refuse(Open& r) {  // unsent, for overload
-    emit(ActionKind::refuse, r.id, 0, kNone, returnAfter(r));
+    emit(ActionKind::reject, r.id, 0, kNone, returnAfter(r));
     end(r);
   }
 
   // It lengthens as the score falls; jittered, or they would all come due together.
   Duration returnAfter(const Open& r) {
-    if (r.stream && set.streamReturn > Duration{}) return scaled(set.streamReturn, 0.1 + 0.9 * drawUnit());
-    if (!set.retryAfter) return {};
+    if (r.stream && set.streamRetrySpread > Duration{})
+      return scaled(set.streamRetrySpread, 0.1 + 0.9 * drawUnit());
+    if (!set.retryAfterEnabled) return {};
     return scaled(set.maxRetryAfter, (1 - r.score / 100) * (0.5 + 0.5 * drawUnit()));
   }
 
@@ -693,18 +703,18 @@
   }
 
   void cancelOut(Open& r, std::uint32_t except = kNone) {  // work that can no longer earn
-    if (!set.cancel) return;
+    if (!set.cancellationEnabled) return;
     for (std::uint32_t i = 0; i < r.count; ++i)
       if (r.tries[i].out && !r.tries[i].cancelled && i != except) {
         r.tries[i].cancelled = true;
-        emit(ActionKind::cancel, r.id, i);
+        emit(ActionKind::cancelAttempt, r.id, i);
       }
   }
 
   // Latest time at which an answer still earns and still reaches the client.
   Time lastUse(const Open& r) const {
-    const Time end = r.deadline - 2 * set.step;
-    return r.lateShare > 0 ? end : std::min(end, r.aimAt - 2 * set.step);
+    const Time end = r.deadline - 2 * set.eventInterval;
+    return r.lateShare > 0 ? end : std::min(end, r.aimAt - 2 * set.eventInterval);
   }
 
   bool canSend(const Open& r) const {
@@ -723,11 +733,11 @@
     ++h.refs;
     ++r.out;
     sends += 1;
-    emit(ActionKind::send, r.id, r.count++, id, patience(r));
+    emit(ActionKind::sendAttempt, r.id, r.count++, id, patience(r));
     // Danger: a connection may be dead with nobody told, and a request that dies on it may have run. What may
     // not run anywhere again gets a proof first. A safe one is sent again anyway, and is spared the wait.
-    out.back().proveFirst = classes[r.cls].set.effect != Effect::retryable;
-    out.back().latest = latest;
+    out.back().verifyConnection = classes[r.cls].set.idempotency != Idempotency::idempotent;
+    out.back().sendDeadline = latest;
     if (!advised) tellKeeper(h, peer::Kind::took);
     return true;
   }
@@ -748,7 +758,7 @@
     if (r.stream || !looks() || lastUse(r) - now < 2 * wait) return send(r, drawn);
     r.best = kNone;
     r.bestLoad = HUGE_VAL;
-    if (set.probes) {
+    if (set.probingEnabled) {
       probe(r, drawn);
       for (int i = 1; i < kLookHosts; ++i) {
         const HostId other = pick(r);
@@ -757,7 +767,7 @@
     } else {
       r.best = drawn;
       const std::uint32_t keeper = keeperOf(hosts[drawn].group);
-      if (keeper == set.myNumber) {
+      if (keeper == set.gatewayIndex) {
         r.best = advise(drawn, r.bestLoad);
         decide(r, true);
         return true;
@@ -769,12 +779,12 @@
     return true;
   }
 
-  bool looks() const { return sparse() && (set.probes || set.peers); }
+  bool looks() const { return sparse() && (set.probingEnabled || set.peerMessagesEnabled); }
 
   void probe(Open& r, HostId id) {
     hosts[id].probes.push_back(r.id);
     ++r.looking;
-    emit(ActionKind::probe, 0, 0, id);
+    emit(ActionKind::probeHost, 0, 0, id);
   }
 
   void decide(Open& r, bool advised = false) {
@@ -784,9 +794,10 @@
     // low scores would crowd out high ones, and crowded hosts turn slow for long.
     const double x = ((r.load + 1) * bareOfAim - kWaitThreshold) / (kWaitMax - kWaitThreshold);
     const bool cutOff = r.count == 0 && r.score < curve(x);
-    const bool good = hosts.known(r.best) && hosts[r.best].entry.phase == Phase::in && usable(r, r.best);
+    const bool good =
+        hosts.known(r.best) && hosts[r.best].entry.phase == HostPhase::active && usable(r, r.best);
     if (advised && (cutOff || !good) && hosts.known(r.best))
-      tellKeeper(hosts[r.best], peer::Kind::done, Outcome::moot);
+      tellKeeper(hosts[r.best], peer::Kind::done, Outcome::notSent);
     if (cutOff) refuse(r);
     else if (!send(r, good ? r.best : pick(r), advised && good)) finish(r);
   }
@@ -803,7 +814,7 @@
     h.probes.pop_front();
     if (!r) return;
     const double held = std::isfinite(p.report.inflight) ? p.report.inflight : p.report.queue;
-    const double load = p.ok && held >= 0 ? held : HUGE_VAL;
+    const double load = p.healthy && held >= 0 ? held : HUGE_VAL;
     if (load < r->bestLoad) {
       r->best = p.host;
       r->bestLoad = load;
@@ -815,16 +826,16 @@
     const auto it = deaf.find(group);
     const std::uint64_t shift =
         it != deaf.end() && now < it->second ? 1 : 0;  // a silent keeper has a stand-in
-    return static_cast<std::uint32_t>(mix(group + shift) % set.groupSize);
+    return static_cast<std::uint32_t>(mix(group + shift) % set.gatewayCount);
   }
 
   void tell(std::uint32_t to, const peer::Message& m) {
-    out.push_back({ActionKind::tell, 0, to, kNone, {}, false, peer::encode(m)});
+    out.push_back({ActionKind::sendPeerMessage, 0, to, kNone, {}, false, peer::encode(m)});
   }
   void tellKeeper(Host& h, peer::Kind kind, Outcome outcome = {}, double sample = 0) {
-    if (!sparse() || !set.peers || set.probes) return;
+    if (!sparse() || !set.peerMessagesEnabled || set.probingEnabled) return;
     const std::uint32_t keeper = keeperOf(h.group);
-    if (keeper == set.myNumber) note(h, kind);
+    if (keeper == set.gatewayIndex) note(h, kind);
     else tell(keeper, {kind, h.hash32(), 0, outcome, sample});
   }
 
@@ -856,13 +867,13 @@
 
   void onPeer(std::uint32_t from, std::string_view bytes) {
     peer::Message m;
-    if (from >= set.groupSize || !set.peers || !peer::decode(bytes, m)) return;
+    if (from >= set.gatewayCount || !set.peerMessagesEnabled || !peer::decode(bytes, m)) return;
     const auto it = byHash.find(m.host);
     if (it == byHash.end()) return;  // a list of ours may lag
     Host& h = hosts[it->second];
     if (m.kind == peer::Kind::advice) {
       Open* r = lookerOf(m.mark);
-      if (!r || set.probes) return;
+      if (!r || set.probingEnabled) return;
       r->best = it->second;
       r->bestLoad = m.sample;
       decide(*r, true);
@@ -883,23 +894,23 @@
     r.id = q.id;
     r.cls = q.classIndex < set.classes.size() ? q.classIndex : static_cast<std::uint32_t>(set.classes.size());
     ClassState& c = classes[r.cls];
-    const double cost = toSeconds(q.cost);
+    const double cost = toSeconds(q.expectedWork);
     if (cost > 0) c.meanCost = c.meanCost > 0 ? c.meanCost + kNormGain * (cost - c.meanCost) : cost;
-    r.aim = c.set.aim;
-    r.lateShare = c.set.lateShare;
+    r.aim = c.set.latencyObjective;
+    r.lateShare = c.set.lateValueFraction;
     r.cost = cost > 0 ? std::clamp(cost / c.meanCost, 0.2, 5.0) : 1.0;
-    r.key = q.key;
-    r.hasKey = q.hasKey;
-    r.earlier = q.earlier;
-    r.once = r.coming = q.arriving;
-    r.homeFirst = q.homeFirst;
-    r.stream = q.stream;
+    r.key = q.affinityKey;
+    r.hasKey = q.hasAffinityKey;
+    r.earlier = q.earlierAttempt;
+    r.once = r.coming = q.bodyIncomplete;
+    r.homeFirst = q.preferLocalZone;
+    r.stream = q.isStream;
     r.came = now;
-    r.deadline = now + q.left;
+    r.deadline = now + q.timeLeft;
     if (r.stream) r.aimAt = r.deadline;
     else expect(r, c, q);
     retryTokens = std::min(retryTokens + kRetryShare, kRetryBurst);
-    if (c.set.effect == Effect::retryable) repeatableAt = now;
+    if (c.set.idempotency == Idempotency::idempotent) repeatableAt = now;
     arrivals += 1;
     if (firstCame == Time{}) firstCame = now;
     r.worth = worthOf(r, q.tenantIndex);
@@ -907,7 +918,7 @@
     if (!looks()) smoothHeld += (heldNow() - smoothHeld) * kHeldGain;
     renewCut();
     if (r.score < cut) return r.earlier ? finish(r) : refuse(r);
-    if (!r.coming) guards.push({r.deadline - set.step, r.id});
+    if (!r.coming) guards.push({r.deadline - set.eventInterval, r.id});
     if (!route(r)) finish(r);
   }
 
@@ -915,20 +926,21 @@
   void expect(Open& r, ClassState& c, const Request& q) {
     // Clients give single tries the same time, and a later one what is left of their total wait. A try whose
     // time is not the usual one (a running median) tells how much was spent before; that no longer earns.
-    if (c.usualLeft == Duration{}) c.usualLeft = q.left;
-    const Duration apart = scaled(c.set.giveUp, kLeftApart);
-    const bool usual = q.left > c.usualLeft - apart && q.left < c.usualLeft + apart;
-    Duration spent = usual ? Duration{} : std::max(c.set.giveUp - q.left, Duration{});
+    if (c.usualLeft == Duration{}) c.usualLeft = q.timeLeft;
+    const Duration apart = scaled(c.set.clientTimeout, kLeftApart);
+    const bool usual = q.timeLeft > c.usualLeft - apart && q.timeLeft < c.usualLeft + apart;
+    Duration spent = usual ? Duration{} : std::max(c.set.clientTimeout - q.timeLeft, Duration{});
     // Danger: clients may turn impatient, many at once; taken for late tries, each would be refused on sight.
     // A late try follows one that went unserved for long: they can't be a large part of what comes.
-    const bool late = spent > scaled(c.set.aim, kLateOfAim);
+    const bool late = spent > scaled(c.set.latencyObjective, kLateOfAim);
     c.lateSeen += kNormGain * ((late ? 1.0 : 0.0) - c.lateSeen);
     if (late && c.lateSeen > kLateMost) spent = {};
-    c.usualLeft += q.left < c.usualLeft ? -apart / 8 : apart / 8;
-    r.aimAt = now - spent + c.set.aim + scaled(q.cost, c.set.aimStretch);
+    c.usualLeft += q.timeLeft < c.usualLeft ? -apart / 8 : apart / 8;
+    r.aimAt = now - spent + c.set.latencyObjective + scaled(q.expectedWork, c.set.objectiveStretch);
     // Where late answers still earn, the time that counts reaches past the aim by that share.
-    const Duration lateEarns = scaled(std::min(c.usualLeft - c.set.aim, c.set.aim), c.set.lateShare);
-    meanAim += kNormGain * (toSeconds(c.set.aim + lateEarns) - meanAim);
+    const Duration lateEarns = scaled(std::min(c.usualLeft - c.set.latencyObjective, c.set.latencyObjective),
+                                      c.set.lateValueFraction);
+    meanAim += kNormGain * (toSeconds(c.set.latencyObjective + lateEarns) - meanAim);
     if (c.norm > 0) meanWork += (meanWork > 0 ? kNormGain : 1.0) * (c.norm * r.cost - meanWork);
   }
 
@@ -943,13 +955,13 @@
     endStream(t);
     if (!mayHaveRun(a.outcome)) t.mayHaveRun = false;
     judge(t, r, a);
-    if (a.terminal && !r.ended) {
+    if (a.requestEnded && !r.ended) {
       r.ended = true;
       cancelOut(r);
     }
     if (r.ended) return release(r);
     if (r.bound || r.out > 0 || r.looking > 0) return;
-    if (a.outcome == Outcome::rejected) {  // again it would meet the same: no refusal
+    if (a.outcome == Outcome::invalidRequest) {  // again it would meet the same: no refusal
       emit(ActionKind::fail, r.id);
       return end(r);
     }
@@ -957,7 +969,7 @@
     // Not where gateways are few: each sees so much that what may be saved up lasts for a tenth of a second.
     const double most = levels.empty() ? r.worth : std::max(levels.back().worth, r.worth);
     const double spared = 1 + (many() && most > 0 ? kRetryReserve * (1 - r.worth / most) : 0);
-    const bool again = lastUse(r) > now && retryTokens >= spared && a.outcome != Outcome::moot;
+    const bool again = lastUse(r) > now && retryTokens >= spared && a.outcome != Outcome::notSent;
     if (again && route(r)) retryTokens -= 1;
     else finish(r);
   }
@@ -968,7 +980,7 @@
     if (!r || !std::exchange(r->coming, false) || r->ended || r->out == 0) return {};
     r->aimAt += now - r->came;
     r->deadline += now - r->came;
-    guards.push({r->deadline - set.step, id});
+    guards.push({r->deadline - set.eventInterval, id});
     Try& t = r->tries[r->count - 1];
     t.at = now;
     hold(*r, t);
@@ -999,24 +1011,24 @@
 
   // --- Discovery --------------------------------------------------------------------------------------
 
-  void onHosts(ListKind kind, const std::vector<HostEntry>& entries) {
-    if (kind == ListKind::unavailable) {
+  void onHosts(HostListUpdate kind, const std::vector<HostEntry>& entries) {
+    if (kind == HostListUpdate::unavailable) {
       asking = false;
       Duration wait = std::min(kAskFirst * (1 << askFailures), kAskMost);
       askFailures = now < hurryUntil ? 0 : std::min(askFailures + 1, 4);
       if (now < hurryUntil) wait = (hurryUntil - now) / 32;
-      if (set.askWithin > Duration{}) wait = std::min(wait, set.askWithin / 3);
+      if (set.maxDiscoverySilence > Duration{}) wait = std::min(wait, set.maxDiscoverySilence / 3);
       askAgain = now + std::max(scaled(wait, drawUnit()), kAskLeast);
       return;
     }
-    if (kind == ListKind::moved) {
+    if (kind == HostListUpdate::moved) {
       hurryUntil = now + kMoveHurry, askedAt = now, asking = true, answered = false;
       return;
     }
-    if (kind == ListKind::restored) askAgain = now;  // it may be stale: ask at once
+    if (kind == HostListUpdate::restored) askAgain = now;  // it may be stale: ask at once
     else askFailures = 0, answered = true, hurryUntil = {};
-    if (kind != ListKind::update)
-      for (Host& h : hosts) h.entry.phase = Phase::out;  // what a whole list leaves out is gone
+    if (kind != HostListUpdate::incremental)
+      for (Host& h : hosts) h.entry.phase = HostPhase::removed;  // what a whole list leaves out is gone
     for (const HostEntry& e : entries) {
       auto [it, fresh] = hostIds.emplace(e.address, kNone);
       if (fresh) {
@@ -1029,12 +1041,12 @@
         byHash.emplace(hosts[it->second].hash32(), it->second);
       }
       Host& h = hosts[it->second];
-      const bool restarted = fresh || e.upSince != h.entry.upSince;
+      const bool restarted = fresh || e.startedAt != h.entry.startedAt;
       h.entry = e;
       h.local = e.zone == set.zone;
       h.kind = 0;
-      while (h.kind < kinds.size() && kinds[h.kind].name != e.kind) ++h.kind;
-      if (h.kind == kinds.size()) kinds.push_back({e.kind, 0, 1});
+      while (h.kind < kinds.size() && kinds[h.kind].name != e.machineType) ++h.kind;
+      if (h.kind == kinds.size()) kinds.push_back({e.machineType, 0, 1});
       if (restarted) {  // a new process: what was learned of the old one is void
         h.health = Health::good;
         h.ejections = h.fulls = 0;
@@ -1051,8 +1063,8 @@
     gone.clear();
     for (const Host& h : hosts) {
       if (h.id == kNone) continue;
-      if (h.entry.phase == Phase::in) listed.push_back(h.id);
-      if (h.entry.phase == Phase::out) gone.push_back(h.id);
+      if (h.entry.phase == HostPhase::active) listed.push_back(h.id);
+      if (h.entry.phase == HostPhase::removed) gone.push_back(h.id);
     }
     forget();
     std::unordered_map<std::string, double> inZone;
@@ -1069,9 +1081,10 @@
 
   void ask() {
     // Danger: a call whose answer is lost would leave the gateway silent towards discovery for good.
-    const bool lost = !answered && set.askWithin > Duration{} && now - askedAt > set.askWithin / 2;
-    if (!set.askDiscovery || (asking && !lost) || now < askAgain) return;
-    emit(ActionKind::subscribe);
+    const bool lost =
+        !answered && set.maxDiscoverySilence > Duration{} && now - askedAt > set.maxDiscoverySilence / 2;
+    if (!set.pollsDiscovery || (asking && !lost) || now < askAgain) return;
+    emit(ActionKind::pollDiscovery);
     asking = true;  // until it fails
     answered = false;
     askedAt = now;
@@ -1086,10 +1099,10 @@
       Open* r = find(g.id);
       // Danger: an outcome that never comes would leave the client without an answer.
       if (!r || r->ended || r->bound) continue;
-      if (now >= r->deadline - set.step) {
+      if (now >= r->deadline - set.eventInterval) {
         finish(*r);
       } else if (r->looking > 0) {
-        if (!set.probes && hosts.known(r->best)) deaf[hosts[r->best].group] = now + kDeafFor;
+        if (!set.probingEnabled && hosts.known(r->best)) deaf[hosts[r->best].group] = now + kDeafFor;
         decide(*r);
       }
     }
@@ -1112,7 +1125,7 @@
     want = std::max(want, now + Duration(1));
     if (armed > now && armed <= want) return;
     armed = want;
-    emit(ActionKind::wake, 0, 0, kNone, want);
+    emit(ActionKind::setTimer, 0, 0, kNone, want);
   }
 
   template <class Event>
@@ -1124,69 +1137,71 @@
   }
 };
 
-Balancer::Balancer(Settings settings, Time now) {
+LoadBalancer::LoadBalancer(Settings settings, Time now) {
   validate(settings);
   impl_ = std::make_unique<Impl>(std::move(settings), now);
 }
-Balancer::~Balancer() = default;
-Balancer::Balancer(Balancer&&) noexcept = default;
-Balancer& Balancer::operator=(Balancer&&) noexcept = default;
+LoadBalancer::~LoadBalancer() = default;
+LoadBalancer::LoadBalancer(LoadBalancer&&) noexcept = default;
+LoadBalancer& LoadBalancer::operator=(LoadBalancer&&) noexcept = default;
 
-void Balancer::onHosts(Time now, ListKind kind, const std::vector<HostEntry>& entries) {
+void LoadBalancer::onHostListUpdate(Time now, HostListUpdate kind, const std::vector<HostEntry>& entries) {
   impl_->at(now, [&](Impl& i) { i.onHosts(kind, entries); });
 }
-void Balancer::onTerms(Time now, const Terms& terms) {
-  impl_->at(now, [&](Impl& i) { takeTerms(i, terms); });
+void LoadBalancer::onDynamicSettings(Time now, const DynamicSettings& terms) {
+  impl_->at(now, [&](Impl& i) { applyDynamicSettings(i, terms); });
 }
-void Balancer::onRequest(Time now, const Request& request) {
+void LoadBalancer::onRequest(Time now, const Request& request) {
   impl_->at(now, [&](Impl& i) { i.onRequest(request); });
 }
-Duration Balancer::onArrived(Time now, RequestId request) {
+Duration LoadBalancer::onRequestBodyComplete(Time now, RequestId request) {
   Duration span{};
   impl_->at(now, [&](Impl& i) { span = i.onArrived(request); });
   return span;
 }
-void Balancer::onHead(Time now, RequestId request, std::uint32_t attempt) {
+void LoadBalancer::onResponseHeaders(Time now, RequestId request, std::uint32_t attempt) {
   impl_->at(now, [&](Impl& i) { i.onHead(request, attempt); });
 }
-void Balancer::onAnswerStarted(Time now, RequestId request, std::uint32_t attempt) {
+void LoadBalancer::onResponseStarted(Time now, RequestId request, std::uint32_t attempt) {
   impl_->at(now, [&](Impl& i) { i.onAnswerStarted(request, attempt); });
 }
-void Balancer::onResult(Time now, const AttemptResult& result) {
+void LoadBalancer::onAttemptResult(Time now, const AttemptResult& result) {
   impl_->at(now, [&](Impl& i) { i.onResult(result); });
 }
-void Balancer::onClientGone(Time now, RequestId request) {
+void LoadBalancer::onClientDisconnected(Time now, RequestId request) {
   impl_->at(now, [&](Impl& i) { i.onClientGone(request); });
 }
-void Balancer::onWake(Time now) {
+void LoadBalancer::onTimer(Time now) {
   impl_->at(now, [&](Impl& i) { i.onWake(); });
 }
-void Balancer::onProbe(Time now, const ProbeResult& result) {
+void LoadBalancer::onProbeResult(Time now, const ProbeResult& result) {
   impl_->at(now, [&](Impl& i) { i.onProbe(result); });
 }
-void Balancer::onPeer(Time now, std::uint32_t from, std::string_view bytes) {
+void LoadBalancer::onPeerMessage(Time now, std::uint32_t from, std::string_view bytes) {
   impl_->at(now, [&](Impl& i) { i.onPeer(from, bytes); });
 }
-Learned Balancer::learned() const { return learnedOf(*impl_); }
-void Balancer::recall(Time now, const Learned& learned) {
-  impl_->at(now, [&](Impl& i) { recallInto(i, learned); });
+LearnedState LoadBalancer::learnedState() const { return captureLearnedState(*impl_); }
+void LoadBalancer::restoreLearnedState(Time now, const LearnedState& learned) {
+  impl_->at(now, [&](Impl& i) { load_balancing::restoreLearnedState(i, learned); });
 }
-std::vector<Action>& Balancer::actions() { return impl_->out; }
-HostId Balancer::findHost(std::string_view address) const {
+std::vector<Action>& LoadBalancer::actions() { return impl_->out; }
+HostId LoadBalancer::findHost(std::string_view address) const {
   const auto it = impl_->hostIds.find(std::string(address));
   return it == impl_->hostIds.end() ? kNone : it->second;
 }
-bool Balancer::knows(HostId host) const { return impl_->hosts.known(host); }
-bool Balancer::avoids(HostId host) const {
-  return knows(host) && (Impl::sick(impl_->hosts[host]) || impl_->now < impl_->hosts[host].restUntil);
+bool LoadBalancer::isKnown(HostId host) const { return impl_->hosts.known(host); }
+bool LoadBalancer::isAvoided(HostId host) const {
+  return isKnown(host) && (Impl::sick(impl_->hosts[host]) || impl_->now < impl_->hosts[host].restUntil);
 }
-const std::string& Balancer::address(HostId host) const {
-  if (!knows(host)) throw std::out_of_range("ridgeshift: unknown host");
+const std::string& LoadBalancer::hostAddress(HostId host) const {
+  if (!isKnown(host)) throw std::out_of_range("load balancer: unknown host");
   return impl_->hosts[host].entry.address;
 }
-double Balancer::cutoff() const { return impl_->cut; }
-std::size_t Balancer::openRequests() const { return impl_->requests.size(); }
-std::size_t Balancer::streams(HostId host) const { return knows(host) ? impl_->hosts[host].streams : 0; }
-std::size_t Balancer::streams() const { return impl_->streams; }
+double LoadBalancer::admissionCutoff() const { return impl_->cut; }
+std::size_t LoadBalancer::openRequests() const { return impl_->requests.size(); }
+std::size_t LoadBalancer::streamCount(HostId host) const {
+  return isKnown(host) ? impl_->hosts[host].streams : 0;
+}
+std::size_t LoadBalancer::streamCount() const { return impl_->streams; }
 
-}  // namespace ridgeshift
+}  // namespace finchstile::load_balancing
--- a/src/policy/message.hpp
+++ b/src/policy/message.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <string_view>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
-namespace ridgeshift::peer {
+namespace finchstile::load_balancing::peer {
 
 enum class Kind : std::uint8_t {
   ask = 1,  // which host of this one's group holds least?
@@ -77,11 +77,11 @@
     if (m.kind == Kind::advice) m.sample = static_cast<std::uint8_t>(bytes[13]) * kSampleUnit;
   } else if (m.kind == Kind::done) {
     const auto outcome = static_cast<std::uint8_t>(bytes[5]);
-    if (outcome > static_cast<std::uint8_t>(Outcome::moot)) return false;
+    if (outcome > static_cast<std::uint8_t>(Outcome::notSent)) return false;
     m.outcome = static_cast<Outcome>(outcome);
     m.sample = static_cast<std::uint8_t>(bytes[6]) * kSampleUnit;
   }
   return true;
 }
 
-}  // namespace ridgeshift::peer
+}  // namespace finchstile::load_balancing::peer
--- a/src/policy/reports.cpp
+++ b/src/policy/reports.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace ridgeshift {
+namespace finchstile::load_balancing {
 namespace {
 
 // Ages up to 100, 200, 400, 800 and 1,600 ms, and beyond: a queue lasts for a few answers, so each doubling
@@ -80,4 +80,4 @@
   }
 }
 
-}  // namespace ridgeshift
+}  // namespace finchstile::load_balancing
--- a/src/policy/reports.hpp
+++ b/src/policy/reports.hpp
@@ -7,9 +7,9 @@
 #include <array>
 #include <cstdint>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
-namespace ridgeshift {
+namespace finchstile::load_balancing {
 
 // Of one host: its last report, beside what it usually reports.
 struct Reported {
@@ -44,4 +44,4 @@
   std::array<std::array<Fit, Reported::kSignals>, kBands> fits_{};
 };
 
-}  // namespace ridgeshift
+}  // namespace finchstile::load_balancing
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-namespace ridgeshift {
+namespace finchstile::load_balancing {
 namespace {
 
 void require(bool good, const std::string& what) {
-  if (!good) throw std::invalid_argument("ridgeshift settings: " + what);
+  if (!good) throw std::invalid_argument("load balancer settings: " + what);
 }
 
 struct Value {
@@ -57,18 +57,20 @@
 
 void applyToClass(ClassSettings& c, std::string_view field, const Value& v) {
   if (field == "name") c.name = v.text;
-  else if (field == "aimNs") c.aim = v.span();
-  else if (field == "giveUpNs") c.giveUp = v.span();
-  else if (field == "windowNs") c.window = v.span();
-  else if (field == "points") c.worth = v.number<double>();
-  else if (field == "lateShare") c.lateShare = v.number<double>();
-  else if (field == "aimStretch") c.aimStretch = v.number<double>();
+  else if (field == "aimNs") c.latencyObjective = v.span();
+  else if (field == "giveUpNs") c.clientTimeout = v.span();
+  else if (field == "windowNs") c.deduplicationWindow = v.span();
+  else if (field == "points") c.priorityWeight = v.number<double>();
+  else if (field == "lateShare") c.lateValueFraction = v.number<double>();
+  else if (field == "aimStretch") c.objectiveStretch = v.number<double>();
   else if (field == "effect")
-    c.effect = v.text == "retryable" ? Effect::retryable
-               : v.text == "dedup"   ? Effect::dedup
-                                     : Effect::fragile;
+    c.idempotency = v.text == "retryable" ? Idempotency::idempotent
+                    : v.text == "dedup"   ? Idempotency::idempotentWithKey
+                                          : Idempotency::nonIdempotent;
   else if (field == "group")
-    c.group = v.text == "all" ? Group::all : v.text == "zone" ? Group::zone : Group::cell;
+    c.deduplicationScope = v.text == "all"    ? DeduplicationScope::all
+                           : v.text == "zone" ? DeduplicationScope::zone
+                                              : DeduplicationScope::cell;
 }
 
 }  // namespace
@@ -77,59 +79,61 @@
   const Value v{n, text};
   std::string_view field;
   if (n == "rngSeed") s.seed = static_cast<std::uint64_t>(v.number<std::int64_t>());
-  else if (n == "groupSize") s.groupSize = v.number<std::uint32_t>();
+  else if (n == "groupSize") s.gatewayCount = v.number<std::uint32_t>();
   else if (n == "zone") s.zone = text;
-  else if (n == "overShareWorth") s.overShareWorth = v.number<double>();
-  else if (n == "registryMode") s.askDiscovery = text == "ask";
-  else if (n == "stepNs") s.step = v.span();
-  else if (n == "domain.warmKeys") s.warmKeys = v.boolean();
-  else if (n == "ceilings.retryAfter") s.retryAfter = v.boolean();
-  else if (n == "ceilings.cancel") s.cancel = v.boolean();
+  else if (n == "overShareWorth") s.overQuotaWeightFactor = v.number<double>();
+  else if (n == "registryMode") s.pollsDiscovery = text == "ask";
+  else if (n == "stepNs") s.eventInterval = v.span();
+  else if (n == "domain.warmKeys") s.keyAffinity = v.boolean();
+  else if (n == "ceilings.retryAfter") s.retryAfterEnabled = v.boolean();
+  else if (n == "ceilings.cancel") s.cancellationEnabled = v.boolean();
   else if (n == "ceilings.maxAttempts") s.maxAttempts = v.number<std::uint32_t>();
   else if (n == "ceilings.maxRetryAfterNs") s.maxRetryAfter = v.span();
-  else if (n == "ceilings.probes") s.probes = v.boolean();
-  else if (n == "ceilings.peers") s.peers = v.boolean();
-  else if (n == "myNumber") s.myNumber = v.number<std::uint32_t>();
-  else if (n == "rules.askWithinNs") s.askWithin = v.span();
-  else if (n == "rules.coldNs") s.coldTime = v.span();
-  else if (n == "rules.coldShare") s.coldShare = v.number<double>();
-  else if (n == "rules.fallMultiple") s.fallMultiple = v.number<double>();
-  else if (n == "rules.fallNs") s.fallWindow = v.span();
-  else if (ClassSettings* c = item(s.classes, kClassesMost, n, "grades", field)) applyToClass(*c, field, v);
-  else if (TenantSettings* t = item(s.tenants, kTenantsMost, n, "tenants", field)) {
+  else if (n == "ceilings.probes") s.probingEnabled = v.boolean();
+  else if (n == "ceilings.peers") s.peerMessagesEnabled = v.boolean();
+  else if (n == "myNumber") s.gatewayIndex = v.number<std::uint32_t>();
+  else if (n == "rules.askWithinNs") s.maxDiscoverySilence = v.span();
+  else if (n == "rules.coldNs") s.warmUpTime = v.span();
+  else if (n == "rules.coldShare") s.initialCapacityFraction = v.number<double>();
+  else if (n == "rules.fallMultiple") s.collapseLoadFactor = v.number<double>();
+  else if (n == "rules.fallNs") s.collapseWindow = v.span();
+  else if (ClassSettings* c = item(s.classes, kMaxClasses, n, "grades", field)) applyToClass(*c, field, v);
+  else if (TenantSettings* t = item(s.tenants, kMaxTenants, n, "tenants", field)) {
     if (field == "name") t->name = text;
     else if (field == "quotaRps") t->quotaPerSecond = v.number<double>();
   }
 }
 
 void completeSettings(Settings& s) {
-  for (ClassSettings& c : s.classes) c.giveUp = std::max(c.giveUp, c.aim);
+  for (ClassSettings& c : s.classes) c.clientTimeout = std::max(c.clientTimeout, c.latencyObjective);
 }
 
 void validate(const Settings& s) {
-  require(s.groupSize >= 1, "groupSize must be at least 1");
-  require(s.myNumber < s.groupSize, "myNumber is " + std::to_string(s.myNumber) + ", not 0 to " +
-                                        std::to_string(s.groupSize - 1) + ", as groupSize has it");
+  require(s.gatewayCount >= 1, "groupSize must be at least 1");
+  require(s.gatewayIndex < s.gatewayCount, "myNumber is " + std::to_string(s.gatewayIndex) + ", not 0 to " +
+                                               std::to_string(s.gatewayCount - 1) + ", as groupSize has it");
   require(!s.classes.empty(), "at least one class is needed");
   require(s.maxAttempts >= 1, "maxAttempts must be at least 1");
-  require(s.coldShare > 0 && s.coldShare <= 1, "coldShare must lie in (0, 1]");
-  require(s.fallMultiple > 0, "fallMultiple must be above 0");
-  require(s.overShareWorth >= 0 && s.overShareWorth <= 1, "overShareWorth must lie in [0, 1]");
-  for (Duration d : {s.maxRetryAfter, s.askWithin, s.step, s.coldTime, s.fallWindow})
+  require(s.initialCapacityFraction > 0 && s.initialCapacityFraction <= 1, "coldShare must lie in (0, 1]");
+  require(s.collapseLoadFactor > 0, "fallMultiple must be above 0");
+  require(s.overQuotaWeightFactor >= 0 && s.overQuotaWeightFactor <= 1, "overShareWorth must lie in [0, 1]");
+  for (Duration d : {s.maxRetryAfter, s.maxDiscoverySilence, s.eventInterval, s.warmUpTime, s.collapseWindow})
     require(d >= Duration::zero(), "durations must not be negative");
-  require(std::isfinite(s.streamRate) && s.streamRate >= 0, "streamRate must be 0 or more");
-  require(s.streamReturn >= Duration::zero(), "streamReturn must not be negative");
+  require(std::isfinite(s.hostStreamRate) && s.hostStreamRate >= 0, "streamRate must be 0 or more");
+  require(s.streamRetrySpread >= Duration::zero(), "streamReturn must not be negative");
   for (const ClassSettings& c : s.classes) {
     require(!c.name.empty(), "a class has no name");
-    require(c.aim > Duration::zero(), "class " + c.name + ": aim must be above 0");
-    require(c.giveUp >= c.aim, "class " + c.name + ": giveUp must not be below aim");
-    require(std::isfinite(c.worth) && c.worth >= 0, "class " + c.name + ": worth must be 0 or more");
-    require(c.lateShare >= 0 && c.lateShare <= 1, "class " + c.name + ": lateShare must lie in [0, 1]");
-    require(c.aimStretch >= 0, "class " + c.name + ": aimStretch must be 0 or more");
-    require(c.window >= Duration::zero(), "class " + c.name + ": window must not be negative");
+    require(c.latencyObjective > Duration::zero(), "class " + c.name + ": aim must be above 0");
+    require(c.clientTimeout >= c.latencyObjective, "class " + c.name + ": giveUp must not be below aim");
+    require(std::isfinite(c.priorityWeight) && c.priorityWeight >= 0,
+            "class " + c.name + ": worth must be 0 or more");
+    require(c.lateValueFraction >= 0 && c.lateValueFraction <= 1,
+            "class " + c.name + ": lateShare must lie in [0, 1]");
+    require(c.objectiveStretch >= 0, "class " + c.name + ": aimStretch must be 0 or more");
+    require(c.deduplicationWindow >= Duration::zero(), "class " + c.name + ": window must not be negative");
   }
   for (const TenantSettings& t : s.tenants)
     require(std::isfinite(t.quotaPerSecond) && t.quotaPerSecond >= 0, "tenant " + t.name + ": bad quota");
 }
 
-}  // namespace ridgeshift
+}  // namespace finchstile::load_balancing
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -3,9 +3,9 @@
 
 #include <string_view>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
-namespace ridgeshift {
+namespace finchstile::load_balancing {
 
 // Takes one setting by the path that the simulator gives it ("grades.0.aimNs"); unknown ones are skipped. The
 // adapter and the gateway both read their settings through here. Throws std::invalid_argument.
@@ -14,4 +14,4 @@
 
 void validate(const Settings& settings);  // throws std::invalid_argument that names the setting
 
-}  // namespace ridgeshift
+}  // namespace finchstile::load_balancing
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -14,10 +14,10 @@
 #include <utility>
 #include <vector>
 
+#include "finchstile/load_balancer.hpp"
 #include "policy/reports.hpp"
-#include "ridgeshift/ridgeshift.hpp"
 
-namespace ridgeshift {
+namespace finchstile::load_balancing {
 
 inline double toSeconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 inline Duration scaled(Duration d, double by) {
@@ -281,11 +281,12 @@
   }
 
   bool isCold(const Host& h) const {
-    return h.entry.upSince > Time{} && now - h.entry.upSince < set.coldTime;
+    return h.entry.startedAt > Time{} && now - h.entry.startedAt < set.warmUpTime;
   }
   double warmth(const Host& h) const {
     if (!isCold(h)) return 1;
-    return set.coldShare + (1 - set.coldShare) * toSeconds(now - h.entry.upSince) / toSeconds(set.coldTime);
+    return set.initialCapacityFraction +
+           (1 - set.initialCapacityFraction) * toSeconds(now - h.entry.startedAt) / toSeconds(set.warmUpTime);
   }
 
   // A gone host is forgotten when nothing refers to it any more: fleets that are replaced for days would fill
@@ -316,9 +317,9 @@
 };
 
 // Checks all of `terms` first and throws std::invalid_argument; else takes them over in one step.
-void takeTerms(State& state, const Terms& terms);
+void applyDynamicSettings(State& state, const DynamicSettings& terms);
 
-Learned learnedOf(const State& state);
-void recallInto(State& state, const Learned& learned);
+LearnedState captureLearnedState(const State& state);
+void restoreLearnedState(State& state, const LearnedState& learned);
 
-}  // namespace ridgeshift
+}  // namespace finchstile::load_balancing
--- a/src/policy/subset.cpp
+++ b/src/policy/subset.cpp
@@ -5,7 +5,7 @@
 
 #include "policy/state.hpp"
 
-namespace ridgeshift {
+namespace finchstile::load_balancing {
 
 // Gateways of a round. It hardly ever follows the number of hosts: where it did, each host that came or went
 // could move every gateway to another round, and all connections with it.
@@ -29,4 +29,4 @@
   return order;
 }
 
-}  // namespace ridgeshift
+}  // namespace finchstile::load_balancing
--- a/src/policy/subset.hpp
+++ b/src/policy/subset.hpp
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace ridgeshift {
+namespace finchstile::load_balancing {
 
 // The order in which gateway `number` of `gateways` prefers the hosts, as places in `hashes`; a hash is the
 // same at every gateway. Gateways come in rounds, each with an order of its own by rendezvous (Thaler and
@@ -17,4 +17,4 @@
 std::vector<std::size_t> subsetOrder(const std::vector<std::uint64_t>& hashes, std::uint32_t number,
                                      std::uint32_t gateways, std::size_t width);
 
-}  // namespace ridgeshift
+}  // namespace finchstile::load_balancing
--- a/src/policy/terms.cpp
+++ b/src/policy/terms.cpp
@@ -5,39 +5,41 @@
 
 #include "policy/state.hpp"
 
-namespace ridgeshift {
+namespace finchstile::load_balancing {
 namespace {
 
 void require(bool good, const std::string& what) {
-  if (!good) throw std::invalid_argument("ridgeshift terms: " + what);
+  if (!good) throw std::invalid_argument("load balancer settings change: " + what);
 }
 
-void check(const Settings& settings, const Terms::ClassTerms& terms) {
+void check(const Settings& settings, const DynamicSettings::ClassUpdate& terms) {
   require(terms.index < settings.classes.size(), "there is no class " + std::to_string(terms.index));
   const ClassSettings& c = settings.classes[terms.index];
-  require(terms.aim > Duration::zero() && terms.aim <= c.giveUp,
+  require(terms.latencyObjective > Duration::zero() && terms.latencyObjective <= c.clientTimeout,
           "class " + c.name + ": aim must be above 0, and not above giveUp");
-  require(std::isfinite(terms.worth) && terms.worth >= 0, "class " + c.name + ": worth must be 0 or more");
-  require(terms.lateShare >= 0 && terms.lateShare <= 1, "class " + c.name + ": lateShare must lie in [0, 1]");
+  require(std::isfinite(terms.priorityWeight) && terms.priorityWeight >= 0,
+          "class " + c.name + ": worth must be 0 or more");
+  require(terms.lateValueFraction >= 0 && terms.lateValueFraction <= 1,
+          "class " + c.name + ": lateShare must lie in [0, 1]");
 }
 
-void check(const Terms::TenantTerms& terms) {
+void check(const DynamicSettings::TenantUpdate& terms) {
   const std::string name = "tenant " + std::to_string(terms.index);
-  require(terms.index < kTenantsMost, name + " is beyond the " + std::to_string(kTenantsMost) + " that fit");
+  require(terms.index < kMaxTenants, name + " is beyond the " + std::to_string(kMaxTenants) + " that fit");
   require(std::isfinite(terms.quotaPerSecond) && terms.quotaPerSecond >= 0, name + ": bad quota");
 }
 
 }  // namespace
 
-void takeTerms(State& state, const Terms& terms) {
+void applyDynamicSettings(State& state, const DynamicSettings& terms) {
   for (const auto& c : terms.classes) check(state.set, c);
   for (const auto& t : terms.tenants) check(t);
   for (const auto& c : terms.classes) {
     ClassSettings& set = state.classes[c.index].set;
-    set.aim = c.aim;
-    set.worth = c.worth;
-    set.lateShare = c.lateShare;
-    state.longestAim = std::max(state.longestAim, c.aim);
+    set.latencyObjective = c.latencyObjective;
+    set.priorityWeight = c.priorityWeight;
+    set.lateValueFraction = c.lateValueFraction;
+    state.longestAim = std::max(state.longestAim, c.latencyObjective);
   }
   for (const auto& t : terms.tenants) {
     if (state.tenants.size() <= t.index) state.tenants.resize(t.index + 1);
@@ -48,4 +50,4 @@
   }
 }
 
-}  // namespace ridgeshift
+}  // namespace finchstile::load_balancing
--- a/src/wire/wire.cpp
+++ b/src/simulator/adapter.cpp
@@ -1,4 +1,4 @@
-#include "wire/wire.hpp"
+#include "simulator/adapter.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,7 +6,7 @@
 
 #include "policy/settings.hpp"
 
-namespace ridgeshift::wire {
+namespace finchstile::load_balancing::simulator {
 namespace {
 
 struct BadLine : std::runtime_error {
@@ -58,12 +58,12 @@
   switch (code) {
     case 10: return Outcome::served;
     case 20: return Outcome::error;
-    case 30: return Outcome::full;
+    case 30: return Outcome::rejectedForCapacity;
     case 40: return Outcome::timeout;
     case 50: return Outcome::connectFailed;
     case 60: return Outcome::reset;
     case 70: return Outcome::cancelled;
-    case 80: return Outcome::moot;
+    case 80: return Outcome::notSent;
     default: throw BadLine("unknown disposition " + std::to_string(code));
   }
 }
@@ -130,7 +130,7 @@
   };
 
   std::string name;
-  Balancer balancer;
+  LoadBalancer balancer;
   std::unordered_map<std::string, std::uint32_t, TextHash, std::equal_to<>> slotOf;
   std::vector<Ref> refs;
   std::vector<std::uint32_t> freeRefs;
@@ -268,7 +268,7 @@
   }
   if (name == "TIMEOUT_FIRED") {
     Gateway& g = gatewayOf(rest);
-    g.balancer.onWake(Time(clock_));
+    g.balancer.onTimer(Time(clock_));
     return print(g);
   }
   if (name == "LEFT" || name == "HEAD_RECEIVED") {
@@ -282,10 +282,10 @@
     Gateway::Ref* ref = g.find(id, slot);
     if (!ref) return;  // it may have been dropped already
     if (name == "LEFT") {
-      g.balancer.onClientGone(Time(clock_), g.idOf(slot));
+      g.balancer.onClientDisconnected(Time(clock_), g.idOf(slot));
       ref->ended = true;
     } else {
-      g.balancer.onAnswerStarted(Time(clock_), g.idOf(slot), attempt);
+      g.balancer.onResponseStarted(Time(clock_), g.idOf(slot), attempt);
     }
     print(g);
     if (name == "LEFT" && g.find(id, slot)) g.dropIfOver(slot);
@@ -340,13 +340,13 @@
   while (nextPair(rest, p)) {
     if (p.name == "host") e.address = p.value;
     else if (p.name == "locality") e.zone = p.value;
-    else if (p.name == "machine") e.kind = p.value;
+    else if (p.name == "machine") e.machineType = p.value;
     else if (p.name == "block") e.cell = number<std::int64_t>(p);
-    else if (p.name == "upSinceNs") e.upSince = span(p);
+    else if (p.name == "upSinceNs") e.startedAt = span(p);
     else if (p.name == "phase") {
-      if (p.value == "IN") e.phase = Phase::in;
-      else if (p.value == "LAME") e.phase = Phase::draining;
-      else if (p.value == "OUT") e.phase = Phase::out;
+      if (p.value == "IN") e.phase = HostPhase::active;
+      else if (p.value == "LAME") e.phase = HostPhase::draining;
+      else if (p.value == "OUT") e.phase = HostPhase::removed;
       else throw BadLine("unknown phase");
     }
   }
@@ -363,16 +363,16 @@
     else if (p.name == "buffer" && p.value != "-") index = number<std::size_t>(p);
   static const std::vector<HostEntry> none;
   if (kind == "unavailable") {
-    g.balancer.onHosts(Time(clock_), ListKind::unavailable, none);
+    g.balancer.onHostListUpdate(Time(clock_), HostListUpdate::unavailable, none);
     return print(g);
   }
-  ListKind what;
-  if (kind == "update") what = ListKind::update;
-  else if (kind == "replace") what = ListKind::replace;
-  else if (kind == "restored") what = ListKind::restored;
+  HostListUpdate what;
+  if (kind == "update") what = HostListUpdate::incremental;
+  else if (kind == "replace") what = HostListUpdate::complete;
+  else if (kind == "restored") what = HostListUpdate::restored;
   else throw BadLine("unknown kind of news");
   if (index >= lists_.size() || !lists_[index].known) throw BadLine("unknown list");
-  g.balancer.onHosts(Time(clock_), what, lists_[index].entries);
+  g.balancer.onHostListUpdate(Time(clock_), what, lists_[index].entries);
   print(g);
 }
 
@@ -395,10 +395,10 @@
     bool timed = false, classed = false;
     while (nextPair(rest, p)) {
       if (p.name == "leftNs") {
-        q.left = span(p);
+        q.timeLeft = span(p);
         timed = true;
       } else if (p.name == "costNs") {
-        q.cost = span(p);
+        q.expectedWork = span(p);
       } else if (p.name == "tierClass") {
         const auto it = g.classOf.find(p.value);
         q.classIndex = it == g.classOf.end() ? kNone : it->second;
@@ -407,9 +407,10 @@
         const auto it = g.tenantOf.find(p.value);
         q.tenantIndex = it == g.tenantOf.end() ? kNone : it->second;
       } else if (p.name == "routeKey") {
-        const auto [end, error] = std::from_chars(p.value.data(), p.value.data() + p.value.size(), q.key, 16);
+        const auto [end, error] =
+            std::from_chars(p.value.data(), p.value.data() + p.value.size(), q.affinityKey, 16);
         if (error != std::errc{} || end != p.value.data() + p.value.size()) throw BadLine("bad routeKey");
-        q.hasKey = true;
+        q.hasAffinityKey = true;
       } else if (p.name == "repeat") {
         boolean(p);  // checked only: the time left tells more
       }
@@ -438,8 +439,8 @@
     } else if (p.name == "disposition") {
       a.outcome = outcomeOf(number<int>(p));
       coded = true;
-    } else if (p.name == "timeTakenNs") a.taken = span(p);
-    else if (p.name == "terminal") a.terminal = boolean(p);
+    } else if (p.name == "timeTakenNs") a.elapsed = span(p);
+    else if (p.name == "terminal") a.requestEnded = boolean(p);
     else if (p.name == "metrics") a.report = g.report(p.value);
   }
   if (id.empty() || !numbered || !coded) throw BadLine("ref, go or disposition missing");
@@ -448,8 +449,8 @@
   if (!ref) return;
   a.request = g.idOf(slot);
   if (ref->out > 0) --ref->out;
-  if (a.terminal) ref->ended = true;
-  g.balancer.onResult(Time(clock_), a);
+  if (a.requestEnded) ref->ended = true;
+  g.balancer.onAttemptResult(Time(clock_), a);
   print(g);
   if (g.find(id, slot)) g.dropIfOver(slot);
 }
@@ -476,14 +477,14 @@
     if (p.name == "host") {
       result.host = g.balancer.findHost(p.value);
     } else if (p.name == "disposition") {
-      result.ok = outcomeOf(number<int>(p)) == Outcome::served;
+      result.healthy = outcomeOf(number<int>(p)) == Outcome::served;
       coded = true;
     } else if (p.name == "metrics") {
       result.report = g.report(p.value);
     }
   }
   if (!coded) throw BadLine("no disposition");
-  g.balancer.onProbe(Time(clock_), result);
+  g.balancer.onProbeResult(Time(clock_), result);
   print(g);
 }
 
@@ -496,7 +497,7 @@
     else if (p.name == "octets" && p.value != "-") bytes = fromHex(p.value);
   }
   if (from == kNone) throw BadLine("no sender");
-  g.balancer.onPeer(Time(clock_), from, bytes);
+  g.balancer.onPeerMessage(Time(clock_), from, bytes);
   print(g);
 }
 
@@ -505,36 +506,36 @@
   for (const Action& a : g.balancer.actions()) {
     const auto slot = static_cast<std::uint32_t>(a.request);
     switch (a.kind) {
-      case ActionKind::send:
+      case ActionKind::sendAttempt:
         ++g.refs[slot].out;
         out.append("FORWARD i=").append(g.name).append(" ref=").append(g.refs[slot].id);
-        out.append(" host=").append(g.balancer.address(a.host)).append(" withinNs=");
-        append(out, a.span.count());
+        out.append(" host=").append(g.balancer.hostAddress(a.host)).append(" withinNs=");
+        append(out, a.duration.count());
         break;
-      case ActionKind::refuse:
+      case ActionKind::reject:
       case ActionKind::fail:
-        out.append(a.kind == ActionKind::refuse ? "TURN_AWAY i=" : "RESPOND_ERROR i=");
+        out.append(a.kind == ActionKind::reject ? "TURN_AWAY i=" : "RESPOND_ERROR i=");
         out.append(g.name).append(" ref=").append(g.refs[slot].id);
-        if (a.kind == ActionKind::refuse && a.span > Duration{}) {
+        if (a.kind == ActionKind::reject && a.duration > Duration{}) {
           out.append(" notBeforeForNs=");
-          append(out, a.span.count());
+          append(out, a.duration.count());
         }
         g.refs[slot].ended = true;
         break;
-      case ActionKind::cancel:
+      case ActionKind::cancelAttempt:
         out.append("ABORT_ATTEMPT i=").append(g.name).append(" ref=").append(g.refs[slot].id).append(" go=");
         append(out, a.attempt);
         break;
-      case ActionKind::wake:
+      case ActionKind::setTimer:
         out.append("WAKE_AT i=").append(g.name).append(" alarmTimeNs=");
-        append(out, a.span.count());
+        append(out, a.duration.count());
         out.append(" ref=w");
         break;
-      case ActionKind::subscribe: out.append("SUBSCRIBE i=").append(g.name).append(" active=1"); break;
-      case ActionKind::probe:
-        out.append("ASK_LOAD i=").append(g.name).append(" host=").append(g.balancer.address(a.host));
+      case ActionKind::pollDiscovery: out.append("SUBSCRIBE i=").append(g.name).append(" active=1"); break;
+      case ActionKind::probeHost:
+        out.append("ASK_LOAD i=").append(g.name).append(" host=").append(g.balancer.hostAddress(a.host));
         break;
-      case ActionKind::tell:
+      case ActionKind::sendPeerMessage:
         out.append("SAY i=").append(g.name).append(" to=");
         append(out, a.attempt);
         out.append(" octets=");
@@ -546,11 +547,11 @@
   }
   // Ids are dropped only after all actions that name them are printed.
   for (const Action& a : g.balancer.actions())
-    if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
+    if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
       const auto slot = static_cast<std::uint32_t>(a.request);
       if (!g.refs[slot].id.empty()) g.dropIfOver(slot);
     }
   g.balancer.actions().clear();
 }
 
-}  // namespace ridgeshift::wire
+}  // namespace finchstile::load_balancing::simulator
--- a/src/wire/wire.hpp
+++ b/src/simulator/adapter.hpp
@@ -12,9 +12,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
-namespace ridgeshift::wire {
+namespace finchstile::load_balancing::simulator {
 
 // Hosts many gateways, each with a Balancer of its own. Feed it line by line.
 class Adapter {
@@ -68,4 +68,4 @@
 // Reads the settings of an ENLIST line; unknown ones are skipped. Throws std::invalid_argument.
 Settings readSettings(std::string_view pairs);
 
-}  // namespace ridgeshift::wire
+}  // namespace finchstile::load_balancing::simulator
--- a/src/wire/main.cpp
+++ b/src/simulator/main.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/wire.hpp"
+#include "simulator/adapter.hpp"
 
 namespace {
 
@@ -24,7 +24,7 @@
 }  // namespace
 
 int main() {
-  ridgeshift::wire::Adapter adapter(std::cerr);
+  finchstile::load_balancing::simulator::Adapter adapter(std::cerr);
   std::vector<char> block(1 << 16);
   std::string pending, reply;
   for (;;) {
--- a/src/stream/ending.cpp
+++ b/src/stream/ending.cpp
@@ -2,7 +2,7 @@
 
 namespace finchstile::stream {
 
-using ridgeshift::Outcome;
+using load_balancing::Outcome;
 
 Became becameOf(const Ending& e) {
   switch (e.why) {
--- a/src/stream/ending.hpp
+++ b/src/stream/ending.hpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string_view>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::stream {
 
@@ -43,7 +43,7 @@
 Became becameOf(const Ending& e);
 
 // What the module is told of the host. Only what a host does itself counts against it.
-ridgeshift::Outcome outcomeOf(const Ending& e);
+load_balancing::Outcome outcomeOf(const Ending& e);
 
 std::string_view nameOf(Ender e);
 std::string_view nameOf(Why w);
--- a/src/stream/table.cpp
+++ b/src/stream/table.cpp
@@ -7,8 +7,8 @@
 namespace finchstile::stream {
 namespace {
 
-using ridgeshift::HostId;
-using ridgeshift::Phase;
+using load_balancing::HostId;
+using load_balancing::HostPhase;
 
 // Of the time that the gateway has for its own end, what is kept for the last streams to be closed, and to
 // answer that; half of the time at the most.
@@ -19,7 +19,7 @@
 }  // namespace
 
 StreamTable::StreamTable(boost::asio::io_context& io, const Clock& clock, const StreamSettings& settings,
-                         std::size_t most, std::uint64_t seed, FrontHost& gateway, Say say)
+                         std::size_t most, std::uint64_t seed, ProtocolHandlerCallbacks& gateway, Say say)
     : clock_(clock),
       settings_(settings),
       most_(most),
@@ -45,9 +45,10 @@
   byHost_[begun.host].insert(id);
   account_.onBegun(begun.name);
   held.relay->start();
-  gateway_.begun(begun.request, begun.attempt);
+  gateway_.attemptEstablished(begun.request, begun.attempt);
   // Begun in the moment in which its host, or the gateway, began to drain: it goes with the others.
-  if (draining_ || gateway_.phaseOf(begun.host) != Phase::in) plan_.add({id}, now, settings_.drainWithin);
+  if (draining_ || gateway_.hostPhase(begun.host) != HostPhase::active)
+    plan_.add({id}, now, settings_.drainWithin);
   arm();
 }
 
@@ -77,7 +78,7 @@
                         held.relay->passed(Side::host)},
                        true, now);
   if (!line.empty()) say_(line);
-  gateway_.over(b.request, b.attempt, b.host, outcomeOf(ending), held.at - b.since, true);
+  gateway_.attemptEnded(b.request, b.attempt, b.host, outcomeOf(ending), held.at - b.since, true);
 }
 
 void StreamTable::onRelayDue(StreamId id, Time due) {
@@ -86,13 +87,13 @@
 }
 
 // Put back in before its streams were closed, a host keeps those that are left.
-void StreamTable::onHost(HostId host, Phase phase) {
+void StreamTable::onHost(HostId host, HostPhase phase) {
   const auto it = byHost_.find(host);
   if (it == byHost_.end()) return;
-  if (phase == Phase::in && draining_) return;
+  if (phase == HostPhase::active && draining_) return;
   std::vector<StreamId> all(it->second.begin(), it->second.end());
   std::sort(all.begin(), all.end());  // not by the hash's order: the same seed gives the same plan
-  if (phase == Phase::in)
+  if (phase == HostPhase::active)
     for (const StreamId id : all) plan_.erase(id);
   else plan_.add(all, clock_.now(), settings_.drainWithin);
   arm();
--- a/src/stream/table.hpp
+++ b/src/stream/table.hpp
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "net/front.hpp"
+#include "net/protocol_handler.hpp"
 #include "stream/account.hpp"
 #include "stream/buffers.hpp"
 #include "stream/deadlines.hpp"
@@ -22,9 +22,9 @@
 namespace finchstile::stream {
 
 struct Begun {  // a stream as it begins
-  ridgeshift::RequestId request = 0;
+  load_balancing::RequestId request = 0;
   std::uint32_t attempt = 0;
-  ridgeshift::HostId host = ridgeshift::kNone;
+  load_balancing::HostId host = load_balancing::kNone;
   std::string name, hostName, from;
   Time since{};  // when it was taken
 };
@@ -33,14 +33,14 @@
  public:
   using Say = std::function<void(std::string_view line)>;
   StreamTable(boost::asio::io_context& io, const Clock& clock, const StreamSettings& settings,
-              std::size_t most, std::uint64_t seed, FrontHost& gateway, Say say);
+              std::size_t most, std::uint64_t seed, ProtocolHandlerCallbacks& gateway, Say say);
   ~StreamTable() override;
 
   // Tells the module that it has begun. Counted as taken before.
   void take(const Begun& begun, RelayParts&& parts);
   // One that did not begin.
   void ended(const Begun& begun, const Ending& how);
-  void onHost(ridgeshift::HostId host, ridgeshift::Phase phase);
+  void onHost(load_balancing::HostId host, load_balancing::HostPhase phase);
   void onDrain(Time until);
 
   bool idle() const { return streams_.empty(); }
@@ -66,7 +66,7 @@
   const Clock& clock_;
   const StreamSettings settings_;
   const std::size_t most_;
-  FrontHost& gateway_;
+  ProtocolHandlerCallbacks& gateway_;
   const Say say_;
   BufferBudget budget_;
   StreamAccount account_;
@@ -75,7 +75,7 @@
   boost::asio::steady_timer timer_;
   Time armed_ = Time::max();
   std::unordered_map<StreamId, Held> streams_;
-  std::unordered_map<ridgeshift::HostId, std::unordered_set<StreamId>> byHost_;
+  std::unordered_map<load_balancing::HostId, std::unordered_set<StreamId>> byHost_;
   StreamId last_ = 0;
   bool draining_ = false;
 };
--- a/src/stream/tcp_front.cpp
+++ b/src/stream/tcp_proxy_handler.cpp
@@ -1,4 +1,4 @@
-#include "stream/tcp_front.hpp"
+#include "stream/tcp_proxy_handler.hpp"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
@@ -12,16 +12,16 @@
 
 namespace asio = boost::asio;
 using boost::system::error_code;
-using ridgeshift::HostId;
-using ridgeshift::Outcome;
-using ridgeshift::Phase;
-using ridgeshift::RequestId;
+using load_balancing::HostId;
+using load_balancing::HostPhase;
+using load_balancing::Outcome;
+using load_balancing::RequestId;
 
 constexpr Duration kAcceptPause = std::chrono::milliseconds(20);  // after a failed accept
 
 }  // namespace
 
-struct TcpFront::Listener {
+struct TcpProxyHandler::Listener {
   Listener(asio::io_context& io, const ListenSettings& s, std::uint32_t cls)
       : settings(s), classIndex(cls), acceptor(io), pause(io) {}
   const ListenSettings settings;
@@ -30,7 +30,7 @@
   asio::steady_timer pause;
 };
 
-struct TcpFront::Comer {
+struct TcpProxyHandler::Comer {
   Comer(Listener& l, tcp::socket s, asio::io_context& io)
       : listener(l), client(std::move(s)), host(io), timer(io) {}
   Listener& listener;
@@ -46,8 +46,9 @@
   bool over = false;
 };
 
-TcpFront::TcpFront(asio::io_context& io, const Clock& clock, const StreamSettings& settings,
-                   const ridgeshift::Settings& platform, FrontHost& gateway, StreamTable& table)
+TcpProxyHandler::TcpProxyHandler(asio::io_context& io, const Clock& clock, const StreamSettings& settings,
+                                 const load_balancing::Settings& platform, ProtocolHandlerCallbacks& gateway,
+                                 StreamTable& table)
     : io_(io), clock_(clock), gateway_(gateway), table_(table) {
   for (const ListenSettings& l : settings.listen) {
     std::uint32_t cls = 0;
@@ -70,19 +71,19 @@
   }
 }
 
-TcpFront::~TcpFront() {
+TcpProxyHandler::~TcpProxyHandler() {
   for (auto& [id, comer] : comers_) comer->over = true;
 }
 
-tcp::endpoint TcpFront::endpoint(std::size_t listener) const {
+tcp::endpoint TcpProxyHandler::endpoint(std::size_t listener) const {
   return listeners_.at(listener)->acceptor.local_endpoint();
 }
 
-void TcpFront::start() {
+void TcpProxyHandler::start() {
   for (const auto& l : listeners_) accept(*l);
 }
 
-void TcpFront::accept(Listener& l) {
+void TcpProxyHandler::accept(Listener& l) {
   l.acceptor.async_accept([this, &l](error_code error, tcp::socket socket) {
     if (error == asio::error::operation_aborted || !l.acceptor.is_open()) return;
     if (!error) {
@@ -97,7 +98,7 @@
   });
 }
 
-void TcpFront::take(Listener& l, tcp::socket socket) {
+void TcpProxyHandler::take(Listener& l, tcp::socket socket) {
   error_code error;
   const tcp::endpoint from = socket.remote_endpoint(error);
   const tcp::endpoint to = error ? tcp::endpoint{} : socket.local_endpoint(error);
@@ -126,14 +127,14 @@
 }
 
 // Who resets before its stream has begun is gone; who has sent its FIN waits for an answer.
-void TcpFront::watch(const std::shared_ptr<Comer>& comer) {
+void TcpProxyHandler::watch(const std::shared_ptr<Comer>& comer) {
   comer->client.async_wait(tcp::socket::wait_error, [this, comer](error_code error) {
     if (error || comer->over) return;
     if (isBroken(comer->client)) drop(comer, {Ender::client, Why::left, false});
   });
 }
 
-void TcpFront::readHeader(const std::shared_ptr<Comer>& comer) {
+void TcpProxyHandler::readHeader(const std::shared_ptr<Comer>& comer) {
   comer->client.async_wait(tcp::socket::wait_read, [this, comer](error_code error) {
     if (comer->over) return;
     char bytes[kProxyHeaderMost];
@@ -154,18 +155,18 @@
   });
 }
 
-void TcpFront::ask(const std::shared_ptr<Comer>& comer) {
+void TcpProxyHandler::ask(const std::shared_ptr<Comer>& comer) {
   comer->timer.cancel();
   comer->asked = true;
-  ridgeshift::Request q;
+  load_balancing::Request q;
   q.id = comer->request;
   q.classIndex = comer->listener.classIndex;
-  q.left = comer->listener.settings.connect;
-  q.stream = true;
-  gateway_.ask(*this, q);
+  q.timeLeft = comer->listener.settings.connect;
+  q.isStream = true;
+  gateway_.submitRequest(*this, q);
 }
 
-std::shared_ptr<TcpFront::Comer> TcpFront::find(RequestId request) const {
+std::shared_ptr<TcpProxyHandler::Comer> TcpProxyHandler::find(RequestId request) const {
   const auto it = comers_.find(request);
   return it == comers_.end() ? nullptr : it->second;
 }
@@ -173,7 +174,8 @@
 // --- What the module has decided
 // -----------------------------------------------------------------------------
 
-void TcpFront::onSend(RequestId request, std::uint32_t attempt, const Target& to, Duration limit) {
+void TcpProxyHandler::onSendAttempt(RequestId request, std::uint32_t attempt, const AttemptTarget& to,
+                                    Duration limit) {
   const auto comer = find(request);
   if (!comer) return;
   comer->attempt = attempt;
@@ -191,11 +193,11 @@
   });
 }
 
-void TcpFront::dialled(const std::shared_ptr<Comer>& comer, std::uint32_t attempt, bool good) {
+void TcpProxyHandler::dialled(const std::shared_ptr<Comer>& comer, std::uint32_t attempt, bool good) {
   if (comer->over || comer->attempt != attempt) return;
   comer->timer.cancel();
   // The last look before the first byte: its host may have begun to drain meanwhile.
-  if (!good || gateway_.phaseOf(comer->begun.host) != Phase::in)
+  if (!good || gateway_.hostPhase(comer->begun.host) != HostPhase::active)
     return giveUp(*comer, Outcome::connectFailed);
   error_code error;
   if (comer->listener.settings.proxyOut) {
@@ -219,35 +221,35 @@
 }
 
 // Nothing of it went out. What comes next, the module tells.
-void TcpFront::giveUp(Comer& comer, Outcome outcome) {
+void TcpProxyHandler::giveUp(Comer& comer, Outcome outcome) {
   if (!comer.attempt) return;
   const std::uint32_t attempt = *std::exchange(comer.attempt, std::nullopt);
   error_code ignored;
   comer.timer.cancel();
   comer.host.close(ignored);
-  gateway_.over(comer.request, attempt, comer.begun.host, outcome, clock_.now() - comer.sent, false);
+  gateway_.attemptEnded(comer.request, attempt, comer.begun.host, outcome, clock_.now() - comer.sent, false);
 }
 
-void TcpFront::onCancel(RequestId request, std::uint32_t attempt) {
+void TcpProxyHandler::onCancelAttempt(RequestId request, std::uint32_t attempt) {
   const auto comer = find(request);
-  if (comer && comer->attempt == attempt) giveUp(*comer, Outcome::moot);
+  if (comer && comer->attempt == attempt) giveUp(*comer, Outcome::notSent);
 }
 
-void TcpFront::onRefused(RequestId request, Duration) {
+void TcpProxyHandler::onRequestRejected(RequestId request, Duration) {
   const auto comer = find(request);
   if (!comer) return;
   comer->asked = false;
   drop(comer, {Ender::gateway, Why::turnedAway, false});
 }
 
-void TcpFront::onFailed(RequestId request) {
+void TcpProxyHandler::onRequestFailed(RequestId request) {
   const auto comer = find(request);
   if (!comer) return;
   comer->asked = false;
   drop(comer, {Ender::host, Why::unreached, false});
 }
 
-void TcpFront::drop(const std::shared_ptr<Comer>& comer, const Ending& how) {
+void TcpProxyHandler::drop(const std::shared_ptr<Comer>& comer, const Ending& how) {
   if (std::exchange(comer->over, true)) return;
   comer->timer.cancel();
   error_code ignored;
@@ -255,15 +257,15 @@
   comer->client.close(ignored);
   comers_.erase(comer->request);
   table_.ended(comer->begun, how);
-  if (std::exchange(comer->asked, false)) gateway_.left(comer->request);
-  giveUp(*comer, Outcome::moot);
+  if (std::exchange(comer->asked, false)) gateway_.clientDisconnected(comer->request);
+  giveUp(*comer, Outcome::notSent);
 }
 
 // --- Drains
 // ------------------------------------------------------------------------------------------------
 
-void TcpFront::onHost(HostId host, Phase phase) {
-  if (phase != Phase::in) {
+void TcpProxyHandler::onHostPhaseChanged(HostId host, HostPhase phase) {
+  if (phase != HostPhase::active) {
     std::vector<std::shared_ptr<Comer>> there;
     for (const auto& [id, comer] : comers_)
       if (comer->attempt && comer->begun.host == host) there.push_back(comer);
@@ -273,7 +275,7 @@
 }
 
 // What the kernel has taken in for us is turned away at once by the close, as it would be by the end.
-void TcpFront::onDrain(Time until) {
+void TcpProxyHandler::onDrain(Time until) {
   for (const auto& l : listeners_) {
     error_code ignored;
     l->acceptor.close(ignored);
--- a/src/stream/tcp_front.hpp
+++ b/src/stream/tcp_proxy_handler.hpp
@@ -12,32 +12,33 @@
 #include <unordered_map>
 #include <vector>
 
-#include "net/front.hpp"
+#include "net/protocol_handler.hpp"
 #include "stream/proxy_protocol.hpp"
 #include "stream/settings.hpp"
 #include "stream/table.hpp"
 
 namespace finchstile::stream {
 
-class TcpFront : public Front {
+class TcpProxyHandler : public ProtocolHandler {
  public:
   // Throws std::runtime_error that names the listener whose address can't be bound or whose class is none of
   // the platform's. The table must outlive it.
-  TcpFront(boost::asio::io_context& io, const Clock& clock, const StreamSettings& settings,
-           const ridgeshift::Settings& platform, FrontHost& gateway, StreamTable& table);
-  ~TcpFront() override;
+  TcpProxyHandler(boost::asio::io_context& io, const Clock& clock, const StreamSettings& settings,
+                  const load_balancing::Settings& platform, ProtocolHandlerCallbacks& gateway,
+                  StreamTable& table);
+  ~TcpProxyHandler() override;
 
   void start();
   tcp::endpoint endpoint(std::size_t listener) const;
 
-  void onSend(ridgeshift::RequestId request, std::uint32_t attempt, const Target& to,
-              Duration limit) override;
-  void onCancel(ridgeshift::RequestId request, std::uint32_t attempt) override;
-  void onRefused(ridgeshift::RequestId request, Duration after) override;
-  void onFailed(ridgeshift::RequestId request) override;
-  void onHost(ridgeshift::HostId host, ridgeshift::Phase phase) override;
+  void onSendAttempt(load_balancing::RequestId request, std::uint32_t attempt, const AttemptTarget& to,
+                     Duration limit) override;
+  void onCancelAttempt(load_balancing::RequestId request, std::uint32_t attempt) override;
+  void onRequestRejected(load_balancing::RequestId request, Duration after) override;
+  void onRequestFailed(load_balancing::RequestId request) override;
+  void onHostPhaseChanged(load_balancing::HostId host, load_balancing::HostPhase phase) override;
   void onDrain(Time until) override;
-  bool idle() const override { return comers_.empty() && table_.idle(); }
+  bool isIdle() const override { return comers_.empty() && table_.idle(); }
 
  private:
   struct Listener;
@@ -49,16 +50,16 @@
   void ask(const std::shared_ptr<Comer>& comer);
   void watch(const std::shared_ptr<Comer>& comer);
   void dialled(const std::shared_ptr<Comer>& comer, std::uint32_t attempt, bool good);
-  void giveUp(Comer& comer, ridgeshift::Outcome outcome);
+  void giveUp(Comer& comer, load_balancing::Outcome outcome);
   void drop(const std::shared_ptr<Comer>& comer, const Ending& how);
-  std::shared_ptr<Comer> find(ridgeshift::RequestId request) const;
+  std::shared_ptr<Comer> find(load_balancing::RequestId request) const;
 
   boost::asio::io_context& io_;
   const Clock& clock_;
-  FrontHost& gateway_;
+  ProtocolHandlerCallbacks& gateway_;
   StreamTable& table_;
   std::vector<std::unique_ptr<Listener>> listeners_;
-  std::unordered_map<ridgeshift::RequestId, std::shared_ptr<Comer>> comers_;
+  std::unordered_map<load_balancing::RequestId, std::shared_ptr<Comer>> comers_;
 };
 
 }  // namespace finchstile::stream
--- a/src/trace/budget.cpp
+++ b/src/trace/budget.cpp
@@ -15,7 +15,7 @@
   return static_cast<double>(SplitMix64(hash)() >> 11) * 0x1.0p-53 < share;
 }
 
-bool Budget::take(ridgeshift::Time now) {
+bool Budget::take(load_balancing::Time now) {
   if (now > at_) {
     tokens_ = std::min(rate_, tokens_ + rate_ * std::chrono::duration<double>(now - at_).count());
     at_ = now;
--- a/src/trace/budget.hpp
+++ b/src/trace/budget.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string_view>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::trace {
 
@@ -16,17 +16,17 @@
 class Budget {
  public:
   // `perSecond`: 1 or more; so many may also come at once.
-  Budget(double perSecond, ridgeshift::Time now) : rate_(perSecond), tokens_(perSecond), at_(now) {}
+  Budget(double perSecond, load_balancing::Time now) : rate_(perSecond), tokens_(perSecond), at_(now) {}
 
   // Whether a line may be written. One that may not is counted.
-  bool take(ridgeshift::Time now);
+  bool take(load_balancing::Time now);
   // Left out since this was last asked; the place for a line that says so.
   std::uint64_t takeDropped();
   void drop(std::uint64_t lines) { dropped_ += lines; }  // for other reasons
 
  private:
   double rate_, tokens_;
-  ridgeshift::Time at_;
+  load_balancing::Time at_;
   std::uint64_t dropped_ = 0;
 };
 
--- a/src/trace/join.cpp
+++ b/src/trace/join.cpp
@@ -27,10 +27,10 @@
 
 // Whether hosts drop a second run of it, if the first may have run.
 bool dropped(const AttemptLine& first, const AttemptLine& again) {
-  if (first.effect == Effect::retryable) return true;
-  if (first.effect == Effect::fragile) return false;
-  if (first.group != Group::all && first.zone != again.zone) return false;
-  if (first.group == Group::cell && first.cell != again.cell) return false;
+  if (first.effect == Idempotency::idempotent) return true;
+  if (first.effect == Idempotency::nonIdempotent) return false;
+  if (first.group != DeduplicationScope::all && first.zone != again.zone) return false;
+  if (first.group == DeduplicationScope::cell && first.cell != again.cell) return false;
   return again.begun <= first.sent + first.window * 1000;
 }
 
@@ -161,14 +161,15 @@
            printed("to %s, %.1f ms after it was %s", a.host.c_str(), ms(a.begun - taken->ended),
                    name(taken->end)));
     }
-    if (taken && taken->end == End::refused && a.ran != Ran::no && a.effect != Effect::retryable &&
-        !(a.effect == Effect::dedup && a.group == Group::all))
+    if (taken && taken->end == End::refused && a.ran != Ran::no && a.effect != Idempotency::idempotent &&
+        !(a.effect == Idempotency::idempotentWithKey && a.group == DeduplicationScope::all))
       find(Kind::refusedAfterRun, a.gateway, taken->ended,
            "attempt " + std::to_string(a.number) + " at " + a.host + " ended as " +
                std::string(name(a.outcome)));
     if (wasOut(a))
       if (const Known* known = knownAt(a.gateway, a.host, a.begun);
-          known && known->phase != Phase::in && a.begun > known->at + settings.graceUs + settings.slackUs)
+          known && known->phase != HostPhase::active &&
+          a.begun > known->at + settings.graceUs + settings.slackUs)
         find(Kind::sentToDraining, a.gateway, a.begun,
              printed("%s was known as %s for %.1f ms", a.host.c_str(), name(known->phase),
                      ms(a.begun - known->at)));
@@ -216,14 +217,14 @@
       ++s.attempts;
       switch (a.outcome) {
         case Outcome::served: ++s.served, s.takenUs += static_cast<std::uint64_t>(a.ended - a.sent); break;
-        case Outcome::full: ++s.full; break;
+        case Outcome::rejectedForCapacity: ++s.full; break;
         case Outcome::error:
-        case Outcome::rejected: ++s.failed; break;
+        case Outcome::invalidRequest: ++s.failed; break;
         case Outcome::reset:
         case Outcome::timeout: ++s.lost; break;
         case Outcome::connectFailed: ++s.unconnected; break;
         case Outcome::cancelled:
-        case Outcome::moot: ++s.calledOff; break;
+        case Outcome::notSent: ++s.calledOff; break;
       }
     }
     if (by == By::host) continue;
--- a/src/trace/join.hpp
+++ b/src/trace/join.hpp
@@ -73,7 +73,7 @@
   };
   struct Known {  // of one host at one gateway
     std::int64_t at = 0;
-    Phase phase = Phase::in;
+    HostPhase phase = HostPhase::active;
   };
   using Lives = std::vector<Life>;
 
--- a/src/trace/line.cpp
+++ b/src/trace/line.cpp
@@ -21,13 +21,13 @@
 
 constexpr Names<Outcome, 9> kOutcomes{{{Outcome::served, "served"},
                                        {Outcome::error, "error"},
-                                       {Outcome::full, "full"},
+                                       {Outcome::rejectedForCapacity, "full"},
                                        {Outcome::timeout, "timeout"},
                                        {Outcome::connectFailed, "connect_failed"},
                                        {Outcome::reset, "reset"},
                                        {Outcome::cancelled, "cancelled"},
-                                       {Outcome::moot, "moot"},
-                                       {Outcome::rejected, "rejected"}}};
+                                       {Outcome::notSent, "moot"},
+                                       {Outcome::invalidRequest, "rejected"}}};
 constexpr Names<Why, 4> kWhys{
     {{Why::host, "host"}, {Why::limit, "limit"}, {Why::over, "over"}, {Why::again, "again"}}};
 constexpr Names<Ran, 3> kRans{{{Ran::no, "no"}, {Ran::maybe, "maybe"}, {Ran::yes, "yes"}}};
@@ -36,10 +36,14 @@
                                {End::failed, "failed"},
                                {End::rejected, "rejected"},
                                {End::left, "left"}}};
-constexpr Names<Effect, 3> kEffects{
-    {{Effect::retryable, "safe"}, {Effect::dedup, "keyed"}, {Effect::fragile, "unsafe"}}};
-constexpr Names<Group, 3> kGroups{{{Group::all, "all"}, {Group::zone, "zone"}, {Group::cell, "cell"}}};
-constexpr Names<Phase, 3> kPhases{{{Phase::in, "in"}, {Phase::draining, "draining"}, {Phase::out, "out"}}};
+constexpr Names<Idempotency, 3> kEffects{{{Idempotency::idempotent, "safe"},
+                                          {Idempotency::idempotentWithKey, "keyed"},
+                                          {Idempotency::nonIdempotent, "unsafe"}}};
+constexpr Names<DeduplicationScope, 3> kGroups{{{DeduplicationScope::all, "all"},
+                                                {DeduplicationScope::zone, "zone"},
+                                                {DeduplicationScope::cell, "cell"}}};
+constexpr Names<HostPhase, 3> kPhases{
+    {{HostPhase::active, "in"}, {HostPhase::draining, "draining"}, {HostPhase::removed, "out"}}};
 
 template <class E, std::size_t N>
 const char* nameIn(const Names<E, N>& names, E value) {
@@ -145,7 +149,8 @@
   w.raw("outcome", name(a.outcome)).raw("why", name(a.why)).raw("ran", name(a.ran));
   w.number("word_ms", a.word).number("heard_ms", a.heard).number("up_ms", a.up);
   w.number("avoided", a.avoided ? 1 : 0);
-  if (a.effect == Effect::dedup) w.raw("group", nameIn(kGroups, a.group)).number("window_ms", a.window);
+  if (a.effect == Idempotency::idempotentWithKey)
+    w.raw("group", nameIn(kGroups, a.group)).number("window_ms", a.window);
 }
 void write(std::string& to, const RequestLine& r) {
   Writer w = about(to, "request", r);
@@ -206,7 +211,7 @@
   int avoided = 0;
   f.number("avoided", avoided, 0);
   a.avoided = avoided != 0;
-  if (a.effect == Effect::dedup) {
+  if (a.effect == Idempotency::idempotentWithKey) {
     f.one("group", kGroups, a.group);
     f.number("window_ms", a.window, kNoTime);
   }
@@ -232,8 +237,8 @@
 const char* name(Why why) { return nameIn(kWhys, why); }
 const char* name(Ran ran) { return nameIn(kRans, ran); }
 const char* name(End end) { return nameIn(kEnds, end); }
-const char* name(Effect effect) { return nameIn(kEffects, effect); }
-const char* name(Phase phase) { return nameIn(kPhases, phase); }
+const char* name(Idempotency effect) { return nameIn(kEffects, effect); }
+const char* name(HostPhase phase) { return nameIn(kPhases, phase); }
 
 void append(std::string& to, const Line& line) {
   std::visit([&](const auto& l) { write(to, l); }, line);
--- a/src/trace/line.hpp
+++ b/src/trace/line.hpp
@@ -8,14 +8,14 @@
 #include <string_view>
 #include <variant>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
 namespace finchstile::trace {
 
-using ridgeshift::Effect;
-using ridgeshift::Group;
-using ridgeshift::Outcome;
-using ridgeshift::Phase;
+using load_balancing::DeduplicationScope;
+using load_balancing::HostPhase;
+using load_balancing::Idempotency;
+using load_balancing::Outcome;
 
 inline constexpr std::int64_t kNever = -1;  // as an age: nothing was known
 
@@ -33,7 +33,7 @@
 
 struct About {  // one request at one gateway
   std::string gateway, id, className;
-  Effect effect = Effect::fragile;
+  Idempotency effect = Idempotency::nonIdempotent;
 };
 
 struct AttemptLine : About {
@@ -42,9 +42,9 @@
   std::int64_t begun = 0;  // when its first byte went out; 0: none did
   std::uint32_t number = 0;
   std::int64_t cell = 0;
-  Group group = Group::all;  // of a keyed class: which hosts drop repeats together,
-  std::int64_t window = 0;   // and for how long
-  Outcome outcome = Outcome::moot;
+  DeduplicationScope group = DeduplicationScope::all;  // of a keyed class: which hosts drop repeats together,
+  std::int64_t window = 0;                             // and for how long
+  Outcome outcome = Outcome::notSent;
   Why why = Why::host;
   Ran ran = Ran::no;
   // What was known of the host as it was chosen: the age of the list's last word, of its last sign of life to
@@ -65,7 +65,7 @@
 struct HostLine {
   std::string gateway, host;
   std::int64_t at = 0;
-  Phase phase = Phase::in;
+  HostPhase phase = HostPhase::active;
 };
 
 struct StartLine {
@@ -91,8 +91,8 @@
 const char* name(Why why);
 const char* name(Ran ran);
 const char* name(End end);
-const char* name(Effect effect);
-const char* name(Phase phase);
+const char* name(Idempotency effect);
+const char* name(HostPhase phase);
 
 // Appends it to `to`, with its line feed. Names may hold any bytes: what is not visible ASCII is
 // percent-encoded.
--- a/src/websocket/front.cpp
+++ b/src/websocket/web_socket_handler.cpp
@@ -1,4 +1,4 @@
-#include "websocket/front.hpp"
+#include "websocket/web_socket_handler.hpp"
 
 #include <cstdio>
 #include <utility>
@@ -16,31 +16,33 @@
 
 constexpr const char* kName = "websocket";
 
-Ending endingOf(RequestEnd how) {
+Ending endingOf(RequestResult how) {
   switch (how) {
-    case RequestEnd::refused:
-    case RequestEnd::rejected: return {Ender::gateway, Why::turnedAway, false};
-    case RequestEnd::left: return {Ender::client, Why::left, false};
+    case RequestResult::rejected:
+    case RequestResult::rejectedByFilter: return {Ender::gateway, Why::turnedAway, false};
+    case RequestResult::clientDisconnected: return {Ender::client, Why::left, false};
     default: return {Ender::host, Why::unreached, false};  // also by an answer that is no 101
   }
 }
 
 }  // namespace
 
-WebSocketFront::WebSocketFront(const Clock& clock, const WebSocketSettings& settings, std::string gateway,
-                               std::function<std::uint32_t()> draw, stream::StreamTable& table)
+WebSocketHandler::WebSocketHandler(const Clock& clock, const WebSocketSettings& settings, std::string gateway,
+                                   std::function<std::uint32_t()> draw, stream::StreamTable& table)
     : clock_(clock),
       settings_(settings),
       gateway_(std::move(gateway)),
       draw_(std::move(draw)),
       table_(table) {}
 
-bool WebSocketFront::asks(const ClientRequest& message) const { return asksForWebSocket(message); }
+bool WebSocketHandler::isUpgradeRequest(const ClientRequest& message) const {
+  return asksForWebSocket(message);
+}
 
-std::optional<Answer> WebSocketFront::check(ClientRequest& message) {
-  const HandshakeVerdict v = checkRequest(message, settings_.rules);
+std::optional<Response> WebSocketHandler::checkRequest(ClientRequest& message) {
+  const HandshakeVerdict v = websocket::checkRequest(message, settings_.rules);
   if (v.status != 0) {
-    Answer a;
+    Response a;
     a.status = static_cast<http::status>(v.status);
     a.body = std::string(v.why) + "\n";
     a.contentType = "text/plain";
@@ -64,23 +66,23 @@
   return std::nullopt;
 }
 
-std::vector<HeaderLine> WebSocketFront::toHost(const ClientRequest& message) const {
+std::vector<HeaderLine> WebSocketHandler::upstreamHeaders(const ClientRequest& message) const {
   return linesForHost(message, settings_.rules);
 }
 
-std::optional<Upgrades::Accepted> WebSocketFront::accepted(const ClientRequest& message,
-                                                           const http::fields& answer) const {
+std::optional<UpgradeHandler::AcceptedUpgrade> WebSocketHandler::acceptResponse(
+    const ClientRequest& message, const http::fields& answer) const {
   AcceptVerdict v = checkAccept(message, answer, settings_.rules);
   if (!v.good) {
     std::fprintf(stderr, "websocket: a host's 101 is turned down: %s\n", v.why);
     return std::nullopt;
   }
-  return Accepted{std::move(v.toClient), v.deflate};
+  return AcceptedUpgrade{std::move(v.toClient), v.deflate};
 }
 
-void WebSocketFront::onAsked() { table_.account().onTaken(kName); }
+void WebSocketHandler::onUpgradeRequested() { table_.account().onTaken(kName); }
 
-void WebSocketFront::onNotBegun(const UpgradeAsked& asked, RequestEnd how) {
+void WebSocketHandler::onUpgradeNotEstablished(const PendingUpgrade& asked, RequestResult how) {
   stream::Begun b;
   b.name = kName;
   b.from = textOf(asked.from);
@@ -88,7 +90,7 @@
   table_.ended(b, endingOf(how));
 }
 
-void WebSocketFront::take(Upgraded&& u) {
+void WebSocketHandler::takeOverConnection(UpgradedConnection&& u) {
   CodecRules rules;
   rules.checked = settings_.inspect;
   rules.deflate = u.agreed;
--- a/tests/app/configuration_test.cpp
+++ b/tests/app/configuration_test.cpp
@@ -16,7 +16,7 @@
   asio::io_context io;
   Server discovery{io, [](const auto&, const Received&) {}};
   Server host{io, [](const auto& peer, const Received&) { peer->reply(200, "ok"); }};
-  standin::ControlMachine machine{io, standin::ControlLog::Settings{}};
+  fake_upstream::ControlMachine machine{io, fake_upstream::ControlLog::Settings{}};
   Folder folder;
   std::unique_ptr<Process> program;
   tcp::endpoint at;
--- a/tests/app/members_test.cpp
+++ b/tests/app/membership_service_test.cpp
@@ -1,6 +1,6 @@
 // What is known of hosts, with gateways, stand-in hosts and discoveries on loopback: lists that lie, drains
 // and silent workers that others have seen, a gateway that starts beside running ones.
-#include "app/members.hpp"
+#include "app/membership_service.hpp"
 
 #include <cmath>
 #include <numeric>
@@ -20,16 +20,16 @@
   std::vector<std::shared_ptr<Peer>> calls;
   Server discovery;
   Clock clock;
-  Config config;
+  GatewayConfig config;
   Gateway gateway;
   std::unique_ptr<PeerLink> link;
-  std::unique_ptr<Members> members;
+  std::unique_ptr<MembershipService> members;
 
   Node(asio::io_context& io, const json& known, const std::function<void(json&)>& change)
       : discovery(io, [this](const auto& peer, const Received&) { calls.push_back(peer); }),
         config(read(known, change)),
         gateway(io, clock, config) {}
-  Config read(const json& known, const std::function<void(json&)>& change) {
+  GatewayConfig read(const json& known, const std::function<void(json&)>& change) {
     json all = configJson(discovery.endpoint(), known);
     change(all);
     return readConfig(all.dump(), clock);
@@ -87,7 +87,7 @@
         n.link->channel().peerMoved(static_cast<peer::Number>(i), nodes[i]->link->channel().endpoint());
       }
     }
-    n.members = std::make_unique<Members>(io, n.clock, settings, n.config, n.gateway, n.link.get());
+    n.members = std::make_unique<MembershipService>(io, n.clock, settings, n.config, n.gateway, n.link.get());
     n.gateway.start();
     EXPECT_TRUE(until([&] { return !n.calls.empty(); }));
     return n;
--- a/tests/app/operator_file_test.cpp
+++ b/tests/app/operator_file_test.cpp
@@ -18,21 +18,21 @@
 }
 
 TEST(OperatorFile, EmptyChangesNothing) {
-  const GatewayTuning is = readOperatorFile("", "o.toml").tuning, was;
-  EXPECT_EQ(is.clients.idle, was.clients.idle);
-  EXPECT_EQ(is.clients.request, was.clients.request);
-  EXPECT_EQ(is.connecting, was.connecting);
-  EXPECT_EQ(is.proofLeast, was.proofLeast);
-  EXPECT_EQ(is.clientShare, was.clientShare);
+  const GatewayOptions is = readOperatorFile("", "o.toml").tuning, was;
+  EXPECT_EQ(is.clients.idleTimeout, was.clients.idleTimeout);
+  EXPECT_EQ(is.clients.requestTimeout, was.clients.requestTimeout);
+  EXPECT_EQ(is.maxConnectingPerHost, was.maxConnectingPerHost);
+  EXPECT_EQ(is.minConnectionCheck, was.minConnectionCheck);
+  EXPECT_EQ(is.clientDescriptorFraction, was.clientDescriptorFraction);
 }
 
 TEST(OperatorFile, TunesTheGateway) {
   const auto t =
       readOperatorFile("[clients]\nidle = '30s'\nrequest = '900ms'\n[upstream]\nconnecting = 8\n", "o.toml")
           .tuning;
-  EXPECT_EQ(t.clients.idle, seconds(30));
-  EXPECT_EQ(t.clients.request, milliseconds(900));
-  EXPECT_EQ(t.connecting, 8u);
+  EXPECT_EQ(t.clients.idleTimeout, seconds(30));
+  EXPECT_EQ(t.clients.requestTimeout, milliseconds(900));
+  EXPECT_EQ(t.maxConnectingPerHost, 8u);
 }
 
 TEST(OperatorFile, ErrorsComeInTheOrderOfLines) {
--- a/tests/app/trace_test.cpp
+++ b/tests/app/trace_test.cpp
@@ -46,7 +46,7 @@
   void startTraced(const std::function<void(json&)>& change = [](json&) {}) {
     json config = configJson(discovery.endpoint(), listed());
     change(config);
-    Config read = readConfig(config.dump(), clock);
+    GatewayConfig read = readConfig(config.dump(), clock);
     gateway = std::make_unique<Gateway>(io, clock, std::move(read));
     settings.file = folder / "trace-{name}";
     log = std::make_unique<TraceLog>(io, clock, settings, "n/1");
@@ -130,7 +130,7 @@
   }
   ASSERT_GE(attempts.size(), 2u);
   EXPECT_EQ(attempts[0].why, trace::Why::over);
-  EXPECT_EQ(attempts[0].outcome, ridgeshift::Outcome::cancelled);
+  EXPECT_EQ(attempts[0].outcome, load_balancing::Outcome::cancelled);
   EXPECT_EQ(attempts[0].ran, trace::Ran::maybe);
   EXPECT_GT(attempts[0].begun, 0);
   EXPECT_EQ(attempts[0].heard, trace::kNever);
--- a/tests/configuration/client_test.cpp
+++ b/tests/configuration/client_test.cpp
@@ -16,9 +16,9 @@
 namespace {
 
 namespace asio = boost::asio;
+using fake_upstream::ControlFault;
+using fake_upstream::ControlMachine;
 using finchstile::testing::runUntil;
-using standin::ControlFault;
-using standin::ControlMachine;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -28,7 +28,7 @@
   Clock clock;
   std::vector<std::unique_ptr<ControlMachine>> machines, retired;
   std::unique_ptr<Client> client;
-  std::vector<TermsChange> taken;
+  std::vector<SettingsChange> taken;
   std::vector<std::string> lines;
   ConfigurationSettings settings;
   std::filesystem::path folder =
@@ -49,7 +49,7 @@
 
   void machinesOf(int count) {
     for (int i = 0; i < count; ++i) {
-      machines.push_back(std::make_unique<ControlMachine>(io, standin::ControlLog::Settings{}));
+      machines.push_back(std::make_unique<ControlMachine>(io, fake_upstream::ControlLog::Settings{}));
       settings.addresses.push_back(machines.back()->address());
       settings.endpoints.push_back(machines.back()->endpoint());
     }
@@ -57,7 +57,7 @@
   void start() {
     client = std::make_unique<Client>(
         io, worker.get_executor(), clock, settings, "n0", 7, startSettings(),
-        [this](const TermsChange& change) { taken.push_back(change); },
+        [this](const SettingsChange& change) { taken.push_back(change); },
         [this](const std::string& line) { lines.push_back(line); });
     client->start();
   }
@@ -210,7 +210,7 @@
 }
 
 TEST_F(ClientTest, AMachineWithNoRoomForAWholeSaysWhenAndIsHeeded) {
-  machines.push_back(std::make_unique<ControlMachine>(io, standin::ControlLog::Settings{1, 1000, 400}));
+  machines.push_back(std::make_unique<ControlMachine>(io, fake_upstream::ControlLog::Settings{1, 1000, 400}));
   settings.addresses = {machines[0]->address()};
   settings.endpoints = {machines[0]->endpoint()};
   std::vector<Change> all;
@@ -270,7 +270,7 @@
   machinesOf(1);
   settings.file = (folder / "configuration.json").string();
   Store store(startSettings());
-  standin::ControlLog log;
+  fake_upstream::ControlLog log;
   log.publish({tenant("a", 1)});
   sync(log, store);
   const std::string text = store.text();
@@ -332,7 +332,7 @@
   for (const bool dribbles : {false, true}) {
     SCOPED_TRACE(dribbles);
     client.reset();
-    standin::ControlLog log;
+    fake_upstream::ControlLog log;
     std::vector<Change> all;
     for (int i = 0; i < 200; ++i) all.push_back(tenant("t" + std::to_string(i), 1));
     log.publish(all);
--- a/tests/configuration/documents.hpp
+++ b/tests/configuration/documents.hpp
@@ -21,24 +21,24 @@
 }
 
 // One class "read", aim 400 ms, given up after a second, and two tenants.
-inline ridgeshift::Settings startSettings() {
-  ridgeshift::Settings s;
-  ridgeshift::ClassSettings read;
+inline load_balancing::Settings startSettings() {
+  load_balancing::Settings s;
+  load_balancing::ClassSettings read;
   read.name = "read";
-  read.aim = std::chrono::milliseconds(400);
-  read.giveUp = std::chrono::seconds(1);
-  read.worth = 12;
+  read.latencyObjective = std::chrono::milliseconds(400);
+  read.clientTimeout = std::chrono::seconds(1);
+  read.priorityWeight = 12;
   s.classes = {read};
   s.tenants = {{"acme", 10}, {"mill", 20}};
   return s;
 }
 
 // The answer that a log gives to a store, as an update.
-inline std::optional<Update> answerTo(standin::ControlLog& log, const Store& store) {
+inline std::optional<Update> answerTo(fake_upstream::ControlLog& log, const Store& store) {
   const auto reply = log.answer({"n0", store.position(), {}}, 0);
   return reply ? std::optional(parseUpdate(reply->body)) : std::nullopt;
 }
-inline Result sync(standin::ControlLog& log, Store& store) {
+inline Result sync(fake_upstream::ControlLog& log, Store& store) {
   const auto update = answerTo(log, store);
   if (!update) return {};
   return store.apply(*update);
--- a/tests/configuration/gateway_test.cpp
+++ b/tests/configuration/gateway_test.cpp
@@ -18,24 +18,24 @@
 using TestClient = finchstile::testing::Client;
 
 // Notes the tenant of each request, as it comes and as it ends.
-struct TenantLog : Stage {
+struct TenantLog : RequestFilter {
   std::vector<std::string> arrived, ended;
   std::uint8_t phases() const override {
-    return phaseBit(RequestPhase::arrived) | phaseBit(RequestPhase::ended);
+    return phaseBit(RequestPhase::received) | phaseBit(RequestPhase::completed);
   }
-  Arrival onArrived(Exchange& x) override {
+  FilterDecision onRequestReceived(RequestContext& x) override {
     arrived.emplace_back(x.tenant);
     return {};
   }
-  void onEnded(Exchange& x, RequestEnd) override { ended.emplace_back(x.tenant); }
+  void onRequestCompleted(RequestContext& x, RequestResult) override { ended.emplace_back(x.tenant); }
 };
 
 struct ConfiguredGateway : finchstile::testing::GatewayTest {
   boost::asio::thread_pool worker{1};
-  standin::ControlMachine machine{io, standin::ControlLog::Settings{}};
+  fake_upstream::ControlMachine machine{io, fake_upstream::ControlLog::Settings{}};
   TenantLog tenants;
   std::unique_ptr<configuration::Client> client;
-  std::vector<TermsChange> taken;
+  std::vector<SettingsChange> taken;
 
   void TearDown() override {
     client.reset();
@@ -44,8 +44,8 @@
   void startConfigured() {
     json config = finchstile::testing::configJson(discovery.endpoint(), listed());
     config["settings"]["tenants"] = json::array({{{"name", "acme"}, {"quotaRps", 5.0}}});
-    Config read = readConfig(config.dump(), clock);
-    const ridgeshift::Settings settings = read.settings;
+    GatewayConfig read = readConfig(config.dump(), clock);
+    const load_balancing::Settings settings = read.settings;
     gateway = std::make_unique<Gateway>(io, clock, std::move(read));
     gateway->attach(tenants);
     gateway->start();
@@ -56,8 +56,8 @@
     s.pace = milliseconds(0);
     client = std::make_unique<configuration::Client>(
         io, worker.get_executor(), clock, s, "n0", 7, settings,
-        [this](const TermsChange& change) {
-          gateway->takeTerms(change);
+        [this](const SettingsChange& change) {
+          gateway->applyDynamicSettings(change);
           taken.push_back(change);
         },
         [](const std::string&) {});
--- a/tests/configuration/store_test.cpp
+++ b/tests/configuration/store_test.cpp
@@ -9,7 +9,7 @@
 namespace finchstile::configuration::testing {
 namespace {
 
-using standin::ControlLog;
+using fake_upstream::ControlLog;
 
 // The text of an update with entries as they are.
 std::string raw(Version version, const std::string& hash, bool whole, const std::string& entries) {
@@ -19,7 +19,7 @@
 }
 
 // What gateways know after taking terms, by name.
-std::map<std::string, double> quotasOf(std::map<std::string, double> before, const TermsChange& terms) {
+std::map<std::string, double> quotasOf(std::map<std::string, double> before, const SettingsChange& terms) {
   for (const TenantChange& change : terms.tenants) {
     if (change.quotaPerSecond) before[change.name] = *change.quotaPerSecond;
     else before.erase(change.name);
@@ -40,7 +40,7 @@
     if (change.name == "acme") EXPECT_EQ(change.index, 0u);
   }
   ASSERT_EQ(result.terms.classes.size(), 1u);
-  EXPECT_EQ(result.terms.classes[0].aim, std::chrono::milliseconds(500));
+  EXPECT_EQ(result.terms.classes[0].latencyObjective, std::chrono::milliseconds(500));
   EXPECT_EQ(store.position().hash, log.hash());
   EXPECT_EQ(store.tenants(), 2u);
 }
@@ -54,8 +54,8 @@
   const Result result = sync(log, store);
   ASSERT_EQ(result.verdict, Verdict::taken);
   ASSERT_EQ(result.terms.classes.size(), 1u);
-  EXPECT_EQ(result.terms.classes[0].aim, std::chrono::milliseconds(400));
-  EXPECT_EQ(result.terms.classes[0].worth, 12);
+  EXPECT_EQ(result.terms.classes[0].latencyObjective, std::chrono::milliseconds(400));
+  EXPECT_EQ(result.terms.classes[0].priorityWeight, 12);
 }
 
 // Hard case: revisions out of order, twice, and with a gap.
@@ -254,7 +254,7 @@
 TEST(Store, NamesBeyondTheBoundAreTurnedDown) {
   ControlLog log;
   std::vector<Change> all;
-  for (std::size_t i = 0; i < ridgeshift::kTenantsMost; ++i)
+  for (std::size_t i = 0; i < load_balancing::kMaxTenants; ++i)
     all.push_back(tenant("t" + std::to_string(i), 1));
   log.publish(all);
   Store store(startSettings());
--- a/tests/crossing/account_test.cpp
+++ b/tests/cross_zone/account_test.cpp
@@ -1,8 +1,8 @@
-#include "crossing/account.hpp"
+#include "cross_zone/account.hpp"
 
 #include <gtest/gtest.h>
 
-namespace finchstile::crossing {
+namespace finchstile::cross_zone {
 namespace {
 
 TEST(Account, TellsWhatCrossedByClassAndZone) {
@@ -36,4 +36,4 @@
 }
 
 }  // namespace
-}  // namespace finchstile::crossing
+}  // namespace finchstile::cross_zone
--- a/tests/crossing/budget_test.cpp
+++ b/tests/cross_zone/budget_test.cpp
@@ -1,4 +1,4 @@
-#include "crossing/budget.hpp"
+#include "cross_zone/budget.hpp"
 
 #include <gtest/gtest.h>
 
@@ -6,7 +6,7 @@
 #include <random>
 #include <vector>
 
-namespace finchstile::crossing {
+namespace finchstile::cross_zone {
 namespace {
 
 using std::chrono::milliseconds;
@@ -92,4 +92,4 @@
 }
 
 }  // namespace
-}  // namespace finchstile::crossing
+}  // namespace finchstile::cross_zone
--- a/tests/crossing/stage_test.cpp
+++ b/tests/cross_zone/filter_test.cpp
@@ -1,26 +1,26 @@
 // Traffic between zones through the gateway: workers labelled by zone, on loopback.
-#include "crossing/stage.hpp"
+#include "cross_zone/filter.hpp"
 
 #include "support/gateway_fixture.hpp"
 
 namespace finchstile::testing {
 namespace {
 
-using crossing::CrossingSettings;
-using crossing::CrossingStage;
+using cross_zone::CrossingSettings;
+using cross_zone::CrossZoneFilter;
 
 struct CrossingTest : GatewayTest {
-  std::unique_ptr<CrossingStage> stage;
+  std::unique_ptr<CrossZoneFilter> stage;
   std::size_t home = 0;  // hosts of our own zone; the others follow
 
   void begin(std::size_t own, std::size_t others, double rate, Server::Handler handler = serveOk) {
     home = own;
     for (std::size_t i = 0; i < own + others; ++i) host(handler);
-    Config config = readConfig(configJson(discovery.endpoint(), zoned(own)).dump(), clock);
+    GatewayConfig config = readConfig(configJson(discovery.endpoint(), zoned(own)).dump(), clock);
     CrossingSettings s;
     s.enabled = true;
     s.bytesPerSecond = rate;
-    stage = std::make_unique<CrossingStage>(clock, s, config.settings);
+    stage = std::make_unique<CrossZoneFilter>(clock, s, config.settings);
     gateway = std::make_unique<Gateway>(io, clock, std::move(config));
     gateway->attach(*stage);
     gateway->start();
@@ -29,8 +29,8 @@
     json list = json::array();
     for (std::size_t i = 0; i < hosts.size(); ++i) {
       const bool here = i < home;
-      list.push_back(standin::hostJson("s-" + std::to_string(i), text(hosts[i]->endpoint()),
-                                       here ? "east" : "west", here && i >= own ? "left" : "active"));
+      list.push_back(fake_upstream::hostJson("s-" + std::to_string(i), text(hosts[i]->endpoint()),
+                                             here ? "east" : "west", here && i >= own ? "left" : "active"));
     }
     return list;
   }
@@ -89,7 +89,7 @@
   ask(10);
   ASSERT_TRUE(until([&] { return !calls.empty(); }));
   calls.back()->reply(200, listJson(9, true, zoned(0)).dump());
-  ASSERT_TRUE(until([&] { return !gateway->lists("s-0"); }));
+  ASSERT_TRUE(until([&] { return !gateway->isListed("s-0"); }));
   ask(20);
   EXPECT_EQ(crossed(), 20u);
   EXPECT_EQ(stage->account().total().forced, 20u);
@@ -108,7 +108,7 @@
   EXPECT_GT(hosts[0]->received.size(), 1u);  // it came first,
   EXPECT_LT(hosts[0]->received.size(), 6u);  // up to where the pool's cut would begin
   EXPECT_EQ(stage->account().total().forced, crossed());
-  EXPECT_EQ(gateway->figures().classes[0].deferred, 0u);
+  EXPECT_EQ(gateway->metrics().classes[0].rejected, 0u);
   for (const auto& h : hosts)
     for (const auto& peer : h->peers) peer->reply(200, "ok");
   for (const auto& c : clients) ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -1,31 +1,32 @@
 // The example of the README, kept the same by .ci/run.
 #include <cstdio>
-#include <ridgeshift/ridgeshift.hpp>
+#include <finchstile/load_balancer.hpp>
 
 int main() {
   using namespace std::chrono_literals;
-  ridgeshift::Settings settings;
+  using namespace finchstile::load_balancing;
+  Settings settings;
   settings.seed = 42;
-  ridgeshift::ClassSettings reads;
+  ClassSettings reads;
   reads.name = "read";
-  reads.effect = ridgeshift::Effect::retryable;
-  reads.aim = 200ms;
-  reads.giveUp = 1s;
+  reads.idempotency = Idempotency::idempotent;
+  reads.latencyObjective = 200ms;
+  reads.clientTimeout = 1s;
   settings.classes = {reads};
 
-  ridgeshift::Balancer balancer(settings, 0ns);  // throws std::invalid_argument on nonsense
-  ridgeshift::HostEntry host;
+  LoadBalancer balancer(settings, 0ns);  // throws std::invalid_argument if a setting makes no sense
+  HostEntry host;
   host.address = "10.0.0.1:8080";
-  balancer.onHosts(0ns, ridgeshift::ListKind::replace, {host});
+  balancer.onHostListUpdate(0ns, HostListUpdate::complete, {host});
 
-  ridgeshift::Request request;
+  Request request;
   request.id = 1;
   request.classIndex = 0;
-  request.left = 1s;
+  request.timeLeft = 1s;
   balancer.onRequest(1ms, request);
-  for (const ridgeshift::Action& action : balancer.actions())
-    if (action.kind == ridgeshift::ActionKind::send)
+  for (const Action& action : balancer.actions())
+    if (action.kind == ActionKind::sendAttempt)
       std::printf("send %llu to %s\n", static_cast<unsigned long long>(action.request),
-                  balancer.address(action.host).c_str());
+                  balancer.hostAddress(action.host).c_str());
   balancer.actions().clear();
 }
--- a/tests/fuzz/configuration_update.cpp
+++ b/tests/fuzz/configuration_update.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 finchstile::configuration::Store freshStore() {
-  ridgeshift::Settings start;
-  ridgeshift::ClassSettings read;
+  finchstile::load_balancing::Settings start;
+  finchstile::load_balancing::ClassSettings read;
   read.name = "read";
-  read.aim = std::chrono::milliseconds(400);
-  read.giveUp = std::chrono::seconds(1);
+  read.latencyObjective = std::chrono::milliseconds(400);
+  read.clientTimeout = std::chrono::seconds(1);
   start.classes = {read};
   return finchstile::configuration::Store(start);
 }
--- a/tests/fuzz/operations.cpp
+++ b/tests/fuzz/operations.cpp
@@ -7,7 +7,7 @@
 #include "handover/learned_text.hpp"
 #include "handover/message.hpp"
 #include "ops/call.hpp"
-#include "ops/hand_out.hpp"
+#include "ops/host_cordon.hpp"
 
 using namespace finchstile;
 
@@ -16,21 +16,21 @@
   const std::size_t space = std::min(text.find(' '), text.size());
   const auto call = ops::readCall(text.substr(0, space), text.substr(std::min(space + 1, text.size())));
   if (call.call ? call.call->host.size() > 256 : call.status < 400) std::abort();
-  ops::HandOut out, again;
+  ops::HostCordon out, again;
   if (out.decode(text, {}) && (!again.decode(out.encode(), {}) || again.encode() != out.encode()))
     std::abort();
-  if (const auto learned = handover::decodeLearned(text)) {
-    const std::string once = handover::encodeLearned(*learned).text;
-    const auto again_ = handover::decodeLearned(once);
-    if (!again_ || handover::encodeLearned(*again_).text != once) std::abort();
-    ridgeshift::Settings settings;
+  if (const auto learned = handover::decodeLearnedState(text)) {
+    const std::string once = handover::encodeLearnedState(*learned).text;
+    const auto again_ = handover::decodeLearnedState(once);
+    if (!again_ || handover::encodeLearnedState(*again_).text != once) std::abort();
+    finchstile::load_balancing::Settings settings;
     settings.classes.resize(1);
     settings.classes[0].name = "a";
-    settings.classes[0].aim = settings.classes[0].giveUp = std::chrono::seconds(1);
-    ridgeshift::Balancer balancer(settings, std::chrono::hours(1));
-    balancer.recall(std::chrono::hours(1), *learned);  // whatever it says
-    balancer.onWake(std::chrono::hours(2));
-    if (!(balancer.cutoff() >= 0 && balancer.cutoff() <= 100)) std::abort();
+    settings.classes[0].latencyObjective = settings.classes[0].clientTimeout = std::chrono::seconds(1);
+    finchstile::load_balancing::LoadBalancer balancer(settings, std::chrono::hours(1));
+    balancer.restoreLearnedState(std::chrono::hours(1), *learned);  // whatever it says
+    balancer.onTimer(std::chrono::hours(2));
+    if (!(balancer.admissionCutoff() >= 0 && balancer.admissionCutoff() <= 100)) std::abort();
   }
   for (std::size_t descriptors = 0; descriptors < 3; ++descriptors)
     if (const auto m = handover::decode(text, descriptors); m && handover::encode(*m) != text) std::abort();
--- a/tests/fuzz/owner_message.cpp
+++ b/tests/fuzz/owner_message.cpp
@@ -16,7 +16,7 @@
   settings.entries = 64;
   settings.keep = std::chrono::seconds(10);
   static Owners owners(settings, SipKey{1, 2}, std::chrono::hours(24));
-  static ridgeshift::Time now = std::chrono::hours(24);
+  static finchstile::load_balancing::Time now = std::chrono::hours(24);
   now += std::chrono::milliseconds(20);
   if (size % 5 == 0) owners.claim(now, size, {{size, 1}, 2}, true);
   owners.receive(now, static_cast<GatewayNumber>(size % 3), 1, bytes);
--- a/tests/fuzz/peer_rumours.cpp
+++ b/tests/fuzz/peer_rumours.cpp
@@ -24,7 +24,7 @@
     if (hosts != chunk->part.hosts.size()) std::abort();
   }
   if (const auto nonce = decodeAsk(bytes); nonce && encodeAsk(*nonce) != bytes) std::abort();
-  Gossip gossip({}, 1, std::chrono::seconds(1), [](HostKey) { return ridgeshift::Time{}; });
+  Gossip gossip({}, 1, std::chrono::seconds(1), [](HostKey) { return finchstile::load_balancing::Time{}; });
   gossip.receive(1, bytes, std::chrono::seconds(1));
   return 0;
 }
--- a/tests/handover/learned_test.cpp
+++ b/tests/handover/learned_test.cpp
@@ -8,54 +8,54 @@
 namespace finchstile::handover {
 namespace {
 
-using ridgeshift::Learned;
+using load_balancing::LearnedState;
 
-Learned some() {
-  Learned l;
+LearnedState some() {
+  LearnedState l;
   l.age = std::chrono::seconds(40);
   l.arrivalRate = 20.5;
   l.answers = 900;
-  l.fastRate = 210;
-  l.servedShare = 0.97;
+  l.inTimeRate = 210;
+  l.servedFraction = 0.97;
   l.classes = {{"cut-plan", 0.08, 0, 0.01, std::chrono::milliseconds(1200)}};
-  l.kinds = {{"std-4c", 31, 0.9}};
-  l.levels = {{1, 20}, {12, 5}};
+  l.machineTypes = {{"std-4c", 31, 0.9}};
+  l.priorityLevels = {{1, 20}, {12, 5}};
   l.hosts = {{"s-1", std::chrono::seconds(9), 1.5, 0.1, 22, std::chrono::seconds(2), 1}};
   return l;
 }
 
 TEST(LearnedText, ComesBackAsItWas) {
-  const auto back = decodeLearned(encodeLearned(some()).text);
+  const auto back = decodeLearnedState(encodeLearnedState(some()).text);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->age, some().age);
   EXPECT_EQ(back->arrivalRate, 20.5);
   EXPECT_EQ(back->classes[0].name, "cut-plan");
-  EXPECT_EQ(back->classes[0].usualLeft, std::chrono::milliseconds(1200));
-  EXPECT_EQ(back->kinds[0].proven, 31);
-  EXPECT_EQ(back->levels[1].worth, 12);
+  EXPECT_EQ(back->classes[0].typicalTimeLeft, std::chrono::milliseconds(1200));
+  EXPECT_EQ(back->machineTypes[0].provenRate, 31);
+  EXPECT_EQ(back->priorityLevels[1].priorityWeight, 12);
   EXPECT_EQ(back->hosts[0].address, "s-1");
   EXPECT_EQ(back->hosts[0].ejectedFor, std::chrono::seconds(2));
 }
 
 TEST(LearnedText, WhatIsNotWholeIsNothing) {
-  const std::string whole = encodeLearned(some()).text;
+  const std::string whole = encodeLearnedState(some()).text;
   for (std::size_t cut = 0; cut < whole.size(); ++cut)
-    EXPECT_FALSE(decodeLearned(whole.substr(0, cut))) << cut;
+    EXPECT_FALSE(decodeLearnedState(whole.substr(0, cut))) << cut;
   for (const char* bad : {"null", "[]", "{}", "{\"v\":2}", "{\"v\":1,\"age\":\"x\"}"})
-    EXPECT_FALSE(decodeLearned(bad)) << bad;
-  Learned odd = some();
-  odd.fastRate = std::nan("");
-  const auto back = decodeLearned(encodeLearned(odd).text);
+    EXPECT_FALSE(decodeLearnedState(bad)) << bad;
+  LearnedState odd = some();
+  odd.inTimeRate = std::nan("");
+  const auto back = decodeLearnedState(encodeLearnedState(odd).text);
   ASSERT_TRUE(back);
-  EXPECT_TRUE(std::isnan(back->fastRate));
+  EXPECT_TRUE(std::isnan(back->inTimeRate));
 }
 
 TEST(LearnedText, OfALargeFleetWhatFitsGoesAlong) {
-  Learned l = some();
+  LearnedState l = some();
   l.hosts.resize(10'000, l.hosts[0]);
-  const auto [text, leftOut] = encodeLearned(l);
-  EXPECT_LE(text.size(), kLearnedMost);
-  const auto back = decodeLearned(text);
+  const auto [text, leftOut] = encodeLearnedState(l);
+  EXPECT_LE(text.size(), kMaxLearnedStateBytes);
+  const auto back = decodeLearnedState(text);
   ASSERT_TRUE(back);
   EXPECT_GT(back->hosts.size(), 500u);
   EXPECT_EQ(back->hosts.size() + leftOut, 10'000u);  // never cut in silence
@@ -64,16 +64,16 @@
 // Hard case: 1,024 hosts. One gateway has met few of them; what it knows of those finds room, wherever they
 // stand.
 TEST(LearnedText, WhatIsKnownOfAFewAmongManyHostsIsNotLeftOut) {
-  Learned l = some();
+  LearnedState l = some();
   l.hosts.clear();
   for (int i = 0; i < 4096; ++i)
     l.hosts.push_back({"host-with-a-long-name-" + std::to_string(i), {}, 1, 0, 0, {}, 0});
-  l.hosts[4000].rate = 3;
+  l.hosts[4000].answerRate = 3;
   l.hosts[4095].ejectedFor = std::chrono::seconds(1);
-  l.hosts[2048].rate = std::nan("");
-  const auto [text, leftOut] = encodeLearned(l);
+  l.hosts[2048].answerRate = std::nan("");
+  const auto [text, leftOut] = encodeLearnedState(l);
   EXPECT_EQ(leftOut, 0u);
-  const auto back = decodeLearned(text);
+  const auto back = decodeLearnedState(text);
   ASSERT_TRUE(back);
   ASSERT_EQ(back->hosts.size(), 3u);
   EXPECT_EQ(back->hosts[0].address, "host-with-a-long-name-4095");  // what is avoided first
--- a/tests/hook/stage_test.cpp
+++ b/tests/hook/filter_test.cpp
@@ -1,6 +1,6 @@
 // Hooks in the gateway, over loopback: what clients and hosts see of them, and the rules that hold all the
 // same.
-#include "hook/stage.hpp"
+#include "hook/filter.hpp"
 
 #include "hook/support.hpp"
 #include "support/sockets.hpp"
@@ -17,7 +17,7 @@
   std::vector<std::string> lines;
   Server discovery{io, [](const auto&, const Received&) {}};
   Server host{io, [](const auto& peer, const Received&) { peer->reply(200, "ok", "X-Host: h\r\n"); }};
-  HookStage hooks{clock, std::chrono::seconds(1), [this](std::string_view l) { lines.emplace_back(l); }};
+  HookFilter hooks{clock, std::chrono::seconds(1), [this](std::string_view l) { lines.emplace_back(l); }};
   std::unique_ptr<Gateway> gateway;
   std::uint64_t version = 0;
 
--- a/tests/idempotency/stage_test.cpp
+++ b/tests/idempotency/filter_test.cpp
@@ -1,5 +1,5 @@
 // Keyed requests in the gateway, over loopback: joined, replayed, and bound by what may have run.
-#include "idempotency/stage.hpp"
+#include "idempotency/filter.hpp"
 
 #include <random>
 
@@ -22,7 +22,7 @@
   Server::Handler hold = [this](const std::shared_ptr<Peer>& peer, const Received&) { held.push_back(peer); };
   std::function<void(json&)> change;  // of the configuration
   std::unique_ptr<Gateway> gateway;
-  std::unique_ptr<IdempotencyStage> stage;
+  std::unique_ptr<IdempotencyFilter> stage;
   IdempotencySettings settings;
 
   void start(
@@ -36,7 +36,7 @@
     json config = configJson(discovery.endpoint(), list);
     change(config);
     gateway = std::make_unique<Gateway>(io, clock, readConfig(config.dump(), clock));
-    stage = std::make_unique<IdempotencyStage>(clock, settings, 0, Seed{1, 2}, gateway->stageHost());
+    stage = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{1, 2}, gateway->filterCallbacks());
     if (onLog) recover();
     gateway->attach(*stage);
     gateway->start();
@@ -167,8 +167,8 @@
   EXPECT_EQ(received(), 2u);
   EXPECT_TRUE(until([&] { return gateway->openRequests() == 0; }));
   // Nor is what was not begun held against a host, or tried at one after the other.
-  EXPECT_EQ(outcomes.count(ridgeshift::Outcome::connectFailed), 0);
-  EXPECT_EQ(outcomes.count(ridgeshift::Outcome::moot), 1);
+  EXPECT_EQ(outcomes.count(load_balancing::Outcome::connectFailed), 0);
+  EXPECT_EQ(outcomes.count(load_balancing::Outcome::notSent), 1);
 }
 
 TEST_F(IdempotencyTest, TheLastOneLeavingEndsTheWork) {
@@ -561,7 +561,7 @@
     OwnersOverSockets& all;
     GatewayNumber number;
     std::unique_ptr<Gateway> gateway;
-    std::unique_ptr<IdempotencyStage> stage;
+    std::unique_ptr<IdempotencyFilter> stage;
     std::unique_ptr<Owners> owners;
     asio::steady_timer timer;
     Node(OwnersOverSockets& net, GatewayNumber n) : all(net), number(n), timer(net.io) {}
@@ -603,8 +603,8 @@
       o.longest = std::chrono::seconds(4);
       change(o);
       node.gateway = std::make_unique<Gateway>(io, clock, readConfig(config.dump(), clock));
-      node.stage =
-          std::make_unique<IdempotencyStage>(clock, settings, 0, Seed{n, 2}, node.gateway->stageHost());
+      node.stage = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{n, 2},
+                                                       node.gateway->filterCallbacks());
       if (n == 1 && onLog) {
         JournalSettings j;
         j.sync = SyncPolicy::beforeSend;
--- a/tests/idempotency/journal_test.cpp
+++ b/tests/idempotency/journal_test.cpp
@@ -107,7 +107,7 @@
   ASSERT_EQ(again.admission, Admission::again);
   EXPECT_EQ(again.earlier->zone, "west");
   EXPECT_EQ(again.earlier->cell, 2);
-  EXPECT_EQ(now - again.earlier->at, milliseconds(105));
+  EXPECT_EQ(now - again.earlier->sentAt, milliseconds(105));
   EXPECT_EQ(arrive("never").admission, Admission::fresh);
 }
 
@@ -126,7 +126,7 @@
   EXPECT_EQ(store->count(State::uncertain), 3u);
   EXPECT_EQ(arrive("one").earlier->zone, "east");
   EXPECT_EQ(arrive("two").earlier->zone, "west");
-  EXPECT_EQ(arrive("unsent").earlier->at, Time{});  // no host's window holds it
+  EXPECT_EQ(arrive("unsent").earlier->sentAt, Time{});  // no host's window holds it
   // Started anew before any is over: uncertain still.
   now += seconds(50);
   start();
@@ -148,7 +148,7 @@
   EXPECT_FALSE(recovery.log.damaged);
   const auto again = arrive("k");
   ASSERT_EQ(again.admission, Admission::again);
-  EXPECT_EQ(again.earlier->at, Time{});
+  EXPECT_EQ(again.earlier->sentAt, Time{});
 }
 
 // A process that is started over and over must not keep what ran in the first for ever.
@@ -208,7 +208,7 @@
   const auto r = arrive("u");
   ASSERT_EQ(r.admission, Admission::again);
   EXPECT_EQ(r.earlier->zone, "");
-  EXPECT_EQ(r.earlier->at, Time{});
+  EXPECT_EQ(r.earlier->sentAt, Time{});
   store->end(now, r.entry, E::neverRan);
   now += milliseconds(39'999);
   EXPECT_EQ(arrive("a").admission, Admission::replay);
@@ -472,7 +472,7 @@
         Running run{r.entry, journal->position(), r.admission == Admission::again, false};
         if (run.again) {
           // Where it is said to have run it did, or nothing is said.
-          run.knownZone = r.earlier->at != Time{};
+          run.knownZone = r.earlier->sentAt != Time{};
           if (run.knownZone && item.ran) ASSERT_EQ(r.earlier->zone, item.zone) << key;
           ++(run.knownZone ? bound : unbound);
         } else {
--- a/tests/idempotency/owners_test.cpp
+++ b/tests/idempotency/owners_test.cpp
@@ -165,8 +165,8 @@
   EXPECT_EQ(d->kind, Kind::uncertain);
   EXPECT_EQ(d->earlier.zone, "east");
   // Never later than it was, or a repeat would be sent behind the hosts' window.
-  EXPECT_LE(d->earlier.at, sent);
-  EXPECT_GE(d->earlier.at, sent - milliseconds(400));
+  EXPECT_LE(d->earlier.sentAt, sent);
+  EXPECT_GE(d->earlier.sentAt, sent - milliseconds(400));
 }
 
 TEST(Owners, OneThatNeverRanLeavesItsKeyFree) {
@@ -196,7 +196,7 @@
   EXPECT_EQ(net.decision(1, 1)->kind, Kind::uncertain);
   EXPECT_EQ(net.decision(1, 1)->earlier.zone, "west");
   EXPECT_EQ(net.decision(1, 1)->earlier.cell, 1);
-  EXPECT_LE(net.decision(1, 1)->earlier.at, sent);
+  EXPECT_LE(net.decision(1, 1)->earlier.sentAt, sent);
   EXPECT_LE(net.decision(1, 1)->until, sent + net.settings.keep + milliseconds(10));
   net[2].claim(net.now, 1, k, true);
   net.run(milliseconds(200));
@@ -235,7 +235,7 @@
     net.run(milliseconds(100));
     ASSERT_TRUE(net.decision(1, 1));
     EXPECT_EQ(net.decision(1, 1)->kind, runs ? Kind::run : Kind::uncertain);
-    EXPECT_EQ(net.decision(1, 1)->earlier.at, Time{});
+    EXPECT_EQ(net.decision(1, 1)->earlier.sentAt, Time{});
     EXPECT_EQ(net[1].counts().untold, 1u);
     EXPECT_EQ(net[1].pending(), 0u);  // nothing comes again for ever
     EXPECT_LE(net.now - begin, milliseconds(100));
@@ -286,7 +286,7 @@
   net.run(milliseconds(100));
   ASSERT_TRUE(net.decision(0, 1));
   EXPECT_EQ(net.decision(0, 1)->kind, Kind::uncertain);
-  EXPECT_EQ(net.decision(0, 1)->earlier.at, Time{});
+  EXPECT_EQ(net.decision(0, 1)->earlier.sentAt, Time{});
 }
 
 TEST(Owners, ARunnerThatIsNotHeardOfAnyMoreLeavesItUncertain) {
@@ -415,9 +415,9 @@
   EXPECT_EQ(decisionOn({free, says(Known::mismatch)}).kind, Kind::mismatch);
   EXPECT_EQ(decisionOn({east, free, free}).earlier.zone, "east");
   EXPECT_EQ(decisionOn({east, free}).earlier.zone, "east");
-  EXPECT_EQ(decisionOn({east}).earlier.at, Time{});  // the others may know of one that runs
-  EXPECT_EQ(decisionOn({east, west, free}).earlier.at, Time{});
-  EXPECT_EQ(decisionOn({east, east, west}).earlier.at, Time{});
+  EXPECT_EQ(decisionOn({east}).earlier.sentAt, Time{});  // the others may know of one that runs
+  EXPECT_EQ(decisionOn({east, west, free}).earlier.sentAt, Time{});
+  EXPECT_EQ(decisionOn({east, east, west}).earlier.sentAt, Time{});
 }
 
 // Met by the run below: the end of a run comes behind the claim of the next, from the same gateway.
@@ -568,7 +568,7 @@
             it = open.erase(it);
             continue;
           }
-          if (d->kind == Kind::uncertain && d->earlier.at == Time{}) {  // it fails, unsent
+          if (d->kind == Kind::uncertain && d->earlier.sentAt == Time{}) {  // it fails, unsent
             net.over(it->at, it->run, State::free);
             it = open.erase(it);
             continue;
--- a/tests/idempotency/record_test.cpp
+++ b/tests/idempotency/record_test.cpp
@@ -39,7 +39,7 @@
   ASSERT_TRUE(b.earlier);
   EXPECT_EQ(b.earlier->zone, "east");
   EXPECT_EQ(b.earlier->cell, -2);
-  EXPECT_EQ(b.earlier->at, Time(99));
+  EXPECT_EQ(b.earlier->sentAt, Time(99));
 }
 
 TEST(IdempotencyRecord, WhatIsCutOrHasMoreBehindItIsNone) {
--- a/tests/idempotency/run_test.cpp
+++ b/tests/idempotency/run_test.cpp
@@ -8,7 +8,7 @@
 #include <deque>
 #include <random>
 
-#include "idempotency/stage.hpp"
+#include "idempotency/filter.hpp"
 #include "support/faulty_folder.hpp"
 #include "support/later_runner.hpp"
 #include "support/sockets.hpp"
@@ -71,7 +71,8 @@
       settings.limits.tenantShare = 1;
       settings.refuseWhenFull = true;
       settings.limits.evict = false;
-      stage_ = std::make_unique<IdempotencyStage>(clock_, settings, 0, Seed{1, 2}, gateway_->stageHost());
+      stage_ =
+          std::make_unique<IdempotencyFilter>(clock_, settings, 0, Seed{1, 2}, gateway_->filterCallbacks());
       if (plan_.restartEvery != Steady::duration{}) {
         JournalSettings j;
         j.sync = SyncPolicy::never;
@@ -136,7 +137,7 @@
     return tally_;
   }
   std::size_t known() const { return known_; }  // requests of which the store knew the key
-  const IdempotencyStage* stage() const { return stage_.get(); }
+  const IdempotencyFilter* stage() const { return stage_.get(); }
   bool over() {
     const auto most = Steady::now() + std::chrono::seconds(20);
     while (gateway_->openRequests() > 0 && Steady::now() < most) turn();
@@ -243,7 +244,7 @@
   std::vector<Steady::time_point> downUntil_;
   std::unique_ptr<asio::io_context> gatewayIo_;
   std::unique_ptr<Gateway> gateway_;
-  std::unique_ptr<IdempotencyStage> stage_;
+  std::unique_ptr<IdempotencyFilter> stage_;
   FaultyFolder folder_{1};
   LaterRunner runner_;
   const Names names_{{}, {"read", "book", "put"}};
--- a/tests/idempotency/store_test.cpp
+++ b/tests/idempotency/store_test.cpp
@@ -97,12 +97,12 @@
   ASSERT_EQ(again.admission, Admission::again);
   EXPECT_EQ(again.earlier->zone, "cluj");
   EXPECT_EQ(again.earlier->cell, 2);
-  EXPECT_EQ(again.earlier->at, now + milliseconds(10));
+  EXPECT_EQ(again.earlier->sentAt, now + milliseconds(10));
   // That one never ran itself; what came before it still may have.
   store->end(now, again.entry, E::neverRan);
   const auto third = arrive("k");
   ASSERT_EQ(third.admission, Admission::again);
-  EXPECT_EQ(third.earlier->at, now + milliseconds(10));
+  EXPECT_EQ(third.earlier->sentAt, now + milliseconds(10));
 }
 
 // One who repeats an uncertain request over and over, and is failed unsent each time, does not make its
--- a/tests/membership/facts_test.cpp
+++ b/tests/membership/facts_test.cpp
@@ -30,74 +30,74 @@
 TEST(Facts, OnlyTheListNamesAHost) {
   View v(limits());
   EXPECT_FALSE(v.onLoad("a", {}, load(1, seconds(10))));
-  EXPECT_FALSE(v.onPeerPhase("a", {}, {Phase::in, 5, seconds(10)}));
-  EXPECT_EQ(v.phase("a", seconds(10)), Phase::out);
+  EXPECT_FALSE(v.onPeerPhase("a", {}, {HostPhase::active, 5, seconds(10)}));
+  EXPECT_EQ(v.phase("a", seconds(10)), HostPhase::removed);
   EXPECT_EQ(v.size(), 0u);
-  v.onListed("a", {}, Phase::in, 1, seconds(10));
+  v.onListed("a", {}, HostPhase::active, 1, seconds(10));
   EXPECT_TRUE(v.onLoad("a", {}, load(1, seconds(10))));
-  EXPECT_EQ(v.phase("a", seconds(10)), Phase::in);
+  EXPECT_EQ(v.phase("a", seconds(10)), HostPhase::active);
 }
 
 // Hard case: an older list, late or from another source, does not take a drain back.
 TEST(Facts, ADrainIsNotUndoneByWhatIsOlder) {
   View v(limits());
-  v.onListed("a", {}, Phase::draining, 7, seconds(10));
-  v.onListed("a", {}, Phase::in, 6, seconds(11));
-  EXPECT_EQ(v.phase("a", seconds(11)), Phase::draining);
-  v.onListed("a", {}, Phase::in, 7, seconds(11));  // the same version in two forms: the worse holds
-  EXPECT_EQ(v.phase("a", seconds(11)), Phase::draining);
-  v.onListed("a", {}, Phase::in, 8, seconds(12));
-  EXPECT_EQ(v.phase("a", seconds(12)), Phase::in);
+  v.onListed("a", {}, HostPhase::draining, 7, seconds(10));
+  v.onListed("a", {}, HostPhase::active, 6, seconds(11));
+  EXPECT_EQ(v.phase("a", seconds(11)), HostPhase::draining);
+  v.onListed("a", {}, HostPhase::active, 7, seconds(11));  // the same version in two forms: the worse holds
+  EXPECT_EQ(v.phase("a", seconds(11)), HostPhase::draining);
+  v.onListed("a", {}, HostPhase::active, 8, seconds(12));
+  EXPECT_EQ(v.phase("a", seconds(12)), HostPhase::active);
 }
 
 TEST(Facts, WhatAWholeListLeavesOutIsGone) {
   View v(limits());
-  v.onListed("a", {}, Phase::in, 7, seconds(10));
-  v.onListed("b", {}, Phase::in, 7, seconds(10));
-  v.onListed("b", {}, Phase::in, 8, seconds(11));
+  v.onListed("a", {}, HostPhase::active, 7, seconds(10));
+  v.onListed("b", {}, HostPhase::active, 7, seconds(10));
+  v.onListed("b", {}, HostPhase::active, 8, seconds(11));
   v.onWhole(8, seconds(11));
-  EXPECT_EQ(v.phase("a", seconds(11)), Phase::out);
-  EXPECT_EQ(v.phase("b", seconds(11)), Phase::in);
-  v.onListed("a", {}, Phase::in, 7, seconds(12));  // late news of before
-  EXPECT_EQ(v.phase("a", seconds(12)), Phase::out);
+  EXPECT_EQ(v.phase("a", seconds(11)), HostPhase::removed);
+  EXPECT_EQ(v.phase("b", seconds(11)), HostPhase::active);
+  v.onListed("a", {}, HostPhase::active, 7, seconds(12));  // late news of before
+  EXPECT_EQ(v.phase("a", seconds(12)), HostPhase::removed);
 }
 
 // Hard case: the peer's view is older than the list's.
 TEST(Facts, APeerMakesUsMoreCarefulAndNeverLess) {
   View v(limits());
-  v.onListed("a", {}, Phase::draining, 7, seconds(10));
-  v.onPeerPhase("a", {}, {Phase::in, 9, seconds(10)});  // even a newer one
-  EXPECT_EQ(v.phase("a", seconds(10)), Phase::draining);
-  v.onListed("b", {}, Phase::in, 7, seconds(10));
-  v.onPeerPhase("b", {}, {Phase::draining, 6, seconds(10)});  // of an older list: ours knows better
-  EXPECT_EQ(v.phase("b", seconds(10)), Phase::in);
-  v.onPeerPhase("b", {}, {Phase::draining, 8, seconds(10)});
-  EXPECT_EQ(v.phase("b", seconds(10)), Phase::draining);
-  EXPECT_EQ(v.phase("b", seconds(21)), Phase::in);  // a lie ends
-  v.onPeerPhase("b", {}, {Phase::out, 9, seconds(30)});
-  EXPECT_EQ(v.phase("b", seconds(30)), Phase::out);
-  v.onListed("b", {}, Phase::in, 9, seconds(31));  // our list is as new
-  EXPECT_EQ(v.phase("b", seconds(31)), Phase::in);
+  v.onListed("a", {}, HostPhase::draining, 7, seconds(10));
+  v.onPeerPhase("a", {}, {HostPhase::active, 9, seconds(10)});  // even a newer one
+  EXPECT_EQ(v.phase("a", seconds(10)), HostPhase::draining);
+  v.onListed("b", {}, HostPhase::active, 7, seconds(10));
+  v.onPeerPhase("b", {}, {HostPhase::draining, 6, seconds(10)});  // of an older list: ours knows better
+  EXPECT_EQ(v.phase("b", seconds(10)), HostPhase::active);
+  v.onPeerPhase("b", {}, {HostPhase::draining, 8, seconds(10)});
+  EXPECT_EQ(v.phase("b", seconds(10)), HostPhase::draining);
+  EXPECT_EQ(v.phase("b", seconds(21)), HostPhase::active);  // a lie ends
+  v.onPeerPhase("b", {}, {HostPhase::removed, 9, seconds(30)});
+  EXPECT_EQ(v.phase("b", seconds(30)), HostPhase::removed);
+  v.onListed("b", {}, HostPhase::active, 9, seconds(31));  // our list is as new
+  EXPECT_EQ(v.phase("b", seconds(31)), HostPhase::active);
 }
 
 TEST(Facts, OfAHostThatStartedAnewNothingOldHolds) {
   View v(limits());
-  v.onListed("a", seconds(1), Phase::draining, 7, seconds(10));
+  v.onListed("a", seconds(1), HostPhase::draining, 7, seconds(10));
   v.onLoad("a", seconds(1), load(9, seconds(10)));
-  v.onPeerPhase("a", seconds(1), {Phase::out, 9, seconds(10)});
-  v.onListed("a", seconds(12), Phase::in, 8, seconds(13));
-  EXPECT_EQ(v.phase("a", seconds(13)), Phase::in);
+  v.onPeerPhase("a", seconds(1), {HostPhase::removed, 9, seconds(10)});
+  v.onListed("a", seconds(12), HostPhase::active, 8, seconds(13));
+  EXPECT_EQ(v.phase("a", seconds(13)), HostPhase::active);
   EXPECT_EQ(v.load("a", seconds(13)).confidence, 0);
   EXPECT_FALSE(v.onLoad("a", seconds(1), load(9, seconds(13))));  // of the old process, late
-  EXPECT_FALSE(v.onPeerPhase("a", seconds(1), {Phase::out, 9, seconds(13)}));
-  v.onListed("a", seconds(1), Phase::in, 9, seconds(14));  // nor does a list of before bring it back
+  EXPECT_FALSE(v.onPeerPhase("a", seconds(1), {HostPhase::removed, 9, seconds(13)}));
+  v.onListed("a", seconds(1), HostPhase::active, 9, seconds(14));  // nor does a list of before bring it back
   EXPECT_EQ(v.find("a")->started, Time(seconds(12)));
 }
 
 // Hard case: load reports that arrive late and out of order.
 TEST(Facts, TheNewestReportHoldsWhateverComesLast) {
   View v(limits());
-  v.onListed("a", {}, Phase::in, 1, seconds(10));
+  v.onListed("a", {}, HostPhase::active, 1, seconds(10));
   EXPECT_TRUE(v.onLoad("a", {}, load(5, seconds(12), seconds(13))));
   EXPECT_FALSE(v.onLoad("a", {}, load(1, seconds(11), seconds(14))));
   EXPECT_EQ(v.load("a", seconds(12)).report.queue, 5);
@@ -125,7 +125,7 @@
   View::Limits l;
   l.hosts = 10;
   View v(l);
-  for (int i = 0; i < 20; ++i) v.onListed("h" + std::to_string(i), {}, Phase::in, 1, seconds(10));
+  for (int i = 0; i < 20; ++i) v.onListed("h" + std::to_string(i), {}, HostPhase::active, 1, seconds(10));
   EXPECT_EQ(v.size(), 10u);
   EXPECT_EQ(v.dropped(), 10u);
   v.onWhole(2, seconds(20));
@@ -133,13 +133,13 @@
   EXPECT_EQ(v.size(), 10u);
   v.sweep(seconds(140));
   EXPECT_EQ(v.size(), 0u);
-  v.onListed("new", {}, Phase::in, 3, seconds(141));
-  EXPECT_EQ(v.phase("new", seconds(141)), Phase::in);
+  v.onListed("new", {}, HostPhase::active, 3, seconds(141));
+  EXPECT_EQ(v.phase("new", seconds(141)), HostPhase::active);
 }
 
 // --- Joins
 
-PhaseFact anyPhase(std::mt19937& dice) { return {static_cast<Phase>(dice() % 3), dice() % 4}; }
+PhaseFact anyPhase(std::mt19937& dice) { return {static_cast<HostPhase>(dice() % 3), dice() % 4}; }
 LoadFact anyLoad(std::mt19937& dice) {
   LoadFact f = load(static_cast<double>(dice() % 3), seconds(dice() % 4), seconds(dice() % 4 + 1));
   if (dice() % 3 == 0) f.report.queue = std::nan("");
@@ -150,7 +150,7 @@
   HostFacts f;
   f.started = seconds(dice() % 2);
   f.listed = anyPhase(dice);
-  if (dice() % 2) f.heard = HeardPhase{static_cast<Phase>(dice() % 3), dice() % 4, seconds(dice() % 4)};
+  if (dice() % 2) f.heard = HeardPhase{static_cast<HostPhase>(dice() % 3), dice() % 4, seconds(dice() % 4)};
   if (dice() % 2) f.load = anyLoad(dice);
   return f;
 }
@@ -184,9 +184,9 @@
     std::vector<std::function<void(View&)>> news;
     for (int i = 0; i < 12; ++i) {
       const std::uint64_t version = dice() % 5 + 1;
-      const auto phase = static_cast<Phase>(dice() % 3);
+      const auto phase = static_cast<HostPhase>(dice() % 3);
       const LoadFact fact = anyLoad(dice);
-      const HeardPhase heard{static_cast<Phase>(dice() % 3), dice() % 6, seconds(dice() % 9)};
+      const HeardPhase heard{static_cast<HostPhase>(dice() % 3), dice() % 6, seconds(dice() % 9)};
       switch (dice() % 3) {
         case 0:
           news.push_back([=](View& v) { v.onListed("a", seconds(1), phase, version, seconds(10)); });
@@ -197,7 +197,7 @@
     }
     const auto play = [&](bool twice) {
       View v(limits());
-      v.onListed("a", seconds(1), Phase::in, 0, seconds(10));
+      v.onListed("a", seconds(1), HostPhase::active, 0, seconds(10));
       for (const auto& n : news) {
         n(v);
         if (twice) n(v);
@@ -217,20 +217,20 @@
 TEST(Joins, TenThousandHistoriesAsAPlainReadingHasThem) {
   struct News {
     enum class Kind { list, peer } kind;
-    Phase phase;
+    HostPhase phase;
     std::uint64_t version;
     Time observed;
   };
-  const auto rankOf = [](Phase p) { return static_cast<int>(p); };
+  const auto rankOf = [](HostPhase p) { return static_cast<int>(p); };
   for (unsigned seed = 1; seed <= 10'000; ++seed) {
     std::mt19937 dice(seed);
     View v(limits());
-    v.onListed("a", seconds(1), Phase::in, 1, seconds(10));
-    std::vector<News> said = {{News::Kind::list, Phase::in, 1, seconds(10)}};
+    v.onListed("a", seconds(1), HostPhase::active, 1, seconds(10));
+    std::vector<News> said = {{News::Kind::list, HostPhase::active, 1, seconds(10)}};
     const std::size_t n = 2 + dice() % 10;
     std::vector<News> news;
     for (std::size_t i = 0; i < n; ++i)
-      news.push_back({dice() % 2 ? News::Kind::list : News::Kind::peer, static_cast<Phase>(dice() % 3),
+      news.push_back({dice() % 2 ? News::Kind::list : News::Kind::peer, static_cast<HostPhase>(dice() % 3),
                       1 + dice() % 6, seconds(10 + dice() % 20)});
     for (std::size_t i = 0; i < 3; ++i) news.push_back(news[dice() % n]);  // repeated
     std::shuffle(news.begin(), news.end(), dice);
@@ -242,7 +242,7 @@
       std::uint64_t version = 0;
       for (const News& y : said)
         if (y.kind == News::Kind::list) version = std::max(version, y.version);
-      Phase listed = Phase::in;
+      HostPhase listed = HostPhase::active;
       for (const News& y : said)
         if (y.kind == News::Kind::list && y.version == version && rankOf(y.phase) > rankOf(listed))
           listed = y.phase;
@@ -253,7 +253,7 @@
         if (!heard || key(y) > key(*heard)) heard = &y;
       }
       const Time now = seconds(10 + dice() % 30);
-      Phase want = listed;
+      HostPhase want = listed;
       if (heard && heard->version > version && now - heard->observed < seconds(10) &&
           rankOf(heard->phase) > rankOf(want))
         want = heard->phase;
@@ -266,23 +266,23 @@
 // Versions that begin anew: what stands stands, and any list of the new count is newer.
 TEST(Facts, ANewCountOfVersionsUndoesNothingByItself) {
   View v(limits());
-  v.onListed("a", {}, Phase::draining, 700, seconds(10));
-  v.onListed("b", {}, Phase::in, 700, seconds(10));
-  v.onPeerPhase("b", {}, {Phase::out, 800, seconds(10)});
+  v.onListed("a", {}, HostPhase::draining, 700, seconds(10));
+  v.onListed("b", {}, HostPhase::active, 700, seconds(10));
+  v.onPeerPhase("b", {}, {HostPhase::removed, 800, seconds(10)});
   v.renumber();
-  EXPECT_EQ(v.phase("a", seconds(11)), Phase::draining);
-  EXPECT_EQ(v.phase("b", seconds(11)), Phase::in);  // another count's word
-  v.onListed("a", {}, Phase::in, 3, seconds(12));
-  EXPECT_EQ(v.phase("a", seconds(12)), Phase::in);
+  EXPECT_EQ(v.phase("a", seconds(11)), HostPhase::draining);
+  EXPECT_EQ(v.phase("b", seconds(11)), HostPhase::active);  // another count's word
+  v.onListed("a", {}, HostPhase::active, 3, seconds(12));
+  EXPECT_EQ(v.phase("a", seconds(12)), HostPhase::active);
 }
 
 // A lie that is said again and again gets no younger.
 TEST(Facts, AWordThatIsRepeatedEndsAllTheSame) {
   View v(limits());
-  v.onListed("a", {}, Phase::in, 7, seconds(10));
+  v.onListed("a", {}, HostPhase::active, 7, seconds(10));
   for (int s = 10; s < 40; ++s) {
-    v.onPeerPhase("a", {}, {Phase::out, 8, seconds(s)});
-    EXPECT_EQ(v.phase("a", seconds(s)), s < 20 ? Phase::out : Phase::in) << s;
+    v.onPeerPhase("a", {}, {HostPhase::removed, 8, seconds(s)});
+    EXPECT_EQ(v.phase("a", seconds(s)), s < 20 ? HostPhase::removed : HostPhase::active) << s;
   }
 }
 
--- a/tests/membership/gossip_test.cpp
+++ b/tests/membership/gossip_test.cpp
@@ -38,7 +38,7 @@
       const auto it = answered.find(h);
       return it == answered.end() ? Time{} : it->second;
     });
-    for (HostKey h = 1; h <= 10; ++h) gossip->onListed(h, 0, Phase::in, 5, now);
+    for (HostKey h = 1; h <= 10; ++h) gossip->onListed(h, 0, HostPhase::active, 5, now);
   }
   void hears(GatewayNumber from, std::vector<Rumour> r) { gossip->receive(from, bytes(std::move(r)), now); }
   std::vector<Rumour> tells() {
@@ -154,7 +154,7 @@
 TEST(Gossip, OfAnotherStartNothingHolds) {
   One g;
   g.hears(1, {silent(3)});
-  g.gossip->onListed(3, 1000, Phase::in, 6, g.now);
+  g.gossip->onListed(3, 1000, HostPhase::active, 6, g.now);
   g.hears(2, {silent(3)});  // of the process before
   EXPECT_FALSE(g.gossip->silentByOthers(3, g.now));
   g.hears(2, {silent(3, {}, 1000)});
@@ -205,7 +205,7 @@
   g.hears(1, {phase(3, Rumour::What::draining, 6)});
   const auto a = g.gossip->takeAccepted();
   ASSERT_EQ(a.size(), 1u);
-  EXPECT_EQ(a[0].phase, Phase::draining);
+  EXPECT_EQ(a[0].phase, HostPhase::draining);
   EXPECT_EQ(a[0].since, g.now);
 }
 
@@ -227,8 +227,8 @@
     g.hears(1, {phase(3, Rumour::What::draining, v)});
     EXPECT_EQ(g.gossip->takeAccepted().size(), 1u) << v;
     g.now += seconds(2);
-    g.gossip->onListed(3, 0, Phase::draining, v, g.now);
-    g.gossip->onListed(3, 0, Phase::in, v + 1, g.now);
+    g.gossip->onListed(3, 0, HostPhase::draining, v, g.now);
+    g.gossip->onListed(3, 0, HostPhase::active, v + 1, g.now);
   }
   EXPECT_TRUE(g.gossip->heard(1));
   EXPECT_EQ(g.gossip->counts().lapsed, 0u);
@@ -247,9 +247,9 @@
 
 TEST(Gossip, WhatIsSentIsBounded) {
   One g([](GossipSettings& s) { s.gateways = 1000; });
-  for (HostKey h = 100; h < 10'100; ++h) g.gossip->onListed(h, 0, Phase::in, 6, g.now);
+  for (HostKey h = 100; h < 10'100; ++h) g.gossip->onListed(h, 0, HostPhase::active, 6, g.now);
   for (HostKey h = 100; h < 10'100; ++h)
-    g.gossip->onListed(h, 0, Phase::out, 7, g.now);  // all of them go at once
+    g.gossip->onListed(h, 0, HostPhase::removed, 7, g.now);  // all of them go at once
   std::size_t sent = 0, bytes = 0;
   for (int i = 0; i < 50; ++i) {
     for (const auto& o : g.gossip->tick(g.now)) ++sent, bytes += o.payload.size();
@@ -262,16 +262,16 @@
 
 TEST(Gossip, AChangeIsToldSoManyTimesAndNoMore) {
   One g;
-  g.gossip->onListed(3, 0, Phase::draining, 6, g.now);
+  g.gossip->onListed(3, 0, HostPhase::draining, 6, g.now);
   std::size_t told = 0;
   for (int i = 0; i < 100; ++i) {
     told += !g.tells().empty();
     g.now += milliseconds(200);
   }
   EXPECT_EQ(told, 6u);  // 2 log2(6), rounded up
-  g.gossip->onListed(3, 0, Phase::draining, 7, g.now);
+  g.gossip->onListed(3, 0, HostPhase::draining, 7, g.now);
   EXPECT_TRUE(g.tells().empty());  // nothing new
-  g.gossip->onListed(3, 0, Phase::out, 8, g.now);
+  g.gossip->onListed(3, 0, HostPhase::removed, 8, g.now);
   g.gossip->onForgotten(3);
   EXPECT_EQ(g.tells().at(0).what, Rumour::What::out);  // the news outlives the record
 }
