--- a/tests/membership/list_policy_test.cpp
+++ b/tests/membership/list_policy_test.cpp
@@ -12,11 +12,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-Named named(const std::string& name, Phase phase = Phase::in, const std::string& at = "", Time since = {}) {
+Named named(const std::string& name, HostPhase phase = HostPhase::active, const std::string& at = "",
+            Time since = {}) {
   Named n;
   n.entry.address = name;
   n.entry.phase = phase;
-  n.entry.upSince = since;
+  n.entry.startedAt = since;
   n.at = at.empty() ? "at-" + name : at;
   return n;
 }
@@ -28,7 +29,7 @@
 struct Follower {
   ListPolicy policy;
   Time now = seconds(100);
-  std::map<std::string, Phase> phases;
+  std::map<std::string, HostPhase> phases;
   std::set<std::string> silent;
   bool asked = false;
 
@@ -37,7 +38,7 @@
     asked = t.askWhole;
     if (!t.list) return;
     if (t.list->whole)
-      for (auto& [name, phase] : phases) phase = Phase::out;
+      for (auto& [name, phase] : phases) phase = HostPhase::removed;
     for (const Named& n : t.list->hosts) phases[n.entry.address] = n.entry.phase;
   }
   void list(List l) {
@@ -50,9 +51,9 @@
       if (const auto at = policy.wake(); at && *at <= now) follow(policy.onWake(now));
     }
   }
-  Phase of(const std::string& name) const {
+  HostPhase of(const std::string& name) const {
     const auto it = phases.find(name);
-    return it == phases.end() ? Phase::out : it->second;
+    return it == phases.end() ? HostPhase::removed : it->second;
   }
 };
 
@@ -65,12 +66,12 @@
 TEST(ListPolicy, APlainListPassesAsItIs) {
   Follower f;
   f.list(whole(1, many(4)));
-  f.list(change(2, {named("h1", Phase::draining), named("new")}));
-  EXPECT_EQ(f.of("h0"), Phase::in);
-  EXPECT_EQ(f.of("h1"), Phase::draining);
-  EXPECT_EQ(f.of("new"), Phase::in);
+  f.list(change(2, {named("h1", HostPhase::draining), named("new")}));
+  EXPECT_EQ(f.of("h0"), HostPhase::active);
+  EXPECT_EQ(f.of("h1"), HostPhase::draining);
+  EXPECT_EQ(f.of("new"), HostPhase::active);
   f.list(whole(3, many(4, 1)));  // one of five left out: nothing to doubt
-  EXPECT_EQ(f.of("h0"), Phase::out);
+  EXPECT_EQ(f.of("h0"), HostPhase::removed);
   EXPECT_FALSE(f.policy.doubting());
   EXPECT_EQ(f.policy.counts().lists, 3u);
 }
@@ -81,12 +82,12 @@
   f.list(whole(1, many(4)));
   f.list(whole(2, {}));
   EXPECT_TRUE(f.asked);
-  EXPECT_EQ(f.of("h0"), Phase::in);
+  EXPECT_EQ(f.of("h0"), HostPhase::active);
   f.pass(milliseconds(100));
   f.list(whole(2, many(4)));  // it was a mistake
-  EXPECT_EQ(f.of("h0"), Phase::in);
+  EXPECT_EQ(f.of("h0"), HostPhase::active);
   f.pass(seconds(5));
-  EXPECT_EQ(f.of("h0"), Phase::in);
+  EXPECT_EQ(f.of("h0"), HostPhase::active);
   EXPECT_EQ(f.policy.counts().doubted, 1u);
   EXPECT_EQ(f.policy.counts().withdrawn, 1u);
 }
@@ -97,7 +98,7 @@
   f.list(whole(2, {}));
   f.pass(milliseconds(50));
   f.list(whole(2, {}));
-  EXPECT_EQ(f.of("h0"), Phase::out);
+  EXPECT_EQ(f.of("h0"), HostPhase::removed);
   EXPECT_EQ(f.policy.counts().confirmed, 1u);
 }
 
@@ -109,21 +110,21 @@
   f.list(whole(1, many(4)));
   f.list(whole(2, {}));
   f.pass(milliseconds(390));
-  EXPECT_EQ(f.of("h0"), Phase::in);
+  EXPECT_EQ(f.of("h0"), HostPhase::active);
   f.pass(milliseconds(20));
-  EXPECT_EQ(f.of("h0"), Phase::out);
+  EXPECT_EQ(f.of("h0"), HostPhase::removed);
   EXPECT_EQ(f.policy.counts().lapsed, 1u);
 }
 
 TEST(ListPolicy, WhatADoubtfulListNamesAsDrainingHoldsAtOnce) {
   Follower f;
   f.list(whole(1, many(6)));
-  f.list(whole(2, {named("h0", Phase::draining)}));
-  EXPECT_EQ(f.of("h0"), Phase::draining);
-  EXPECT_EQ(f.of("h1"), Phase::in);
+  f.list(whole(2, {named("h0", HostPhase::draining)}));
+  EXPECT_EQ(f.of("h0"), HostPhase::draining);
+  EXPECT_EQ(f.of("h1"), HostPhase::active);
   f.pass(seconds(1));
-  EXPECT_EQ(f.of("h0"), Phase::draining);
-  EXPECT_EQ(f.of("h1"), Phase::out);
+  EXPECT_EQ(f.of("h0"), HostPhase::draining);
+  EXPECT_EQ(f.of("h1"), HostPhase::removed);
 }
 
 // Hard case: half a list.
@@ -138,7 +139,7 @@
   for (int i = 0; i < 6; ++i) dead.silent.insert("h" + std::to_string(i));
   dead.list(whole(2, many(10, 6)));  // a zone is lost: the list tells what we see
   EXPECT_FALSE(dead.policy.doubting());
-  EXPECT_EQ(dead.of("h1"), Phase::out);
+  EXPECT_EQ(dead.of("h1"), HostPhase::removed);
 }
 
 TEST(ListPolicy, AChangeDuringADoubtSpeaksForWhomItNames) {
@@ -147,8 +148,8 @@
   f.list(whole(2, {}));
   f.list(change(3, {named("h2")}));
   f.pass(seconds(1));
-  EXPECT_EQ(f.of("h1"), Phase::out);
-  EXPECT_EQ(f.of("h2"), Phase::in);
+  EXPECT_EQ(f.of("h1"), HostPhase::removed);
+  EXPECT_EQ(f.of("h2"), HostPhase::active);
 }
 
 TEST(ListPolicy, DoubtCanBeSwitchedOff) {
@@ -157,20 +158,20 @@
   Follower f(s);
   f.list(whole(1, many(4)));
   f.list(whole(2, {}));
-  EXPECT_EQ(f.of("h0"), Phase::out);
+  EXPECT_EQ(f.of("h0"), HostPhase::removed);
 }
 
 // Hard case: a list that is older than ours.
 TEST(ListPolicy, AnOlderListUndoesNothing) {
   Follower f;
   f.list(whole(7, many(4)));
-  f.list(change(8, {named("h0", Phase::draining)}));
+  f.list(change(8, {named("h0", HostPhase::draining)}));
   f.list(whole(7, many(4)));
   f.list(change(6, {named("h0")}));
-  EXPECT_EQ(f.of("h0"), Phase::draining);
+  EXPECT_EQ(f.of("h0"), HostPhase::draining);
   EXPECT_EQ(f.policy.counts().older, 2u);
   f.list(change(9, {named("h0")}));
-  EXPECT_EQ(f.of("h0"), Phase::in);
+  EXPECT_EQ(f.of("h0"), HostPhase::active);
 }
 
 // A discovery that was set up anew counts from the beginning; for ever passed over, it could tell no drain.
@@ -179,14 +180,14 @@
   f.list(whole(700, many(4)));
   f.list(whole(1, many(4)));
   f.pass(seconds(9));
-  f.list(change(2, {named("h0", Phase::draining)}));
-  EXPECT_EQ(f.of("h0"), Phase::in);
+  f.list(change(2, {named("h0", HostPhase::draining)}));
+  EXPECT_EQ(f.of("h0"), HostPhase::active);
   f.pass(seconds(2));
   f.list(change(
-      3, {named("h0", Phase::draining)}));  // what it refers to was passed over: the whole is asked for
+      3, {named("h0", HostPhase::draining)}));  // what it refers to was passed over: the whole is asked for
   EXPECT_TRUE(f.asked);
   f.list(whole(3, many(4, 1)));
-  EXPECT_EQ(f.of("h0"), Phase::out);
+  EXPECT_EQ(f.of("h0"), HostPhase::removed);
   EXPECT_EQ(f.policy.counts().renumbered, 1u);
   EXPECT_EQ(f.policy.version(), 3);
 }
@@ -196,7 +197,7 @@
   f.list(whole(700, many(4)));
   f.policy.onMoved();
   f.list(whole(1, many(4, 1)));
-  EXPECT_EQ(f.of("h0"), Phase::out);
+  EXPECT_EQ(f.of("h0"), HostPhase::removed);
   EXPECT_EQ(f.policy.counts().older, 0u);
 }
 
@@ -205,57 +206,60 @@
   Follower f;
   for (const bool worseFirst : {true, false}) {
     std::vector<Named> hosts = many(3);
-    hosts.push_back(named("x", worseFirst ? Phase::draining : Phase::in));
-    hosts.push_back(named("x", worseFirst ? Phase::in : Phase::draining));
+    hosts.push_back(named("x", worseFirst ? HostPhase::draining : HostPhase::active));
+    hosts.push_back(named("x", worseFirst ? HostPhase::active : HostPhase::draining));
     f.list(whole(worseFirst ? 1 : 2, hosts));
-    EXPECT_EQ(f.of("x"), Phase::draining);
+    EXPECT_EQ(f.of("x"), HostPhase::draining);
   }
   EXPECT_EQ(f.policy.counts().twice, 2u);
-  const auto t = f.policy.onList(
-      change(3, {named("y", Phase::in, "a:1", seconds(5)), named("y", Phase::in, "a:2", seconds(6))}), f.now,
-      [](std::string_view) { return true; });
+  const auto t = f.policy.onList(change(3, {named("y", HostPhase::active, "a:1", seconds(5)),
+                                            named("y", HostPhase::active, "a:2", seconds(6))}),
+                                 f.now, [](std::string_view) { return true; });
   ASSERT_EQ(t.list->hosts.size(), 1u);
   EXPECT_EQ(t.list->hosts[0].at, "a:2");  // the later start, and the address that goes with it
-  EXPECT_EQ(t.list->hosts[0].entry.upSince, Time(seconds(6)));
+  EXPECT_EQ(t.list->hosts[0].entry.startedAt, Time(seconds(6)));
 }
 
 // Hard case: an address that moves to another name, the old one still listed.
 TEST(ListPolicy, OfTwoAtOneAddressTheLaterStartIsThere) {
   Follower f;
-  f.list(whole(1, {named("old", Phase::in, "a:1", seconds(5)), named("b")}));
-  f.list(change(2, {named("new", Phase::in, "a:1", seconds(50))}));
-  EXPECT_EQ(f.of("new"), Phase::in);
-  EXPECT_EQ(f.of("old"), Phase::draining);
+  f.list(whole(1, {named("old", HostPhase::active, "a:1", seconds(5)), named("b")}));
+  f.list(change(2, {named("new", HostPhase::active, "a:1", seconds(50))}));
+  EXPECT_EQ(f.of("new"), HostPhase::active);
+  EXPECT_EQ(f.of("old"), HostPhase::draining);
   EXPECT_EQ(f.policy.reason("old"), "its address is another's");
-  f.list(change(3, {named("old", Phase::out, "a:1")}));
-  EXPECT_EQ(f.of("old"), Phase::out);
-  f.list(change(4, {named("late", Phase::in, "a:1", seconds(20))}));  // started before the one that is there
-  EXPECT_EQ(f.of("late"), Phase::draining);
-  EXPECT_EQ(f.of("new"), Phase::in);
+  f.list(change(3, {named("old", HostPhase::removed, "a:1")}));
+  EXPECT_EQ(f.of("old"), HostPhase::removed);
+  f.list(change(
+      4, {named("late", HostPhase::active, "a:1", seconds(20))}));  // started before the one that is there
+  EXPECT_EQ(f.of("late"), HostPhase::draining);
+  EXPECT_EQ(f.of("new"), HostPhase::active);
   EXPECT_EQ(f.policy.counts().shared, 2u);
-  f.list(change(5, {named("new", Phase::draining, "a:1", seconds(50))}));
-  f.list(change(6, {named("late", Phase::in, "a:1", seconds(20))}));
-  EXPECT_EQ(f.of("late"), Phase::in);
+  f.list(change(5, {named("new", HostPhase::draining, "a:1", seconds(50))}));
+  f.list(change(6, {named("late", HostPhase::active, "a:1", seconds(20))}));
+  EXPECT_EQ(f.of("late"), HostPhase::active);
 }
 
 TEST(ListPolicy, TwoAtOneAddressInOneWholeList) {
   Follower f;
-  f.list(whole(1, {named("b", Phase::in, "a:1", seconds(9)), named("a", Phase::in, "a:1", seconds(5))}));
-  EXPECT_EQ(f.of("a"), Phase::draining);
-  EXPECT_EQ(f.of("b"), Phase::in);
-  f.list(whole(2, {named("a", Phase::in, "a:1", seconds(5)), named("b", Phase::in, "a:1", seconds(9))}));
-  EXPECT_EQ(f.of("a"), Phase::draining);
-  EXPECT_EQ(f.of("b"), Phase::in);
+  f.list(whole(1, {named("b", HostPhase::active, "a:1", seconds(9)),
+                   named("a", HostPhase::active, "a:1", seconds(5))}));
+  EXPECT_EQ(f.of("a"), HostPhase::draining);
+  EXPECT_EQ(f.of("b"), HostPhase::active);
+  f.list(whole(2, {named("a", HostPhase::active, "a:1", seconds(5)),
+                   named("b", HostPhase::active, "a:1", seconds(9))}));
+  EXPECT_EQ(f.of("a"), HostPhase::draining);
+  EXPECT_EQ(f.of("b"), HostPhase::active);
 }
 
 // A host whose address the list moves is the same host.
 TEST(ListPolicy, AHostThatMovesGivesItsAddressBack) {
   Follower f;
-  f.list(whole(1, {named("a", Phase::in, "p:1"), named("b", Phase::in, "p:2")}));
-  f.list(change(2, {named("a", Phase::in, "p:3")}));
-  f.list(change(3, {named("c", Phase::in, "p:1")}));
-  EXPECT_EQ(f.of("c"), Phase::in);
-  EXPECT_EQ(f.of("a"), Phase::in);
+  f.list(whole(1, {named("a", HostPhase::active, "p:1"), named("b", HostPhase::active, "p:2")}));
+  f.list(change(2, {named("a", HostPhase::active, "p:3")}));
+  f.list(change(3, {named("c", HostPhase::active, "p:1")}));
+  EXPECT_EQ(f.of("c"), HostPhase::active);
+  EXPECT_EQ(f.of("a"), HostPhase::active);
   EXPECT_EQ(f.policy.counts().shared, 0u);
 }
 
@@ -268,19 +272,19 @@
     for (int i = 0; i < 20; ++i) {
       ++index;
       if (byWhole) f.list(whole(index, many(5, 1)));
-      else f.list(change(index, {named("h0", Phase::draining)}));
+      else f.list(change(index, {named("h0", HostPhase::draining)}));
       f.pass(milliseconds(50));
       ++index;
       if (byWhole) f.list(whole(index, many(5)));
       else f.list(change(index, {named("h0")}));
-      if (i >= 6) EXPECT_EQ(f.of("h0"), Phase::draining) << i;
+      if (i >= 6) EXPECT_EQ(f.of("h0"), HostPhase::draining) << i;
       f.pass(milliseconds(50));
     }
     EXPECT_EQ(f.policy.counts().flapping, 1u);
     EXPECT_EQ(f.policy.reason("h0"), "flapping");
-    EXPECT_EQ(f.of("h1"), Phase::in);
+    EXPECT_EQ(f.of("h1"), HostPhase::active);
     f.pass(seconds(60));
-    EXPECT_EQ(f.of("h0"), Phase::in);
+    EXPECT_EQ(f.of("h0"), HostPhase::active);
     EXPECT_EQ(f.policy.reason("h0"), "");
   }
 }
@@ -291,12 +295,12 @@
   std::int64_t index = 1;
   for (int i = 0; i < 5; ++i) {
     const std::string name = "h" + std::to_string(i);
-    f.list(change(++index, {named(name, Phase::draining)}));
+    f.list(change(++index, {named(name, HostPhase::draining)}));
     f.pass(seconds(1));
-    f.list(change(++index, {named(name, Phase::out)}));
+    f.list(change(++index, {named(name, HostPhase::removed)}));
     f.pass(seconds(1));
-    f.list(change(++index, {named(name, Phase::in, "", f.now)}));
-    EXPECT_EQ(f.of(name), Phase::in);
+    f.list(change(++index, {named(name, HostPhase::active, "", f.now)}));
+    EXPECT_EQ(f.of(name), HostPhase::active);
   }
   EXPECT_EQ(f.policy.counts().flapping, 0u);
 }
@@ -324,7 +328,7 @@
     f.policy.onLost();
     f.pass(seconds(1));
   }
-  EXPECT_EQ(f.of("h2"), Phase::in);
+  EXPECT_EQ(f.of("h2"), HostPhase::active);
   EXPECT_EQ(f.policy.counts().lost, 3600u);
   EXPECT_EQ(f.policy.listAt(), Time(seconds(100)));
 }
@@ -346,19 +350,19 @@
       l.index = dice() % 5 == 0 ? index - 1 : ++index;
       for (int i = 0; i < 6; ++i)
         if (dice() % 2)
-          l.hosts.push_back(named("h" + std::to_string(i), static_cast<Phase>(dice() % 3),
+          l.hosts.push_back(named("h" + std::to_string(i), static_cast<HostPhase>(dice() % 3),
                                   "p:" + std::to_string(dice() % 8), seconds(dice() % 4)));
       const bool counts = l.index >= index;
-      std::map<std::string, Phase> worst;
+      std::map<std::string, HostPhase> worst;
       for (const Named& n : l.hosts) {
         const auto [it, fresh] = worst.emplace(n.entry.address, n.entry.phase);
-        if (!fresh && n.entry.phase != Phase::in) it->second = n.entry.phase;
+        if (!fresh && n.entry.phase != HostPhase::active) it->second = n.entry.phase;
       }
       if (counts) {
         for (int i = 0; i < 6; ++i) {
           const std::string name = "h" + std::to_string(i);
           const auto it = worst.find(name);
-          if (it != worst.end() && it->second == Phase::in) outSince.erase(name);
+          if (it != worst.end() && it->second == HostPhase::active) outSince.erase(name);
           else if (it != worst.end()) outSince[name] = f.now - seconds(1);  // named: at once
           else if (l.whole) outSince.emplace(name, f.now);
         }
@@ -368,12 +372,12 @@
       f.pass(pause);
       for (const auto& [name, since] : outSince)
         if (f.now - since > kDoubtMost)
-          ASSERT_NE(f.of(name), Phase::in) << "seed " << seed << " step " << step;
+          ASSERT_NE(f.of(name), HostPhase::active) << "seed " << seed << " step " << step;
     }
     f.pass(seconds(120));
     f.list(whole(++index, many(6)));
     f.pass(seconds(1));
-    for (int i = 0; i < 6; ++i) ASSERT_EQ(f.of("h" + std::to_string(i)), Phase::in) << seed;
+    for (int i = 0; i < 6; ++i) ASSERT_EQ(f.of("h" + std::to_string(i)), HostPhase::active) << seed;
   }
 }
 
--- a/tests/membership/warm_start_test.cpp
+++ b/tests/membership/warm_start_test.cpp
@@ -78,7 +78,7 @@
       collect();
     }
   }
-  std::optional<ridgeshift::Learned> learned() const {
+  std::optional<load_balancing::LearnedState> learned() const {
     Names n;
     n.classes = {{11, "log-in"}, {12, "other"}};
     n.kinds = {{21, "std"}};
@@ -99,7 +99,7 @@
 TEST(Snapshot, ComesThroughAsItWas) {
   Snapshot s = snapshot(minutes(3), {});
   for (HostKey k = 1; k <= 50; ++k) s.hosts.push_back(host(k, 0.5 + 0.01 * static_cast<double>(k)));
-  s.hosts[49].phase = Phase::draining;
+  s.hosts[49].phase = HostPhase::draining;
   s.hosts[48].ejectedFor = seconds(2);
   s.hosts[48].ejections = 3;
   s.hosts[47].started = 1'700'000'000'000;
@@ -127,7 +127,7 @@
   EXPECT_EQ(hosts[0].ejectedFor, Duration(seconds(2)));
   EXPECT_EQ(hosts[0].ejections, 3);
   EXPECT_EQ(hosts[1].host, 50u);
-  EXPECT_EQ(hosts[1].phase, Phase::draining);
+  EXPECT_EQ(hosts[1].phase, HostPhase::draining);
   const auto h48 = std::find_if(hosts.begin(), hosts.end(), [](const ToldHost& h) { return h.host == 48; });
   EXPECT_EQ(h48->started, 1'700'000'000'000);
   EXPECT_EQ(h48->version, 77u);
@@ -161,7 +161,7 @@
   const auto l = a.learned();
   ASSERT_TRUE(l);
   EXPECT_EQ(l->hosts.size(), 10'000u);
-  EXPECT_NEAR(l->hosts[5000].pace, 1.5, 1e-3);
+  EXPECT_NEAR(l->hosts[5000].relativeLatency, 1.5, 1e-3);
 }
 
 TEST(WarmStart, TakesWhatOnePeerKnows) {
@@ -170,15 +170,15 @@
   const auto l = a.learned();
   ASSERT_TRUE(l);
   EXPECT_EQ(l->age, Duration(minutes(3)));
-  EXPECT_NEAR(l->fastRate, 300, 0.01);
+  EXPECT_NEAR(l->inTimeRate, 300, 0.01);
   ASSERT_EQ(l->classes.size(), 1u);
   EXPECT_EQ(l->classes[0].name, "log-in");
-  EXPECT_NEAR(l->classes[0].norm, 0.06, 1e-6);
-  EXPECT_EQ(l->kinds.at(0).name, "std");
-  EXPECT_EQ(l->levels.size(), 2u);
+  EXPECT_NEAR(l->classes[0].typicalLatency, 0.06, 1e-6);
+  EXPECT_EQ(l->machineTypes.at(0).name, "std");
+  EXPECT_EQ(l->priorityLevels.size(), 2u);
   ASSERT_EQ(l->hosts.size(), 2u);
   EXPECT_EQ(l->hosts[0].address, "h1");
-  EXPECT_NEAR(l->hosts[0].pace, 2, 1e-3);
+  EXPECT_NEAR(l->hosts[0].relativeLatency, 2, 1e-3);
 }
 
 // Hard case: the peer is itself freshly started.
@@ -193,12 +193,12 @@
   b.answer(1, snapshot(seconds(3), {host(1, 5)}));
   const auto part = b.learned();
   ASSERT_TRUE(part);
-  EXPECT_GT(part->hosts.at(0).pace, 1.2);
-  EXPECT_LT(part->hosts.at(0).pace, 3);  // drawn towards what is assumed of any host
+  EXPECT_GT(part->hosts.at(0).relativeLatency, 1.2);
+  EXPECT_LT(part->hosts.at(0).relativeLatency, 3);  // drawn towards what is assumed of any host
   Asker c;
   c.answer(1, snapshot(seconds(2), {host(1, 5)}));
   c.answer(2, snapshot(minutes(5), {host(1, 1)}));
-  EXPECT_LT(c.learned()->hosts.at(0).pace, 1.5);
+  EXPECT_LT(c.learned()->hosts.at(0).relativeLatency, 1.5);
 }
 
 // Two peers that disagree are both kept, with their ages; the younger fact weighs more.
@@ -212,7 +212,7 @@
   EXPECT_EQ(said[0].age, Duration(milliseconds(15'500)));
   EXPECT_EQ(said[1].age, Duration(milliseconds(600)));
   EXPECT_LT(said[0].weight, said[1].weight);
-  const double pace = a.learned()->hosts.at(0).pace;
+  const double pace = a.learned()->hosts.at(0).relativeLatency;
   EXPECT_GT(pace, 1);
   EXPECT_LT(pace, 1.4);
 }
@@ -220,7 +220,7 @@
 TEST(WarmStart, AnOldFactIsWorthNothing) {
   Asker a;
   a.answer(1, snapshot(minutes(3), {host(1, 4, seconds(30))}));
-  EXPECT_EQ(a.learned()->hosts.at(0).pace, 1);
+  EXPECT_EQ(a.learned()->hosts.at(0).relativeLatency, 1);
 }
 
 TEST(WarmStart, EjectedIsWhatMostOfTheWordSays) {
@@ -287,7 +287,7 @@
     // A chunk that was cut where a record ends counts as had: the rest of it is not heard of again.
     ASSERT_LE(l->hosts.size(), heard.size());
     ASSERT_GE(l->hosts.size() + 25, heard.size());
-    for (const auto& h : l->hosts) ASSERT_NEAR(h.pace, 2, 1e-3);
+    for (const auto& h : l->hosts) ASSERT_NEAR(h.relativeLatency, 2, 1e-3);
   }
 }
 
@@ -346,7 +346,7 @@
     for (const auto& [from, c] : all) a.start->receive(from, c, a.now);
     std::string text;
     const auto l = a.learned();
-    for (const auto& h : l->hosts) text += h.address + " " + std::to_string(h.pace) + "\n";
+    for (const auto& h : l->hosts) text += h.address + " " + std::to_string(h.relativeLatency) + "\n";
     if (seed == 1) first = text;
     ASSERT_EQ(text, first);
   }
--- a/tests/net/bodies_test.cpp
+++ b/tests/net/bodies_test.cpp
@@ -117,8 +117,8 @@
     ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
     EXPECT_TRUE(c->answers[1].body() == body);
   }
-  EXPECT_EQ(gateway->figures().classes[0].answered, 4u);
-  EXPECT_EQ(gateway->figures().current, 0u);
+  EXPECT_EQ(gateway->metrics().classes[0].succeeded, 4u);
+  EXPECT_EQ(gateway->metrics().activeRequests, 0u);
   EXPECT_EQ(gateway->openRequests(), 0u);
   EXPECT_EQ(gateway->upstreamOpened(), 1u);
 }
@@ -206,8 +206,8 @@
     EXPECT_EQ(c->heard.find("0\r\n\r\n", c->heard.size() - 5), std::string::npos);
     EXPECT_LT(bodyOf(c->heard).size(), 200'000u);
   }
-  EXPECT_EQ(gateway->figures().classes[0].errored, 2u);
-  EXPECT_EQ(gateway->figures().classes[0].answered, 0u);
+  EXPECT_EQ(gateway->metrics().classes[0].failed, 2u);
+  EXPECT_EQ(gateway->metrics().classes[0].succeeded, 0u);
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
@@ -300,7 +300,7 @@
   c->socket.close();
   asio::async_write(*raw->sockets[0], asio::buffer(part), [](error_code, std::size_t) {});
   ASSERT_TRUE(until([&] { return raw->ended && gateway->openRequests() == 0; }));
-  EXPECT_EQ(gateway->figures().current, 0u);
+  EXPECT_EQ(gateway->metrics().activeRequests, 0u);
 }
 
 TEST_F(BodiesTest, ALongBodyArrivesUnchangedWhateverItsFraming) {
@@ -324,7 +324,7 @@
   ASSERT_EQ(received(), 2u);
   EXPECT_TRUE(hosts[0]->received[1].body() == body);
   EXPECT_EQ(hosts[0]->received[1]["Idempotency-Key"], "k");
-  EXPECT_EQ(gateway->figures().sends, 2u);
+  EXPECT_EQ(gateway->metrics().attemptsSent, 2u);
   EXPECT_FALSE(c->ended);
 }
 
@@ -340,8 +340,8 @@
   ASSERT_TRUE(until([&] { return c->heard.find("HTTP/1.1 503") == 0; }));
   EXPECT_NE(c->heard.find("Connection: close"), std::string::npos);
   EXPECT_EQ(raw->sockets.size(), 1u);
-  EXPECT_EQ(gateway->figures().classes[1].deferred, 1u);
-  EXPECT_EQ(gateway->figures().sends, 0u);
+  EXPECT_EQ(gateway->metrics().classes[1].rejected, 1u);
+  EXPECT_EQ(gateway->metrics().attemptsSent, 0u);
 }
 
 // Bytes that come before the request is whole are no answer to it.
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -1,8 +1,8 @@
 // The gateway's configuration, and the settings that it shares with the adapter.
 #include "net/config.hpp"
 
+#include "simulator/adapter.hpp"
 #include "support/sockets.hpp"
-#include "wire/wire.hpp"
 
 namespace finchstile::testing {
 namespace {
@@ -24,7 +24,7 @@
   json config = configJson({asio::ip::make_address("127.0.0.1"), 1}, json::array());
   config["settings"]["tenants"] = {{{"name", "acme"}, {"quotaRps", 12.5}, {"portion", 0.5}}};
   const auto a = readConfig(config.dump(), clock).settings;
-  const auto b = ridgeshift::wire::readSettings(
+  const auto b = load_balancing::simulator::readSettings(
       "rngSeed=5 groupSize=1 zone=east registryMode=ask stepNs=5000000 ceilings.cancel=true "
       "ceilings.maxAttempts=3 ceilings.maxRetryAfterNs=1000000000 rules.askWithinNs=10000000000 "
       "rules.coldNs=9000000000 rules.coldShare=0.32 rules.fallNs=2000000000 grades.count=2 "
@@ -34,21 +34,21 @@
   EXPECT_EQ(a.seed, 0x92094eb940cf389aULL);  // the configuration's seed is hexadecimal
   EXPECT_EQ(b.seed, 5u);
   EXPECT_EQ(a.zone, b.zone);
-  EXPECT_TRUE(a.askDiscovery && b.askDiscovery && a.cancel && b.cancel);
-  EXPECT_EQ(a.step, b.step);
-  EXPECT_EQ(a.askWithin, b.askWithin);
-  EXPECT_EQ(a.coldTime, b.coldTime);
-  EXPECT_EQ(a.coldShare, b.coldShare);
-  EXPECT_EQ(a.fallWindow, b.fallWindow);
+  EXPECT_TRUE(a.pollsDiscovery && b.pollsDiscovery && a.cancellationEnabled && b.cancellationEnabled);
+  EXPECT_EQ(a.eventInterval, b.eventInterval);
+  EXPECT_EQ(a.maxDiscoverySilence, b.maxDiscoverySilence);
+  EXPECT_EQ(a.warmUpTime, b.warmUpTime);
+  EXPECT_EQ(a.initialCapacityFraction, b.initialCapacityFraction);
+  EXPECT_EQ(a.collapseWindow, b.collapseWindow);
   EXPECT_EQ(a.maxAttempts, 3u);
   EXPECT_EQ(b.maxAttempts, 3u);
   ASSERT_EQ(a.classes.size(), 3u);
   ASSERT_EQ(b.classes.size(), 3u);
-  EXPECT_EQ(a.classes[0].effect, ridgeshift::Effect::retryable);
-  EXPECT_EQ(a.classes[0].aim, b.classes[0].aim);
-  EXPECT_EQ(a.classes[0].worth, b.classes[0].worth);
-  EXPECT_EQ(a.classes[2].group, b.classes[2].group);
-  EXPECT_EQ(a.classes[2].window, b.classes[2].window);
+  EXPECT_EQ(a.classes[0].idempotency, load_balancing::Idempotency::idempotent);
+  EXPECT_EQ(a.classes[0].latencyObjective, b.classes[0].latencyObjective);
+  EXPECT_EQ(a.classes[0].priorityWeight, b.classes[0].priorityWeight);
+  EXPECT_EQ(a.classes[2].deduplicationScope, b.classes[2].deduplicationScope);
+  EXPECT_EQ(a.classes[2].deduplicationWindow, b.classes[2].deduplicationWindow);
   ASSERT_EQ(a.tenants.size(), 1u);
   EXPECT_EQ(a.tenants[0].quotaPerSecond, b.tenants[0].quotaPerSecond);
 }
@@ -78,10 +78,10 @@
           .dump();
   const HostList one = parseHostList(text, clock), two = parseHostList(text, clock);
   ASSERT_EQ(one.hosts.size(), 3u);
-  EXPECT_EQ(one.hosts[0].entry.upSince, two.hosts[0].entry.upSince);
-  EXPECT_EQ(one.hosts[1].entry.upSince, Time{});  // 0: long ago
-  EXPECT_EQ(one.hosts[2].entry.phase, ridgeshift::Phase::out);
-  const auto age = clock.now() - one.hosts[0].entry.upSince;
+  EXPECT_EQ(one.hosts[0].entry.startedAt, two.hosts[0].entry.startedAt);
+  EXPECT_EQ(one.hosts[1].entry.startedAt, Time{});  // 0: long ago
+  EXPECT_EQ(one.hosts[2].entry.phase, load_balancing::HostPhase::removed);
+  const auto age = clock.now() - one.hosts[0].entry.startedAt;
   EXPECT_GE(age, std::chrono::milliseconds(1900));
   EXPECT_LT(age, std::chrono::seconds(60));
 }
@@ -97,7 +97,7 @@
   }
   for (int i = 0; i < 1025; ++i)
     config["settings"]["tenants"].push_back({{"name", "t-" + std::to_string(i)}, {"quotaRps", 1.5}});
-  const Config c = readConfig(config.dump(), clock);
+  const GatewayConfig c = readConfig(config.dump(), clock);
   ASSERT_EQ(c.settings.classes.size(), 1025u);
   EXPECT_EQ(c.settings.classes.back().name, "class-1024");
   ASSERT_EQ(c.settings.tenants.size(), 1025u);
@@ -110,7 +110,7 @@
   json config = configJson({asio::ip::make_address("127.0.0.1"), 1}, json::array());
   for (int i = 0; i < 27000; ++i)
     config["settings"]["tenants"].push_back({{"name", "t-" + std::to_string(i)}, {"quotaRps", 1.5}});
-  const Config c = readConfig(config.dump(), clock);
+  const GatewayConfig c = readConfig(config.dump(), clock);
   ASSERT_EQ(c.settings.tenants.size(), 27000u);
   EXPECT_EQ(c.settings.tenants.back().name, "t-26999");
 }
@@ -118,13 +118,13 @@
 TEST(Config, ItemsBeyondTheBoundAreNamedAndNotPassedOver) {
   EXPECT_NE(complaint([](json& c) {
               const json grade = c["settings"]["grades"][0];
-              for (std::size_t i = 3; i < ridgeshift::kClassesMost + 1; ++i)
+              for (std::size_t i = 3; i < load_balancing::kMaxClasses + 1; ++i)
                 c["settings"]["grades"].push_back(grade);
             }).find("grades has more than 4096 items: there is one numbered 4096"),
             std::string::npos);
   EXPECT_NE(complaint([](json& c) {
               const json tenant = {{"name", "t"}, {"quotaRps", 1}};
-              for (std::size_t i = 0; i < ridgeshift::kTenantsMost + 1; ++i)
+              for (std::size_t i = 0; i < load_balancing::kMaxTenants + 1; ++i)
                 c["settings"]["tenants"].push_back(tenant);
             }).find("tenants has more than 131072 items: there is one numbered 131072"),
             std::string::npos);
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/end_interleavings_test.cpp
@@ -106,9 +106,9 @@
 };
 
 // Holds the request that the pair is about, for good.
-struct Holder : Stage {
+struct Holder : RequestFilter {
   std::uint8_t phases() const override { return 0x7f; }
-  Arrival onArrived(Exchange& x) override {
+  FilterDecision onRequestReceived(RequestContext& x) override {
     return {std::nullopt, where == Where::held && (*x.message)["X-Correlation-Id"] == "r"};
   }
   Where where{};
@@ -181,11 +181,11 @@
     config = configJson(discovery.endpoint(), list);
     config["limits"]["sockets"] = 27;  // ten clients
     for (json& g : config["settings"]["grades"]) g["giveUpNs"] = 1'000'000'000, g["aimNs"] = 900'000'000;
-    Config read = readConfig(config.dump(), clock);
-    read.tuning.clients.request = milliseconds(500);
-    read.tuning.clients.write = milliseconds(500);
-    read.tuning.serveDraining = Duration{};
-    read.tuning.proofLeast = where() == Where::lastByteHeld ? milliseconds(150) : milliseconds(20);
+    GatewayConfig read = readConfig(config.dump(), clock);
+    read.options.clients.requestTimeout = milliseconds(500);
+    read.options.clients.writeTimeout = milliseconds(500);
+    read.options.drainServeTime = Duration{};
+    read.options.minConnectionCheck = where() == Where::lastByteHeld ? milliseconds(150) : milliseconds(20);
     gateway = std::make_unique<Gateway>(io, clock, std::move(read));
     static Holder holder;  // it outlives all gateways
     holder.where = where();
@@ -259,7 +259,7 @@
     switch (ends()) {
       case End::time: break;
       case End::drain: gateway->drain([this] { drained = true; }); break;
-      case End::sendAway: gateway->sendAway(); break;
+      case End::sendAway: gateway->enterLameDuck(); break;
       case End::clientCloses: leave(false); break;
       case End::clientResets: leave(true); break;
       case End::clientHalfCloses: {
@@ -391,7 +391,7 @@
       if (ends() == End::sendAway) break;  // it was told to go elsewhere
     }
   }
-  if (ends() == End::hostLeaves) EXPECT_TRUE(until([&] { return gateway->hostsKept() == 0; }));
+  if (ends() == End::hostLeaves) EXPECT_TRUE(until([&] { return gateway->trackedHosts() == 0; }));
 }
 
 std::string cellName(const ::testing::TestParamInfo<std::tuple<Where, End>>& info) {
--- a/tests/net/ends_test.cpp
+++ b/tests/net/ends_test.cpp
@@ -87,7 +87,7 @@
     EXPECT_EQ(received(), before + 1) << "round " << round;
   }
   // Nor is it held against a host, or tried at one after the other.
-  using ridgeshift::Outcome;
+  using load_balancing::Outcome;
   EXPECT_EQ(outcomes.count(Outcome::connectFailed), 0);
   EXPECT_LE(outcomes.all.size(), 10u);
 }
@@ -232,7 +232,7 @@
   c->ask("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   ASSERT_TRUE(after(milliseconds(5)));
-  gateway->sendAway();  // connections at rest are closed soon
+  gateway->enterLameDuck();  // connections at rest are closed soon
   ASSERT_TRUE(until([&] { return c->ended; }));
   error_code error;
   for (int i = 0; i < 3; ++i) {
@@ -478,7 +478,7 @@
     hosts.clear();
     host(hold);
     start([&](json& config) { config["limits"]["sockets"] = sockets; });
-    const Gateway::Shares shares = gateway->shares();
+    const Gateway::DescriptorLimits shares = gateway->descriptorLimits();
     EXPECT_LE(shares.clients + shares.turnedAway + shares.upstream + 16, static_cast<std::size_t>(sockets));
     EXPECT_GE(shares.clients + shares.upstream, static_cast<std::size_t>(sockets) * 7 / 10) << sockets;
     gateway.reset();
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -57,9 +57,9 @@
   };
   for (std::size_t n = 1; n <= 40; ++n) ask(n);
   EXPECT_EQ(calls.size(), 1u);
-  EXPECT_TRUE(gateway->lists("s-gone"));
+  EXPECT_TRUE(gateway->isListed("s-gone"));
   calls[0]->reply(200, listJson(2, true, listed()).dump());
-  ASSERT_TRUE(until([&] { return !gateway->lists("s-gone") && calls.size() == 2; }));
+  ASSERT_TRUE(until([&] { return !gateway->isListed("s-gone") && calls.size() == 2; }));
   ask(41);
   EXPECT_EQ(received(), 41u);
 }
@@ -73,7 +73,7 @@
     many.push_back(hostJson("t-" + std::to_string(i), {asio::ip::make_address("127.0.0.1"), 1}));
   calls[0]->reply(200, listJson(2, true, many).dump());
   ASSERT_TRUE(until([&] { return calls.size() == 2; }));
-  EXPECT_TRUE(gateway->lists("t-9998"));
+  EXPECT_TRUE(gateway->isListed("t-9998"));
   calls[1]->reply(200, listJson(3, true, json::array()).dump());
   ASSERT_TRUE(until([&] { return calls.size() == 3; }));
   const auto c = client();
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -578,7 +578,7 @@
     if (i % 2 == 0) list.push_back(hostJson("n-" + std::to_string(i - 1), hosts[0]->endpoint(), "left"));
     calls.back()->reply(200, listJson(1 + i, i % 2 == 1, list).dump());
   }
-  ASSERT_TRUE(until([&] { return calls.size() == 61 && gateway->hostsKept() == 1; }));
+  ASSERT_TRUE(until([&] { return calls.size() == 61 && gateway->trackedHosts() == 1; }));
   EXPECT_EQ(hosts[0]->peers.size(), 60u);  // each host had connections of its own
   EXPECT_EQ(gateway->upstreamConnections(), 0u);
 }
@@ -678,13 +678,13 @@
   EXPECT_EQ(hosts[2]->received.size(), 0u);
   EXPECT_EQ(hosts[1]->received.size() - before + hosts[3]->received.size(), 20u);
   EXPECT_GT(hosts[3]->received.size(), 0u);
-  EXPECT_EQ(gateway->figures().listed, 3u);
+  EXPECT_EQ(gateway->metrics().listedHosts, 3u);
   // From here on changes are changes to that: s-1 leaves, the others stay.
   json left = all[1];
   left["status"] = "left";
   others[1]->reply(200, listJson(10, false, json::array({left})).dump());
   ASSERT_TRUE(until([&] { return others.size() == 3; }));
-  EXPECT_EQ(gateway->figures().listed, 2u);
+  EXPECT_EQ(gateway->metrics().listedHosts, 2u);
 }
 
 TEST_F(GatewayTest, ReloadTakesAWholeListInPlaceOfTheChanges) {
@@ -698,8 +698,8 @@
   ASSERT_TRUE(until([&] { return others.size() == 1; }));
   others[0]->reply(200, listJson(2, true, json::array({all[2]})).dump());
   ASSERT_TRUE(until([&] { return others.size() == 2; }));
-  EXPECT_EQ(gateway->figures().listed, 1u);
-  EXPECT_TRUE(gateway->lists("s-2"));
+  EXPECT_EQ(gateway->metrics().listedHosts, 1u);
+  EXPECT_TRUE(gateway->isListed("s-2"));
 }
 
 // Hard case: the new discovery counts from 1 again, and the version in the file is the old one's. What it
@@ -954,23 +954,23 @@
 // --- The pool by itself
 // -------------------------------------------------------------------------------------
 
-struct PoolTest : ::testing::Test, UpstreamEvents {
+struct PoolTest : ::testing::Test, UpstreamCallbacks {
   asio::io_context io;
   Clock clock;
   bool wanted = true;
-  std::vector<std::pair<AttemptId, ridgeshift::Outcome>> outcomes;
-  bool mayFinish(AttemptId) override { return true; }
-  std::optional<Outgoing> compose(AttemptId id, ridgeshift::Outcome&) override {
+  std::vector<std::pair<AttemptId, load_balancing::Outcome>> outcomes;
+  bool maySendLastByte(AttemptId) override { return true; }
+  std::optional<OutgoingRequest> composeRequest(AttemptId id, load_balancing::Outcome&) override {
     if (!wanted) return std::nullopt;
-    return Outgoing{UpstreamRequest(http::verb::get, "/" + std::to_string(id), 11), true};
+    return OutgoingRequest{UpstreamRequest(http::verb::get, "/" + std::to_string(id), 11), true};
   }
-  void onWantBody(AttemptId) override {}
-  void onHead(AttemptId) override {}
-  void onAnswerBegun(AttemptId, UpstreamAnswer&&, std::optional<std::uint64_t>) override {}
-  void onAnswerPiece(AttemptId, std::string&&, bool) override {}
-  void onAnswerCut(AttemptId) override {}
+  void onRequestBodyWanted(AttemptId) override {}
+  void onResponseHeaders(AttemptId) override {}
+  void onResponseBegun(AttemptId, UpstreamResponse&&, std::optional<std::uint64_t>) override {}
+  void onResponseBody(AttemptId, std::string&&, bool) override {}
+  void onResponseTruncated(AttemptId) override {}
   void onUpgraded(AttemptId, tcp::socket&&, std::string&&, const http::fields&) override {}
-  void onOutcome(AttemptId id, ridgeshift::Outcome outcome, UpstreamAnswer&&) override {
+  void onOutcome(AttemptId id, load_balancing::Outcome outcome, UpstreamResponse&&) override {
     outcomes.emplace_back(id, outcome);
   }
 };
@@ -982,11 +982,11 @@
   pool.send(1, 0, host.endpoint());
   wanted = false;
   ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 1; }));
-  EXPECT_EQ(outcomes[0].second, ridgeshift::Outcome::connectFailed);
+  EXPECT_EQ(outcomes[0].second, load_balancing::Outcome::connectFailed);
   wanted = true;
   pool.send(2, 0, host.endpoint());
   ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 2; }));
-  EXPECT_EQ(outcomes[1].second, ridgeshift::Outcome::served);
+  EXPECT_EQ(outcomes[1].second, load_balancing::Outcome::served);
   ASSERT_EQ(host.received.size(), 1u);
   EXPECT_EQ(host.received[0].target(), "/2");
   EXPECT_EQ(host.peers.size(), 1u);  // the connection opened for the first was kept
@@ -1023,7 +1023,7 @@
   for (AttemptId id = 1; id <= 3; ++id) {
     pool.send(id, 0, host.endpoint(), true);
     ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == id; }));
-    EXPECT_EQ(outcomes.back().second, ridgeshift::Outcome::served);
+    EXPECT_EQ(outcomes.back().second, load_balancing::Outcome::served);
   }
   EXPECT_EQ(host.received.size(), 3u);
   EXPECT_EQ(pool.opened(), 1u);
@@ -1054,7 +1054,7 @@
   UpstreamPool pool(io, clock, {milliseconds(200), milliseconds(500), milliseconds(30000), 4}, *this);
   for (AttemptId id = 1; id <= 6; ++id) pool.send(id, 0, deaf.local_endpoint());
   ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 6; }));
-  for (const auto& [id, outcome] : outcomes) EXPECT_EQ(outcome, ridgeshift::Outcome::connectFailed) << id;
+  for (const auto& [id, outcome] : outcomes) EXPECT_EQ(outcome, load_balancing::Outcome::connectFailed) << id;
   EXPECT_TRUE(runUntil(io, [&] { return pool.connections() == 0; }));
 }
 
@@ -1073,7 +1073,7 @@
   held[1]->reply(200, "ok");
   ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 3; }));
   std::size_t served = 0;
-  for (const auto& [id, outcome] : outcomes) served += outcome == ridgeshift::Outcome::served;
+  for (const auto& [id, outcome] : outcomes) served += outcome == load_balancing::Outcome::served;
   EXPECT_EQ(served, 2u);
 }
 
@@ -1085,8 +1085,8 @@
   for (AttemptId id = 2; id <= 5; ++id) pool.send(id, 1, two.endpoint());
   EXPECT_EQ(pool.connections(), 2u);
   ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 3 && two.received.size() == 2; }));
-  EXPECT_EQ(outcomes[1].second, ridgeshift::Outcome::connectFailed);
-  EXPECT_EQ(outcomes[2].second, ridgeshift::Outcome::connectFailed);
+  EXPECT_EQ(outcomes[1].second, load_balancing::Outcome::connectFailed);
+  EXPECT_EQ(outcomes[2].second, load_balancing::Outcome::connectFailed);
   EXPECT_EQ(pool.connections(), 2u);
   EXPECT_TRUE(runUntil(io, [&] { return one.peers[0]->ended; }));
 }
--- a/tests/net/limits_test.cpp
+++ b/tests/net/limits_test.cpp
@@ -33,27 +33,27 @@
     c["settings"]["groupSize"] = 350;
     c["settings"]["myNumber"] = 349;
   });
-  EXPECT_EQ(gateway->figures().listed, 1100u);
-  EXPECT_TRUE(gateway->lists("s-1099"));
+  EXPECT_EQ(gateway->metrics().listedHosts, 1100u);
+  EXPECT_TRUE(gateway->isListed("s-1099"));
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   tell(2, false, many(0, 550, "leaving"));
-  EXPECT_EQ(gateway->figures().listed, 1100u);
-  EXPECT_EQ(gateway->figures().avoided, 550u);
+  EXPECT_EQ(gateway->metrics().listedHosts, 1100u);
+  EXPECT_EQ(gateway->metrics().avoidedHosts, 550u);
   json next = many(0, 550, "left");
   for (const json& h : many(1100, 1650)) next.push_back(h);
   tell(3, false, next);
-  EXPECT_EQ(gateway->figures().listed, 1100u);
-  EXPECT_EQ(gateway->figures().avoided, 0u);
+  EXPECT_EQ(gateway->metrics().listedHosts, 1100u);
+  EXPECT_EQ(gateway->metrics().avoidedHosts, 0u);
   tell(4, false, many(550, 1650, "leaving"));
-  EXPECT_EQ(gateway->figures().avoided, 1100u);
+  EXPECT_EQ(gateway->metrics().avoidedHosts, 1100u);
   // The one that is left over by a whole list is served by at once.
   tell(5, true, listed());
-  EXPECT_EQ(gateway->figures().listed, 1u);
+  EXPECT_EQ(gateway->metrics().listedHosts, 1u);
   const auto c = client();
   c->ask("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
-  ASSERT_TRUE(until([&] { return gateway->hostsKept() == 1; }));  // nothing is kept of 1,650
+  ASSERT_TRUE(until([&] { return gateway->trackedHosts() == 1; }));  // nothing is kept of 1,650
 }
 
 // What a host costs must not grow with how many there are.
@@ -71,10 +71,10 @@
       const std::size_t before = mallinfo2().uordblks;
       Gateway g(io, clock, readConfig(text, clock));
       g.start();
-      g.takeList(parseHostList(change, clock));
+      g.applyHostList(parseHostList(change, clock));
       bytes = mallinfo2().uordblks - before;
       best = std::min(best, static_cast<double>(std::clock() - from) / CLOCKS_PER_SEC);
-      EXPECT_EQ(g.figures().listed, static_cast<std::size_t>(hosts));
+      EXPECT_EQ(g.metrics().listedHosts, static_cast<std::size_t>(hosts));
     }
     return std::pair(best, bytes);
   };
@@ -90,11 +90,11 @@
 TEST(Limits, ReservedDescriptorsComeOffTheShares) {
   const Clock clock;
   const auto sharesWith = [&](std::size_t reserved) {
-    Config config =
+    GatewayConfig config =
         readConfig(configJson({asio::ip::make_address("127.0.0.1"), 1}, json::array()).dump(), clock);
     config.reservedDescriptors = reserved;
     asio::io_context io;
-    const Gateway::Shares shares = Gateway(io, clock, std::move(config)).shares();
+    const Gateway::DescriptorLimits shares = Gateway(io, clock, std::move(config)).descriptorLimits();
     return shares.clients + shares.upstream;
   };
   // 95 in a hundred of what is left are shared out.
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -25,8 +25,8 @@
   resting->ask("GET", "/read", 2500);
   using_->ask("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return resting->answers.size() == 1 && using_->answers.size() == 1; }));
-  gateway->sendAway();
-  gateway->sendAway();  // twice is once
+  gateway->enterLameDuck();
+  gateway->enterLameDuck();  // twice is once
   EXPECT_FALSE(gateway->ready());
   EXPECT_EQ(health(), 503u);
   using_->ask("GET", "/read", 2500);  // still served, and told to go
@@ -38,7 +38,7 @@
   late->ask("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return late->answers.size() == 1 && late->ended; }));
   EXPECT_EQ(late->answers[0].result_int(), 200u);
-  gateway->takeBack();
+  gateway->leaveLameDuck();
   EXPECT_EQ(health(), 200u);
   const auto again = client();
   again->ask("GET", "/read", 2500);
@@ -54,7 +54,7 @@
   const auto c = client();
   c->ask("GET", "/read", 2900);
   ASSERT_TRUE(until([&] { return received() == 1; }));
-  gateway->sendAway();
+  gateway->enterLameDuck();
   const auto resting = client();
   ASSERT_TRUE(until([&] { return resting->ended; }));  // by then nothing rests
   EXPECT_FALSE(c->ended);
@@ -78,15 +78,17 @@
     c->ask("POST", "/book", 2500, "x");  // unsafe: one attempt each
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
   }
-  EXPECT_EQ(gateway->figures().reports, 2u);
-  EXPECT_EQ(gateway->figures().spoiltReports, 3u);
+  EXPECT_EQ(gateway->metrics().loadReports, 2u);
+  EXPECT_EQ(gateway->metrics().malformedLoadReports, 3u);
 }
 
 struct Ear : HostObserver {
   std::vector<std::string> silent;
   std::vector<double> queues;
-  void onSilent(const std::string& host) override { silent.push_back(host); }
-  void onReport(const std::string&, const ridgeshift::LoadReport& r) override { queues.push_back(r.queue); }
+  void onHostSilent(const std::string& host) override { silent.push_back(host); }
+  void onLoadReport(const std::string&, const load_balancing::LoadReport& r) override {
+    queues.push_back(r.queue);
+  }
 };
 
 // Hard case: a report of one worker carried by another's address. The host has moved and started anew while
@@ -125,10 +127,11 @@
   EXPECT_TRUE(ear.silent.empty());
 }
 
-struct Out : HostFilter {
+struct Out : HostEntryFilter {
   std::set<std::string> names;
-  void apply(ridgeshift::HostEntry& e) const override {
-    if (names.count(e.address) && e.phase == ridgeshift::Phase::in) e.phase = ridgeshift::Phase::draining;
+  void apply(load_balancing::HostEntry& e) const override {
+    if (names.count(e.address) && e.phase == load_balancing::HostPhase::active)
+      e.phase = load_balancing::HostPhase::draining;
   }
 };
 
@@ -137,27 +140,27 @@
   for (int i = 0; i < 2; ++i) host(serveOk);
   start();
   Out out;
-  gateway->addHostFilter(out);
+  gateway->addHostEntryFilter(out);
   const auto c = client();
   serve(*c, 40);
   EXPECT_GT(hosts[0]->received.size(), 0u);
-  EXPECT_EQ(gateway->figures().avoided, 0u);
+  EXPECT_EQ(gateway->metrics().avoidedHosts, 0u);
   out.names = {"s-0"};
-  gateway->refilter();
+  gateway->reapplyHostFilters();
   const std::size_t before = hosts[0]->received.size();
   serve(*c, 20);
-  EXPECT_EQ(gateway->figures().listed, 2u);
-  EXPECT_EQ(gateway->figures().avoided, 1u);
+  EXPECT_EQ(gateway->metrics().listedHosts, 2u);
+  EXPECT_EQ(gateway->metrics().avoidedHosts, 1u);
   ASSERT_TRUE(until([&] { return !calls.empty(); }));
   const std::size_t asked = calls.size();
   calls.back()->reply(200, listJson(7, true, listed()).dump());
   ASSERT_TRUE(until([&] { return calls.size() > asked; }));
   serve(*c, 20);
   EXPECT_EQ(hosts[0]->received.size(), before);
-  EXPECT_TRUE(gateway->lists("s-0"));
-  EXPECT_FALSE(gateway->lists("s-9"));
+  EXPECT_TRUE(gateway->isListed("s-0"));
+  EXPECT_FALSE(gateway->isListed("s-9"));
   out.names.clear();
-  gateway->refilter();
+  gateway->reapplyHostFilters();
   serve(*c, 40);
   EXPECT_GT(hosts[0]->received.size(), before);
 }
@@ -178,18 +181,18 @@
   held->ask("POST", "/book", 300, "x");
   left->ask("POST", "/book", 2500, "x");
   ASSERT_TRUE(until([&] { return received() == 6; }));
-  GatewayFigures f = gateway->figures();
+  GatewayMetrics f = gateway->metrics();
   ASSERT_EQ(f.classes.size(), 3u);
   EXPECT_EQ(f.classes[0].name, "read");
-  EXPECT_EQ(f.classes[0].answered, 3u);
-  EXPECT_EQ(f.classes[0].errored, 1u);
-  EXPECT_EQ(f.sends, 6u);
-  EXPECT_EQ(f.current, 2u);
+  EXPECT_EQ(f.classes[0].succeeded, 3u);
+  EXPECT_EQ(f.classes[0].failed, 1u);
+  EXPECT_EQ(f.attemptsSent, 6u);
+  EXPECT_EQ(f.activeRequests, 2u);
   left->close();
-  ASSERT_TRUE(until([&] { return held->answers.size() == 1 && gateway->figures().current == 0; }));
-  f = gateway->figures();
-  EXPECT_EQ(f.classes[1].answered + f.classes[1].deferred, 0u);
-  EXPECT_EQ(f.classes[1].errored, 1u);  // the one that waited; nobody was told of the other
+  ASSERT_TRUE(until([&] { return held->answers.size() == 1 && gateway->metrics().activeRequests == 0; }));
+  f = gateway->metrics();
+  EXPECT_EQ(f.classes[1].succeeded + f.classes[1].rejected, 0u);
+  EXPECT_EQ(f.classes[1].failed, 1u);  // the one that waited; nobody was told of the other
 }
 
 // The platform keeps the listening socket and lends it to each process.
@@ -197,9 +200,9 @@
   host(serveOk);
   tcp::acceptor kept(io, loopback());
   const auto make = [&](const std::string& body) {
-    Config config = readConfig(configJson(discovery.endpoint(), listed()).dump(), clock);
+    GatewayConfig config = readConfig(configJson(discovery.endpoint(), listed()).dump(), clock);
     config.listen = kept.local_endpoint();
-    config.inheritedListener = ::dup(kept.native_handle());
+    config.inheritedListenerDescriptor = ::dup(kept.native_handle());
     (void)body;
     return std::make_unique<Gateway>(io, clock, std::move(config));
   };
@@ -233,9 +236,9 @@
   });
   tcp::acceptor kept(io, loopback());
   const auto make = [&] {
-    Config config = readConfig(configJson(discovery.endpoint(), listed()).dump(), clock);
+    GatewayConfig config = readConfig(configJson(discovery.endpoint(), listed()).dump(), clock);
     config.listen = kept.local_endpoint();
-    config.inheritedListener = ::dup(kept.native_handle());
+    config.inheritedListenerDescriptor = ::dup(kept.native_handle());
     return std::make_unique<Gateway>(io, clock, std::move(config));
   };
   gateway = make();
@@ -253,7 +256,7 @@
   int done = 0;
   bool full = true;  // at first the other does not take any
   gateway->drain([&] { ++done; });
-  gateway->handOver([&](int fd) {
+  gateway->handOverClients([&](int fd) {
     if (full) return false;
     next->adoptClient(::dup(fd));
     return true;
@@ -268,7 +271,7 @@
   next->start();
   for (int i = 0; i < 4; ++i) clients[i]->ask("GET", "/read", 2500);
   fresh->ask("GET", "/read", 2500);
-  ASSERT_TRUE(until([&] { return fresh->answers.size() == 1 && next->figures().classes[0].answered == 5; }));
+  ASSERT_TRUE(until([&] { return fresh->answers.size() == 1 && next->metrics().classes[0].succeeded == 5; }));
   for (const auto& peer : hosts[0]->peers)
     if (peer == holder) peer->reply(200, "late");
   ASSERT_TRUE(until([&] { return done == 1; }));
@@ -281,9 +284,9 @@
 TEST_F(OperationsTest, WithoutTheNextGatewayConnectionsAreClosedAsEver) {
   host(serveOk);
   tcp::acceptor kept(io, loopback());
-  Config config = readConfig(configJson(discovery.endpoint(), listed()).dump(), clock);
+  GatewayConfig config = readConfig(configJson(discovery.endpoint(), listed()).dump(), clock);
   config.listen = kept.local_endpoint();
-  config.inheritedListener = ::dup(kept.native_handle());
+  config.inheritedListenerDescriptor = ::dup(kept.native_handle());
   gateway = std::make_unique<Gateway>(io, clock, std::move(config));
   gateway->start();
   const auto resting = client(), busy = client();
@@ -291,8 +294,8 @@
   ASSERT_TRUE(until([&] { return busy->answers.size() == 1 && gateway->clientConnections() == 2; }));
   int done = 0;
   gateway->drain([&] { ++done; });
-  gateway->handOver([](int) { return false; });
-  gateway->handOver({});
+  gateway->handOverClients([](int) { return false; });
+  gateway->handOverClients({});
   busy->ask("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return busy->answers.size() == 2; }));
   EXPECT_FALSE(busy->answers[1].keep_alive());
@@ -300,10 +303,10 @@
 }
 
 TEST_F(OperationsTest, ADescriptorThatIsNoListenerOfOursIsTurnedDown) {
-  Config config = readConfig(configJson(discovery.endpoint(), json::array()).dump(), clock);
+  GatewayConfig config = readConfig(configJson(discovery.endpoint(), json::array()).dump(), clock);
   const auto fails = [&](int fd) {
-    Config c = config;
-    c.inheritedListener = fd;
+    GatewayConfig c = config;
+    c.inheritedListenerDescriptor = fd;
     try {
       Gateway g(io, clock, std::move(c));
     } catch (const std::runtime_error& e) {
--- a/tests/net/stage_test.cpp
+++ b/tests/net/request_filter_test.cpp
@@ -1,36 +1,38 @@
 // The phases of a request, over loopback sockets: each in its order, the end once for each that arrived.
-#include "net/stage.hpp"
+#include "net/request_filter.hpp"
 
 #include "support/sockets.hpp"
 
 namespace finchstile::testing {
 namespace {
 
-class Recorder : public Stage {
+class Recorder : public RequestFilter {
  public:
   Recorder(std::string name, std::vector<std::string>& log) : name_(std::move(name)), log_(log) {}
   std::uint8_t phases() const override { return 0x7f; }
-  Arrival onArrived(Exchange& x) override {
+  FilterDecision onRequestReceived(RequestContext& x) override {
     say("arrived " + std::string(x.className));
     if (reject) {
-      Answer a;
+      Response a;
       a.status = http::status::unprocessable_entity;
       return {std::move(a), false};
     }
     return {};
   }
-  void onAdmitted(Exchange&) override { say("admitted"); }
-  void onSent(Exchange& x, UpstreamRequest& to) override {
+  void onRequestAdmitted(RequestContext&) override { say("admitted"); }
+  void onAttemptSending(RequestContext& x, UpstreamRequest& to) override {
     say(std::string("sent ") + (x.mayHaveRun ? "may have run" : "not run"));
-    to.set("X-" + name_, std::to_string(x.attempts));
+    to.set("X-" + name_, std::to_string(x.attemptCount));
   }
-  void onSettled(Exchange&, bool may) override { say(may ? "settled, may have run" : "settled, never ran"); }
-  void onAnswerHead(Exchange&, const AnswerHead& h, std::vector<HeaderLine>& to) override {
-    say("head " + std::to_string(h.status) + (h.fromHost ? " of a host" : " of the gateway"));
+  void onAttemptEnded(RequestContext&, bool may) override {
+    say(may ? "settled, may have run" : "settled, never ran");
+  }
+  void onResponseHeaders(RequestContext&, const ResponseHead& h, std::vector<HeaderLine>& to) override {
+    say("head " + std::to_string(h.status) + (h.fromUpstream ? " of a host" : " of the gateway"));
     to.push_back({"X-By-" + name_, "yes"});
   }
-  void onAnswerDone(Exchange&) override { say("done"); }
-  void onEnded(Exchange& x, RequestEnd end) override {
+  void onResponseSent(RequestContext&) override { say("done"); }
+  void onRequestCompleted(RequestContext& x, RequestResult end) override {
     say("ended " + std::to_string(static_cast<int>(end)) + (x.mayHaveRun ? " may have run" : ""));
   }
   bool reject = false;
--- a/tests/operator/reader_test.cpp
+++ b/tests/operator/reader_test.cpp
@@ -34,7 +34,7 @@
   bool b = false;
   std::int64_t i = 7, missing = 5;
   double d = 0;
-  ridgeshift::Duration t{};
+  load_balancing::Duration t{};
   std::vector<std::string> list;
   EXPECT_TRUE(problemsOf("b = true\ni = 3\nd = 1\nt = '20ms'\nl = ['x', 'y']\n", [&](SettingReader& r) {
                 r.boolean("b", b);
@@ -55,7 +55,7 @@
 // One look at the list must be enough to mend a file.
 TEST(Reader, ListsAllErrorsAtOnceWithWhatIsAllowed) {
   std::int64_t i = 7;
-  ridgeshift::Duration t = seconds(1);
+  load_balancing::Duration t = seconds(1);
   std::string c = "open";
   const auto lines =
       problemsOf("i = 10\nt = '2ms'\nc = 'opne'\n[s]\nfule = 1\nx = 'text'\n", [&](SettingReader& r) {
--- a/tests/ops/exposition_test.cpp
+++ b/tests/ops/exposition_test.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 TEST(Exposition, HasEachFigureOnALineOfItsOwn) {
-  GatewayFigures f;
+  GatewayMetrics f;
   f.classes = {{"log-in", 812, 3, 1}, {"a\"b\\c\nd", 0, 0, 0}};
-  f.sends = 900;
-  f.current = 14;
-  f.listed = 12;
-  f.avoided = 2;
-  f.reports = 5;
-  f.spoiltReports = 6;
+  f.attemptsSent = 900;
+  f.activeRequests = 14;
+  f.listedHosts = 12;
+  f.avoidedHosts = 2;
+  f.loadReports = 5;
+  f.malformedLoadReports = 6;
   EXPECT_EQ(exposition(f, {4, 1}),
             "# TYPE lb_transactions_total counter\n"
             "lb_transactions_total{group=\"log-in\",state=\"answered\"} 812\n"
--- a/tests/policy/cold_budget_test.cpp
+++ b/tests/policy/cold_budget_test.cpp
@@ -8,7 +8,7 @@
 
 #include "support/fleet.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 struct ColdCase {
@@ -130,4 +130,4 @@
                          name);
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/failures_test.cpp
+++ b/tests/policy/failures_test.cpp
@@ -3,7 +3,7 @@
 
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 // Serves what is due: `time(host)` gives how long a host takes, zero for never.
@@ -32,7 +32,7 @@
       else if (d.now - s.at >= milliseconds(30)) d.serve(s);
       else ++k;
     }
-    EXPECT_EQ(d.balancer.cutoff(), 0);
+    EXPECT_EQ(d.balancer.admissionCutoff(), 0);
   }
   EXPECT_LT(d.sentTo(bad), 30u) << "it holds nothing in flight, so the pick would feed it";
   EXPECT_GT(d.sentTo(bad), 3u) << "a trickle finds out when it is well again";
@@ -179,7 +179,7 @@
   double most = 0;
   for (int i = 0; i < 40; ++i) {
     pool.play(10, 4);
-    if (i >= 10) most = std::max(most, d.balancer.cutoff());
+    if (i >= 10) most = std::max(most, d.balancer.admissionCutoff());
   }
   EXPECT_LT(most, 10);
 }
@@ -196,7 +196,7 @@
   d.forget();
   d.warmUp(0, 100, milliseconds(20));
   for (int i = 0; i < 6; ++i) EXPECT_GT(d.sentTo(d.host(i)), 0u) << i;
-  EXPECT_EQ(d.balancer.cutoff(), 0);
+  EXPECT_EQ(d.balancer.admissionCutoff(), 0);
 }
 
 TEST(Health, ARestartedHostStartsWithACleanRecord) {
@@ -213,8 +213,8 @@
     }
   }
   HostEntry fresh = makeHost(0);
-  fresh.upSince = d.now;
-  d.balancer.onHosts(d.now, ListKind::update, {fresh});
+  fresh.startedAt = d.now;
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
   while (!d.out.empty()) d.serve(Sent(d.out.front()));
   d.forget();
   for (int i = 0; i < 16; ++i) d.request(0);
@@ -232,7 +232,7 @@
     d.advance(milliseconds(5));
     for (std::size_t k = 0; k < d.out.size();) {
       const Sent s = d.out[k];
-      if (s.host == full) d.settle(s, Outcome::full, false);
+      if (s.host == full) d.settle(s, Outcome::rejectedForCapacity, false);
       else if (d.now - s.at >= milliseconds(20)) d.serve(s);
       else ++k;
     }
@@ -247,9 +247,9 @@
   std::vector<HostEntry> list = {makeHost(0)};
   for (int i = 1; i < 6; ++i) {
     list.push_back(makeHost(10 + i));
-    list.back().upSince = d.now;
+    list.back().startedAt = d.now;
   }
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
   for (int i = 0; i < 200; ++i) d.request(1);
   std::size_t held = 0;
   for (const Sent& s : d.out) held += s.host == d.host(0);
@@ -265,9 +265,9 @@
   std::vector<HostEntry> list;
   for (int i = 10; i < 14; ++i) {
     list.push_back(makeHost(i));
-    list.back().upSince = d.now;
+    list.back().startedAt = d.now;
   }
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
   d.collect();
   d.forget();
   d.warmUp(1, 400, milliseconds(5));  // two seconds
@@ -312,7 +312,7 @@
         ++k;
       }
     }
-    EXPECT_LT(d.balancer.cutoff(), 1);
+    EXPECT_LT(d.balancer.admissionCutoff(), 1);
   }
   EXPECT_LT(failures, 120u) << "one in five requests would go there half of the time: 200";
 }
@@ -322,9 +322,9 @@
   Driver d(makeSettings(), 0);
   std::vector<HostEntry> list;
   for (int i = 0; i < 8; ++i) list.push_back(makeHost(i, i < 4 ? "east" : "west"));
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
   bool cutOff = true;
-  const auto far = [&](HostId h) { return d.balancer.address(h) >= "host-104"; };
+  const auto far = [&](HostId h) { return d.balancer.hostAddress(h) >= "host-104"; };
   const auto run = [&](int n) {
     std::size_t lost = 0;
     for (int i = 0; i < n; ++i) {
@@ -402,7 +402,7 @@
   for (int phase = 0; phase < 3; ++phase) {
     std::vector<HostEntry> list;
     for (int i = 0; i < (8 >> phase); ++i) list.push_back(makeHost(i));
-    d.balancer.onHosts(d.now, ListKind::replace, list);
+    d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
     for (int i = 0; i < 300; ++i) {
       refused += d.refused(d.request(1));
       d.advance(milliseconds(5 << phase));
@@ -530,7 +530,7 @@
   int refused = 0, sends = 0;
   for (int i = 0; i < 450; ++i) {
     refused += d.refused(d.request(1));
-    while (++sends % 9 == 0) d.settle(d.lastSent(), Outcome::full, false);
+    while (++sends % 9 == 0) d.settle(d.lastSent(), Outcome::rejectedForCapacity, false);
     d.advance(milliseconds(2), milliseconds(2));
     serveDue(d, [](HostId) { return Duration(milliseconds(50)); });
   }
@@ -541,7 +541,7 @@
 // maximum would sink to the floor and stay there while other gateways take its share.
 TEST(Cutoff, AGatewayLeftWithHeavyRequestsGrowsBack) {
   Settings set = makeSettings();
-  set.groupSize = 4;
+  set.gatewayCount = 4;
   Driver d(set, 8);
   std::map<RequestId, bool> heavy;
   int refused = 0;
@@ -571,7 +571,7 @@
     for (int i = 0; i < 3000; ++i) {
       const RequestId id = d.request(1);
       if (i >= 1000) refused[round] += d.refused(id);
-      while (round == 1 && ++sends % 15 == 0) d.settle(d.lastSent(), Outcome::full, false);
+      while (round == 1 && ++sends % 15 == 0) d.settle(d.lastSent(), Outcome::rejectedForCapacity, false);
       d.advance(milliseconds(5));
       serveDue(d, [&](HostId) { return Duration(milliseconds(90)); });
     }
@@ -607,8 +607,8 @@
 // Beside many gateways every host looks idle; the own zone was overrun while the other stood free.
 TEST(Zones, AnOverrunOwnZoneYields) {
   Driver d(makeSettings(), 0);
-  d.balancer.onHosts(d.now, ListKind::replace,
-                     {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::complete,
+                              {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
   const auto time = [&](HostId h) {
     return h == d.host(0) || h == d.host(1) ? milliseconds(120) : milliseconds(40);
   };
@@ -647,21 +647,22 @@
 // near the part of an even share that the host can do, resends counted.
 TEST(ColdStart, ManySparseGatewaysTogetherKeepTheBudget) {
   Settings s = makeSettings();
-  s.groupSize = 1200;
+  s.gatewayCount = 1200;
   std::size_t all = 0, cold = 0;
-  for (std::uint64_t seed = 1; seed <= s.groupSize; ++seed) {
+  for (std::uint64_t seed = 1; seed <= s.gatewayCount; ++seed) {
     s.seed = seed;
-    s.myNumber = static_cast<std::uint32_t>(seed - 1);
+    s.gatewayIndex = static_cast<std::uint32_t>(seed - 1);
     Driver d(s, 10);
     HostEntry fresh = makeHost(50);
-    fresh.upSince = d.now;
-    d.balancer.onHosts(d.now, ListKind::update, {fresh});
+    fresh.startedAt = d.now;
+    d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
     for (int i = 0; i < 4; ++i) {  // within the first fifth of its warming
       d.request(0);
       d.advance(milliseconds(500));
       while (!d.out.empty()) {
         const Sent o = d.out.front();
-        d.settle(o, o.host == d.host(50) ? Outcome::full : Outcome::served, o.host != d.host(50));
+        d.settle(o, o.host == d.host(50) ? Outcome::rejectedForCapacity : Outcome::served,
+                 o.host != d.host(50));
       }
     }
     all += d.sent.size();
@@ -676,11 +677,11 @@
 // do.
 TEST(ColdStart, ResendsOfAnOverloadAreNotItsShare) {
   Settings s = makeSettings();
-  s.groupSize = 300;
+  s.gatewayCount = 300;
   std::size_t all = 0, cold = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     s.seed = seed;
-    s.myNumber = static_cast<std::uint32_t>(seed - 1);
+    s.gatewayIndex = static_cast<std::uint32_t>(seed - 1);
     Driver d(s, 10);
     const auto request = [&](bool overload) {
       d.request(0);
@@ -688,13 +689,13 @@
       for (int tries = 0; !d.out.empty(); ++tries) {
         const Sent o = d.out.front();
         const bool full = overload && tries < 3;
-        d.settle(o, full ? Outcome::full : Outcome::served, !full);
+        d.settle(o, full ? Outcome::rejectedForCapacity : Outcome::served, !full);
       }
     };
     for (int i = 0; i < 30; ++i) request(true);
     HostEntry fresh = makeHost(50);
-    fresh.upSince = d.now;
-    d.balancer.onHosts(d.now, ListKind::update, {fresh});
+    fresh.startedAt = d.now;
+    d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
     d.forget();
     for (int i = 0; i < 20; ++i) request(true);
     all += d.sent.size();
@@ -722,7 +723,7 @@
 // comes first.
 TEST(Retries, TheLastResendsAreKeptForTheWorthiest) {
   Settings many = makeSettings();
-  many.groupSize = 100;
+  many.gatewayCount = 100;
   Driver d(many, 12);
   std::map<std::uint32_t, int> asked, resent;  // by class; the first is worth ten times the second
   for (int i = 0; i < 400; ++i) {
@@ -763,4 +764,4 @@
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <string>
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 // Of the four rules those that a module can break; `cold`: parts of its capacity sent to a cold host in 2 s.
@@ -192,7 +192,7 @@
   Fleet f(settings());
   std::size_t n = 0;
   f.answersLost = 0.05;
-  f.spoil = [&](std::uint32_t, Balancer&, std::vector<Action>& actions) {
+  f.spoil = [&](std::uint32_t, LoadBalancer&, std::vector<Action>& actions) {
     for (Action& a : actions)
       if (a.kind == ActionKind::fail && ++n % 3 == 0) a.kind = ActionKind::log;
   };
@@ -202,7 +202,7 @@
 TEST_F(Mutants, ASecondAnswerIsSeen) {
   Fleet f(settings());
   f.answersLost = 0.05;
-  f.spoil = [&](std::uint32_t, Balancer&, std::vector<Action>& actions) {
+  f.spoil = [&](std::uint32_t, LoadBalancer&, std::vector<Action>& actions) {
     for (std::size_t i = actions.size(); i-- > 0;)
       if (actions[i].kind == ActionKind::fail) actions.push_back(Action(actions[i]));
   };
@@ -212,9 +212,9 @@
 TEST_F(Mutants, AnEffectTwiceIsSeen) {
   Fleet f(settings());
   std::size_t n = 0;
-  f.spoil = [&](std::uint32_t, Balancer&, std::vector<Action>& actions) {
+  f.spoil = [&](std::uint32_t, LoadBalancer&, std::vector<Action>& actions) {
     for (std::size_t i = actions.size(); i-- > 0;)
-      if (actions[i].kind == ActionKind::send && actions[i].proveFirst && ++n % 100 == 0) {
+      if (actions[i].kind == ActionKind::sendAttempt && actions[i].verifyConnection && ++n % 100 == 0) {
         Action again = actions[i];
         again.attempt += 3;
         actions.push_back(again);
@@ -226,28 +226,28 @@
 TEST_F(Mutants, ARefusalOfWhatMayHaveRunIsSeen) {
   Fleet f(settings());
   f.answersLost = 0.05;
-  f.spoil = [&](std::uint32_t, Balancer&, std::vector<Action>& actions) {
+  f.spoil = [&](std::uint32_t, LoadBalancer&, std::vector<Action>& actions) {
     for (Action& a : actions)
-      if (a.kind == ActionKind::fail) a.kind = ActionKind::refuse;
+      if (a.kind == ActionKind::fail) a.kind = ActionKind::reject;
   };
   EXPECT_GT(broken('2', f), 0u);
 }
 
 TEST_F(Mutants, ASendToADrainingHostIsSeen) {
   Fleet f(settings());
-  f.spoil = [&](std::uint32_t, Balancer& b, std::vector<Action>& actions) {
+  f.spoil = [&](std::uint32_t, LoadBalancer& b, std::vector<Action>& actions) {
     for (Action& a : actions)
-      if (a.kind == ActionKind::send && f.now() > seconds(7)) a.host = b.findHost(makeHost(0).address);
+      if (a.kind == ActionKind::sendAttempt && f.now() > seconds(7)) a.host = b.findHost(makeHost(0).address);
   };
   EXPECT_GT(broken('3', f, [&] { f.drainHost(0); }), 0u);
 }
 
 TEST_F(Mutants, AColdHostThatIsPushedOverIsSeen) {
   Fleet f(settings());
-  f.spoil = [&](std::uint32_t, Balancer& b, std::vector<Action>& actions) {
+  f.spoil = [&](std::uint32_t, LoadBalancer& b, std::vector<Action>& actions) {
     const HostId cold = b.findHost(makeHost(f.set.hosts).address);
     for (Action& a : actions)
-      if (a.kind == ActionKind::send && cold != kNone) a.host = cold;
+      if (a.kind == ActionKind::sendAttempt && cold != kNone) a.host = cold;
   };
   EXPECT_GT(broken('4', f, [&] { f.addHost("east"); }), 0u);
   EXPECT_GT(f.audit.coldExcess, 0) << "the budget of calls, too";
@@ -281,4 +281,4 @@
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/home_test.cpp
+++ b/tests/policy/home_test.cpp
@@ -1,7 +1,7 @@
 // Requests whose own zone comes first, as long as service there does not fall.
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 // Three hosts of the own zone, three of another.
@@ -9,7 +9,7 @@
   Driver d(makeSettings(), 0);
   std::vector<HostEntry> list;
   for (int i = 0; i < 6; ++i) list.push_back(makeHost(i, i < 3 ? "east" : "west"));
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
   d.collect();
   return d;
 }
@@ -18,8 +18,8 @@
   Request q;
   q.id = ++d.last;
   q.classIndex = 0;
-  q.left = milliseconds(1000);
-  q.homeFirst = homeFirst;
+  q.timeLeft = milliseconds(1000);
+  q.preferLocalZone = homeFirst;
   d.balancer.onRequest(d.now, q);
   d.collect();
   return q.id;
@@ -64,7 +64,7 @@
 
 TEST(Home, WithoutHostsAtHomeAllIsServedElsewhere) {
   Driver d = zones();
-  d.balancer.onHosts(d.now, ListKind::replace, {makeHost(3, "west"), makeHost(4, "west")});
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, {makeHost(3, "west"), makeHost(4, "west")});
   d.collect();
   for (int i = 0; i < 20; ++i) {
     ask(d, true);
@@ -79,11 +79,11 @@
   d.warmUp(0, 50);
   d.forget();
   ask(d, true);
-  d.settle(d.lastSent(), Outcome::full, false);
+  d.settle(d.lastSent(), Outcome::rejectedForCapacity, false);
   ASSERT_EQ(d.sent.size(), 2u);
   EXPECT_EQ(away(d), 0u);
   EXPECT_NE(d.sent[0].host, d.sent[1].host);
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/learned_test.cpp
+++ b/tests/policy/learned_test.cpp
@@ -3,7 +3,7 @@
 
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 // Fast hosts behind a closed loop of many clients, for so long: requests refused.
@@ -25,7 +25,7 @@
   Driver fresh(makeSettings());
   EXPECT_GT(refusedIn(fresh, milliseconds(200)), 0u);  // it takes fast hosts for usual ones at first
   Driver next(makeSettings());
-  next.balancer.recall(next.now, old.balancer.learned());
+  next.balancer.restoreLearnedState(next.now, old.balancer.learnedState());
   next.collect();
   EXPECT_EQ(refusedIn(next, milliseconds(200)), 0u);
 }
@@ -33,7 +33,7 @@
 TEST(Learned, AnEjectedHostStaysEjectedAndOneThatStartedAnewDoesNot) {
   Driver old(makeSettings());
   old.warmUp(0, 60);
-  for (int i = 0; i < 400 && !old.balancer.avoids(old.host(0)); ++i) {
+  for (int i = 0; i < 400 && !old.balancer.isAvoided(old.host(0)); ++i) {
     old.request(0);
     old.advance(milliseconds(200));
     while (!old.out.empty()) {
@@ -41,47 +41,48 @@
       old.settle(s, s.host == old.host(0) ? Outcome::error : Outcome::served, s.host != old.host(0));
     }
   }
-  ASSERT_TRUE(old.balancer.avoids(old.host(0)));
-  const Learned learned = old.balancer.learned();
+  ASSERT_TRUE(old.balancer.isAvoided(old.host(0)));
+  const LearnedState learned = old.balancer.learnedState();
   Driver next(makeSettings());
-  next.balancer.recall(next.now, learned);
-  EXPECT_TRUE(next.balancer.avoids(next.host(0)));
-  EXPECT_FALSE(next.balancer.avoids(next.host(1)));
+  next.balancer.restoreLearnedState(next.now, learned);
+  EXPECT_TRUE(next.balancer.isAvoided(next.host(0)));
+  EXPECT_FALSE(next.balancer.isAvoided(next.host(1)));
   Driver restarted(makeSettings());
   HostEntry e = makeHost(0);
-  e.upSince = restarted.now - seconds(1);
-  restarted.balancer.onHosts(restarted.now, ListKind::update, {e});
+  e.startedAt = restarted.now - seconds(1);
+  restarted.balancer.onHostListUpdate(restarted.now, HostListUpdate::incremental, {e});
   restarted.collect();
-  restarted.balancer.recall(restarted.now, learned);
-  EXPECT_FALSE(restarted.balancer.avoids(restarted.host(0)));
+  restarted.balancer.restoreLearnedState(restarted.now, learned);
+  EXPECT_FALSE(restarted.balancer.isAvoided(restarted.host(0)));
 }
 
 TEST(Learned, WhoeverKnowsAsMuchItselfKeepsToThat) {
   Driver old(makeSettings()), other(makeSettings());
   old.warmUp(0, 30, milliseconds(300));
   other.warmUp(0, 60, milliseconds(50));
-  const double before = other.balancer.learned().classes[0].norm;
-  other.balancer.recall(other.now, old.balancer.learned());
-  EXPECT_EQ(other.balancer.learned().classes[0].norm, before);
+  const double before = other.balancer.learnedState().classes[0].typicalLatency;
+  other.balancer.restoreLearnedState(other.now, old.balancer.learnedState());
+  EXPECT_EQ(other.balancer.learnedState().classes[0].typicalLatency, before);
 }
 
 TEST(Learned, WhatMakesNoSenseIsPassedOver) {
   Driver old(makeSettings());
   old.warmUp(0, 60);
-  Learned bad = old.balancer.learned();
+  LearnedState bad = old.balancer.learnedState();
   const double worst[] = {std::nan(""), HUGE_VAL, -HUGE_VAL, -1};
   for (const double w : worst) {
-    for (double* p : {&bad.arrivalRate, &bad.arrivalSweeps, &bad.fastRate, &bad.meanAim, &bad.meanWork,
-                      &bad.calmHeld, &bad.servedShare})
+    for (double* p : {&bad.arrivalRate, &bad.arrivalSamples, &bad.inTimeRate, &bad.meanLatencyObjective,
+                      &bad.meanTypicalLatency, &bad.unloadedConcurrency, &bad.servedFraction})
       *p = w;
-    for (auto& c : bad.classes) c.norm = c.meanCost = c.lateSeen = w, c.usualLeft = Duration(-5);
-    for (auto& k : bad.kinds) k.proven = k.pace = w;
-    for (auto& h : bad.hosts) h.pace = h.fails = h.rate = w, h.ejections = 1 << 30;
-    bad.levels = {{5, 1}, {5, 1}, {w, w}};
+    for (auto& c : bad.classes)
+      c.typicalLatency = c.meanExpectedWork = c.lateRetryFraction = w, c.typicalTimeLeft = Duration(-5);
+    for (auto& k : bad.machineTypes) k.provenRate = k.relativeLatency = w;
+    for (auto& h : bad.hosts) h.relativeLatency = h.failureRate = h.answerRate = w, h.ejections = 1 << 30;
+    bad.priorityLevels = {{5, 1}, {5, 1}, {w, w}};
     Driver next(makeSettings());
-    next.balancer.recall(next.now, bad);
+    next.balancer.restoreLearnedState(next.now, bad);
     next.warmUp(0, 60);
-    EXPECT_EQ(next.balancer.cutoff(), 0);
+    EXPECT_EQ(next.balancer.admissionCutoff(), 0);
     EXPECT_EQ(next.answers.size(), 0u);  // nobody was refused or failed
   }
 }
@@ -92,13 +93,13 @@
   old.warmUp(0, 60);
   Driver next(makeSettings());
   HostEntry e = makeHost(0);
-  e.phase = Phase::draining;
-  next.balancer.onHosts(next.now, ListKind::update, {e});
+  e.phase = HostPhase::draining;
+  next.balancer.onHostListUpdate(next.now, HostListUpdate::incremental, {e});
   next.collect();
-  next.balancer.recall(next.now, old.balancer.learned());
+  next.balancer.restoreLearnedState(next.now, old.balancer.learnedState());
   next.warmUp(0, 100);
   EXPECT_EQ(next.sentTo(next.host(0)), 0u);
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/look_test.cpp
+++ b/tests/policy/look_test.cpp
@@ -7,15 +7,15 @@
 #include "policy/state.hpp"
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 Settings sparseSettings(bool probes) {
   Settings s = makeSettings();
-  s.groupSize = 500;
-  s.myNumber = 3;
-  s.probes = probes;
-  s.peers = !probes;
+  s.gatewayCount = 500;
+  s.gatewayIndex = 3;
+  s.probingEnabled = probes;
+  s.peerMessagesEnabled = !probes;
   return s;
 }
 
@@ -29,14 +29,14 @@
 void report(Driver& d, HostId host, double held, bool ok = true) {
   LoadReport load;
   load.inflight = held;
-  d.balancer.onProbe(d.now, {host, ok, load});
+  d.balancer.onProbeResult(d.now, {host, ok, load});
   d.collect();
 }
 
 TEST(Probe, TheLeastHeldOfTheProbedGetsTheRequest) {
   Driver d(sparseSettings(true), 20);
   d.request(0);
-  const std::vector<Action> probes = of(d, ActionKind::probe);
+  const std::vector<Action> probes = of(d, ActionKind::probeHost);
   ASSERT_GE(probes.size(), 2u);
   EXPECT_TRUE(d.sent.empty()) << "it waits for what the hosts say";
   for (std::size_t i = 0; i < probes.size(); ++i) report(d, probes[i].host, i == 1 ? 1 : 2);
@@ -47,7 +47,7 @@
 TEST(Probe, AnIdleHostIsTakenAtOnce) {
   Driver d(sparseSettings(true), 20);
   d.request(0);
-  const std::vector<Action> probes = of(d, ActionKind::probe);
+  const std::vector<Action> probes = of(d, ActionKind::probeHost);
   report(d, probes[0].host, 0);
   ASSERT_EQ(d.sent.size(), 1u);
   EXPECT_EQ(d.lastSent().host, probes[0].host);
@@ -68,7 +68,7 @@
     for (int i = 0; i < 30; ++i) {
       d.forget();
       const RequestId id = d.request(0);
-      for (const Action& a : of(d, ActionKind::probe)) report(d, a.host, held);
+      for (const Action& a : of(d, ActionKind::probeHost)) report(d, a.host, held);
       d.advance(milliseconds(50));
       EXPECT_FALSE(d.refused(id));
       ASSERT_EQ(d.out.size(), 1u);
@@ -80,7 +80,7 @@
 TEST(Probe, AFailedProbeIsNoCandidate) {
   Driver d(sparseSettings(true), 20);
   d.request(0);
-  const std::vector<Action> probes = of(d, ActionKind::probe);
+  const std::vector<Action> probes = of(d, ActionKind::probeHost);
   for (std::size_t i = 1; i < probes.size(); ++i) report(d, probes[i].host, 0, false);
   report(d, probes[0].host, 2);
   ASSERT_EQ(d.sent.size(), 1u);
@@ -104,7 +104,7 @@
     const std::uint32_t cls = i % 3 == 0 ? 0 : 1;
     d.forget();
     const RequestId id = d.request(cls);
-    for (const Action& a : of(d, ActionKind::probe)) report(d, a.host, 4);  // some cut, not all
+    for (const Action& a : of(d, ActionKind::probeHost)) report(d, a.host, 4);  // some cut, not all
     (cls == 0 ? high : low) += d.refused(id);
     d.advance(milliseconds(50));
     while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::served, true, milliseconds(300));
@@ -115,17 +115,17 @@
 
 TEST(Probe, NoneWhereGatewaysAreFew) {
   Settings s = sparseSettings(true);
-  s.groupSize = 2;
-  s.myNumber = 0;
+  s.gatewayCount = 2;
+  s.gatewayIndex = 0;
   Driver d(s, 20);
   d.request(0);
-  EXPECT_EQ(d.count(ActionKind::probe), 0u);
+  EXPECT_EQ(d.count(ActionKind::probeHost), 0u);
   EXPECT_EQ(d.sent.size(), 1u);
 }
 
 TEST(Probe, ADeadlineDuringALookIsStillAnswered) {
   Settings s = sparseSettings(true);
-  for (ClassSettings& c : s.classes) c.aim = c.giveUp = seconds(1);
+  for (ClassSettings& c : s.classes) c.latencyObjective = c.clientTimeout = seconds(1);
   Driver d(s, 20);
   const RequestId id = d.request(0, milliseconds(210));
   for (int i = 0; i < 60; ++i) d.advance(milliseconds(5));
@@ -137,7 +137,7 @@
 TEST(Peer, TheKeeperIsAskedAndItsAdviceTaken) {
   Driver d(sparseSettings(false), 20);
   const RequestId id = d.request(0);
-  const std::vector<Action> asks = of(d, ActionKind::tell);
+  const std::vector<Action> asks = of(d, ActionKind::sendPeerMessage);
   ASSERT_EQ(asks.size(), 1u);
   peer::Message ask;
   ASSERT_TRUE(peer::decode(asks[0].text, ask));
@@ -145,16 +145,16 @@
   EXPECT_TRUE(d.sent.empty());
 
   Driver keeper(sparseSettings(false), 20);  // any gateway can answer
-  keeper.balancer.onPeer(keeper.now, 3, asks[0].text);
+  keeper.balancer.onPeerMessage(keeper.now, 3, asks[0].text);
   keeper.collect();
-  const std::vector<Action> advice = of(keeper, ActionKind::tell);
+  const std::vector<Action> advice = of(keeper, ActionKind::sendPeerMessage);
   ASSERT_EQ(advice.size(), 1u);
   EXPECT_EQ(advice[0].attempt, 3u);
-  d.balancer.onPeer(d.now, asks[0].attempt, advice[0].text);
+  d.balancer.onPeerMessage(d.now, asks[0].attempt, advice[0].text);
   d.collect();
   ASSERT_EQ(d.sent.size(), 1u);
   EXPECT_EQ(d.lastSent().request, id);
-  d.balancer.onPeer(d.now, asks[0].attempt, advice[0].text);  // repeated by the network
+  d.balancer.onPeerMessage(d.now, asks[0].attempt, advice[0].text);  // repeated by the network
   d.collect();
   EXPECT_EQ(d.sent.size(), 1u);
   for (const Action& a : d.all) EXPECT_LE(a.text.size(), 256u);
@@ -167,11 +167,11 @@
     asker.forget();
     keeper.forget();
     asker.request(0);
-    const std::vector<Action> asks = of(asker, ActionKind::tell);
-    keeper.balancer.onPeer(keeper.now, 3, asks.at(0).text);
+    const std::vector<Action> asks = of(asker, ActionKind::sendPeerMessage);
+    keeper.balancer.onPeerMessage(keeper.now, 3, asks.at(0).text);
     keeper.collect();
     peer::Message m;
-    ASSERT_TRUE(peer::decode(of(keeper, ActionKind::tell).at(0).text, m));
+    ASSERT_TRUE(peer::decode(of(keeper, ActionKind::sendPeerMessage).at(0).text, m));
     EXPECT_EQ(m.sample, 0) << "an idle host is left";
     ++advised[m.host];
   }
@@ -181,12 +181,12 @@
 TEST(Peer, ASilentKeeperCostsAWaitAndIsPassedOver) {
   Driver d(sparseSettings(false), 20);
   d.request(0);
-  const std::uint32_t keeper = of(d, ActionKind::tell).at(0).attempt;
+  const std::uint32_t keeper = of(d, ActionKind::sendPeerMessage).at(0).attempt;
   d.advance(milliseconds(60));
   ASSERT_EQ(d.sent.size(), 1u);
   d.forget();
   d.request(0);
-  EXPECT_NE(of(d, ActionKind::tell).at(0).attempt, keeper) << "a stand-in is asked";
+  EXPECT_NE(of(d, ActionKind::sendPeerMessage).at(0).attempt, keeper) << "a stand-in is asked";
 }
 
 TEST(Peer, WordOfPeersNeverSendsToADrainingHost) {
@@ -194,16 +194,16 @@
   for (int i = 0; i < 20; ++i) {
     d.forget();
     d.request(0);
-    const std::vector<Action> asks = of(d, ActionKind::tell);
+    const std::vector<Action> asks = of(d, ActionKind::sendPeerMessage);
     peer::Message m;
     ASSERT_TRUE(peer::decode(asks.at(0).text, m));
     HostEntry leaving = makeHost(i, "east", i % 2);
     const HostId id = d.balancer.findHost(leaving.address);
-    leaving.phase = Phase::draining;
-    d.balancer.onHosts(d.now, ListKind::update, {leaving});
+    leaving.phase = HostPhase::draining;
+    d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {leaving});
     m.kind = peer::Kind::advice;
     m.host = static_cast<std::uint32_t>(hashText(leaving.address));
-    d.balancer.onPeer(d.now, asks[0].attempt, peer::encode(m));
+    d.balancer.onPeerMessage(d.now, asks[0].attempt, peer::encode(m));
     d.collect();
     EXPECT_EQ(d.sentTo(id), 0u);
     if (i < 19) EXPECT_EQ(d.sent.size(), 1u);
@@ -218,7 +218,7 @@
     std::string bytes(engine() % 20, '\0');
     for (char& c : bytes) c = static_cast<char>(engine());
     if (!bytes.empty() && engine() % 2) bytes[0] = static_cast<char>(0x10 + engine() % 6);
-    d.balancer.onPeer(d.now, engine() % 600, bytes);
+    d.balancer.onPeerMessage(d.now, engine() % 600, bytes);
   }
   d.collect();
   EXPECT_TRUE(d.sent.empty());
@@ -245,25 +245,26 @@
 
 TEST(Peer, ADrawnColdHostIsAdvisedOnlyWhileIdle) {
   Settings s = sparseSettings(false);
-  s.coldShare = 1;  // drawn as often as any
+  s.initialCapacityFraction = 1;  // drawn as often as any
   Driver keeper(s, 20);
   HostEntry cold = makeHost(7, "east", 1);
-  cold.upSince = keeper.now;
-  keeper.balancer.onHosts(keeper.now, ListKind::update, {cold});
+  cold.startedAt = keeper.now;
+  keeper.balancer.onHostListUpdate(keeper.now, HostListUpdate::incremental, {cold});
   const auto hash = static_cast<std::uint32_t>(hashText(cold.address));
   std::vector<bool> advised;
   for (int i = 0; i < 3; ++i) {
     keeper.forget();
-    keeper.balancer.onPeer(keeper.now, 5, peer::encode({peer::Kind::ask, hash, 99, {}, 0}));
+    keeper.balancer.onPeerMessage(keeper.now, 5, peer::encode({peer::Kind::ask, hash, 99, {}, 0}));
     keeper.collect();
     peer::Message m;
-    ASSERT_TRUE(peer::decode(of(keeper, ActionKind::tell).at(0).text, m));
+    ASSERT_TRUE(peer::decode(of(keeper, ActionKind::sendPeerMessage).at(0).text, m));
     advised.push_back(m.host == hash);
     if (i == 1)
-      keeper.balancer.onPeer(keeper.now, 5, peer::encode({peer::Kind::done, hash, 0, Outcome::served, 1}));
+      keeper.balancer.onPeerMessage(keeper.now, 5,
+                                    peer::encode({peer::Kind::done, hash, 0, Outcome::served, 1}));
   }
   EXPECT_EQ(advised, (std::vector<bool>{true, false, true}));
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/reports_test.cpp
+++ b/tests/policy/reports_test.cpp
@@ -6,7 +6,7 @@
 
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 LoadReport queueOf(double n) {
@@ -160,7 +160,7 @@
       case Reporting::zero: r.report = queueOf(0); break;
       case Reporting::mad: r.report = queueOf(static_cast<double>(dice() % 1000)); break;
     }
-    d.balancer.onResult(d.now, r);
+    d.balancer.onAttemptResult(d.now, r);
     d.collect();
     d.out.clear();
     if (i >= 500) sum += std::chrono::duration<double, std::milli>(taken).count(), ++count;
@@ -194,10 +194,10 @@
     d->advance(milliseconds(10));
     AttemptResult r{s.request, s.attempt, s.host, Outcome::served, milliseconds(10), true, {}};
     if (d == &told) r.report = queueOf(50);
-    d->balancer.onResult(d->now, r);
+    d->balancer.onAttemptResult(d->now, r);
     HostEntry again = makeHost(s.host == d->host(0) ? 0 : 1, "east", s.host == d->host(0) ? 0 : 1);
-    again.upSince = d->now;
-    d->balancer.onHosts(d->now, ListKind::update, {again});
+    again.startedAt = d->now;
+    d->balancer.onHostListUpdate(d->now, HostListUpdate::incremental, {again});
     d->collect();
   }
   for (int i = 0; i < 200; ++i)
@@ -215,12 +215,12 @@
 // the first.
 TEST(Reports, ALateAnswerOfTheProcessBeforeSaysNothingOfTheNewOne) {
   Settings settings = makeSettings();
-  settings.coldTime = {};
+  settings.warmUpTime = {};
   Driver told(settings, 2), untold(settings, 2);
   const auto answer = [](Driver& d, const Sent& s, double queue, Duration taken, bool reports = true) {
     AttemptResult r{s.request, s.attempt, s.host, Outcome::served, taken, true, {}};
     if (reports) r.report = queueOf(queue);
-    d.balancer.onResult(d.now, r);
+    d.balancer.onAttemptResult(d.now, r);
     d.collect();
     d.out.clear();
   };
@@ -237,8 +237,8 @@
     const Sent late = ask(*d);
     const int number = late.host == d->host(0) ? 0 : 1;
     HostEntry again = makeHost(number, "east", number);
-    again.upSince = d->now;
-    d->balancer.onHosts(d->now, ListKind::update, {again});
+    again.startedAt = d->now;
+    d->balancer.onHostListUpdate(d->now, HostListUpdate::incremental, {again});
     d->advance(milliseconds(10));
     answer(*d, late, 500, milliseconds(20), d == &told);
     d->forget();
@@ -263,7 +263,7 @@
     for (std::size_t i = due.size(); i < 16; ++i) ++refused;  // comes anew at once
     for (int i = 0; i < 16; ++i) d.request(0);
   }
-  for (const auto& [id, kind] : d.answers) refused += kind == ActionKind::refuse;
+  for (const auto& [id, kind] : d.answers) refused += kind == ActionKind::reject;
   EXPECT_LE(refused, 16u);
 }
 
@@ -281,4 +281,4 @@
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -4,7 +4,7 @@
 
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 // --- Score and cutoff ---
@@ -20,8 +20,8 @@
     smooth += 0.05 * (held - smooth);
     const double x = std::clamp((smooth / 62 - 0.5) / 0.5, 0.0, 1.0);
     zero |= x == 0 && smooth > 15;
-    EXPECT_NEAR(d.balancer.cutoff(), 100 * x * x * x, 1e-6) << "at " << before;
-    rose |= d.balancer.cutoff() > 5;
+    EXPECT_NEAR(d.balancer.admissionCutoff(), 100 * x * x * x, 1e-6) << "at " << before;
+    rose |= d.balancer.admissionCutoff() > 5;
   }
   EXPECT_TRUE(rose);
   EXPECT_TRUE(zero);
@@ -35,7 +35,7 @@
     const std::uint32_t cls = engine() % 4 == 0 ? 0 : 1;
     const RequestId id = d.request(cls);
     if (d.out.size() > 44) d.serve(Sent(d.out[engine() % d.out.size()]));
-    if (d.balancer.cutoff() > 60) continue;  // high worth holds the top quarter of the scores
+    if (d.balancer.admissionCutoff() > 60) continue;  // high worth holds the top quarter of the scores
     low += cls == 1 && d.refused(id);
     high += cls == 0 && d.refused(id);
   }
@@ -66,15 +66,15 @@
     d.advance(milliseconds(20));
     while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::error, false);
   }
-  EXPECT_GT(d.balancer.cutoff(), 1);
+  EXPECT_GT(d.balancer.admissionCutoff(), 1);
   d.warmUp(0, 200);
-  EXPECT_EQ(d.balancer.cutoff(), 0);
+  EXPECT_EQ(d.balancer.admissionCutoff(), 0);
 }
 
 TEST(RetryAfter, LengthensAsTheScoreFallsAndOnlyWhereReceived) {
   for (bool received : {true, false}) {
     Settings s = makeSettings();
-    s.retryAfter = received;
+    s.retryAfterEnabled = received;
     s.maxRetryAfter = milliseconds(1000);
     Driver d(s, 10);
     double sums[2] = {0, 0};
@@ -124,7 +124,7 @@
 
 TEST(Pick, WarmKeysGoToTheSameHostsAtEveryGateway) {
   Settings s = makeSettings();
-  s.warmKeys = true;
+  s.keyAffinity = true;
   Driver a(s, 8);
   s.seed = 99;
   Driver b(s, 8);
@@ -143,8 +143,8 @@
 TEST(Pick, OwnZonePreferredAndSpills) {
   Settings s = makeSettings();
   Driver d(s, 0);
-  d.balancer.onHosts(d.now, ListKind::replace,
-                     {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::complete,
+                              {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
   for (int i = 0; i < 200; ++i) {
     d.request(0);
     d.serve(d.lastSent());
@@ -173,7 +173,7 @@
   const RequestId id = d.request(1);
   d.advance(milliseconds(1000));
   EXPECT_TRUE(d.failed(id));
-  EXPECT_EQ(d.count(ActionKind::cancel), 1u);
+  EXPECT_EQ(d.count(ActionKind::cancelAttempt), 1u);
 }
 
 TEST(Answers, AttemptsEndBeforeTheClientsDeadline) {
@@ -187,9 +187,9 @@
   Driver d(makeSettings());
   const RequestId id = d.request(0);
   const Sent first = d.lastSent();
-  d.balancer.onClientGone(d.now, id);
+  d.balancer.onClientDisconnected(d.now, id);
   d.collect();
-  EXPECT_EQ(d.count(ActionKind::cancel), 1u);
+  EXPECT_EQ(d.count(ActionKind::cancelAttempt), 1u);
   d.settle(first, Outcome::connectFailed, false);
   EXPECT_EQ(d.sent.size(), 1u);
   EXPECT_EQ(d.answers.count(id), 0u);
@@ -208,15 +208,15 @@
   Driver d(makeSettings());
   const RequestId id = d.request(0);
   const Sent s = d.lastSent();
-  d.balancer.onResult(d.now, {id + 50, 0, s.host, Outcome::error, {}, false});
-  d.balancer.onResult(d.now, {id, 3, s.host, Outcome::error, {}, false});
-  d.balancer.onClientGone(d.now, 999);
-  d.balancer.onAnswerStarted(d.now, 999, 0);
+  d.balancer.onAttemptResult(d.now, {id + 50, 0, s.host, Outcome::error, {}, false});
+  d.balancer.onAttemptResult(d.now, {id, 3, s.host, Outcome::error, {}, false});
+  d.balancer.onClientDisconnected(d.now, 999);
+  d.balancer.onResponseStarted(d.now, 999, 0);
   d.request(0);
   d.collect();
   EXPECT_EQ(d.answers.size(), 0u);
   d.serve(s);
-  d.balancer.onResult(d.now, {id, 0, s.host, Outcome::served, {}, true});
+  d.balancer.onAttemptResult(d.now, {id, 0, s.host, Outcome::served, {}, true});
   EXPECT_EQ(d.balancer.openRequests(), 1u);
 }
 
@@ -224,7 +224,7 @@
   Settings s = makeSettings();
   Driver d(s);
   const RequestId id = d.request(0);
-  d.balancer.onAnswerStarted(d.now, id, 0);
+  d.balancer.onResponseStarted(d.now, id, 0);
   d.advance(seconds(3));
   EXPECT_EQ(d.answers.count(id), 0u);
   d.settle(d.lastSent(), Outcome::reset, true);
@@ -242,7 +242,7 @@
     EXPECT_EQ(d.sent.size(), 1u);
     EXPECT_TRUE(d.failed(id)) << "a refusal would claim that a retry is harmless";
   }
-  for (Outcome o : {Outcome::full, Outcome::connectFailed}) {
+  for (Outcome o : {Outcome::rejectedForCapacity, Outcome::connectFailed}) {
     Driver d(makeSettings());
     d.request(1);
     const HostId first = d.lastSent().host;
@@ -257,47 +257,50 @@
   for (std::uint32_t cls = 0; cls < makeSettings().classes.size(); ++cls) {
     d.forget();
     d.request(cls);
-    ASSERT_EQ(d.count(ActionKind::send), 1u);
+    ASSERT_EQ(d.count(ActionKind::sendAttempt), 1u);
     for (const Action& a : d.all)
-      if (a.kind == ActionKind::send)
-        EXPECT_EQ(a.proveFirst, makeSettings().classes[cls].effect != Effect::retryable) << cls;
+      if (a.kind == ActionKind::sendAttempt)
+        EXPECT_EQ(a.verifyConnection, makeSettings().classes[cls].idempotency != Idempotency::idempotent)
+            << cls;
   }
 }
 
 TEST(Repeats, FragileRefusedWhenAllAttemptsProvenUnrun) {
   Driver d(makeSettings());
   const RequestId id = d.request(1);
-  for (int i = 0; i < 4; ++i) d.settle(d.lastSent(), Outcome::full, false);
+  for (int i = 0; i < 4; ++i) d.settle(d.lastSent(), Outcome::rejectedForCapacity, false);
   EXPECT_EQ(d.sent.size(), 4u) << "maxAttempts";
   EXPECT_TRUE(d.refused(id));
 }
 
 TEST(Repeats, DedupStaysInItsGroupAndWindow) {
-  for (Group g : {Group::cell, Group::zone}) {
+  for (DeduplicationScope g : {DeduplicationScope::cell, DeduplicationScope::zone}) {
     Settings s = makeSettings();
-    s.classes[2].group = g;
+    s.classes[2].deduplicationScope = g;
     for (std::uint64_t seed = 1; seed < 20; ++seed) {
       s.seed = seed;
       Driver d(s, 0);
       std::vector<HostEntry> list;
       for (int i = 0; i < 8; ++i) list.push_back(makeHost(i, i < 4 ? "east" : "west", i / 2));
-      d.balancer.onHosts(d.now, ListKind::replace, list);
+      d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
       const RequestId id = d.request(2);
-      const int first = std::stoi(d.balancer.address(d.lastSent().host).substr(5)) - 100;
+      const int first = std::stoi(d.balancer.hostAddress(d.lastSent().host).substr(5)) - 100;
       d.settle(d.lastSent(), Outcome::reset, false);
       ASSERT_EQ(d.sent.size(), 2u);
-      const int second = std::stoi(d.balancer.address(d.lastSent().host).substr(5)) - 100;
-      EXPECT_EQ(first / (g == Group::cell ? 2 : 4), second / (g == Group::cell ? 2 : 4));
+      const int second = std::stoi(d.balancer.hostAddress(d.lastSent().host).substr(5)) - 100;
+      EXPECT_EQ(first / (g == DeduplicationScope::cell ? 2 : 4),
+                second / (g == DeduplicationScope::cell ? 2 : 4));
       while (!d.out.empty()) {
-        const int next = std::stoi(d.balancer.address(d.lastSent().host).substr(5)) - 100;
-        EXPECT_EQ(first / (g == Group::cell ? 2 : 4), next / (g == Group::cell ? 2 : 4));
+        const int next = std::stoi(d.balancer.hostAddress(d.lastSent().host).substr(5)) - 100;
+        EXPECT_EQ(first / (g == DeduplicationScope::cell ? 2 : 4),
+                  next / (g == DeduplicationScope::cell ? 2 : 4));
         d.settle(d.lastSent(), Outcome::timeout, false);
       }
       EXPECT_TRUE(d.failed(id)) << "never refused: the group is not all";
     }
   }
   Settings late = makeSettings();
-  late.classes[2].window = milliseconds(100);
+  late.classes[2].deduplicationWindow = milliseconds(100);
   Driver d(late);
   const RequestId id = d.request(2);
   d.advance(milliseconds(150));
@@ -308,7 +311,7 @@
 
 TEST(Repeats, DedupOfGroupAllMayBeRefused) {
   Settings s = makeSettings();
-  s.classes[2].group = Group::all;
+  s.classes[2].deduplicationScope = DeduplicationScope::all;
   s.maxAttempts = 1;
   Driver d(s);
   const RequestId id = d.request(2);
@@ -321,9 +324,9 @@
 TEST(Drains, NothingNewToADrainingOrGoneHost) {
   Driver d(makeSettings(), 3);
   HostEntry lame = makeHost(0), gone = makeHost(1);
-  lame.phase = Phase::draining;
-  gone.phase = Phase::out;
-  d.balancer.onHosts(d.now, ListKind::update, {lame, gone});
+  lame.phase = HostPhase::draining;
+  gone.phase = HostPhase::removed;
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {lame, gone});
   d.forget();
   for (int i = 0; i < 30; ++i) {
     d.request(0);
@@ -334,7 +337,7 @@
 
 TEST(Drains, AWholeListDropsWhatItLeavesOut) {
   Driver d(makeSettings(), 3);
-  d.balancer.onHosts(d.now, ListKind::replace, {makeHost(2)});
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, {makeHost(2)});
   d.forget();
   for (int i = 0; i < 10; ++i) {
     d.request(0);
@@ -351,18 +354,18 @@
   const Sent held = d.lastSent();
   std::vector<HostId> ids = {first};
   for (int i = 1; i <= 300; ++i) {
-    d.balancer.onHosts(d.now, ListKind::replace, {makeHost(i)});
+    d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, {makeHost(i)});
     d.advance(milliseconds(5));
     EXPECT_TRUE(std::find(ids.begin(), ids.end(), d.host(i)) == ids.end()) << "an id means another host";
     ids.push_back(d.host(i));
-    EXPECT_FALSE(i > 1 && d.balancer.knows(ids[static_cast<std::size_t>(i) - 1]));
+    EXPECT_FALSE(i > 1 && d.balancer.isKnown(ids[static_cast<std::size_t>(i) - 1]));
   }
-  ASSERT_TRUE(d.balancer.knows(first));
-  EXPECT_EQ(d.balancer.address(first), makeHost(0).address);
+  ASSERT_TRUE(d.balancer.isKnown(first));
+  EXPECT_EQ(d.balancer.hostAddress(first), makeHost(0).address);
   d.settle(held, Outcome::served, true);
   d.advance(milliseconds(300));
-  EXPECT_FALSE(d.balancer.knows(first));
-  EXPECT_THROW(d.balancer.address(first), std::out_of_range);
+  EXPECT_FALSE(d.balancer.isKnown(first));
+  EXPECT_THROW(d.balancer.hostAddress(first), std::out_of_range);
   d.request(0);
   EXPECT_EQ(d.lastSent().host, ids.back());
 }
@@ -371,23 +374,23 @@
 TEST(Hosts, ThatComeAndGoForAnHourLeaveNothing) {
   constexpr int kHosts = 1024, kRounds = 360;
   Settings s = makeSettings();
-  s.groupSize = 350;
+  s.gatewayCount = 350;
   Driver d(s, kHosts);
-  const auto tell = [&](int from, Phase phase) {
+  const auto tell = [&](int from, HostPhase phase) {
     std::vector<HostEntry> hosts;
     for (int i = from; i < from + kHosts; ++i) {
       hosts.push_back(makeHost(i));
       hosts.back().phase = phase;
     }
-    d.balancer.onHosts(d.now, ListKind::update, hosts);
+    d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, hosts);
   };
   for (int round = 0; round < kRounds; ++round) {
-    tell((round + 1) * kHosts, Phase::in);
-    tell(round * kHosts, Phase::out);
+    tell((round + 1) * kHosts, HostPhase::active);
+    tell(round * kHosts, HostPhase::removed);
     d.advance(seconds(5), seconds(5));
     d.request(0);
     ASSERT_EQ(d.sent.size(), 1u) << round;
-    EXPECT_GE(std::stoi(d.balancer.address(d.lastSent().host).substr(5)), 100 + (round + 1) * kHosts);
+    EXPECT_GE(std::stoi(d.balancer.hostAddress(d.lastSent().host).substr(5)), 100 + (round + 1) * kHosts);
     d.serve(d.lastSent());
     d.advance(seconds(5), seconds(5));
     d.forget();
@@ -399,20 +402,20 @@
 
 TEST(Discovery, AsksAtOnceAndAgainAfterFailuresWithinTheLimit) {
   Settings s = makeSettings();
-  s.askDiscovery = true;
-  s.askWithin = seconds(3);
+  s.pollsDiscovery = true;
+  s.maxDiscoverySilence = seconds(3);
   Driver d(s, 3);
-  EXPECT_EQ(d.count(ActionKind::subscribe), 1u);
+  EXPECT_EQ(d.count(ActionKind::pollDiscovery), 1u);
   Time asked = d.now;
   for (int i = 0; i < 8; ++i) {
-    d.balancer.onHosts(d.now, ListKind::unavailable, {});
+    d.balancer.onHostListUpdate(d.now, HostListUpdate::unavailable, {});
     d.collect();
-    const std::size_t before = d.count(ActionKind::subscribe);
-    while (d.count(ActionKind::subscribe) == before && d.now - asked < s.askWithin)
+    const std::size_t before = d.count(ActionKind::pollDiscovery);
+    while (d.count(ActionKind::pollDiscovery) == before && d.now - asked < s.maxDiscoverySilence)
       d.advance(milliseconds(50));
-    EXPECT_EQ(d.count(ActionKind::subscribe), before + 1);
+    EXPECT_EQ(d.count(ActionKind::pollDiscovery), before + 1);
     EXPECT_GT(d.now, asked) << "no storm";
-    EXPECT_LT(d.now - asked, s.askWithin);
+    EXPECT_LT(d.now - asked, s.maxDiscoverySilence);
     asked = d.now;
   }
   d.request(0);
@@ -423,23 +426,23 @@
 // counts as told 4 s later, so the waits must not grow; and one that stays silent is not asked for ever so.
 TEST(Discovery, AfterAMoveCallsFollowOneAnotherUntilTheFirstWord) {
   Settings s = makeSettings();
-  s.askDiscovery = true;
-  s.askWithin = seconds(10);
+  s.pollsDiscovery = true;
+  s.maxDiscoverySilence = seconds(10);
   Driver d(s, 3);
   const auto failing = [&](Time until) {  // the times of calls that are turned away at once
     std::vector<Time> calls;
     while (d.now < until) {
-      d.balancer.onHosts(d.now, ListKind::unavailable, {});
+      d.balancer.onHostListUpdate(d.now, HostListUpdate::unavailable, {});
       d.collect();
-      const std::size_t before = d.count(ActionKind::subscribe);
-      while (d.count(ActionKind::subscribe) == before && d.now < until) d.advance(milliseconds(5));
+      const std::size_t before = d.count(ActionKind::pollDiscovery);
+      while (d.count(ActionKind::pollDiscovery) == before && d.now < until) d.advance(milliseconds(5));
       calls.push_back(d.now);
     }
     return calls;
   };
   failing(d.now + seconds(6));  // it has failed for long
   const Time moved = d.now;
-  d.balancer.onHosts(d.now, ListKind::moved, {});
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::moved, {});
   d.collect();
   const std::vector<Time> calls = failing(moved + seconds(4));
   EXPECT_GE(calls.size(), 15u);
@@ -460,8 +463,8 @@
   ever.insert(ever.begin(), over);
   for (std::size_t i = 1; i < ever.size(); ++i) EXPECT_LE(ever[i] - ever[i - 1], milliseconds(2010));
   // A word ends it at once.
-  d.balancer.onHosts(d.now, ListKind::moved, {});
-  d.balancer.onHosts(d.now, ListKind::update, {});
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::moved, {});
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {});
   d.collect();
   EXPECT_LE(failing(d.now + seconds(4)).size(), 9u);
 }
@@ -473,17 +476,17 @@
   for (const int within : {0, 3, 10, 120})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       Settings s = makeSettings();
-      s.askDiscovery = true;
-      s.askWithin = seconds(within);
+      s.pollsDiscovery = true;
+      s.maxDiscoverySilence = seconds(within);
       s.seed = seed;
       Driver d(s, 3);
       for (int failures = 0; failures < 12; ++failures) {
         d.advance(milliseconds(1500), milliseconds(50));  // it was out for so long
-        d.balancer.onHosts(d.now, ListKind::unavailable, {});
+        d.balancer.onHostListUpdate(d.now, HostListUpdate::unavailable, {});
         d.collect();
         const Time failed = d.now;
-        const std::size_t before = d.count(ActionKind::subscribe);
-        while (d.count(ActionKind::subscribe) == before && d.now < failed + seconds(6))
+        const std::size_t before = d.count(ActionKind::pollDiscovery);
+        while (d.count(ActionKind::pollDiscovery) == before && d.now < failed + seconds(6))
           d.advance(milliseconds(5));
         ASSERT_LE(d.now - failed, milliseconds(2010)) << within << " s, failure " << failures;
         if (failures == 0)
@@ -500,16 +503,16 @@
   std::vector<int> calls(10);
   for (int g = 0; g < kGateways; ++g) {
     Settings s = makeSettings();
-    s.askDiscovery = true;
-    s.askWithin = seconds(10);
+    s.pollsDiscovery = true;
+    s.maxDiscoverySilence = seconds(10);
     s.seed = static_cast<std::uint64_t>(g) + 1;
     Driver d(s, 3);
     const Time lost = d.now;
     while (d.now < lost + seconds(10)) {
-      d.balancer.onHosts(d.now, ListKind::unavailable, {});
+      d.balancer.onHostListUpdate(d.now, HostListUpdate::unavailable, {});
       d.collect();
-      const std::size_t before = d.count(ActionKind::subscribe);
-      while (d.count(ActionKind::subscribe) == before) d.advance(milliseconds(5));
+      const std::size_t before = d.count(ActionKind::pollDiscovery);
+      while (d.count(ActionKind::pollDiscovery) == before) d.advance(milliseconds(5));
       const auto second = static_cast<std::size_t>((d.now - lost) / seconds(1));
       if (second < calls.size()) ++calls[second];
     }
@@ -522,26 +525,26 @@
 
 TEST(Discovery, ALostAnswerIsAskedForAgainButNotAGivenOne) {
   Settings s = makeSettings();
-  s.askDiscovery = true;
-  s.askWithin = seconds(3);
+  s.pollsDiscovery = true;
+  s.maxDiscoverySilence = seconds(3);
   Driver d(s, 3);
   d.advance(seconds(2), milliseconds(50));
-  EXPECT_EQ(d.count(ActionKind::subscribe), 2u);
-  d.balancer.onHosts(d.now, ListKind::update, {});
+  EXPECT_EQ(d.count(ActionKind::pollDiscovery), 2u);
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {});
   d.advance(seconds(10), milliseconds(50));
-  EXPECT_EQ(d.count(ActionKind::subscribe), 2u);
+  EXPECT_EQ(d.count(ActionKind::pollDiscovery), 2u);
 }
 
 // --- Rule 4: cold hosts ---
 
 TEST(ColdStart, ABudgetInEveryWindow) {
   Settings s = makeSettings();
-  s.groupSize = 2;
+  s.gatewayCount = 2;
   Driver d(s, 4);
   d.warmUp(0, 100, milliseconds(10));
   HostEntry cold = makeHost(9);
-  cold.upSince = d.now;
-  d.balancer.onHosts(d.now, ListKind::update, {cold});
+  cold.startedAt = d.now;
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {cold});
   d.forget();
   std::size_t warm = 0;
   for (int i = 0; i < 200; ++i) {  // two seconds, the cold host refuses all: refused attempts count too
@@ -549,7 +552,7 @@
     d.advance(milliseconds(10));
     while (!d.out.empty()) {
       const Sent o = d.out.front();
-      if (o.host == d.host(9)) d.settle(o, Outcome::full, false);
+      if (o.host == d.host(9)) d.settle(o, Outcome::rejectedForCapacity, false);
       else d.serve(o);
     }
   }
@@ -564,9 +567,9 @@
   std::vector<HostEntry> list;
   for (int i = 0; i < 3; ++i) {
     list.push_back(makeHost(i));
-    list.back().upSince = d.now;
+    list.back().startedAt = d.now;
   }
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(5));
@@ -581,7 +584,7 @@
 TEST(Settings, NonsenseIsRejectedWithItsName) {
   const auto message = [](const Settings& s) -> std::string {
     try {
-      Balancer b(s, Time{});
+      LoadBalancer b(s, Time{});
     } catch (const std::invalid_argument& e) {
       return e.what();
     }
@@ -592,19 +595,19 @@
   s.classes.clear();
   EXPECT_NE(message(s).find("class"), std::string::npos);
   s = makeSettings();
-  s.groupSize = 0;
+  s.gatewayCount = 0;
   EXPECT_NE(message(s).find("groupSize"), std::string::npos);
-  s.groupSize = 4;
-  s.myNumber = 4;
+  s.gatewayCount = 4;
+  s.gatewayIndex = 4;
   EXPECT_NE(message(s).find("myNumber is 4, not 0 to 3"), std::string::npos) << message(s);
   s = makeSettings();
-  s.coldShare = 0;
+  s.initialCapacityFraction = 0;
   EXPECT_NE(message(s).find("coldShare"), std::string::npos);
   s = makeSettings();
-  s.classes[1].aim = Duration{};
+  s.classes[1].latencyObjective = Duration{};
   EXPECT_NE(message(s).find("write"), std::string::npos);
   s = makeSettings();
-  s.classes[1].worth = std::nan("");
+  s.classes[1].priorityWeight = std::nan("");
   EXPECT_NE(message(s).find("worth"), std::string::npos);
 }
 
@@ -621,11 +624,11 @@
 std::string play(std::uint64_t seed) {
   Settings s = makeSettings();
   s.seed = seed;
-  s.warmKeys = seed % 2 == 0;
-  s.classes[2].group = static_cast<Group>(seed % 3);
+  s.keyAffinity = seed % 2 == 0;
+  s.classes[2].deduplicationScope = static_cast<DeduplicationScope>(seed % 3);
   std::mt19937_64 engine(seed * 77 + 1);
   const auto below = [&](std::uint64_t n) { return engine() % n; };
-  Balancer b(s, seconds(50));
+  LoadBalancer b(s, seconds(50));
   Time now = seconds(50);
   std::map<RequestId, Seen> seen;
   std::map<HostId, HostEntry> entries;  // of all hosts ever known
@@ -634,14 +637,14 @@
   RequestId last = 0;
   std::vector<HostEntry> list;
   for (int i = 0; i < 6; ++i) list.push_back(makeHost(i, i % 3 ? "east" : "west", i % 3));
-  b.onHosts(now, ListKind::restored, list);
+  b.onHostListUpdate(now, HostListUpdate::restored, list);
   for (const HostEntry& e : list) entries[b.findHost(e.address)] = named[e.address] = e;
 
   const auto check = [&] {
     for (const Action& a : b.actions()) {
       trace += std::to_string(static_cast<int>(a.kind)) + ":" + std::to_string(a.request) + ":" +
-               std::to_string(a.host) + ":" + std::to_string(a.span.count()) + " ";
-      if (a.kind == ActionKind::wake || a.kind == ActionKind::log || a.kind == ActionKind::subscribe)
+               std::to_string(a.host) + ":" + std::to_string(a.duration.count()) + " ";
+      if (a.kind == ActionKind::setTimer || a.kind == ActionKind::log || a.kind == ActionKind::pollDiscovery)
         continue;
       EXPECT_TRUE(seen.count(a.request));
       Seen& r = seen[a.request];
@@ -651,32 +654,33 @@
         ran |= r.state[i] != 1;
         outNow |= r.state[i] == 0;
       }
-      if (a.kind == ActionKind::send) {
+      if (a.kind == ActionKind::sendAttempt) {
         EXPECT_FALSE(r.over);
         EXPECT_LT(now, r.deadline);
-        EXPECT_LE(now + a.span, r.deadline);
-        EXPECT_EQ(entries.at(a.host).phase, Phase::in);
+        EXPECT_LE(now + a.duration, r.deadline);
+        EXPECT_EQ(entries.at(a.host).phase, HostPhase::active);
         EXPECT_EQ(a.attempt, r.tries.size());
         EXPECT_LT(a.attempt, s.maxAttempts);
         EXPECT_FALSE(outNow);
-        if (c.effect == Effect::fragile) EXPECT_FALSE(ran);
-        if (c.effect == Effect::dedup)
+        if (c.idempotency == Idempotency::nonIdempotent) EXPECT_FALSE(ran);
+        if (c.idempotency == Idempotency::idempotentWithKey)
           for (std::size_t i = 0; i < r.tries.size(); ++i) {
             if (r.state[i] == 1) continue;
             const HostEntry &was = entries.at(r.tries[i].host), &is = entries.at(a.host);
-            if (c.group != Group::all) EXPECT_EQ(was.zone, is.zone);
-            if (c.group == Group::cell) EXPECT_EQ(was.cell, is.cell);
-            EXPECT_LE(now, r.tries[i].at + c.window);
+            if (c.deduplicationScope != DeduplicationScope::all) EXPECT_EQ(was.zone, is.zone);
+            if (c.deduplicationScope == DeduplicationScope::cell) EXPECT_EQ(was.cell, is.cell);
+            EXPECT_LE(now, r.tries[i].at + c.deduplicationWindow);
           }
-        r.tries.push_back({a.request, a.attempt, a.host, now, a.span});
+        r.tries.push_back({a.request, a.attempt, a.host, now, a.duration});
         r.state.push_back(0);
-      } else if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
+      } else if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
         EXPECT_FALSE(r.over);
         EXPECT_LE(now, r.deadline);
         r.over = true;
-        if (a.kind == ActionKind::refuse && ran) {
-          EXPECT_NE(c.effect, Effect::fragile);
-          if (c.effect == Effect::dedup) EXPECT_EQ(c.group, Group::all);
+        if (a.kind == ActionKind::reject && ran) {
+          EXPECT_NE(c.idempotency, Idempotency::nonIdempotent);
+          if (c.idempotency == Idempotency::idempotentWithKey)
+            EXPECT_EQ(c.deduplicationScope, DeduplicationScope::all);
         }
       }
     }
@@ -690,10 +694,10 @@
       Request q;
       q.id = ++last;
       q.classIndex = static_cast<std::uint32_t>(below(3));
-      q.left = milliseconds(static_cast<int>(below(1000)) + 1);
-      q.hasKey = true;
-      q.key = below(20);
-      seen[q.id] = {q.classIndex, now + q.left, false, {}, {}};
+      q.timeLeft = milliseconds(static_cast<int>(below(1000)) + 1);
+      q.hasAffinityKey = true;
+      q.affinityKey = below(20);
+      seen[q.id] = {q.classIndex, now + q.timeLeft, false, {}, {}};
       b.onRequest(now, q);
     } else if (what < 8 && !seen.empty()) {
       std::vector<std::pair<RequestId, std::size_t>> open;
@@ -704,31 +708,32 @@
         const auto [id, k] = open[below(open.size())];
         Seen& r = seen[id];
         const auto o = static_cast<Outcome>(below(8));
-        r.state[k] = o == Outcome::full || o == Outcome::connectFailed || o == Outcome::moot ? 1 : 2;
+        r.state[k] =
+            o == Outcome::rejectedForCapacity || o == Outcome::connectFailed || o == Outcome::notSent ? 1 : 2;
         const bool terminal = r.over || o == Outcome::served;
         if (terminal) r.over = true;
-        b.onResult(now,
-                   {id, static_cast<std::uint32_t>(k), r.tries[k].host, o, now - r.tries[k].at, terminal});
+        b.onAttemptResult(
+            now, {id, static_cast<std::uint32_t>(k), r.tries[k].host, o, now - r.tries[k].at, terminal});
       }
     } else if (what == 8 && below(10) == 0) {
       HostEntry e = makeHost(static_cast<int>(below(6)));
       e = named.at(e.address);
-      e.phase = static_cast<Phase>(below(3));
-      if (below(3) == 0) e.upSince = now;
+      e.phase = static_cast<HostPhase>(below(3));
+      if (below(3) == 0) e.startedAt = now;
       named[e.address] = e;
       const HostId before = b.findHost(e.address);
       if (before != kNone) entries[before] = e;
-      b.onHosts(now, ListKind::update, {e});
+      b.onHostListUpdate(now, HostListUpdate::incremental, {e});
       const HostId after = b.findHost(e.address);
       if (after != kNone && after != before) EXPECT_TRUE(entries.emplace(after, e).second);
     } else if (below(20) == 0 && last > 0) {
       const RequestId id = 1 + below(last);
       if (!seen[id].over) {
         seen[id].over = true;
-        b.onClientGone(now, id);
+        b.onClientDisconnected(now, id);
       }
     } else {
-      b.onWake(now);
+      b.onTimer(now);
     }
     check();
     for (auto it = seen.begin(); it != seen.end();) {
@@ -739,7 +744,7 @@
       if (it->second.over && !outNow) it = seen.erase(it);
       else ++it;
     }
-    b.onWake(now);  // it was asked for by now
+    b.onTimer(now);  // it was asked for by now
     check();
     if (::testing::Test::HasFailure()) break;
   }
@@ -801,4 +806,4 @@
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/state_test.cpp
+++ b/tests/policy/state_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 #include <set>
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 TEST(State, TheBusyHostsAreThoseThatHoldSomething) {
@@ -40,4 +40,4 @@
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/streams_test.cpp
+++ b/tests/policy/streams_test.cpp
@@ -4,22 +4,22 @@
 
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 RequestId askStream(Driver& d, std::uint32_t cls = 1, Duration left = milliseconds(1000)) {
   Request q;
   q.id = ++d.last;
   q.classIndex = cls;
-  q.left = left;
-  q.stream = true;
+  q.timeLeft = left;
+  q.isStream = true;
   d.balancer.onRequest(d.now, q);
   d.collect();
   return q.id;
 }
 
 void begin(Driver& d, const Sent& s) {
-  d.balancer.onAnswerStarted(d.now, s.request, s.attempt);
+  d.balancer.onResponseStarted(d.now, s.request, s.attempt);
   d.collect();
 }
 
@@ -39,8 +39,9 @@
     d.advance(milliseconds(5));
   }
   ASSERT_EQ(d.sent.size(), 600u);
-  for (int h = 0; h < 6; ++h) EXPECT_NEAR(static_cast<double>(d.balancer.streams(d.host(h))), 100, 5) << h;
-  EXPECT_EQ(d.balancer.streams(), 600u);
+  for (int h = 0; h < 6; ++h)
+    EXPECT_NEAR(static_cast<double>(d.balancer.streamCount(d.host(h))), 100, 5) << h;
+  EXPECT_EQ(d.balancer.streamCount(), 600u);
 }
 
 // Danger: all that come at once would go to the one that is empty.
@@ -52,7 +53,7 @@
     beginAll(d, before);
   }
   HostEntry fresh = makeHost(5);  // long up: the cold start is another matter
-  d.balancer.onHosts(d.now, ListKind::update, {fresh});
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
   d.collect();
   d.forget();
   for (int i = 0; i < 40; ++i) {
@@ -79,7 +80,7 @@
     beginAll(d, before);
   }
   d.advance(seconds(1));
-  EXPECT_LT(d.balancer.cutoff(), 1);
+  EXPECT_LT(d.balancer.admissionCutoff(), 1);
   // Requests find idle hosts, as if no stream were held.
   d.out.clear();
   d.forget();
@@ -120,15 +121,15 @@
 
 TEST(Streams, AHostHoldsNoMoreThanItsBound) {
   Settings s = makeSettings();
-  s.hostStreams = 20;
-  s.groupSize = 2;  // half of it is ours
+  s.maxStreamsPerHost = 20;
+  s.gatewayCount = 2;  // half of it is ours
   Driver d(s, 4);
   for (int i = 0; i < 100; ++i) {
     const std::size_t before = d.sent.size();
     askStream(d);
     beginAll(d, before);
   }
-  for (int h = 0; h < 4; ++h) EXPECT_EQ(d.balancer.streams(d.host(h)), 10u);
+  for (int h = 0; h < 4; ++h) EXPECT_EQ(d.balancer.streamCount(d.host(h)), 10u);
   EXPECT_EQ(d.sent.size(), 40u);
   EXPECT_EQ(d.answers.size(), 60u);
   d.serve(Sent(d.sent[0]));  // one ends: there is room for one
@@ -140,20 +141,20 @@
 
 TEST(Streams, TheGatewayHoldsNoMoreThanItsBound) {
   Settings s = makeSettings();
-  s.mostStreams = 7;
+  s.maxStreams = 7;
   Driver d(s);
   for (int i = 0; i < 20; ++i) askStream(d);
   EXPECT_EQ(d.sent.size(), 7u);
   for (const Sent& one : std::vector<Sent>(d.out)) d.settle(one, Outcome::connectFailed, false);
-  EXPECT_LE(d.balancer.streams(), 7u);
+  EXPECT_LE(d.balancer.streamCount(), 7u);
 }
 
 // 2,000 come back in one second after a deploy: each host is given its rate, and the others are told to come
 // back at times of their own.
 TEST(Streams, AStormIsSpreadOverTimeByTheRateOfEachHost) {
   Settings s = makeSettings();
-  s.streamRate = 10;
-  s.streamReturn = seconds(10);
+  s.hostStreamRate = 10;
+  s.streamRetrySpread = seconds(10);
   Driver d(s, 6);
   std::vector<RequestId> asked;
   for (int i = 0; i < 2000; ++i) {
@@ -184,12 +185,12 @@
 // All gateways together keep a cold host to its part; streams count in it.
 TEST(Streams, AColdHostIsGivenItsPartOnly) {
   Settings s = makeSettings();
-  s.streamRate = 20;
+  s.hostStreamRate = 20;
   Driver d(s, 5);
   d.warmUp(0, 200);
   HostEntry cold = makeHost(5);
-  cold.upSince = d.now;
-  d.balancer.onHosts(d.now, ListKind::update, {cold});
+  cold.startedAt = d.now;
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {cold});
   d.collect();
   d.forget();
   for (int i = 0; i < 400; ++i) {  // two seconds
@@ -213,16 +214,16 @@
   d.settle(d.lastSent(), Outcome::connectFailed, false);
   ASSERT_EQ(d.sent.size(), 2u);
   EXPECT_NE(d.lastSent().host, first);
-  EXPECT_EQ(d.balancer.streams(first), 0u);
-  EXPECT_EQ(d.balancer.streams(d.lastSent().host), 1u);
+  EXPECT_EQ(d.balancer.streamCount(first), 0u);
+  EXPECT_EQ(d.balancer.streamCount(d.lastSent().host), 1u);
   begin(d, d.lastSent());
   d.advance(seconds(3600), seconds(1));  // neither time-out nor deadline applies any more
   EXPECT_FALSE(d.refused(id) || d.failed(id));
-  EXPECT_EQ(d.balancer.streams(), 1u);
+  EXPECT_EQ(d.balancer.streamCount(), 1u);
   d.settle(d.lastSent(), Outcome::reset, true);
   EXPECT_FALSE(d.refused(id) || d.failed(id));  // it has ended, and nothing is sent again
   EXPECT_EQ(d.sent.size(), 2u);
-  EXPECT_EQ(d.balancer.streams(), 0u);
+  EXPECT_EQ(d.balancer.streamCount(), 0u);
   EXPECT_EQ(d.balancer.openRequests(), 0u);
 }
 
@@ -242,25 +243,25 @@
   HostEntry entry = makeHost(0);
   for (int h = 0; h < 6; ++h)
     if (d.host(h) == s.host) entry = makeHost(h, "east", h % 2);
-  entry.phase = Phase::out;
-  d.balancer.onHosts(d.now, ListKind::update, {entry});
+  entry.phase = HostPhase::removed;
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {entry});
   d.collect();
   d.advance(seconds(2));
-  EXPECT_TRUE(d.balancer.knows(s.host));
-  EXPECT_EQ(d.balancer.streams(s.host), 1u);
+  EXPECT_TRUE(d.balancer.isKnown(s.host));
+  EXPECT_EQ(d.balancer.streamCount(s.host), 1u);
   d.serve(s);
   d.advance(seconds(1));
-  EXPECT_FALSE(d.balancer.knows(s.host));
+  EXPECT_FALSE(d.balancer.isKnown(s.host));
 }
 
 TEST(Streams, SettingsThatMakeNoSenseAreTurnedDown) {
   Settings s = makeSettings();
-  s.streamRate = -1;
+  s.hostStreamRate = -1;
   EXPECT_THROW(Driver d(s), std::invalid_argument);
   s = makeSettings();
-  s.streamReturn = -seconds(1);
+  s.streamRetrySpread = -seconds(1);
   EXPECT_THROW(Driver d(s), std::invalid_argument);
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/subset_test.cpp
+++ b/tests/policy/subset_test.cpp
@@ -15,7 +15,7 @@
 #include "policy/state.hpp"
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 std::vector<std::uint64_t> hashesOf(int hosts) {
@@ -87,8 +87,8 @@
 
 Settings bank(std::uint32_t gateways, std::uint32_t number) {
   Settings s = makeSettings();
-  s.groupSize = gateways;
-  s.myNumber = number;
+  s.gatewayCount = gateways;
+  s.gatewayIndex = number;
   return s;
 }
 
@@ -123,15 +123,15 @@
   std::vector<HostEntry> left;
   for (int i = 0; i < 60; ++i) {
     left.push_back(makeHost(i, "east", i % 2));
-    if (before.count(d.host(i))) left.back().phase = Phase::draining;
+    if (before.count(d.host(i))) left.back().phase = HostPhase::draining;
   }
-  d.balancer.onHosts(d.now, ListKind::update, left);
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, left);
   d.collect();
   d.forget();
   const auto after = metBy(d, 100);
   EXPECT_GE(after.size(), 4u);
   for (HostId id : after) EXPECT_EQ(before.count(id), 0u);
-  EXPECT_EQ(d.count(ActionKind::refuse), 0u);
+  EXPECT_EQ(d.count(ActionKind::reject), 0u);
 }
 
 // Turned away by four hosts in turn a request is refused whatever its worth. A gateway that meets few hosts
@@ -146,7 +146,7 @@
     const RequestId id = d.request(cls);
     if (i >= 100) ++asked[cls], cut[cls] += d.refused(id) && d.sent.size() == before;
     for (int tries = 0; !d.out.empty(); ++tries)  // three in seven attempts are turned away
-      d.settle(Sent(d.out.front()), (i + tries) % 7 < 3 ? Outcome::full : Outcome::served,
+      d.settle(Sent(d.out.front()), (i + tries) % 7 < 3 ? Outcome::rejectedForCapacity : Outcome::served,
                (i + tries) % 7 >= 3);
     d.advance(milliseconds(60));
   }
@@ -190,4 +190,4 @@
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/policy/terms_test.cpp
+++ b/tests/policy/terms_test.cpp
@@ -4,7 +4,7 @@
 
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 constexpr std::uint32_t kHeavy = 0, kLight = 1;
@@ -35,7 +35,7 @@
     q.id = ++driver.last;
     q.classIndex = 0;
     q.tenantIndex = tenant;
-    q.left = milliseconds(1000);
+    q.timeLeft = milliseconds(1000);
     driver.balancer.onRequest(driver.now, q);
     driver.collect();
     return q.id;
@@ -53,13 +53,13 @@
 TEST(Terms, ANewQuotaShowsInWhoIsRefused) {
   Overload overload(withTenants(20, 1000));
   overload.play(600);
-  ASSERT_GT(overload.driver.balancer.cutoff(), 1);
+  ASSERT_GT(overload.driver.balancer.admissionCutoff(), 1);
   const int heavyBefore = overload.refused[kHeavy], lightBefore = overload.refused[kLight];
   EXPECT_GT(heavyBefore, 20);
   EXPECT_GT(heavyBefore, 10 * lightBefore);
-  Terms swapped;
+  DynamicSettings swapped;
   swapped.tenants = {{kHeavy, 1000}, {kLight, 5}};
-  overload.driver.balancer.onTerms(overload.driver.now, swapped);
+  overload.driver.balancer.onDynamicSettings(overload.driver.now, swapped);
   overload.play(3000);  // the mix of worths is remembered for some seconds
   overload.play(600);
   EXPECT_GT(overload.refused[kLight], 20);
@@ -69,9 +69,9 @@
 TEST(Terms, ATenantThatComesLaterIsHeldToItsQuota) {
   Settings s = makeSettings();
   Overload overload(s);
-  Terms terms;
+  DynamicSettings terms;
   terms.tenants = {{kLight, 1000}, {kHeavy, 20}};
-  overload.driver.balancer.onTerms(overload.driver.now, terms);
+  overload.driver.balancer.onDynamicSettings(overload.driver.now, terms);
   overload.play(600);
   EXPECT_GT(overload.refused[kHeavy], 20);
   EXPECT_GT(overload.refused[kHeavy], 10 * overload.refused[kLight]);
@@ -85,9 +85,9 @@
   overload.refused = {};
   int refused = 0;
   for (int i = 0; i < 600; ++i) {
-    Terms same;
+    DynamicSettings same;
     same.tenants = {{kHeavy, i % 2 == 0 ? 20.0 : 20.5}};
-    overload.driver.balancer.onTerms(overload.driver.now, same);
+    overload.driver.balancer.onDynamicSettings(overload.driver.now, same);
     overload.play(1);
     refused += overload.refused[kHeavy];
   }
@@ -98,12 +98,12 @@
 // come now.
 TEST(Terms, OpenRequestsEndUnderTheTermsTheyBeganWith) {
   Settings s = makeSettings();
-  s.classes[0].lateShare = 0.5;
+  s.classes[0].lateValueFraction = 0.5;
   Driver d(s);
   const RequestId before = d.request(0);
-  Terms terms;
+  DynamicSettings terms;
   terms.classes = {{0, milliseconds(400), 10, 0}};
-  d.balancer.onTerms(d.now, terms);
+  d.balancer.onDynamicSettings(d.now, terms);
   const RequestId after = d.request(0);
   d.advance(milliseconds(500));  // past the aim of both
   const std::size_t sentBefore = d.sent.size();
@@ -115,9 +115,9 @@
 
 TEST(Terms, AnAimHoldsForRequestsThatComeAfterIt) {
   Driver d(makeSettings());
-  Terms terms;
+  DynamicSettings terms;
   terms.classes = {{0, milliseconds(900), 10, 0}};
-  d.balancer.onTerms(d.now, terms);
+  d.balancer.onDynamicSettings(d.now, terms);
   d.request(0);
   EXPECT_GT(d.lastSent().limit, milliseconds(600));  // 400 ms by the start's aim
   EXPECT_LE(d.lastSent().limit, milliseconds(900));
@@ -125,24 +125,24 @@
 
 TEST(Terms, OneBadTermAndNothingIsTaken) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
-  const auto withClass = [](Terms::ClassTerms c) {
-    Terms t;
+  const auto withClass = [](DynamicSettings::ClassUpdate c) {
+    DynamicSettings t;
     t.classes = {{0, milliseconds(900), 10, 0}, c};
     return t;
   };
-  const auto withTenant = [](Terms::TenantTerms tenant) {
-    Terms t;
+  const auto withTenant = [](DynamicSettings::TenantUpdate tenant) {
+    DynamicSettings t;
     t.classes = {{0, milliseconds(900), 10, 0}};
     t.tenants = {tenant};
     return t;
   };
   Driver d(makeSettings());
-  for (const Terms& bad :
+  for (const DynamicSettings& bad :
        {withClass({3, milliseconds(1), 1, 0}), withClass({1, Duration{}, 1, 0}),
         withClass({1, seconds(2), 1, 0}), withClass({1, milliseconds(1), -1, 0}),
         withClass({1, milliseconds(1), nan, 0}), withClass({1, milliseconds(1), 1, 1.5}), withTenant({0, -1}),
-        withTenant({0, nan}), withTenant({static_cast<std::uint32_t>(kTenantsMost), 1})}) {
-    EXPECT_THROW(d.balancer.onTerms(d.now, bad), std::invalid_argument);
+        withTenant({0, nan}), withTenant({static_cast<std::uint32_t>(kMaxTenants), 1})}) {
+    EXPECT_THROW(d.balancer.onDynamicSettings(d.now, bad), std::invalid_argument);
     d.request(0);
     EXPECT_LE(d.lastSent().limit, milliseconds(400));  // still the aim of the start
   }
@@ -158,16 +158,16 @@
     d.request(0, milliseconds(1000));
     if (i % 40 == 0) {
       HostEntry host = makeHost(i / 40 % 4, "east", 0);
-      host.phase = i / 40 % 2 == 0 ? Phase::draining : Phase::in;
-      d.balancer.onHosts(d.now, ListKind::update, {host});
+      host.phase = i / 40 % 2 == 0 ? HostPhase::draining : HostPhase::active;
+      d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {host});
       d.collect();
     }
   }
-  EXPECT_GT(d.balancer.cutoff(), 50);
+  EXPECT_GT(d.balancer.admissionCutoff(), 50);
   while (!d.out.empty()) d.serve(Sent(d.out.front()));
   d.advance(seconds(5));
-  EXPECT_LT(d.balancer.cutoff(), 1);
+  EXPECT_LT(d.balancer.admissionCutoff(), 1);
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/scale/slopes_test.cpp
+++ b/tests/scale/slopes_test.cpp
@@ -8,7 +8,7 @@
 
 #include "support/driver.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 namespace {
 
 constexpr double kSlopeMost = 8;  // times the cost at the small size
@@ -24,13 +24,13 @@
 // The least processor time of a request that is answered, in seconds.
 double costOfRequest(int hosts, int tenants) {
   Settings s = makeSettings();
-  s.groupSize = kGateways;
+  s.gatewayCount = kGateways;
   for (int i = 0; i < tenants; ++i) s.tenants.push_back({"tenant-" + std::to_string(i), 50});
-  Balancer balancer(s, seconds(100));
+  LoadBalancer balancer(s, seconds(100));
   std::vector<HostEntry> list;
   for (int i = 0; i < hosts; ++i) list.push_back(makeHost(i));
   Time now = seconds(100);
-  balancer.onHosts(now, ListKind::replace, list);
+  balancer.onHostListUpdate(now, HostListUpdate::complete, list);
   RequestId last = 0;
   double least = 1e9;
   for (int run = 0; run < kRuns; ++run) {
@@ -42,13 +42,14 @@
       q.classIndex = 0;
       if (tenants > 0)
         q.tenantIndex = static_cast<std::uint32_t>(last * 7919 % static_cast<RequestId>(tenants));
-      q.left = seconds(1);
+      q.timeLeft = seconds(1);
       balancer.actions().clear();
       balancer.onRequest(now, q);
       const auto actions = balancer.actions();
       for (const Action& a : actions)
-        if (a.kind == ActionKind::send)
-          balancer.onResult(now, {a.request, a.attempt, a.host, Outcome::served, milliseconds(20), true});
+        if (a.kind == ActionKind::sendAttempt)
+          balancer.onAttemptResult(now,
+                                   {a.request, a.attempt, a.host, Outcome::served, milliseconds(20), true});
     }
     least = std::min(least, (processorSeconds() - begun) / kRequests);
   }
@@ -64,4 +65,4 @@
 }
 
 }  // namespace
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/wire/wire_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -1,10 +1,10 @@
-#include "wire/wire.hpp"
+#include "simulator/adapter.hpp"
 
 #include <gtest/gtest.h>
 
 #include <sstream>
 
-namespace ridgeshift::wire {
+namespace finchstile::load_balancing::simulator {
 namespace {
 
 const char* kSettings =
@@ -57,13 +57,13 @@
   const Settings s = readSettings(kSettings);
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].name, "plan");
-  EXPECT_EQ(s.classes[0].worth, 12);
-  EXPECT_EQ(s.classes[1].effect, Effect::dedup);
-  EXPECT_EQ(s.classes[1].group, Group::zone);
-  EXPECT_EQ(s.classes[1].window, std::chrono::seconds(2));
-  EXPECT_TRUE(s.askDiscovery);
+  EXPECT_EQ(s.classes[0].priorityWeight, 12);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::idempotentWithKey);
+  EXPECT_EQ(s.classes[1].deduplicationScope, DeduplicationScope::zone);
+  EXPECT_EQ(s.classes[1].deduplicationWindow, std::chrono::seconds(2));
+  EXPECT_TRUE(s.pollsDiscovery);
   EXPECT_EQ(s.maxAttempts, 6u);
-  EXPECT_DOUBLE_EQ(s.coldShare, 0.32);
+  EXPECT_DOUBLE_EQ(s.initialCapacityFraction, 0.32);
   EXPECT_EQ(s.zone, "north");
   EXPECT_THROW(readSettings("groupSize=many"), std::invalid_argument);
 }
@@ -210,4 +210,4 @@
 }
 
 }  // namespace
-}  // namespace ridgeshift::wire
+}  // namespace finchstile::load_balancing::simulator
--- a/tests/stream/decisions_test.cpp
+++ b/tests/stream/decisions_test.cpp
@@ -15,7 +15,7 @@
 namespace finchstile::stream {
 namespace {
 
-using ridgeshift::Outcome;
+using load_balancing::Outcome;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
--- a/tests/stream/front_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -1,7 +1,8 @@
 // Opaque streams through a gateway on loopback, against workers of the test's own: what passes, how each
 // ends, drains, storms, bounds.
+#include "stream/tcp_proxy_handler.hpp"
+
 #include "stream/table.hpp"
-#include "stream/tcp_front.hpp"
 #include "support/gateway_fixture.hpp"
 #include "support/wires.hpp"
 
@@ -16,7 +17,7 @@
 struct StreamTest : GatewayTest {
   std::vector<std::unique_ptr<WireServer>> workers;
   std::unique_ptr<StreamTable> table;
-  std::unique_ptr<TcpFront> front;
+  std::unique_ptr<TcpProxyHandler> front;
   StreamSettings settings;
   std::vector<std::string> lines;
   std::vector<std::string> names;  // of the workers in the list, if not s-0, s-1, ...
@@ -50,17 +51,18 @@
     json config = configJson(discovery.endpoint(), workersListed());
     config["limits"]["sockets"] = 1024;
     change(config);
-    Config read = readConfig(config.dump(), clock);
-    read.tuning.otherShare = settings.descriptorShare;
-    read.settings.mostStreams = static_cast<std::uint32_t>(streamsOf(settings, read.sockets));
-    read.settings.hostStreams = static_cast<std::uint32_t>(settings.hostStreams);
-    read.settings.streamRate = settings.hostRate;
-    read.settings.streamReturn = settings.returnWithin;
+    GatewayConfig read = readConfig(config.dump(), clock);
+    read.options.reservedDescriptorFraction = settings.descriptorShare;
+    read.settings.maxStreams = static_cast<std::uint32_t>(streamsOf(settings, read.descriptorLimit));
+    read.settings.maxStreamsPerHost = static_cast<std::uint32_t>(settings.hostStreams);
+    read.settings.hostStreamRate = settings.hostRate;
+    read.settings.streamRetrySpread = settings.returnWithin;
     gateway = std::make_unique<Gateway>(io, clock, read);
-    table =
-        std::make_unique<StreamTable>(io, clock, settings, read.settings.mostStreams, 5, gateway->frontHost(),
-                                      [this](std::string_view line) { lines.emplace_back(line); });
-    front = std::make_unique<TcpFront>(io, clock, settings, read.settings, gateway->frontHost(), *table);
+    table = std::make_unique<StreamTable>(io, clock, settings, read.settings.maxStreams, 5,
+                                          gateway->protocolHandlerCallbacks(),
+                                          [this](std::string_view line) { lines.emplace_back(line); });
+    front = std::make_unique<TcpProxyHandler>(io, clock, settings, read.settings,
+                                              gateway->protocolHandlerCallbacks(), *table);
     gateway->attach(*front);
     front->start();
     gateway->start();
@@ -225,7 +227,7 @@
   EXPECT_TRUE(c->reset);
   EXPECT_EQ(count(Became::refused), 1u);
   EXPECT_TRUE(hasLine("refused by=gateway why=turned_away"));
-  EXPECT_TRUE(front->idle());
+  EXPECT_TRUE(front->isIdle());
 }
 
 // A worker whose machine takes no connection: its queue is full, and nothing comes back.
@@ -255,7 +257,7 @@
   begin([&](json& config) { config["known"]["endpoints"] = list; });
   const auto c = open();
   c->write("x");
-  ASSERT_TRUE(until([&] { return !front->idle(); }));
+  ASSERT_TRUE(until([&] { return !front->isIdle(); }));
   play(milliseconds(50));
   EXPECT_FALSE(c->over());
   list[0]["status"] = "leaving";
@@ -273,9 +275,9 @@
   begin([&](json& config) { config["known"]["endpoints"] = list; });
   const auto c = open();
   c->write("x");
-  ASSERT_TRUE(until([&] { return !front->idle(); }));
+  ASSERT_TRUE(until([&] { return !front->isIdle(); }));
   c->abort();
-  ASSERT_TRUE(until([&] { return front->idle(); }));
+  ASSERT_TRUE(until([&] { return front->isIdle(); }));
   EXPECT_TRUE(hasLine("failed by=client why=left"));
   EXPECT_EQ(count(Became::failed), 1u);
 }
@@ -293,7 +295,7 @@
   EXPECT_TRUE(c->reset);
   EXPECT_LT(Steady::now() - from, seconds(5));
   EXPECT_EQ(count(Became::refused), 1u);
-  ASSERT_TRUE(until([&] { return front->idle(); }));
+  ASSERT_TRUE(until([&] { return front->isIdle(); }));
 }
 
 // --- Time
@@ -550,7 +552,7 @@
   EXPECT_TRUE(wrong->reset);
   EXPECT_EQ(wires(), 0u);
   EXPECT_EQ(table->account().ended(Ender::client, Why::header), 2u);
-  EXPECT_TRUE(front->idle());
+  EXPECT_TRUE(front->isIdle());
 }
 
 TEST_F(StreamTest, AClassThatThePlatformDoesNotNameIsAnError) {
--- a/tests/support/driver.hpp
+++ b/tests/support/driver.hpp
@@ -7,23 +7,23 @@
 #include <string>
 #include <vector>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-inline ClassSettings makeClass(const std::string& name, Effect effect, double worth,
-                               Group group = Group::all) {
+inline ClassSettings makeClass(const std::string& name, Idempotency effect, double worth,
+                               DeduplicationScope group = DeduplicationScope::all) {
   ClassSettings c;
   c.name = name;
-  c.aim = milliseconds(400);
-  c.giveUp = milliseconds(1000);
-  c.window = milliseconds(800);
-  c.effect = effect;
-  c.group = group;
-  c.worth = worth;
+  c.latencyObjective = milliseconds(400);
+  c.clientTimeout = milliseconds(1000);
+  c.deduplicationWindow = milliseconds(800);
+  c.idempotency = effect;
+  c.deduplicationScope = group;
+  c.priorityWeight = worth;
   return c;
 }
 
@@ -31,14 +31,15 @@
   Settings s;
   s.seed = 7;
   s.zone = "east";
-  s.classes = {makeClass("read", Effect::retryable, 10), makeClass("write", Effect::fragile, 1),
-               makeClass("put", Effect::dedup, 1, Group::cell)};
-  s.cancel = true;
+  s.classes = {makeClass("read", Idempotency::idempotent, 10),
+               makeClass("write", Idempotency::nonIdempotent, 1),
+               makeClass("put", Idempotency::idempotentWithKey, 1, DeduplicationScope::cell)};
+  s.cancellationEnabled = true;
   s.maxAttempts = 4;
-  s.step = milliseconds(5);
-  s.coldShare = 0.2;
-  s.coldTime = seconds(10);
-  s.fallWindow = seconds(2);
+  s.eventInterval = milliseconds(5);
+  s.initialCapacityFraction = 0.2;
+  s.warmUpTime = seconds(10);
+  s.collapseWindow = seconds(2);
   return s;
 }
 
@@ -46,7 +47,7 @@
   HostEntry e;
   e.address = "host-" + std::to_string(100 + number);
   e.zone = zone;
-  e.kind = "std";
+  e.machineType = "std";
   e.cell = cell;
   return e;
 }
@@ -64,7 +65,7 @@
   explicit Driver(const Settings& s, int hosts = 6) : now(seconds(100)), balancer(s, now) {
     std::vector<HostEntry> list;
     for (int i = 0; i < hosts; ++i) list.push_back(makeHost(i, "east", i % 2));
-    balancer.onHosts(now, ListKind::restored, list);
+    balancer.onHostListUpdate(now, HostListUpdate::restored, list);
     collect();
   }
 
@@ -73,17 +74,17 @@
     Request q;
     q.id = ++last;
     q.classIndex = cls;
-    q.left = left;
-    q.key = key;
-    q.hasKey = key != 0;
-    if (earlier) q.earlier = *earlier;
+    q.timeLeft = left;
+    q.affinityKey = key;
+    q.hasAffinityKey = key != 0;
+    if (earlier) q.earlierAttempt = *earlier;
     classOf[q.id] = cls;
     balancer.onRequest(now, q);
     collect();
     return q.id;
   }
   void settle(const Sent& s, Outcome outcome, bool terminal, Duration taken = Duration(-1)) {
-    balancer.onResult(
+    balancer.onAttemptResult(
         now, {s.request, s.attempt, s.host, outcome, taken < Duration{} ? now - s.at : taken, terminal});
     for (std::size_t i = 0; i < out.size(); ++i)
       if (out[i].request == s.request && out[i].attempt == s.attempt) {
@@ -96,7 +97,7 @@
   void advance(Duration by, Duration step = milliseconds(5)) {
     for (const Time end = now + by; now < end;) {
       now += step;
-      balancer.onWake(now);
+      balancer.onTimer(now);
       collect();
     }
   }
@@ -109,7 +110,7 @@
     }
   }
   Sent lastSent() const { return sent.back(); }
-  bool refused(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::refuse; }
+  bool refused(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::reject; }
   bool failed(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::fail; }
   HostId host(int number) const { return balancer.findHost(makeHost(number).address); }
   std::size_t sentTo(HostId id) const {
@@ -129,13 +130,13 @@
 
   void collect() {
     for (Action& a : balancer.actions()) {
-      if (a.kind == ActionKind::send) {
-        sent.push_back({a.request, a.attempt, a.host, now, a.span});
+      if (a.kind == ActionKind::sendAttempt) {
+        sent.push_back({a.request, a.attempt, a.host, now, a.duration});
         out.push_back(sent.back());
-      } else if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
+      } else if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
         EXPECT_EQ(answers.count(a.request), 0u) << "answered twice";
         answers[a.request] = a.kind;
-        retryAfter[a.request] = a.span;
+        retryAfter[a.request] = a.duration;
       }
       all.push_back(std::move(a));
     }
@@ -143,7 +144,7 @@
   }
 
   Time now;
-  Balancer balancer;
+  LoadBalancer balancer;
   RequestId last = 0;
   std::vector<Sent> sent, out;
   std::vector<Action> all;
@@ -152,4 +153,4 @@
   std::map<RequestId, Duration> retryAfter;
 };
 
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -21,11 +21,11 @@
 #include <utility>
 #include <vector>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 #include "support/driver.hpp"
 #include "support/fleet_audit.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 
 struct FleetSettings {
   std::uint32_t gateways = 100;
@@ -64,16 +64,16 @@
     gate.idle.clear();
     Settings s = makeSettings();
     s.seed = set.seed * 1000 + g + 7919 * life;
-    s.groupSize = set.gateways;
-    s.myNumber = g;
+    s.gatewayCount = set.gateways;
+    s.gatewayIndex = g;
     s.zone = g % 2 ? "west" : "east";
-    s.coldShare = set.coldShare;
-    s.coldTime = set.coldTime;
+    s.initialCapacityFraction = set.coldShare;
+    s.warmUpTime = set.coldTime;
     s.maxAttempts = 6;
-    s.askDiscovery = true;
-    s.classes[0].worth = 12;
-    gate.balancer = std::make_unique<Balancer>(s, now_);
-    gate.balancer->onHosts(now_, ListKind::restored, told_);
+    s.pollsDiscovery = true;
+    s.classes[0].priorityWeight = 12;
+    gate.balancer = std::make_unique<LoadBalancer>(s, now_);
+    gate.balancer->onHostListUpdate(now_, HostListUpdate::restored, told_);
     for (const HostEntry& e : told_) audit.told(g, e, now_);
     carryOut(g);
   }
@@ -95,15 +95,15 @@
   int addHost(const std::string& zone) {
     Host h;
     h.entry = makeHost(static_cast<int>(hosts_.size()), zone, 0);
-    h.entry.upSince = now_;
+    h.entry.startedAt = now_;
     h.since = now_ > Time{} ? now_ : -set.coldTime;
-    if (now_ == Time{}) h.entry.upSince = Time{};
+    if (now_ == Time{}) h.entry.startedAt = Time{};
     hosts_.push_back(std::move(h));
     const int id = static_cast<int>(hosts_.size()) - 1;
-    tell(id, Phase::in);
+    tell(id, HostPhase::active);
     return id;
   }
-  void drainHost(int id) { tell(id, Phase::draining); }
+  void drainHost(int id) { tell(id, HostPhase::draining); }
   // Its connections break, new ones are refused; `silent`: nothing comes back at all. The list hears of it.
   void killHost(int id, bool silent = false) {
     Host& h = hosts_[static_cast<std::size_t>(id)];
@@ -118,14 +118,14 @@
       if (a.host == id) broken.push_back(key);
     if (!silent)
       for (const Key& key : broken) end(key, Outcome::reset, true);
-    tell(id, Phase::out);
+    tell(id, HostPhase::removed);
   }
   void restartHost(int id) {  // the same name, cold
     Host& h = hosts_[static_cast<std::size_t>(id)];
     h.up = true;
     h.silent = false;
-    h.since = h.entry.upSince = now_;
-    tell(id, Phase::in);
+    h.since = h.entry.startedAt = now_;
+    tell(id, HostPhase::active);
   }
   void run(Time until) {
     while (!events_.empty() && events_.top().when <= until) {
@@ -151,7 +151,7 @@
   Counts counts;  // may be cleared between two runs
   FleetAudit audit;
   // What a gateway's module asks for may be changed on its way: a module that breaks a rule.
-  std::function<void(std::uint32_t gateway, Balancer& balancer, std::vector<Action>& actions)> spoil;
+  std::function<void(std::uint32_t gateway, LoadBalancer& balancer, std::vector<Action>& actions)> spoil;
   // Hosts that are up but of whom nothing comes back; and of each answer such a share is lost.
   void cutOff(int id, bool cut) { hosts_[static_cast<std::size_t>(id)].cutOff = cut; }
   double answersLost = 0;
@@ -189,7 +189,7 @@
     Time drainingTold{};
   };
   struct Gateway {
-    std::unique_ptr<Balancer> balancer;
+    std::unique_ptr<LoadBalancer> balancer;
     std::uint32_t life = 0;
     bool up = false, leaving = false;
     std::map<int, int> idle;  // connections at rest, by host
@@ -211,7 +211,7 @@
     return Duration(static_cast<std::int64_t>(-std::log(1 - unit()) * static_cast<double>(mean.count())));
   }
 
-  void tell(int id, Phase phase) {
+  void tell(int id, HostPhase phase) {
     HostEntry e = hosts_[static_cast<std::size_t>(id)].entry;
     e.phase = phase;
     if (now_ == Time{}) {
@@ -223,7 +223,7 @@
           std::find_if(told_.begin(), told_.end(), [&](const auto& t) { return t.address == e.address; });
       if (it == told_.end()) told_.push_back(e);
       else *it = e;
-      if (e.phase != Phase::in) hosts_[static_cast<std::size_t>(id)].drainingTold = now_;
+      if (e.phase != HostPhase::active) hosts_[static_cast<std::size_t>(id)].drainingTold = now_;
       else hosts_[static_cast<std::size_t>(id)].drainingTold = Time{};
       for (std::uint32_t g = 0; g < set.gateways; ++g) {
         if (set.listSpread == Duration{}) {
@@ -237,7 +237,7 @@
   }
   void hear(std::uint32_t g, const HostEntry& e) {
     if (!gateways_[g].up) return;
-    gateways_[g].balancer->onHosts(now_, ListKind::update, {e});
+    gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::incremental, {e});
     audit.told(g, e, now_);
     carryOut(g);
   }
@@ -253,12 +253,12 @@
     q.id = ++lastRequest_;
     const double kind = unit();  // the worthy one is safe to repeat, the others unsafe and keyed
     q.classIndex = kind < 0.15 ? 0 : kind < 0.7 ? 1 : 2;
-    q.left = milliseconds(1000);
+    q.timeLeft = milliseconds(1000);
     const double worth = q.classIndex == 0 ? 12 : 1;
     asked_[q.id] = {worth, false};
     counts.worthAsked += worth;
     ++counts.asked;
-    audit.asked(g, q.id, classes_[q.classIndex], now_ + q.left);
+    audit.asked(g, q.id, classes_[q.classIndex], now_ + q.timeLeft);
     gateways_[g].balancer->onRequest(now_, q);
     carryOut(g);
   }
@@ -270,10 +270,10 @@
     actions.swap(gate.balancer->actions());
     if (spoil) spoil(g, *gate.balancer, actions);
     for (const Action& a : actions) switch (a.kind) {
-        case ActionKind::send: send(g, a); break;
-        case ActionKind::refuse:
-        case ActionKind::fail: answer(a.request, a.kind == ActionKind::refuse ? 1 : 2); break;
-        case ActionKind::cancel: {
+        case ActionKind::sendAttempt: send(g, a); break;
+        case ActionKind::reject:
+        case ActionKind::fail: answer(a.request, a.kind == ActionKind::reject ? 1 : 2); break;
+        case ActionKind::cancelAttempt: {
           const Key key{g, a.request, a.attempt};
           audit.calledOff(a.request, a.attempt);
           at(now_, [this, key, life] {
@@ -281,10 +281,10 @@
           });
           break;
         }
-        case ActionKind::wake:
-          at(a.span, [this, g, life] {
+        case ActionKind::setTimer:
+          at(a.duration, [this, g, life] {
             if (gateways_[g].life != life) return;
-            gateways_[g].balancer->onWake(now_);
+            gateways_[g].balancer->onTimer(now_);
             carryOut(g);
           });
           break;
@@ -294,7 +294,7 @@
 
   void send(std::uint32_t g, const Action& a) {
     Gateway& gate = gateways_[g];
-    const int id = std::stoi(gate.balancer->address(a.host).substr(5)) - 100;
+    const int id = std::stoi(gate.balancer->hostAddress(a.host).substr(5)) - 100;
     Host& h = hosts_[static_cast<std::size_t>(id)];
     const Key key{g, a.request, a.attempt};
     const std::uint32_t life = gate.life;
@@ -321,7 +321,7 @@
     counts.openMost = std::max(counts.openMost, h.open);
     if (h.up) countCold(g, id, t.work);
     const Duration way = h.entry.zone == (g % 2 ? "west" : "east") ? Duration(200'000) : milliseconds(7);
-    at(now_ + a.span, [this, key, life] {
+    at(now_ + a.duration, [this, key, life] {
       if (gateways_[key.gateway].life == life) end(key, Outcome::timeout, true);
     });
     if (h.silent || h.cutOff) return;
@@ -344,7 +344,8 @@
     Host& h = hosts_[static_cast<std::size_t>(t.host)];
     if (t.life != h.life) return;
     if (h.busy < set.slots) return work(key);
-    if (h.waiting.size() >= static_cast<std::size_t>(set.queue)) return end(key, Outcome::full, false);
+    if (h.waiting.size() >= static_cast<std::size_t>(set.queue))
+      return end(key, Outcome::rejectedForCapacity, false);
     t.waiting = true;
     h.waiting.push_back(key);
   }
@@ -397,14 +398,15 @@
       if (broken) --h.open;
       else ++gate.idle[t.host];
     }
-    if (outcome == Outcome::full) ++counts.full;
+    if (outcome == Outcome::rejectedForCapacity) ++counts.full;
     if (outcome == Outcome::connectFailed) ++counts.unconnected;
     if (outcome == Outcome::served) {
       ++counts.servedBy[t.host];
       answer(key.request, 0);
     }
-    gate.balancer->onResult(now_, {key.request, key.attempt, gate.balancer->findHost(h.entry.address),
-                                   outcome, std::max(now_ - t.at, Duration(1)), outcome == Outcome::served});
+    gate.balancer->onAttemptResult(
+        now_, {key.request, key.attempt, gate.balancer->findHost(h.entry.address), outcome,
+               std::max(now_ - t.at, Duration(1)), outcome == Outcome::served});
     carryOut(key.gateway);
   }
 
@@ -469,4 +471,4 @@
   }
 }
 
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/support/fleet_audit.hpp
+++ b/tests/support/fleet_audit.hpp
@@ -10,16 +10,17 @@
 #include <utility>
 #include <vector>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 
-namespace ridgeshift::testing {
+namespace finchstile::load_balancing::testing {
 
 class FleetAudit {
  public:
   enum class Answer { served, refused, failed };
 
   void asked(std::uint32_t gateway, RequestId id, const ClassSettings& of, Time deadline) {
-    open_[id] = {gateway, of.effect, of.group, of.window, deadline, {}, false, false};
+    open_[id] = {gateway, of.idempotency, of.deduplicationScope, of.deduplicationWindow, deadline, {},
+                 false,   false};
   }
   void sent(std::uint32_t gateway, RequestId id, std::uint32_t attempt, const HostEntry& host, Time now) {
     const auto it = open_.find(id);
@@ -28,19 +29,20 @@
     if (r.answered) note("1: " + name(id) + " sent after its answer");
     for (const Try& t : r.tries) {
       if (!t.out && !t.mayHaveRun) continue;
-      if (r.effect == Effect::retryable) {
+      if (r.effect == Idempotency::idempotent) {
         if (t.out && !t.calledOff) note("2: " + name(id) + " out twice at once");
         continue;
       }
       if (t.out) note("2: " + name(id) + " sent while an attempt is out");
-      else if (r.effect == Effect::fragile) note("2: " + name(id) + " sent again, and it may have run");
-      else if (now > t.at + r.window || (r.group == Group::zone && t.zone != host.zone) ||
-               (r.group == Group::cell && t.cell != host.cell))
+      else if (r.effect == Idempotency::nonIdempotent)
+        note("2: " + name(id) + " sent again, and it may have run");
+      else if (now > t.at + r.window || (r.group == DeduplicationScope::zone && t.zone != host.zone) ||
+               (r.group == DeduplicationScope::cell && t.cell != host.cell))
         note("2: " + name(id) + " sent again outside its group or window");
     }
     r.tries.push_back({attempt, now, host.zone, host.cell, true, true, false});
     const auto told = told_.find({gateway, host.address});
-    if (told != told_.end() && told->second.phase != Phase::in && now > told->second.at + kDrainGrace)
+    if (told != told_.end() && told->second.phase != HostPhase::active && now > told->second.at + kDrainGrace)
       note("3: " + name(id) + " sent to " + host.address + ", which the gateway knew to drain");
   }
   void calledOff(RequestId id, std::uint32_t attempt) {
@@ -59,9 +61,10 @@
     if (r.excused) return;
     if (std::exchange(r.answered, true)) return note("1: " + name(id) + " answered twice");
     if (now > r.deadline + kAnswerSlack) note("1: " + name(id) + " answered too late");
-    if (how != Answer::refused || r.effect == Effect::retryable) return;
+    if (how != Answer::refused || r.effect == Idempotency::idempotent) return;
     for (const Try& t : r.tries) {
-      const bool dropped = r.effect == Effect::dedup && r.group == Group::all && !t.out;
+      const bool dropped =
+          r.effect == Idempotency::idempotentWithKey && r.group == DeduplicationScope::all && !t.out;
       if ((t.out || t.mayHaveRun) && !dropped) note("2: " + name(id) + " refused, and it may have run");
     }
   }
@@ -70,7 +73,7 @@
     Word& w = told_[{gateway, e.address}];
     if (w.phase != e.phase || w.at == Time{}) w.at = now;
     w.phase = e.phase;
-    w.started = e.upSince;
+    w.started = e.startedAt;
   }
   // The process has gone with all that it held: that is its clients' to repeat.
   void gone(std::uint32_t gateway) {
@@ -83,8 +86,8 @@
   // to it in the window that ends now.
   double sentCold(std::uint32_t gateway, const HostEntry& host, double work, double capacity, Time now) {
     const auto word = told_.find({gateway, host.address});
-    const bool told =
-        word != told_.end() && word->second.phase == Phase::in && word->second.started == host.upSince;
+    const bool told = word != told_.end() && word->second.phase == HostPhase::active &&
+                      word->second.started == host.startedAt;
     Cold& c = cold_[host.address];
     c.sent.push_back({now, work, told});
     c.sum += work;
@@ -135,15 +138,15 @@
   };
   struct Request {
     std::uint32_t gateway;
-    Effect effect;
-    Group group;
+    Idempotency effect;
+    DeduplicationScope group;
     Duration window;
     Time deadline;
     std::vector<Try> tries;
     bool answered, excused;
   };
   struct Word {
-    Phase phase = Phase::in;
+    HostPhase phase = HostPhase::active;
     Time at{};       // when it was told of that phase first
     Time started{};  // the start of the process that it was told of
   };
@@ -179,4 +182,4 @@
   std::vector<std::string> breaks_;
 };
 
-}  // namespace ridgeshift::testing
+}  // namespace finchstile::load_balancing::testing
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -26,9 +26,9 @@
   void start(const std::function<void(json&)>& change = [](json&) {}) {
     json config = configJson(discovery.endpoint(), listed());
     change(config);
-    Config read = readConfig(config.dump(), clock);
-    if (proofLeast > Duration{}) read.tuning.proofLeast = proofLeast;
-    if (serveDraining) read.tuning.serveDraining = *serveDraining;
+    GatewayConfig read = readConfig(config.dump(), clock);
+    if (proofLeast > Duration{}) read.options.minConnectionCheck = proofLeast;
+    if (serveDraining) read.options.drainServeTime = *serveDraining;
     gateway = std::make_unique<Gateway>(io, clock, std::move(read));
     gateway->start();
   }
--- a/tests/support/sockets.hpp
+++ b/tests/support/sockets.hpp
@@ -15,8 +15,8 @@
 #include <string>
 #include <vector>
 
+#include "fake_upstream_config.hpp"
 #include "net/gateway.hpp"
-#include "standin_config.hpp"
 #include "support/run_until.hpp"
 
 namespace finchstile::testing {
@@ -141,28 +141,29 @@
 
 // How attempts ended, one after the other.
 struct OutcomeLog : AttemptLog {
-  std::vector<ridgeshift::Outcome> all;
-  std::ptrdiff_t count(ridgeshift::Outcome outcome) const {
+  std::vector<load_balancing::Outcome> all;
+  std::ptrdiff_t count(load_balancing::Outcome outcome) const {
     return std::count(all.begin(), all.end(), outcome);
   }
-  void onAttempt(const AttemptSeen& a) override { all.push_back(a.outcome); }
-  void onRequest(const RequestSeen&) override {}
-  void onPhase(const std::string&, ridgeshift::Phase) override {}
+  void onAttempt(const AttemptLogEntry& a) override { all.push_back(a.outcome); }
+  void onRequest(const RequestLogEntry&) override {}
+  void onHostPhase(const std::string&, load_balancing::HostPhase) override {}
 };
 
 inline json settingsJson() {
-  using standin::gradeJson;
-  return standin::settingsJson({gradeJson({"read", "retryable", "all", 12}),
-                                gradeJson({"book", "fragile", "all"}), gradeJson({"put", "dedup", "zone"})},
-                               false, "east");
+  using fake_upstream::gradeJson;
+  return fake_upstream::settingsJson(
+      {gradeJson({"read", "retryable", "all", 12}), gradeJson({"book", "fragile", "all"}),
+       gradeJson({"put", "dedup", "zone"})},
+      false, "east");
 }
 
 inline json hostJson(const std::string& name, const tcp::endpoint& at, const std::string& status = "active",
                      std::int64_t sinceMs = 0) {
-  return standin::hostJson(name, text(at), "east", status, sinceMs);
+  return fake_upstream::hostJson(name, text(at), "east", status, sinceMs);
 }
 
-using standin::listJson;
+using fake_upstream::listJson;
 
 inline json configJson(const tcp::endpoint& discovery, const json& hosts) {
   return {{"name", "n0"},
--- a/tests/trace/budget_test.cpp
+++ b/tests/trace/budget_test.cpp
@@ -26,25 +26,25 @@
 }
 
 TEST(TraceBudget, WhatGoesBeyondTheRateIsCounted) {
-  Budget b(10, ridgeshift::Time(1s));
+  Budget b(10, load_balancing::Time(1s));
   int taken = 0;
-  for (int i = 0; i < 25; ++i) taken += b.take(ridgeshift::Time(1s));
+  for (int i = 0; i < 25; ++i) taken += b.take(load_balancing::Time(1s));
   EXPECT_EQ(taken, 10);
   EXPECT_EQ(b.takeDropped(), 15u);
   EXPECT_EQ(b.takeDropped(), 0u);
   taken = 0;
-  for (int i = 0; i < 5; ++i) taken += b.take(ridgeshift::Time(1300ms));
+  for (int i = 0; i < 5; ++i) taken += b.take(load_balancing::Time(1300ms));
   EXPECT_EQ(taken, 3);
   b.drop(4);
   EXPECT_EQ(b.takeDropped(), 6u);
 }
 
 TEST(TraceBudget, AClockThatGoesBackAddsNothing) {
-  Budget b(1, ridgeshift::Time(10s));
-  EXPECT_TRUE(b.take(ridgeshift::Time(10s)));
-  EXPECT_FALSE(b.take(ridgeshift::Time(5s)));
-  EXPECT_FALSE(b.take(ridgeshift::Time(10s)));
-  EXPECT_TRUE(b.take(ridgeshift::Time(11s)));
+  Budget b(1, load_balancing::Time(10s));
+  EXPECT_TRUE(b.take(load_balancing::Time(10s)));
+  EXPECT_FALSE(b.take(load_balancing::Time(5s)));
+  EXPECT_FALSE(b.take(load_balancing::Time(10s)));
+  EXPECT_TRUE(b.take(load_balancing::Time(11s)));
 }
 
 }  // namespace
--- a/tests/trace/join_test.cpp
+++ b/tests/trace/join_test.cpp
@@ -22,7 +22,7 @@
     a.sent = (1000 + sentMs) * kMs;
     a.begun = a.sent + 300;
     a.ended = (1000 + endedMs) * kMs;
-    a.effect = Effect::retryable;
+    a.effect = Idempotency::idempotent;
     a.outcome = outcome;
     a.ran = ran;
     a.word = 100;
@@ -34,7 +34,7 @@
     r.came = (1000 + cameMs) * kMs;
     r.ended = (1000 + endedMs) * kMs;
     r.left = 500;
-    r.effect = Effect::retryable;
+    r.effect = Idempotency::idempotent;
     r.end = end;
     r.status = end == End::served ? 200 : end == End::refused ? 503 : 502;
     r.attempts = 1;
@@ -137,10 +137,10 @@
 
 TEST_F(JoinTest, UnsafeIsNotSentAgainWhereItMayHaveRun) {
   lines.push_back(request(0, 200, End::served));
-  lines.push_back(attempt(0, 50, Outcome::full, Ran::no));
+  lines.push_back(attempt(0, 50, Outcome::rejectedForCapacity, Ran::no));
   lines.push_back(attempt(60, 200, Outcome::served, Ran::yes));
-  for (std::size_t i = 1; i < 3; ++i) std::get<AttemptLine>(lines[i]).effect = Effect::fragile;
-  std::get<RequestLine>(lines[0]).effect = Effect::fragile;
+  for (std::size_t i = 1; i < 3; ++i) std::get<AttemptLine>(lines[i]).effect = Idempotency::nonIdempotent;
+  std::get<RequestLine>(lines[0]).effect = Idempotency::nonIdempotent;
   EXPECT_EQ(found(), Kinds{});
   std::get<AttemptLine>(lines[1]).outcome = Outcome::reset;
   std::get<AttemptLine>(lines[1]).ran = Ran::maybe;
@@ -153,17 +153,17 @@
   lines.push_back(attempt(60, 200, Outcome::served, Ran::yes));
   for (std::size_t i = 1; i < 3; ++i) {
     auto& a = std::get<AttemptLine>(lines[i]);
-    a.effect = Effect::dedup, a.group = Group::zone, a.window = 100;
+    a.effect = Idempotency::idempotentWithKey, a.group = DeduplicationScope::zone, a.window = 100;
   }
   EXPECT_EQ(found(), Kinds{});
   std::get<AttemptLine>(lines[2]).zone = "b";
   EXPECT_EQ(found(), Kinds{Kind::ranTwice});
-  std::get<AttemptLine>(lines[1]).group = std::get<AttemptLine>(lines[2]).group = Group::all;
+  std::get<AttemptLine>(lines[1]).group = std::get<AttemptLine>(lines[2]).group = DeduplicationScope::all;
   EXPECT_EQ(found(), Kinds{});
   std::get<AttemptLine>(lines[2]).begun = 1101 * kMs;
   EXPECT_EQ(found(), Kinds{Kind::ranTwice});
   std::get<AttemptLine>(lines[2]).begun = 1061 * kMs;
-  for (std::size_t i = 1; i < 3; ++i) std::get<AttemptLine>(lines[i]).group = Group::cell;
+  for (std::size_t i = 1; i < 3; ++i) std::get<AttemptLine>(lines[i]).group = DeduplicationScope::cell;
   EXPECT_EQ(found(), Kinds{Kind::ranTwice});  // another zone
   std::get<AttemptLine>(lines[2]).zone = "a";
   EXPECT_EQ(found(), Kinds{});
@@ -175,7 +175,7 @@
 TEST_F(JoinTest, ASecondGatewayIsSeenToo) {
   lines.push_back(attempt(0, 50, Outcome::reset, Ran::maybe));
   lines.push_back(attempt(300, 350, Outcome::served, Ran::yes));
-  for (Line& l : lines) std::get<AttemptLine>(l).effect = Effect::fragile;
+  for (Line& l : lines) std::get<AttemptLine>(l).effect = Idempotency::nonIdempotent;
   std::get<AttemptLine>(lines[1]).gateway = "n2";
   EXPECT_EQ(found(), Kinds{Kind::ranTwice});
 }
@@ -185,11 +185,11 @@
   lines.push_back(attempt(0, 50, Outcome::error, Ran::maybe));
   auto& a = std::get<AttemptLine>(lines[1]);
   EXPECT_EQ(found(), Kinds{});  // safe to repeat
-  a.effect = Effect::fragile;
+  a.effect = Idempotency::nonIdempotent;
   EXPECT_EQ(found(), Kinds{Kind::refusedAfterRun});
-  a.effect = Effect::dedup, a.group = Group::all;
+  a.effect = Idempotency::idempotentWithKey, a.group = DeduplicationScope::all;
   EXPECT_EQ(found(), Kinds{});
-  a.group = Group::zone;  // its client's next try may meet another zone
+  a.group = DeduplicationScope::zone;  // its client's next try may meet another zone
   EXPECT_EQ(found(), Kinds{Kind::refusedAfterRun});
   a.ran = Ran::no;
   EXPECT_EQ(found(), Kinds{});
@@ -198,7 +198,7 @@
 TEST_F(JoinTest, ADrainingHostIsSentNothingPastTheGrace) {
   lines.push_back(request(0, 90, End::served));
   lines.push_back(attempt(0, 90, Outcome::served, Ran::yes));
-  lines.push_back(HostLine{"n1", "s-1", 400 * kMs, Phase::draining});
+  lines.push_back(HostLine{"n1", "s-1", 400 * kMs, HostPhase::draining});
   std::get<AttemptLine>(lines[1]).begun = 950 * kMs;
   EXPECT_EQ(found(), Kinds{});
   std::get<AttemptLine>(lines[1]).begun = 951 * kMs;
@@ -206,7 +206,7 @@
   std::get<HostLine>(lines[2]).gateway = "n2";  // another's list
   EXPECT_EQ(found(), Kinds{});
   std::get<HostLine>(lines[2]).gateway = "n1";
-  lines.push_back(HostLine{"n1", "s-1", 900 * kMs, Phase::in});  // it is back
+  lines.push_back(HostLine{"n1", "s-1", 900 * kMs, HostPhase::active});  // it is back
   EXPECT_EQ(found(), Kinds{});
 }
 
@@ -214,9 +214,9 @@
   life(-10, 900, 1);
   lines.push_back(attempt(0, 91, Outcome::reset, Ran::maybe));
   lines.push_back(attempt(90, 200, Outcome::served, Ran::yes));
-  for (std::size_t i = 2; i < 4; ++i) std::get<AttemptLine>(lines[i]).effect = Effect::fragile;
+  for (std::size_t i = 2; i < 4; ++i) std::get<AttemptLine>(lines[i]).effect = Idempotency::nonIdempotent;
   lines.push_back(request(0, 600, End::refused));
-  lines.push_back(HostLine{"n1", "s-1", 100 * kMs, Phase::out});
+  lines.push_back(HostLine{"n1", "s-1", 100 * kMs, HostPhase::removed});
   const auto whole = [&] {
     std::string all;
     for (const Finding& f : joined().audit(settings)) all += std::string(name(f.kind)) + f.text + "\n";
@@ -233,7 +233,7 @@
 
 TEST_F(JoinTest, SumsByHostAndSecond) {
   lines.push_back(attempt(0, 90, Outcome::served, Ran::yes));
-  lines.push_back(attempt(1500, 1600, Outcome::full, Ran::no));
+  lines.push_back(attempt(1500, 1600, Outcome::rejectedForCapacity, Ran::no));
   lines.push_back(request(0, 90, End::served));
   auto unsent = request(1500, 1500, End::refused);
   unsent.attempts = 0;
@@ -253,7 +253,7 @@
 
 TEST_F(JoinTest, AStoryIsToldInOrder) {
   lines.push_back(request(0, 200, End::served));
-  lines.push_back(attempt(2, 50, Outcome::full, Ran::no));
+  lines.push_back(attempt(2, 50, Outcome::rejectedForCapacity, Ran::no));
   const std::string told = tell(joined().story("x"));
   EXPECT_LT(told.find("takes it"), told.find("attempt 0 to s-1"));
   EXPECT_LT(told.find("full by host"), told.find("served, 200"));
--- a/tests/trace/line_test.cpp
+++ b/tests/trace/line_test.cpp
@@ -18,8 +18,8 @@
   a.ended = 1764621000084000;
   a.number = 2;
   a.cell = 3;
-  a.effect = Effect::dedup;
-  a.group = Group::zone;
+  a.effect = Idempotency::idempotentWithKey;
+  a.group = DeduplicationScope::zone;
   a.window = 2000;
   a.outcome = Outcome::reset;
   a.why = Why::host;
@@ -48,11 +48,11 @@
 TEST(TraceLine, EachKindReadsBackAsItWasWritten) {
   RequestLine r;
   r.gateway = "n54", r.id = "574506fc", r.className = "stock-out";
-  r.came = 5, r.ended = 1000, r.left = 480, r.effect = Effect::fragile, r.end = End::refused;
+  r.came = 5, r.ended = 1000, r.left = 480, r.effect = Idempotency::nonIdempotent, r.end = End::refused;
   r.status = 503, r.attempts = 1, r.cut = 37;
   const std::vector<Line> all{attempt(),
                               r,
-                              HostLine{"n54", "s-1", 7, Phase::draining},
+                              HostLine{"n54", "s-1", 7, HostPhase::draining},
                               StartLine{"n54", 1},
                               StopLine{"n54", 9, 3},
                               GapLine{"n54", 8, 12}};
@@ -68,7 +68,7 @@
   EXPECT_EQ(a.window, 2000);
   EXPECT_EQ(a.heard, kNever);
   EXPECT_TRUE(a.avoided);
-  EXPECT_EQ(a.group, Group::zone);
+  EXPECT_EQ(a.group, DeduplicationScope::zone);
 }
 
 // An id is the client's to choose.
--- a/tests/websocket/front_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -1,9 +1,9 @@
 // WebSocket through a gateway on loopback: the handshake as a request of it, frames, closes, drains, storms.
-#include "websocket/front.hpp"
+#include "websocket/web_socket_handler.hpp"
 
 #include <charconv>
 
-#include "stream/tcp_front.hpp"
+#include "stream/tcp_proxy_handler.hpp"
 #include "support/gateway_fixture.hpp"
 #include "support/wires.hpp"
 #include "websocket/conformance.hpp"
@@ -35,8 +35,8 @@
   std::vector<std::unique_ptr<WireServer>> workers;
   std::vector<std::string> heads;  // of handshakes, as workers had them
   std::unique_ptr<StreamTable> table;
-  std::unique_ptr<TcpFront> tcp;
-  std::unique_ptr<WebSocketFront> front;
+  std::unique_ptr<TcpProxyHandler> tcp;
+  std::unique_ptr<WebSocketHandler> front;
   StreamSettings streams;
   WebSocketSettings settings;
   std::vector<std::string> lines;
@@ -71,20 +71,21 @@
     json config = configJson(discovery.endpoint(), list);
     config["limits"]["sockets"] = 1024;
     change(config);
-    Config read = readConfig(config.dump(), clock);
-    read.tuning.otherShare = streams.descriptorShare;
-    read.settings.mostStreams = static_cast<std::uint32_t>(streamsOf(streams, read.sockets));
-    read.settings.streamRate = streams.hostRate;
-    read.settings.streamReturn = streams.returnWithin;
+    GatewayConfig read = readConfig(config.dump(), clock);
+    read.options.reservedDescriptorFraction = streams.descriptorShare;
+    read.settings.maxStreams = static_cast<std::uint32_t>(streamsOf(streams, read.descriptorLimit));
+    read.settings.hostStreamRate = streams.hostRate;
+    read.settings.streamRetrySpread = streams.returnWithin;
     gateway = std::make_unique<Gateway>(io, clock, read);
-    table =
-        std::make_unique<StreamTable>(io, clock, streams, read.settings.mostStreams, 5, gateway->frontHost(),
-                                      [this](std::string_view line) { lines.emplace_back(line); });
-    tcp = std::make_unique<TcpFront>(io, clock, streams, read.settings, gateway->frontHost(), *table);
-    front = std::make_unique<WebSocketFront>(
+    table = std::make_unique<StreamTable>(io, clock, streams, read.settings.maxStreams, 5,
+                                          gateway->protocolHandlerCallbacks(),
+                                          [this](std::string_view line) { lines.emplace_back(line); });
+    tcp = std::make_unique<TcpProxyHandler>(io, clock, streams, read.settings,
+                                            gateway->protocolHandlerCallbacks(), *table);
+    front = std::make_unique<WebSocketHandler>(
         clock, settings, "n0", [] { return 0x37fa213du; }, *table);
     gateway->attach(*tcp);
-    gateway->setUpgrades(*front);
+    gateway->setUpgradeHandler(*front);
     gateway->start();
     ASSERT_TRUE(until([&] { return !calls.empty(); }));
   }
@@ -157,7 +158,7 @@
   ASSERT_TRUE(until([&] { return table->idle(); }));
   EXPECT_EQ(count(Became::served), 1u);
   EXPECT_TRUE(hasLine("stream websocket served by=client why=finished"));
-  EXPECT_EQ(gateway->figures().classes[0].answered, 1u);
+  EXPECT_EQ(gateway->metrics().classes[0].succeeded, 1u);
 }
 
 // Hard case: bytes of frames in the same read as the handshake, from either side.
@@ -215,22 +216,23 @@
 // What comes before a request comes before a handshake: here a rule that turns one path away, and sees the
 // 101.
 TEST_F(WebSocketTest, AHandshakePassesThroughTheStages) {
-  struct Rule : Stage {
+  struct Rule : RequestFilter {
     std::uint8_t phases() const override {
-      return phaseBit(RequestPhase::arrived) | phaseBit(RequestPhase::answerHead) |
-             phaseBit(RequestPhase::ended);
+      return phaseBit(RequestPhase::received) | phaseBit(RequestPhase::responseHeaders) |
+             phaseBit(RequestPhase::completed);
     }
-    Arrival onArrived(Exchange& x) override {
-      if (x.message->target() == "/read/closed") return {plainAnswer(http::status::forbidden), false};
+    FilterDecision onRequestReceived(RequestContext& x) override {
+      if (x.message->target() == "/read/closed") return {plainResponse(http::status::forbidden), false};
       return {};
     }
-    void onAnswerHead(Exchange&, const AnswerHead& head, std::vector<HeaderLine>& toClient) override {
+    void onResponseHeaders(RequestContext&, const ResponseHead& head,
+                           std::vector<HeaderLine>& toClient) override {
       status = head.status;
       toClient.push_back({"X-Tag", "seen"});
     }
-    void onEnded(Exchange&, RequestEnd how) override { ends.push_back(how); }
+    void onRequestCompleted(RequestContext&, RequestResult how) override { ends.push_back(how); }
     unsigned status = 0;
-    std::vector<RequestEnd> ends;
+    std::vector<RequestResult> ends;
   } rule;
   worker();
   begin();
@@ -246,7 +248,7 @@
   ASSERT_TRUE(until([&] { return statusOf(*d) == 101; }));
   EXPECT_EQ(rule.status, 101u);
   EXPECT_NE(d->got.find("X-Tag: seen\r\n"), std::string::npos);
-  EXPECT_EQ(rule.ends, (std::vector<RequestEnd>{RequestEnd::rejected, RequestEnd::served}));
+  EXPECT_EQ(rule.ends, (std::vector<RequestResult>{RequestResult::rejectedByFilter, RequestResult::served}));
   gateway.reset();  // before the rule
 }
 
--- a/tools/control_log.hpp
+++ b/tools/control_log.hpp
@@ -14,7 +14,7 @@
 #include "configuration/poll.hpp"
 #include "configuration/update.hpp"
 
-namespace finchstile::standin {
+namespace finchstile::fake_upstream {
 
 struct ControlReply {
   unsigned status = 200;
@@ -140,4 +140,4 @@
   std::uint64_t wholes_ = 0;
 };
 
-}  // namespace finchstile::standin
+}  // namespace finchstile::fake_upstream
--- a/tools/control_machine.hpp
+++ b/tools/control_machine.hpp
@@ -16,7 +16,7 @@
 
 #include "control_log.hpp"
 
-namespace finchstile::standin {
+namespace finchstile::fake_upstream {
 
 enum class ControlFault {
   none,
@@ -155,4 +155,4 @@
   std::uint64_t polls_ = 0, bytes_ = 0;
 };
 
-}  // namespace finchstile::standin
+}  // namespace finchstile::fake_upstream
--- a/tools/standin.cpp
+++ b/tools/fake_upstream.cpp
@@ -2,7 +2,7 @@
 // that names them. Writes a configuration for the gateway with ports that the system gave out, and serves
 // until it is ended or its time is up. No model of a server: a host answers at once, or after a fixed time.
 //
-//   finchstile-standin --config FILE [--hosts N] [--work-ms N] [--seconds N] [--listen ADDRESS:PORT]
+//   finchstile-fake-upstream --config FILE [--hosts N] [--work-ms N] [--seconds N] [--listen ADDRESS:PORT]
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -21,7 +21,7 @@
 #include <string>
 #include <vector>
 
-#include "standin_config.hpp"
+#include "fake_upstream_config.hpp"
 
 namespace {
 
@@ -129,7 +129,7 @@
 }
 
 json configuration(const std::string& listen, const tcp::endpoint& discovery, const json& list) {
-  using finchstile::standin::gradeJson;
+  using finchstile::fake_upstream::gradeJson;
   constexpr std::int64_t kAim = 400000000, kGiveUp = 2000000000;
   return {{"name", "standin"},
           {"listen", listen},
@@ -137,11 +137,11 @@
           {"seed", "1"},
           {"limits", {{"sockets", 1024}}},
           {"known", list},
-          {"settings",
-           finchstile::standin::settingsJson({gradeJson({"cut-plan", "retryable", "all", 12, kAim, kGiveUp}),
-                                              gradeJson({"stock-out", "fragile", "all", 1, kAim, kGiveUp}),
-                                              gradeJson({"log-in", "dedup", "zone", 1, kAim, kGiveUp})},
-                                             true, "brasov")}};
+          {"settings", finchstile::fake_upstream::settingsJson(
+                           {gradeJson({"cut-plan", "retryable", "all", 12, kAim, kGiveUp}),
+                            gradeJson({"stock-out", "fragile", "all", 1, kAim, kGiveUp}),
+                            gradeJson({"log-in", "dedup", "zone", 1, kAim, kGiveUp})},
+                           true, "brasov")}};
 }
 
 void serve(const Options& o) {
@@ -159,9 +159,9 @@
   for (int i = 0; i < o.hosts; ++i) {
     hosts.push_back(std::make_unique<Server>(io, host));
     endpoints.push_back(
-        finchstile::standin::hostJson("s-" + std::to_string(i), text(hosts.back()->at()), "brasov"));
+        finchstile::fake_upstream::hostJson("s-" + std::to_string(i), text(hosts.back()->at()), "brasov"));
   }
-  const json list = finchstile::standin::listJson(1, true, endpoints);
+  const json list = finchstile::fake_upstream::listJson(1, true, endpoints);
   Server discovery(io, [&](const Request& q, const std::function<void(Response)>& done) {
     Response r{http::status::ok, 11};
     if (q.target().find("since=") == boost::beast::string_view::npos) {
@@ -191,6 +191,6 @@
   serve(read(argc, argv));
   return 0;
 } catch (const std::exception& bad) {
-  std::fprintf(stderr, "finchstile-standin: %s\n", bad.what());
+  std::fprintf(stderr, "finchstile-fake-upstream: %s\n", bad.what());
   return 2;
 }
--- a/tools/standin_config.hpp
+++ b/tools/fake_upstream_config.hpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace finchstile::standin {
+namespace finchstile::fake_upstream {
 
 using nlohmann::json;
 
@@ -70,4 +70,4 @@
   return hosts;
 }
 
-}  // namespace finchstile::standin
+}  // namespace finchstile::fake_upstream
--- a/tools/held_discovery.hpp
+++ b/tools/long_poll_discovery.hpp
@@ -15,9 +15,9 @@
 #include <utility>
 #include <vector>
 
-#include "standin_config.hpp"
+#include "fake_upstream_config.hpp"
 
-namespace finchstile::standin {
+namespace finchstile::fake_upstream {
 
 class HeldDiscovery {
  public:
@@ -105,4 +105,4 @@
   std::uint64_t bytes_ = 0, calls_ = 0;
 };
 
-}  // namespace finchstile::standin
+}  // namespace finchstile::fake_upstream
--- a/tools/storm.cpp
+++ b/tools/reconnect_surge_model.cpp
@@ -3,7 +3,8 @@
 // Prints streams by worker over time, draws them (--svg), and says whether the bounds held. Deterministic for
 // a seed.
 //
-//   storm --workers 6 --streams 2000 --rate 20 --drain-within 20 --gap 25 --svg storm.svg
+//   finchstile-reconnect-surge --workers 6 --streams 2000 --rate 20 --drain-within 20 --gap 25 --svg
+//   storm.svg
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cmath>
@@ -15,10 +16,10 @@
 #include <string>
 #include <vector>
 
-#include "ridgeshift/ridgeshift.hpp"
+#include "finchstile/load_balancer.hpp"
 #include "stream/drain_plan.hpp"
 
-using namespace ridgeshift;
+using namespace finchstile::load_balancing;
 using finchstile::stream::DrainPlan;
 
 namespace {
@@ -57,7 +58,7 @@
 };
 
 struct Gateway {
-  std::unique_ptr<Balancer> balancer;
+  std::unique_ptr<LoadBalancer> balancer;
   std::unique_ptr<DrainPlan> plan;
   std::map<RequestId, std::size_t> asked;  // by whom
 };
@@ -70,22 +71,22 @@
     for (std::size_t g = 0; g < o.gateways; ++g) {
       Settings s;
       s.seed = o.seed * 1000 + g;
-      s.groupSize = static_cast<std::uint32_t>(o.gateways);
-      s.myNumber = static_cast<std::uint32_t>(g);
+      s.gatewayCount = static_cast<std::uint32_t>(o.gateways);
+      s.gatewayIndex = static_cast<std::uint32_t>(g);
       ClassSettings c;
       c.name = "live";
-      c.aim = c.giveUp = span(2);
-      c.effect = Effect::retryable;
+      c.latencyObjective = c.clientTimeout = span(2);
+      c.idempotency = Idempotency::idempotent;
       s.classes = {c};
       s.maxAttempts = 3;
-      s.step = kTick;
-      s.coldTime = span(o.coldTime);
-      s.coldShare = o.coldShare;
-      s.fallWindow = span(2);
-      s.streamRate = o.rate;
-      s.streamReturn = span(o.returnWithin);
+      s.eventInterval = kTick;
+      s.warmUpTime = span(o.coldTime);
+      s.initialCapacityFraction = o.coldShare;
+      s.collapseWindow = span(2);
+      s.hostStreamRate = o.rate;
+      s.streamRetrySpread = span(o.returnWithin);
       gateways_.push_back(
-          {std::make_unique<Balancer>(s, kZero), std::make_unique<DrainPlan>(o.drainRate, g + 1), {}});
+          {std::make_unique<LoadBalancer>(s, kZero), std::make_unique<DrainPlan>(o.drainRate, g + 1), {}});
     }
     clients_.resize(o.streams);
     ramp_ = 1.5 * static_cast<double>(o.streams) / std::max(1.0, o.rate * static_cast<double>(o.workers));
@@ -217,13 +218,13 @@
       HostEntry e;
       e.address = workers_[w].name;
       e.zone = "a";
-      e.kind = "std";
-      e.phase = workers_[w].drainsAt + kTold <= now_ ? Phase::draining : Phase::in;
-      if (workers_[w].up > 0) e.upSince = kZero + span(workers_[w].up);
+      e.machineType = "std";
+      e.phase = workers_[w].drainsAt + kTold <= now_ ? HostPhase::draining : HostPhase::active;
+      if (workers_[w].up > 0) e.startedAt = kZero + span(workers_[w].up);
       all.push_back(e);
     }
     for (Gateway& g : gateways_) {
-      g.balancer->onHosts(time(), ListKind::replace, all);
+      g.balancer->onHostListUpdate(time(), HostListUpdate::complete, all);
       carryOut(g);
     }
   }
@@ -239,7 +240,7 @@
   }
   void step() {
     for (Gateway& g : gateways_) {
-      g.balancer->onWake(time());
+      g.balancer->onTimer(time());
       carryOut(g);
       for (const std::uint64_t id : g.plan->due(time())) end(clients_[id - 1]);
     }
@@ -256,8 +257,8 @@
     Request q;
     q.id = c.request = ++lastRequest_;
     q.classIndex = 0;
-    q.left = span(2);
-    q.stream = true;
+    q.timeLeft = span(2);
+    q.isStream = true;
     g.asked[q.id] = i;
     if (c.at > 0 && since_.count(i) == 0) since_[i] = now_;
     g.balancer->onRequest(time(), q);
@@ -269,17 +270,17 @@
       const auto it = g.asked.find(a.request);
       if (it == g.asked.end()) continue;
       Client& c = clients_[it->second];
-      if (a.kind == ActionKind::send) {
+      if (a.kind == ActionKind::sendAttempt) {
         c.state = Client::State::dialling;
         c.at = now_ + kConnect;
         c.attempt = a.attempt;
         c.host = a.host;
-        const std::string& name = g.balancer->address(a.host);
+        const std::string& name = g.balancer->hostAddress(a.host);
         c.worker = static_cast<std::size_t>(std::atoi(name.c_str() + 1));
-      } else if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
+      } else if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
         ++refused_;
         c.state = Client::State::away;
-        c.at = now_ + std::max(0.05, std::chrono::duration<double>(a.span).count());
+        c.at = now_ + std::max(0.05, std::chrono::duration<double>(a.duration).count());
         g.asked.erase(it);
       }
     }
@@ -290,7 +291,7 @@
     ++w.held;
     w.begun.push_back(now_);
     Gateway& g = gateways_[c.gateway];
-    g.balancer->onAnswerStarted(time(), c.request, c.attempt);
+    g.balancer->onResponseStarted(time(), c.request, c.attempt);
     const std::size_t i = g.asked.at(c.request);
     if (const auto s = since_.find(i); s != since_.end()) {
       if (now_ > ramp_ + 10) longest_ = std::max(longest_, now_ - s->second);
@@ -307,8 +308,8 @@
     r.request = c.request;
     r.attempt = c.attempt;
     r.host = c.host;
-    r.terminal = true;
-    g.balancer->onResult(time(), r);
+    r.requestEnded = true;
+    g.balancer->onAttemptResult(time(), r);
     c.state = Client::State::away;
     c.at = now_ + 0.05 + 0.45 * unit();
   }
--- a/tools/hollow_gateways.cpp
+++ b/tools/simulated_gateways.cpp
@@ -3,7 +3,8 @@
 // loopback. Tells how long changes take from publish to in force, and what control costs a gateway in bytes,
 // processor time and memory.
 //
-//   build-bench/finchstile-hollow [--gateways N] [--hosts N] [--tenants N] [--machines N] [--changes N]
+//   build-bench/finchstile-simulated-gateways [--gateways N] [--hosts N] [--tenants N] [--machines N]
+//   [--changes N]
 //                                 [--scenario NAME] [--seed N] [--most-seconds N] [--out FILE.tsv]
 //
 // Scenarios: idle, single, burst (27 changes a second), kill, silent and silent2 (one control machine, or
@@ -30,20 +31,20 @@
 
 #include "configuration/client.hpp"
 #include "control_machine.hpp"
-#include "held_discovery.hpp"
+#include "fake_upstream_config.hpp"
+#include "long_poll_discovery.hpp"
 #include "measure.hpp"
 #include "net/gateway.hpp"
-#include "standin_config.hpp"
 
-namespace finchstile::hollow {
+namespace finchstile::simulated_gateways {
 namespace {
 
 namespace asio = boost::asio;
 using bench::Samples;
 using configuration::Change;
 using configuration::TenantDocument;
+using fake_upstream::tenantName;
 using nlohmann::json;
-using standin::tenantName;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using WallTime = std::chrono::steady_clock::time_point;
@@ -90,7 +91,7 @@
     const std::string value = argv[i + 1];
     if (name == "--gateways") o.gateways = count(name, value, 1, 100000);
     else if (name == "--hosts") o.hosts = count(name, value, 1, 65535);
-    else if (name == "--tenants") o.tenants = count(name, value, 1, ridgeshift::kTenantsMost);
+    else if (name == "--tenants") o.tenants = count(name, value, 1, load_balancing::kMaxTenants);
     else if (name == "--machines") o.machines = count(name, value, 1, 64);
     else if (name == "--changes") o.changes = count(name, value, 1, 100000);
     else if (name == "--seed") o.seed = count(name, value, 0, SIZE_MAX);
@@ -137,10 +138,10 @@
 // gateways'.
 class ControlSide {
  public:
-  explicit ControlSide(const Options& o) : discovery_(io_, standin::hostsJson(o.hosts, kNoHost)) {
+  explicit ControlSide(const Options& o) : discovery_(io_, fake_upstream::hostsJson(o.hosts, kNoHost)) {
     for (std::size_t i = 0; i < o.machines; ++i)
-      machines_.push_back(std::make_unique<standin::ControlMachine>(
-          io_, standin::ControlLog::Settings{1, kKept, kWholeBytesPerSecond}));
+      machines_.push_back(std::make_unique<fake_upstream::ControlMachine>(
+          io_, fake_upstream::ControlLog::Settings{1, kKept, kWholeBytesPerSecond}));
     std::vector<Change> all;
     for (std::size_t i = 0; i < o.tenants; ++i) all.push_back(tenant(i, 50));
     for (auto& machine : machines_) machine->log.publish(all);
@@ -166,9 +167,9 @@
       return version;
     });
   }
-  standin::ControlMachine& machine(std::size_t i) { return *machines_[i % machines_.size()]; }
+  fake_upstream::ControlMachine& machine(std::size_t i) { return *machines_[i % machines_.size()]; }
   std::size_t machines() const { return machines_.size(); }
-  standin::HeldDiscovery& discovery() { return discovery_; }
+  fake_upstream::HeldDiscovery& discovery() { return discovery_; }
   double processorSeconds() const {
     timespec t{};
     clock_gettime(processorClock_, &t);
@@ -177,8 +178,8 @@
 
  private:
   asio::io_context io_{1};
-  standin::HeldDiscovery discovery_;
-  std::vector<std::unique_ptr<standin::ControlMachine>> machines_;
+  fake_upstream::HeldDiscovery discovery_;
+  std::vector<std::unique_ptr<fake_upstream::ControlMachine>> machines_;
   std::thread thread_;
   clockid_t processorClock_{};
 };
@@ -191,26 +192,27 @@
   std::map<std::uint64_t, WallTime> inForceSince;  // by revision
 };
 
-class Hollow {
+class SimulatedGateways {
  public:
-  explicit Hollow(const Options& options)
+  explicit SimulatedGateways(const Options& options)
       : options_(options), control_(options), engine_(options.seed), table_(options.out) {
-    standin::Grade read{"read", "retryable", "all", 1};
-    json settings = standin::settingsJson(json::array({standin::gradeJson(read)}), true, "zone-0");
+    fake_upstream::Grade read{"read", "retryable", "all", 1};
+    json settings =
+        fake_upstream::settingsJson(json::array({fake_upstream::gradeJson(read)}), true, "zone-0");
     settings["groupSize"] = options.gateways;
     config_ = {{"name", "n0"},
                {"listen", "127.0.0.1:0"},
                {"discovery", control_.discovery().address()},
                {"seed", "1"},
                {"limits", {{"sockets", 256}}},
-               {"known", standin::listJson(1, true, standin::hostsJson(options.hosts, kNoHost))},
+               {"known", fake_upstream::listJson(1, true, fake_upstream::hostsJson(options.hosts, kNoHost))},
                {"settings", settings}};
     for (std::size_t i = 0; i < control_.machines(); ++i) {
       settings_.addresses.push_back(control_.machine(i).address());
       settings_.endpoints.push_back(control_.machine(i).endpoint());
     }
   }
-  ~Hollow() {
+  ~SimulatedGateways() {
     for (HollowGateway& g : gateways_) g.client.reset();
     workers_.join();
     io_.poll();
@@ -238,18 +240,18 @@
           [this](std::size_t i) { control_.on([&] { return control_.machine(i).restart(), 0; }); });
     else if (name == "silent")
       rounds(
-          name, [this](std::size_t i) { setFault(i, standin::ControlFault::silent); },
-          [this](std::size_t i) { setFault(i, standin::ControlFault::none); });
+          name, [this](std::size_t i) { setFault(i, fake_upstream::ControlFault::silent); },
+          [this](std::size_t i) { setFault(i, fake_upstream::ControlFault::none); });
     else if (name == "silent2")
       rounds(
           name,
           [this](std::size_t i) {
-            setFault(i, standin::ControlFault::silent);
-            setFault(i + 1, standin::ControlFault::silent);
+            setFault(i, fake_upstream::ControlFault::silent);
+            setFault(i + 1, fake_upstream::ControlFault::silent);
           },
           [this](std::size_t i) {
-            setFault(i, standin::ControlFault::none);
-            setFault(i + 1, standin::ControlFault::none);
+            setFault(i, fake_upstream::ControlFault::none);
+            setFault(i + 1, fake_upstream::ControlFault::none);
           });
     else if (name == "restart")
       rounds(
@@ -262,7 +264,7 @@
     else hosts();
   }
 
-  void setFault(std::size_t machine, standin::ControlFault fault) {
+  void setFault(std::size_t machine, fake_upstream::ControlFault fault) {
     control_.on([&] { return control_.machine(machine).fault = fault, 0; });
   }
 
@@ -286,8 +288,8 @@
     HollowGateway& g = gateways_[number];
     json config = config_;
     config["settings"]["myNumber"] = number;
-    Config read = readConfig(config.dump(), clock_);
-    const ridgeshift::Settings settings = read.settings;
+    GatewayConfig read = readConfig(config.dump(), clock_);
+    const load_balancing::Settings settings = read.settings;
     if (!g.gateway) {
       g.gateway = std::make_unique<Gateway>(io_, clock_, std::move(read));
       g.gateway->start();
@@ -295,8 +297,8 @@
     g.client = std::make_unique<configuration::Client>(
         io_, workers_.get_executor(), clock_, settings_, "gateway-" + std::to_string(number),
         options_.seed + number, settings,
-        [&g](const configuration::TermsChange& change) {
-          g.gateway->takeTerms(change);
+        [&g](const configuration::SettingsChange& change) {
+          g.gateway->applyDynamicSettings(change);
           const WallTime now = std::chrono::steady_clock::now();
           for (std::uint64_t r = g.revision + 1; r <= change.version.revision; ++r) g.inForceSince[r] = now;
           g.revision = change.version.revision;
@@ -415,7 +417,7 @@
   // What a stretch of time costs.
   class Meter {
    public:
-    explicit Meter(Hollow& hollow)
+    explicit Meter(SimulatedGateways& hollow)
         : hollow_(hollow),
           begun_(std::chrono::steady_clock::now()),
           cpu_(hollow.gatewaySeconds()),
@@ -433,7 +435,7 @@
     }
 
    private:
-    Hollow& hollow_;
+    SimulatedGateways& hollow_;
     const WallTime begun_;
     const double cpu_, controlCpu_;
     const std::uint64_t bytes_;
@@ -479,14 +481,14 @@
 };
 
 }  // namespace
-}  // namespace finchstile::hollow
+}  // namespace finchstile::simulated_gateways
 
 int main(int argc, char** argv) try {
-  const auto options = finchstile::hollow::readOptions(argc, argv);
-  finchstile::hollow::checkSize(options);
-  finchstile::hollow::Hollow(options).run();
+  const auto options = finchstile::simulated_gateways::readOptions(argc, argv);
+  finchstile::simulated_gateways::checkSize(options);
+  finchstile::simulated_gateways::SimulatedGateways(options).run();
   return 0;
 } catch (const std::exception& bad) {
-  std::fprintf(stderr, "finchstile-hollow: %s\n", bad.what());
+  std::fprintf(stderr, "finchstile-simulated-gateways: %s\n", bad.what());
   return 2;
 }
