--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,7 @@
-// Runs the decision module behind the line protocol: batches on standard input, replies on standard output.
+// finchstile_simulator_adapter: decision modules behind the simulator's line protocol, with batches of events
+// on standard input and replies on standard output. Exit code 0 when the input ends between two batches, 1 on
+// a line that the protocol does not allow (said on standard error), an input that ends within a batch, or a
+// reply that cannot be written.
 #include <unistd.h>
 
 #include <cerrno>
@@ -10,6 +13,8 @@
 
 namespace {
 
+constexpr std::size_t kReadBytes = 64 * std::size_t{1024};
+
 bool writeAll(const std::string& text) {
   std::size_t done = 0;
   while (done < text.size()) {
@@ -25,8 +30,9 @@
 
 int main() {
   finchstile::load_balancing::simulator::Adapter adapter(std::cerr);
-  std::vector<char> block(1 << 16);
-  std::string pending, reply;
+  std::vector<char> block(kReadBytes);
+  std::string pending;  // read, and not yet a whole line
+  std::string reply;
   for (;;) {
     const ssize_t n = read(STDIN_FILENO, block.data(), block.size());
     if (n < 0 && errno == EINTR) continue;
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -1,7 +1,7 @@
 // The gateway's configuration, and the settings that it shares with the adapter.
 #include "net/config.hpp"
 
-#include "simulator/adapter.hpp"
+#include "simulator/settings_reader.hpp"
 #include "support/sockets.hpp"
 
 namespace finchstile::testing {
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -4,6 +4,8 @@
 
 #include <sstream>
 
+#include "simulator/settings_reader.hpp"
+
 namespace finchstile::load_balancing::simulator {
 namespace {
 
@@ -17,7 +19,8 @@
     "rules.coldNs=9000000000 rules.coldShare=0.32 rules.fallMultiple=3.0 rules.fallNs=2000000000 "
     "stepNs=5000000 tenants= zone=north zones=north,south";
 
-struct Wire {
+// An adapter, fed with text of several lines.
+struct Conversation {
   std::ostringstream complaints;
   Adapter adapter{complaints};
   std::string feed(const std::string& text) {
@@ -48,12 +51,12 @@
   return "REQ i=" + gateway + " ref=" + ref + " leftNs=1000000000 tierClass=plan" + more + "\n";
 }
 
-TEST(Wire, EmptyBatch) {
-  Wire w;
-  EXPECT_EQ(w.feed("FRAME tNs=8412250000\nEOF_BATCH\n"), "OK\n");
+TEST(SimulatorAdapter, AnswersAnEmptyBatchWithOk) {
+  Conversation conversation;
+  EXPECT_EQ(conversation.feed("FRAME tNs=8412250000\nEOF_BATCH\n"), "OK\n");
 }
 
-TEST(Wire, SettingsAreRead) {
+TEST(SettingsReader, MapsTheSimulatorsNamesOfSettings) {
   const Settings s = readSettings(kSettings);
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].name, "plan");
@@ -68,26 +71,27 @@
   EXPECT_THROW(readSettings("groupSize=many"), std::invalid_argument);
 }
 
-TEST(Wire, ARequestRoundTrip) {
-  Wire w;
-  EXPECT_EQ(count(w.start("gateway-0"), "SUBSCRIBE i=gateway-0 active=1"), 1u);
-  std::string reply = w.feed("FRAME tNs=1005000000\n" +
-                             req("gateway-0", "a-1", " future=5 routeKey=91f03b7c55d20a64") + "EOF_BATCH\n");
+TEST(SimulatorAdapter, RetriesARejectedAttemptOnAnotherHost) {
+  Conversation conversation;
+  EXPECT_EQ(count(conversation.start("gateway-0"), "SUBSCRIBE i=gateway-0 active=1"), 1u);
+  std::string reply =
+      conversation.feed("FRAME tNs=1005000000\n" +
+                        req("gateway-0", "a-1", " future=5 routeKey=91f03b7c55d20a64") + "EOF_BATCH\n");
   ASSERT_EQ(count(reply, "FORWARD i=gateway-0 ref=a-1 host=10.0.0."), 1u);
   const std::string host = reply.substr(reply.find("host=") + 5, 11);
-  reply = w.feed("FRAME tNs=1105000000\nSETTLED i=gateway-0 ref=a-1 go=0 host=" + host +
-                 " disposition=30 timeTakenNs=900 terminal=0 metrics=3,14.5\nEOF_BATCH\n");
+  reply = conversation.feed("FRAME tNs=1105000000\nSETTLED i=gateway-0 ref=a-1 go=0 host=" + host +
+                            " disposition=30 timeTakenNs=900 terminal=0 metrics=3,14.5\nEOF_BATCH\n");
   ASSERT_EQ(count(reply, "FORWARD i=gateway-0 ref=a-1"), 1u);
   EXPECT_EQ(count(reply, host), 0u);
-  reply = w.feed(
+  reply = conversation.feed(
       "FRAME tNs=1205000000\nSETTLED i=gateway-0 ref=a-1 go=1 host=x disposition=10 timeTakenNs=9 "
       "terminal=1\n"
       "LEFT i=gateway-0 ref=a-1\nEOF_BATCH\n");
   EXPECT_EQ(count(reply, "a-1"), 0u);
-  EXPECT_EQ(w.complaints.str(), "");
+  EXPECT_EQ(conversation.complaints.str(), "");
 }
 
-TEST(Wire, BadLinesGetAMessageAndTheBatchItsReply) {
+TEST(SimulatorAdapter, ComplainsOfAMalformedLineAndStillAnswersTheBatch) {
   const char* bad[] = {"NOISE x=1",
                        "REQ ref=q leftNs=5 tierClass=plan",
                        "REQ i=gateway-9 ref=q leftNs=5 tierClass=plan",
@@ -100,33 +104,33 @@
                        "LEFT i=gateway-0",
                        "garbage"};
   for (const char* line : bad) {
-    Wire w;
-    w.start("gateway-0");
-    const std::string reply = w.feed(std::string("FRAME tNs=1005000000\n") + line + "\n" +
-                                     req("gateway-0", "ok-1") + "EOF_BATCH\n");
+    Conversation conversation;
+    conversation.start("gateway-0");
+    const std::string reply = conversation.feed(std::string("FRAME tNs=1005000000\n") + line + "\n" +
+                                                req("gateway-0", "ok-1") + "EOF_BATCH\n");
     EXPECT_EQ(count(reply, "ref=ok-1"), 1u) << line;
     EXPECT_EQ(count(reply, "OK\n"), 1u) << line;
-    EXPECT_EQ(count(w.complaints.str(), "line 9: "), 1u) << line << w.complaints.str();
+    EXPECT_EQ(count(conversation.complaints.str(), "line 9: "), 1u) << line << conversation.complaints.str();
   }
 }
 
-TEST(Wire, AHalfReadableRequestIsAnsweredWithAnError) {
+TEST(SimulatorAdapter, AnswersAMalformedRequestWithAnError) {
   for (const char* rest : {" leftNs=abc tierClass=plan", " tierClass=plan", " leftNs=5",
                            " leftNs=5 tierClass=plan repeat=maybe"}) {
-    Wire w;
-    w.start("gateway-0");
-    const std::string reply =
-        w.feed(std::string("FRAME tNs=1005000000\nREQ i=gateway-0 ref=b-1") + rest + "\nEOF_BATCH\n");
+    Conversation conversation;
+    conversation.start("gateway-0");
+    const std::string reply = conversation.feed(std::string("FRAME tNs=1005000000\nREQ i=gateway-0 ref=b-1") +
+                                                rest + "\nEOF_BATCH\n");
     EXPECT_EQ(count(reply, "RESPOND_ERROR i=gateway-0 ref=b-1\n"), 1u) << rest;
-    EXPECT_NE(w.complaints.str(), "");
+    EXPECT_NE(conversation.complaints.str(), "");
   }
 }
 
-TEST(Wire, ProbesAndPeerMessagesReachTheModule) {
-  Wire w;
+TEST(SimulatorAdapter, PassesProbesAndPeerMessagesToTheDecisionModule) {
+  Conversation conversation;
   std::string settings = kSettings;
   settings.replace(settings.find("groupSize=2"), 11, "groupSize=400");
-  w.feed(
+  conversation.feed(
       "FRAME tNs=1000000000\nLEDGER buffer=0 rowsIn=2\n"
       "ROW host=10.0.0.0:80 locality=north machine=std block=0 phase=IN\n"
       "ROW host=10.0.0.1:80 locality=north machine=std block=0 phase=IN\n"
@@ -134,43 +138,43 @@
       settings +
       " ceilings.probes=true report.fields=utilization,outstanding\n"
       "MEMBERSHIP i=gateway-0 generation=1 buffer=0 kind=restored\nEOF_BATCH\n");
-  std::string reply = w.feed("FRAME tNs=1005000000\n" + req("gateway-0", "p-1") + "EOF_BATCH\n");
+  std::string reply = conversation.feed("FRAME tNs=1005000000\n" + req("gateway-0", "p-1") + "EOF_BATCH\n");
   EXPECT_GE(count(reply, "ASK_LOAD i=gateway-0 host=10.0.0."), 1u);
   EXPECT_EQ(count(reply, "FORWARD"), 0u);
   const std::string host = reply.substr(reply.find("host=") + 5, 11);
-  reply = w.feed("FRAME tNs=1006000000\nPROBED i=gateway-0 host=" + host +
-                 " disposition=10 timeTakenNs=900 metrics=0.7,0\nEOF_BATCH\n");
+  reply = conversation.feed("FRAME tNs=1006000000\nPROBED i=gateway-0 host=" + host +
+                            " disposition=10 timeTakenNs=900 metrics=0.7,0\nEOF_BATCH\n");
   EXPECT_EQ(count(reply, "FORWARD i=gateway-0 ref=p-1 host=" + host), 1u);
-  w.feed("FRAME tNs=1007000000\nFROM_PEER i=gateway-0 by=3 octets=11aabbccdd\nEOF_BATCH\n");
-  EXPECT_EQ(w.complaints.str(), "");
-  EXPECT_FALSE(w.adapter.malformed());
+  conversation.feed("FRAME tNs=1007000000\nFROM_PEER i=gateway-0 by=3 octets=11aabbccdd\nEOF_BATCH\n");
+  EXPECT_EQ(conversation.complaints.str(), "");
+  EXPECT_FALSE(conversation.adapter.malformed());
   for (const char* bad : {"PROBED i=gateway-0 host=1 metrics=1,2", "FROM_PEER i=gateway-0 by=1 octets=abc",
                           "FROM_PEER i=gateway-0 by=1 octets=zz", "FROM_PEER i=gateway-0 octets=aa",
                           "PROBED i=gateway-0 host=1 disposition=10 metrics=x,2"}) {
-    const std::size_t before = w.complaints.str().size();
-    w.feed("FRAME tNs=1008000000\n" + std::string(bad) + "\nEOF_BATCH\n");
-    EXPECT_GT(w.complaints.str().size(), before) << bad;
-    EXPECT_TRUE(w.adapter.malformed());
+    const std::size_t before = conversation.complaints.str().size();
+    conversation.feed("FRAME tNs=1008000000\n" + std::string(bad) + "\nEOF_BATCH\n");
+    EXPECT_GT(conversation.complaints.str().size(), before) << bad;
+    EXPECT_TRUE(conversation.adapter.malformed());
   }
 }
 
-TEST(Wire, RetireAndEnlistInOneBatch) {
-  Wire w;
-  w.start("gateway-0 gateway-1");
+TEST(SimulatorAdapter, DropsTheActionsOfARemovedGatewayInTheSameBatch) {
+  Conversation conversation;
+  conversation.start("gateway-0 gateway-1");
   const std::string reply =
-      w.feed("FRAME tNs=1005000000\n" + req("gateway-0", "old-1") + req("gateway-1", "keep-1") +
-             "RETIRE i=gateway-0\nENLIST i=gateway-0" + kSettings +
-             "\nMEMBERSHIP i=gateway-0 generation=1 buffer=0 kind=restored\n" + req("gateway-0", "new-1") +
-             "EOF_BATCH\n");
-  EXPECT_EQ(count(reply, "old-1"), 0u) << "the life that asked for it is over";
+      conversation.feed("FRAME tNs=1005000000\n" + req("gateway-0", "old-1") + req("gateway-1", "keep-1") +
+                        "RETIRE i=gateway-0\nENLIST i=gateway-0" + kSettings +
+                        "\nMEMBERSHIP i=gateway-0 generation=1 buffer=0 kind=restored\n" +
+                        req("gateway-0", "new-1") + "EOF_BATCH\n");
+  EXPECT_EQ(count(reply, "old-1"), 0u) << "the incarnation that had this request is gone";
   EXPECT_EQ(count(reply, "ref=keep-1"), 1u);
   EXPECT_EQ(count(reply, "ref=new-1"), 1u);
 }
 
-TEST(Wire, ListNumbersAreResolvedInOrder) {
-  Wire w;
-  w.start("gateway-0", 1);
-  const std::string reply = w.feed(
+TEST(SimulatorAdapter, ResolvesListNumbersInTheOrderOfEvents) {
+  Conversation conversation;
+  conversation.start("gateway-0", 1);
+  const std::string reply = conversation.feed(
       "FRAME tNs=1005000000\nLEDGER buffer=0 rowsIn=1\nROW host=10.9.9.9:80 locality=north machine=std "
       "block=0 phase=IN\n"
       "MEMBERSHIP i=gateway-0 generation=2 buffer=0 kind=replace\nLEDGER buffer=0 rowsIn=1\n"
@@ -179,19 +183,19 @@
   EXPECT_EQ(count(reply, "ref=c-1 host=10.9.9.9:80"), 1u);
 }
 
-TEST(Wire, OneProcessActsLikeSeveral) {
+TEST(SimulatorAdapter, ServesSeveralGatewaysLikeOneProcessEach) {
   const auto events = [](const std::string& gateway) {
     std::string text;
     for (int i = 0; i < 60; ++i) text += req(gateway, gateway + "-r" + std::to_string(i));
     return text;
   };
-  Wire both;
+  Conversation both;
   both.start("gateway-0 gateway-1");
   const std::string together =
       both.feed("FRAME tNs=1005000000\n" + events("gateway-0") + events("gateway-1") + "EOF_BATCH\n");
   std::string apart;
   for (const char* name : {"gateway-0", "gateway-1"}) {
-    Wire one;
+    Conversation one;
     one.start(name);
     const std::string reply = one.feed("FRAME tNs=1005000000\n" + events(name) + "EOF_BATCH\n");
     apart += reply.substr(0, reply.size() - 3);
@@ -200,12 +204,12 @@
   EXPECT_GT(count(together, "FORWARD"), 10u);
 }
 
-TEST(Wire, LongBatch) {
-  Wire w;
-  w.start("gateway-0", 16);
+TEST(SimulatorAdapter, AnswersEveryRequestOfALongBatch) {
+  Conversation conversation;
+  conversation.start("gateway-0", 16);
   std::string text = "FRAME tNs=1005000000\n";
   for (int i = 0; i < 5000; ++i) text += req("gateway-0", "r" + std::to_string(i));
-  const std::string reply = w.feed(text + "EOF_BATCH\n");
+  const std::string reply = conversation.feed(text + "EOF_BATCH\n");
   EXPECT_EQ(count(reply, "FORWARD") + count(reply, "TURN_AWAY"), 5000u);
 }
 
