--- a/tools/fake_upstream.cpp
+++ b/tools/fake_upstream.cpp
@@ -1,6 +1,8 @@
-// Stand-ins on loopback for trying the gateway and for measurements: hosts that answer 200, and a discovery
-// that names them. Writes a configuration for the gateway with ports that the system gave out, and serves
-// until it is ended or its time is up. No model of a server: a host answers at once, or after a fixed time.
+// finchstile-fake-upstream: hosts that answer 200 and a discovery that lists them, on loopback, for trying
+// the gateway and for measurements. Writes a configuration for the gateway with ports that the system has
+// chosen, prints "ready", and serves until it gets SIGTERM or SIGINT or its time is up. It is no model of a
+// server: a host answers at once, or after a fixed time. Exit code 0, or 2 with a line on standard error if
+// an option makes no sense or the configuration cannot be written.
 //
 //   finchstile-fake-upstream --config FILE [--hosts N] [--work-ms N] [--seconds N] [--listen ADDRESS:PORT]
 #include <boost/asio/io_context.hpp>
@@ -33,57 +35,69 @@
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 
+constexpr std::chrono::seconds kWatchTime(2);  // for which discovery holds a call without news
+
 struct Options {
-  std::string config, listen = "127.0.0.1:0";
-  int hosts = 2, workMs = 0, seconds = 600;
+  std::string configPath;
+  std::string listen = "127.0.0.1:0";  // of the gateway; port 0: one that is free now
+  int hosts = 2;
+  int workMs = 0;
+  int seconds = 600;
 };
 
-int number(const char* name, const char* text, int least, int most) {
+int readNumber(const char* name, const char* text, int min, int max) {
   char* end = nullptr;
-  const long n = std::strtol(text, &end, 10);
-  if (*text == 0 || *end != 0 || n < least || n > most)
-    throw std::invalid_argument(std::string(name) + " must be from " + std::to_string(least) + " to " +
-                                std::to_string(most));
-  return static_cast<int>(n);
+  const long value = std::strtol(text, &end, 10);
+  if (*text == 0 || *end != 0 || value < min || value > max)
+    throw std::invalid_argument(std::string(name) + " must be from " + std::to_string(min) + " to " +
+                                std::to_string(max));
+  return static_cast<int>(value);
 }
 
-Options read(int argc, char** argv) {
-  Options o;
+Options readOptions(int argc, char** argv) {
+  Options options;
   for (int i = 1; i < argc; i += 2) {
     const std::string name = argv[i];
     if (i + 1 >= argc) throw std::invalid_argument(name + " wants a value");
-    if (name == "--config") o.config = argv[i + 1];
-    else if (name == "--listen") o.listen = argv[i + 1];
-    else if (name == "--hosts") o.hosts = number("--hosts", argv[i + 1], 1, 100);
-    else if (name == "--work-ms") o.workMs = number("--work-ms", argv[i + 1], 0, 10000);
-    else if (name == "--seconds") o.seconds = number("--seconds", argv[i + 1], 1, 86400);
+    const char* const value = argv[i + 1];
+    if (name == "--config") options.configPath = value;
+    else if (name == "--listen") options.listen = value;
+    else if (name == "--hosts") options.hosts = readNumber("--hosts", value, 1, 100);
+    else if (name == "--work-ms") options.workMs = readNumber("--work-ms", value, 0, 10000);
+    else if (name == "--seconds") options.seconds = readNumber("--seconds", value, 1, 86400);
     else throw std::invalid_argument("unknown option " + name);
   }
-  if (o.config.empty()) throw std::invalid_argument("--config is missing: where to write the configuration");
-  return o;
+  if (options.configPath.empty())
+    throw std::invalid_argument("--config is missing: where to write the configuration");
+  return options;
 }
 
-std::string text(const tcp::endpoint& at) {
-  return at.address().to_string() + ":" + std::to_string(at.port());
+std::string textOf(const tcp::endpoint& endpoint) {
+  return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// One connection to a host or to discovery.
+using SendResponse = std::function<void(Response)>;
+// Calls `send` once for each request, at once or later.
+using RequestHandler = std::function<void(const Request&, const SendResponse& send)>;
+
+// One connection to a host or to discovery. Lives until the other side closes it; `handler` must outlive it.
 class Session : public std::enable_shared_from_this<Session> {
  public:
-  using Reply = std::function<void(const Request&, const std::function<void(Response)>&)>;
-  Session(tcp::socket socket, const Reply& reply) : socket_(std::move(socket)), reply_(reply) {}
+  Session(tcp::socket socket, const RequestHandler& handler)
+      : socket_(std::move(socket)), handler_(handler) {}
 
   void read() {
     request_ = {};
     http::async_read(socket_, buffer_, request_,
                      [this, self = shared_from_this()](error_code error, std::size_t) {
-                       if (!error) reply_(request_, [this, self](Response r) { write(std::move(r)); });
+                       if (error) return;
+                       handler_(request_, [this, self](Response response) { write(std::move(response)); });
                      });
   }
 
  private:
-  void write(Response r) {
-    response_ = std::move(r);
+  void write(Response response) {
+    response_ = std::move(response);
     response_.version(11);
     response_.keep_alive(true);
     response_.prepare_payload();
@@ -93,7 +107,7 @@
   }
 
   tcp::socket socket_;
-  const Reply& reply_;
+  const RequestHandler& handler_;
   boost::beast::flat_buffer buffer_;
   Request request_;
   Response response_;
@@ -101,11 +115,11 @@
 
 class Server {
  public:
-  Server(asio::io_context& io, Session::Reply reply)
-      : acceptor_(io, {asio::ip::address_v4::loopback(), 0}), reply_(std::move(reply)) {
+  Server(asio::io_context& io, RequestHandler handler)
+      : acceptor_(io, {asio::ip::address_v4::loopback(), 0}), handler_(std::move(handler)) {
     accept();
   }
-  tcp::endpoint at() const { return acceptor_.local_endpoint(); }
+  tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
 
  private:
   void accept() {
@@ -113,72 +127,88 @@
       if (error) return;
       error_code ignored;
       socket.set_option(tcp::no_delay(true), ignored);
-      std::make_shared<Session>(std::move(socket), reply_)->read();
+      std::make_shared<Session>(std::move(socket), handler_)->read();
       accept();
     });
   }
+
   tcp::acceptor acceptor_;
-  Session::Reply reply_;
+  const RequestHandler handler_;
 };
 
-// A port that is free now, for a gateway that is started next: it has no way to tell which one it was given.
-std::string freePort(asio::io_context& io, const std::string& listen) {
+// A port that is free now, for a gateway that is started next and cannot tell which port it was given.
+std::string chooseListenAddress(asio::io_context& io, const std::string& listen) {
   if (listen.size() < 2 || listen.compare(listen.size() - 2, 2, ":0") != 0) return listen;
   const auto address = asio::ip::make_address(listen.substr(0, listen.size() - 2));
-  return text(tcp::acceptor(io, {address, 0}).local_endpoint());
+  return textOf(tcp::acceptor(io, {address, 0}).local_endpoint());
 }
 
-json configuration(const std::string& listen, const tcp::endpoint& discovery, const json& list) {
+json gatewayConfiguration(const std::string& listen, const tcp::endpoint& discovery,
+                          const json& endpointList) {
   using finchstile::fake_upstream::gradeJson;
-  constexpr std::int64_t kAim = 400000000, kGiveUp = 2000000000;
+  constexpr std::int64_t kLatencyObjectiveNs = 400000000;
+  constexpr std::int64_t kClientTimeoutNs = 2000000000;
+  const json classes = {
+      gradeJson({"cut-plan", "retryable", "all", 12, kLatencyObjectiveNs, kClientTimeoutNs}),
+      gradeJson({"stock-out", "fragile", "all", 1, kLatencyObjectiveNs, kClientTimeoutNs}),
+      gradeJson({"log-in", "dedup", "zone", 1, kLatencyObjectiveNs, kClientTimeoutNs})};
   return {{"name", "standin"},
           {"listen", listen},
-          {"discovery", text(discovery)},
+          {"discovery", textOf(discovery)},
           {"seed", "1"},
           {"limits", {{"sockets", 1024}}},
-          {"known", list},
-          {"settings", finchstile::fake_upstream::settingsJson(
-                           {gradeJson({"cut-plan", "retryable", "all", 12, kAim, kGiveUp}),
-                            gradeJson({"stock-out", "fragile", "all", 1, kAim, kGiveUp}),
-                            gradeJson({"log-in", "dedup", "zone", 1, kAim, kGiveUp})},
-                           true, "brasov")}};
+          {"known", endpointList},
+          {"settings", finchstile::fake_upstream::settingsJson(classes, true, "brasov")}};
 }
 
-void serve(const Options& o) {
-  asio::io_context io(1);
-  const Session::Reply host = [&](const Request& q, const std::function<void(Response)>& done) {
-    Response r{q["X-Correlation-Id"].empty() ? http::status::not_found : http::status::ok, 11};
-    r.set(http::field::content_type, "text/plain");
-    r.body() = "served " + std::string(q.target()) + "\n";
-    if (o.workMs == 0) return done(std::move(r));
-    const auto timer = std::make_shared<asio::steady_timer>(io, std::chrono::milliseconds(o.workMs));
-    timer->async_wait([timer, done, r](error_code) { done(r); });
+void sendAfter(asio::io_context& io, std::chrono::nanoseconds delay, const SendResponse& send,
+               const Response& response) {
+  const auto timer = std::make_shared<asio::steady_timer>(io, delay);
+  timer->async_wait([timer, send, response](error_code) { send(response); });
+}
+
+RequestHandler hostHandler(asio::io_context& io, std::chrono::milliseconds work) {
+  return [&io, work](const Request& request, const SendResponse& send) {
+    const bool hasId = !request["X-Correlation-Id"].empty();
+    Response response{hasId ? http::status::ok : http::status::not_found, 11};
+    response.set(http::field::content_type, "text/plain");
+    response.body() = "served " + std::string(request.target()) + "\n";
+    if (work.count() == 0) send(std::move(response));
+    else sendAfter(io, work, send, response);
+  };
+}
+
+RequestHandler discoveryHandler(asio::io_context& io, const std::string& endpointList) {
+  return [&io, endpointList](const Request& request, const SendResponse& send) {
+    Response response{http::status::ok, 11};
+    if (request.target().find("since=") == boost::beast::string_view::npos) {
+      response.body() = endpointList;
+      return send(std::move(response));
+    }
+    response.body() = R"({"index":1,"snapshot":false,"endpoints":[]})";
+    sendAfter(io, kWatchTime, send, response);
   };
+}
+
+void serve(const Options& options) {
+  asio::io_context io(1);
   std::vector<std::unique_ptr<Server>> hosts;
   json endpoints = json::array();
-  for (int i = 0; i < o.hosts; ++i) {
-    hosts.push_back(std::make_unique<Server>(io, host));
-    endpoints.push_back(
-        finchstile::fake_upstream::hostJson("s-" + std::to_string(i), text(hosts.back()->at()), "brasov"));
+  for (int i = 0; i < options.hosts; ++i) {
+    hosts.push_back(std::make_unique<Server>(io, hostHandler(io, std::chrono::milliseconds(options.workMs))));
+    endpoints.push_back(finchstile::fake_upstream::hostJson("s-" + std::to_string(i),
+                                                            textOf(hosts.back()->endpoint()), "brasov"));
   }
   const json list = finchstile::fake_upstream::listJson(1, true, endpoints);
-  Server discovery(io, [&](const Request& q, const std::function<void(Response)>& done) {
-    Response r{http::status::ok, 11};
-    if (q.target().find("since=") == boost::beast::string_view::npos) {
-      r.body() = list.dump();
-      return done(std::move(r));
-    }
-    r.body() = R"({"index":1,"snapshot":false,"endpoints":[]})";  // a watch that has no news
-    const auto timer = std::make_shared<asio::steady_timer>(io, std::chrono::seconds(2));
-    timer->async_wait([timer, done, r](error_code) { done(r); });
-  });
-  std::ofstream file(o.config, std::ios::trunc);
-  file << configuration(freePort(io, o.listen), discovery.at(), list).dump(1) << "\n";
+  const Server discovery(io, discoveryHandler(io, list.dump()));
+  std::ofstream file(options.configPath, std::ios::trunc);
+  file << gatewayConfiguration(chooseListenAddress(io, options.listen), discovery.endpoint(), list).dump(1)
+       << "\n";
   file.close();
-  if (!file) throw std::runtime_error("cannot write " + o.config);
+  if (!file) throw std::runtime_error("cannot write " + options.configPath);
   std::printf("ready\n");
   std::fflush(stdout);
-  asio::steady_timer end(io, std::chrono::seconds(o.seconds));
+  asio::steady_timer end(io, std::chrono::seconds(options.seconds));
   end.async_wait([&](error_code) { io.stop(); });
   asio::signal_set signals(io, SIGTERM, SIGINT);
   signals.async_wait([&](error_code, int) { io.stop(); });
@@ -188,9 +218,9 @@
 }  // namespace
 
 int main(int argc, char** argv) try {
-  serve(read(argc, argv));
+  serve(readOptions(argc, argv));
   return 0;
-} catch (const std::exception& bad) {
-  std::fprintf(stderr, "finchstile-fake-upstream: %s\n", bad.what());
+} catch (const std::exception& error) {
+  std::fprintf(stderr, "finchstile-fake-upstream: %s\n", error.what());
   return 2;
 }
