--- a/tools/reconnect_surge/model.cpp
+++ b/tools/reconnect_surge/model.cpp
@@ -35,10 +35,12 @@
 Model::Model(const Options& options) : options_(options), engine_(options.seed) {
   for (std::size_t i = 0; i < options.workers; ++i) workers_.push_back({workerName(i), 0, HUGE_VAL, 0, {}});
   listedWorkers_ = options.workers;
-  for (std::size_t i = 0; i < options.gateways; ++i)
-    gateways_.push_back({std::make_unique<LoadBalancer>(settingsOf(i), kStart),
-                         std::make_unique<stream::DrainPlan>(options.gatewayEndRate, i + 1),
-                         {}});
+  for (std::size_t i = 0; i < options.gateways; ++i) {
+    Gateway gateway;
+    gateway.loadBalancer = std::make_unique<LoadBalancer>(settingsOf(i), kStart);
+    gateway.drainPlan = std::make_unique<stream::DrainPlan>(options.gatewayEndRate, i + 1);
+    gateways_.push_back(std::move(gateway));
+  }
   clients_.resize(options.streams);
   connectPhase_ = 1.5 * static_cast<double>(options.streams) /
                   std::max(1.0, options.workerRate * static_cast<double>(options.workers));
