--- /dev/null
+++ b/src/app/gateway_program.cpp
@@ -0,0 +1,267 @@
+#include "app/gateway_program.hpp"
+
+#include <charconv>
+#include <csignal>
+#include <cstdio>
+#include <cstdlib>
+#include <exception>
+#include <stdexcept>
+#include <string_view>
+#include <utility>
+
+namespace finchstile {
+namespace {
+
+constexpr const char* kInheritedListenerVariable = "LB_INHERITED_FD";
+
+void printLine(std::string_view line) {
+  std::fprintf(stderr, "%.*s\n", static_cast<int>(line.size()), line.data());
+}
+
+LoadedOperatorFile loadFileOfOptions(const RunOptions& options) {
+  if (options.operatorFile.empty()) return {};
+  return loadOperatorFileWithHooks(options.operatorFile, OperatorFileReloader::kFirstVersion);
+}
+
+int readDescriptor(const std::string& text) {
+  int descriptor = -1;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), descriptor);
+  if (error != std::errc{} || end != text.data() + text.size() || descriptor < 0)
+    throw std::runtime_error(std::string(kInheritedListenerVariable) + " is '" + text +
+                             "', not the number of a descriptor");
+  return descriptor;
+}
+
+Duration maxRetryAfter(const load_balancing::Settings& settings) {
+  return settings.retryAfterEnabled ? settings.maxRetryAfter : Duration{};
+}
+
+}  // namespace
+
+GatewayProgram::GatewayProgram(const RunOptions& options)
+    : options_(options),
+      operator_(loadFileOfOptions(options)),
+      config_(readGatewayConfig()),
+      hooks_(clock_, maxRetryAfter(config_.settings), printLine),
+      gateway_(io_, clock_, config_),
+      signals_(io_, SIGTERM, SIGINT, SIGHUP),
+      summaryLog_(
+          io_, [this] { return summaries(); }, printLine),
+      reloader_(io_, options.operatorFile,
+                {[this](LoadedOperatorFile&& loaded) { onOperatorFileLoaded(std::move(loaded)); },
+                 [](const std::string& problems) {
+                   std::fprintf(stderr, "finchstile: operator's file not reloaded:\n%s\n", problems.c_str());
+                 }}) {}
+
+GatewayConfig GatewayProgram::readGatewayConfig() const {
+  GatewayConfig config = loadConfig(options_.config, clock_);
+  config.options = operator_.file.tuning;
+  if (const stream::StreamSettings& streams = operator_.file.streams; streams.enabled) {
+    config.options.reservedDescriptorFraction = streams.descriptorShare;
+    config.settings.maxStreams =
+        static_cast<std::uint32_t>(stream::streamsOf(streams, config.descriptorLimit));
+    config.settings.maxStreamsPerHost = static_cast<std::uint32_t>(streams.hostStreams);
+    config.settings.hostStreamRate = streams.hostRate;
+    config.settings.streamRetrySpread = streams.returnWithin;
+  }
+  if (operator_.file.configuration.enabled) config.reservedDescriptors = configuration::kDescriptors;
+  const char* const inherited = std::getenv(kInheritedListenerVariable);
+  if (inherited && *inherited) config.inheritedListenerDescriptor = readDescriptor(inherited);
+  return config;
+}
+
+// Filters are attached in the order in which requests pass them.
+void GatewayProgram::serve() {
+  waitForSignal();
+  summaryLog_.setInterval(operator_.file.hooks.report);
+  if (operator_.hooks) attachHooks();
+  if (operator_.file.peers.enabled) peers_ = std::make_unique<PeerLink>(io_, clock_, operator_.file.peers);
+  attachCrossZoneBudget();
+  attachIdempotency();
+  attachStreams();
+  attachConfigurationClient();
+  attachMembership();
+  attachAdminApi();
+  attachTraceLog();
+  gateway_.start();
+  attachProcessHandover();
+  io_.run();
+}
+
+// --- Subsystems ----------------------------------------------------------------------------------------
+
+// Also after a reload: the first hooks may come with it.
+void GatewayProgram::attachHooks() {
+  if (operator_.hooks->hooks.empty() && !hookFilterAttached_) return;
+  hooks_.chain().take(operator_.hooks);
+  ensureHookFilter();
+  summaryLog_.start();
+}
+
+// Hooks come first: what they reject is neither remembered nor charged by the filters behind them. Those are
+// attached once, so the hooks' place is taken even if there are none yet.
+void GatewayProgram::ensureHookFilter() {
+  if (!std::exchange(hookFilterAttached_, true)) gateway_.attach(hooks_);
+}
+
+// Before the filters that hold requests, so that it sees those as well.
+void GatewayProgram::attachCrossZoneBudget() {
+  if (!operator_.file.crossing.enabled) return;
+  ensureHookFilter();
+  crossZone_ =
+      std::make_unique<cross_zone::CrossZoneFilter>(clock_, operator_.file.crossing, config_.settings);
+  gateway_.attach(*crossZone_);
+  summaryLog_.start();
+}
+
+void GatewayProgram::attachIdempotency() {
+  const auto& settings = operator_.file.idempotency;
+  if (!settings.enabled) return;
+  ensureHookFilter();
+  std::random_device entropy;
+  const auto word = [&] { return static_cast<std::uint64_t>(entropy()) << 32 | entropy(); };
+  idempotency_ = std::make_unique<idempotency::IdempotencyFilter>(
+      clock_, settings, config_.settings.tenants.size(), idempotency::Seed{word(), word()},
+      gateway_.filterCallbacks());
+  if (!settings.log.folder.empty())
+    idempotencyLog_ =
+        std::make_unique<IdempotencyLog>(io_, clock_, settings, config_.settings, *idempotency_);
+  if (settings.owners.enabled)
+    idempotencyOwners_ = std::make_unique<IdempotencyOwnership>(io_, clock_, settings, *peers_,
+                                                                config_.settings, *idempotency_);
+  gateway_.attach(*idempotency_);
+  summaryLog_.start();
+}
+
+void GatewayProgram::attachStreams() {
+  const stream::StreamSettings& settings = operator_.file.streams;
+  if (!settings.enabled) return;
+  ProtocolHandlerCallbacks& callbacks = gateway_.protocolHandlerCallbacks();
+  streams_ = std::make_unique<stream::StreamTable>(io_, clock_, settings, config_.settings.maxStreams,
+                                                   config_.settings.seed, callbacks, printLine);
+  tcpProxy_ = std::make_unique<stream::TcpProxyHandler>(io_, clock_, settings, config_.settings, callbacks,
+                                                        *streams_);
+  gateway_.attach(*tcpProxy_);
+  tcpProxy_->start();
+  if (operator_.file.webSocket.enabled) {
+    webSocket_ = std::make_unique<websocket::WebSocketHandler>(
+        clock_, operator_.file.webSocket, config_.name, [this] { return entropy_(); }, *streams_);
+    gateway_.setUpgradeHandler(*webSocket_);
+  }
+  summaryLog_.start();
+}
+
+void GatewayProgram::attachConfigurationClient() {
+  const configuration::ConfigurationSettings& settings = operator_.file.configuration;
+  if (!settings.enabled) return;
+  configurationWorker_ = std::make_unique<boost::asio::thread_pool>(1);
+  configuration_ = std::make_unique<configuration::Client>(
+      io_, configurationWorker_->get_executor(), clock_, settings, config_.name, config_.settings.seed,
+      config_.settings,
+      [this](const configuration::SettingsChange& change) { gateway_.applyDynamicSettings(change); },
+      printLine);
+  configuration_->start();
+  summaryLog_.start();
+}
+
+void GatewayProgram::attachMembership() {
+  if (!operator_.file.membership.enabled) return;
+  membership_ = std::make_unique<MembershipService>(io_, clock_, operator_.file.membership, config_, gateway_,
+                                                    peers_.get());
+  summaryLog_.start();
+}
+
+void GatewayProgram::attachAdminApi() {
+  if (!config_.adminEndpoint) return;
+  adminApi_ = std::make_unique<AdminApi>(io_, clock_, config_, opsFile(config_.name), gateway_);
+  adminApi_->more = [this] { return furtherMetrics(); };
+  if (membership_) adminApi_->hosts = [this](const std::string& host) { return membership_->text(host); };
+}
+
+void GatewayProgram::attachTraceLog() {
+  if (!operator_.file.trace.enabled) return;
+  trace_ = std::make_unique<TraceLog>(io_, clock_, operator_.file.trace, config_.name);
+  gateway_.setAttemptLog(*trace_);
+  summaryLog_.start();
+}
+
+void GatewayProgram::attachProcessHandover() {
+  const std::string path = handoverSocketPath(config_.name);
+  if (config_.inheritedListenerDescriptor < 0 || path.empty()) return;
+  handover_ = std::make_unique<ProcessHandover>(io_, path, config_.name, gateway_);
+}
+
+// --- Signals -------------------------------------------------------------------------------------------
+
+// They may come again, also while draining.
+void GatewayProgram::waitForSignal() {
+  signals_.async_wait([this](const boost::system::error_code& error, int signal) {
+    if (error) return;
+    if (signal == SIGHUP) reload();
+    else drain();
+    waitForSignal();
+  });
+}
+
+void GatewayProgram::drain() {
+  if (!std::exchange(draining_, true))
+    std::fprintf(stderr, "finchstile: draining: open_connections=%zu active_requests=%zu\n",
+                 gateway_.clientConnections(), gateway_.openRequests());
+  gateway_.drain([this] {
+    std::fprintf(stderr, "finchstile: drained: open_connections=%zu active_requests=%zu\n",
+                 gateway_.clientConnections(), gateway_.openRequests());
+    if (handover_) handover_->over();
+    if (trace_) trace_->stop(gateway_.openRequests());
+    io_.stop();
+  });
+  if (handover_) handover_->begin();
+}
+
+// A file that is incomplete or wrong must not end a gateway that serves: the one in force stays in force,
+// unchanged. The two files are independent: the platform writes one and the operator the other.
+void GatewayProgram::reload() {
+  try {
+    gateway_.reload(loadConfig(options_.config, clock_));
+    if (adminApi_) ++adminApi_->config.loaded;
+  } catch (const std::exception& error) {
+    if (adminApi_) ++adminApi_->config.invalid;
+    std::fprintf(stderr, "finchstile: not reloaded: %s\n", error.what());
+  }
+  if (!options_.operatorFile.empty()) reloader_.reload();
+}
+
+// Between two requests, in one step.
+void GatewayProgram::onOperatorFileLoaded(LoadedOperatorFile&& loaded) {
+  operator_ = std::move(loaded);
+  gateway_.setOptions(operator_.file.tuning);
+  summaryLog_.setInterval(operator_.file.hooks.report);
+  attachHooks();
+  std::fprintf(stderr, "finchstile: operator's file reloaded, version %llu\n",
+               static_cast<unsigned long long>(operator_.hooks->version));
+}
+
+// --- Figures -------------------------------------------------------------------------------------------
+
+std::vector<std::string> GatewayProgram::summaries() {
+  std::vector<std::string> lines = hooks_.chain().summary(clock_.now());
+  if (idempotency_) lines.push_back(idempotency_->summary());
+  if (peers_) lines.push_back(peers_->summary());
+  if (membership_) lines.push_back(membership_->summary());
+  if (streams_) lines.push_back(streams_->account().summary());
+  if (trace_) lines.push_back(trace_->summary());
+  if (configuration_) lines.push_back(configuration_->summary());
+  if (crossZone_)
+    for (std::string& line : crossZone_->summary()) lines.push_back(std::move(line));
+  return lines;
+}
+
+std::string GatewayProgram::furtherMetrics() const {
+  std::string metrics;
+  if (crossZone_) metrics += crossZone_->account().exposition();
+  if (streams_) metrics += streams_->exposition();
+  if (membership_) metrics += membership_->exposition();
+  if (configuration_) metrics += configuration_->exposition();
+  return metrics;
+}
+
+}  // namespace finchstile
--- /dev/null
+++ b/src/app/gateway_program.hpp
@@ -0,0 +1,100 @@
+// The gateway as a process: makes the subsystems that the operator's file asks for, ties them to the gateway,
+// and turns signals into a drain or a reload. It is the only place that knows every subsystem; none of them
+// knows another.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/signal_set.hpp>
+#include <boost/asio/thread_pool.hpp>
+#include <cstdint>
+#include <memory>
+#include <random>
+#include <string>
+#include <vector>
+
+#include "app/admin_api.hpp"
+#include "app/idempotency_log.hpp"
+#include "app/idempotency_owners.hpp"
+#include "app/loaded_operator_file.hpp"
+#include "app/membership_service.hpp"
+#include "app/operator_file_reloader.hpp"
+#include "app/peer_link.hpp"
+#include "app/process_handover.hpp"
+#include "app/run.hpp"
+#include "app/summary_log.hpp"
+#include "app/trace_log.hpp"
+#include "configuration/client.hpp"
+#include "cross_zone/filter.hpp"
+#include "hook/filter.hpp"
+#include "idempotency/filter.hpp"
+#include "net/gateway.hpp"
+#include "stream/table.hpp"
+#include "stream/tcp_proxy_handler.hpp"
+#include "websocket/web_socket_handler.hpp"
+
+namespace finchstile {
+
+class GatewayProgram {
+ public:
+  // Reads both files, opens the listener and holds what the platform handed down. Throws std::exception with
+  // one line, or with all problems of the operator's file, if the gateway cannot start with them.
+  explicit GatewayProgram(const RunOptions& options);
+
+  // Serves until a drain is over. Signals are taken from here on: SIGTERM and SIGINT drain, SIGHUP reloads.
+  void serve();
+
+ private:
+  GatewayConfig readGatewayConfig() const;
+
+  void attachHooks();
+  void ensureHookFilter();
+  void attachCrossZoneBudget();
+  void attachIdempotency();
+  void attachStreams();
+  void attachConfigurationClient();
+  void attachMembership();
+  void attachAdminApi();
+  void attachTraceLog();
+  void attachProcessHandover();
+
+  void waitForSignal();
+  void drain();
+  void reload();
+  void onOperatorFileLoaded(LoadedOperatorFile&& loaded);
+
+  std::vector<std::string> summaries();
+  std::string furtherMetrics() const;
+
+  // Members are destroyed from the last to the first. Filters and protocol handlers outlive the gateway,
+  // which calls them; what calls the gateway is destroyed before it.
+  const RunOptions options_;
+  const Clock clock_;
+  boost::asio::io_context io_{1};
+  LoadedOperatorFile operator_;
+  const GatewayConfig config_;
+  hook::HookFilter hooks_;
+  std::unique_ptr<idempotency::IdempotencyFilter> idempotency_;
+  std::unique_ptr<cross_zone::CrossZoneFilter> crossZone_;
+  std::unique_ptr<IdempotencyLog> idempotencyLog_;
+  std::unique_ptr<PeerLink> peers_;
+  std::unique_ptr<IdempotencyOwnership> idempotencyOwners_;
+  std::unique_ptr<TraceLog> trace_;
+  Gateway gateway_;
+  std::unique_ptr<stream::StreamTable> streams_;
+  std::unique_ptr<stream::TcpProxyHandler> tcpProxy_;
+  std::random_device entropy_;
+  std::unique_ptr<websocket::WebSocketHandler> webSocket_;
+  std::unique_ptr<MembershipService> membership_;
+  std::unique_ptr<AdminApi> adminApi_;
+  std::unique_ptr<ProcessHandover> handover_;
+  std::unique_ptr<boost::asio::thread_pool>
+      configurationWorker_;  // outlives the client, which has a strand of it
+  std::unique_ptr<configuration::Client> configuration_;
+  bool hookFilterAttached_ = false;
+  bool draining_ = false;
+  boost::asio::signal_set signals_;
+  SummaryLog summaryLog_;
+  OperatorFileReloader reloader_;
+};
+
+}  // namespace finchstile
--- a/src/app/run.hpp
+++ b/src/app/run.hpp
@@ -1,4 +1,4 @@
-// Serves: configuration, signals, wiring.
+// The `run` command: serves until it is told to end.
 #pragma once
 
 #include <string>
@@ -6,10 +6,11 @@
 namespace finchstile {
 
 struct RunOptions {
-  std::string config;        // the platform's configuration
-  std::string operatorFile;  // empty: none
+  std::string config;        // path of the platform's configuration
+  std::string operatorFile;  // path of the operator's file; empty: there is none
 };
 
-int run(const RunOptions& options);  // the exit code
+// Returns the exit code once a drain is over. Throws std::exception if the gateway cannot start.
+int run(const RunOptions& options);
 
 }  // namespace finchstile
--- /dev/null
+++ b/src/app/summary_log.hpp
@@ -0,0 +1,42 @@
+// Prints the subsystems' summary lines at intervals, each only when it has changed since it was last printed.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <functional>
+#include <map>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "net/clock.hpp"
+
+namespace finchstile {
+
+class SummaryLog {
+ public:
+  using CollectLines = std::function<std::vector<std::string>()>;
+  using Print = std::function<void(std::string_view line)>;
+
+  SummaryLog(boost::asio::io_context& io, CollectLines collect, Print print);
+
+  // Begins an interval, in place of the one that runs; lines are printed at the end of each.
+  void start();
+  // From the next interval on. To be called before `start`.
+  void setInterval(Duration interval) { interval_ = interval; }
+
+ private:
+  void onTimer();
+
+  const CollectLines collect_;
+  const Print print_;
+  boost::asio::steady_timer timer_;
+  Duration interval_{};
+  std::map<std::string, std::string> lastLines_;  // by what the line is about
+};
+
+// What a line of figures is about: its text up to the first value that is a number, "crossing class=a zone=b"
+// of "crossing class=a zone=b attempts=3".
+std::string subjectOfSummary(const std::string& line);
+
+}  // namespace finchstile
