--- /dev/null
+++ b/tests/tools/doc_paths_test.sh
@@ -0,0 +1,15 @@
+#!/usr/bin/env bash
+# Every path of the repository that a page names in backticks exists: src/..., include/..., tests/..., tools/...,
+# bench/..., docs/..., deploy/..., with * for any text.
+#   doc_paths_test.sh ROOT
+set -u
+cd "$1" || exit 1
+failed=0
+for page in README.md docs/*.md docs/design/*.md docs/operators/*.md; do
+  while IFS= read -r path; do
+    compgen -G "$path" >/dev/null && continue
+    echo "$page names $path, which does not exist"
+    failed=1
+  done < <(grep -oE '`(src|include|tests|tools|bench|docs|deploy|cmake)/[A-Za-z0-9_./*-]*`' "$page" | tr -d '`' | sort -u)
+done
+exit $failed
