--- /dev/null
+++ b/src/policy/host_picker.hpp
@@ -0,0 +1,78 @@
+// Decides which host gets an attempt: gathers candidates, and draws one by weight among those that are idle,
+// else takes the lighter of two (power of two choices). Inputs are the registry and const views of the other
+// rules; a large bank's gateway keeps to a subset of the hosts (subset.hpp).
+#pragma once
+
+#include <cstddef>
+#include <vector>
+
+#include "policy/active_request.hpp"
+#include "policy/fleet_shape.hpp"
+#include "policy/host_registry.hpp"
+#include "policy/load_report_model.hpp"
+#include "policy/outlier_detector.hpp"
+#include "policy/overload_estimator.hpp"
+#include "policy/random_source.hpp"
+#include "policy/retry_policy.hpp"
+#include "policy/slow_start.hpp"
+#include "policy/stream_placement.hpp"
+#include "policy/traffic_statistics.hpp"
+
+namespace finchstile::load_balancing {
+
+class HostPicker {
+ public:
+  // What the pick reads; all must outlive the picker. It writes nothing but the token buckets of the hosts
+  // that it asks for capacity.
+  struct Inputs {
+    const Settings& settings;
+    HostRegistry& hosts;
+    const FleetShape& shape;
+    const TrafficStatistics& traffic;
+    const OverloadEstimator& overload;
+    const OutlierDetector& outliers;
+    const SlowStart& slowStart;
+    const RetryPolicy& retries;
+    const StreamPlacement& streams;
+    const LoadReportModel& loadReports;
+  };
+
+  explicit HostPicker(const Inputs& inputs) : in_(inputs) {}
+
+  // Call when the list of active hosts has changed.
+  void rebuildPreferenceOrder();
+
+  // The host for the next attempt of a request, or kNone.
+  HostId pick(const ActiveRequest& request, Time now, RandomSource& random);
+
+  // Whether the host is well, not backing off, not yet tried for the request, and allowed by the rule on
+  // repeats. Its capacity is not looked at.
+  bool isUsable(const ActiveRequest& request, HostId id, Time now) const;
+
+ private:
+  enum class Health { required, ignored };
+  enum class Zone { any, local };
+
+  HostId pickForStream(const ActiveRequest& request, Time now, RandomSource& random);
+  HostId drawWarmingHost(const ActiveRequest& request, double share, Time now, RandomSource& random) const;
+  HostId pickByAffinity(const ActiveRequest& request);
+  HostId drawIdleHost(Time now, RandomSource& random) const;
+  HostId lighterOfTwo(Time now, RandomSource& random) const;
+  void gatherCandidates(const ActiveRequest& request, Health health, Zone zone, Time now,
+                        RandomSource& random);
+  bool hasCapacity(const ActiveRequest& request, Host& host, Time now) const;
+  bool hasStreamCapacity(Host& host, Time now) const;
+  bool localZoneHasCapacity(Time now) const;
+  bool wasTried(const ActiveRequest& request, HostId id) const;
+  bool isIdle(const Host& host) const;
+  double currentRelativeLatency(const Host& host, Time now) const;
+  double load(const Host& host, Time now) const;
+  std::size_t subsetSize() const;
+
+  const Inputs in_;
+  std::vector<HostId> preferenceOrder_;  // of the active hosts; the subset comes first
+  std::size_t baseSubsetSize_ = 0;
+  std::vector<HostId> candidates_;  // of the pick at hand; kept to spare an allocation for each pick
+};
+
+}  // namespace finchstile::load_balancing
--- a/src/policy/load_report_model.hpp
+++ b/src/policy/load_report_model.hpp
@@ -1,47 +1,65 @@
-// What load reports of hosts are worth to the pick. A host tells how much waits there and how long its work
-// lately took; the figure is old when it is told, older when it is used, and may be made up. So a report is
-// believed as far as reports of its age have lately told what came: how long an answer took, beyond what the
-// host's own pace led one to expect. One that tells nothing is worth nothing, whatever it says.
+// Decides what the load reports of hosts are worth to the pick. Inputs are the reports and the relative
+// latency of the answers that followed them.
+//
+// A host reports how much waits there and how long its work lately took. The figures are old when they are
+// sent, older when they are used, and may be wrong. So a report counts as far as reports of its age have
+// lately predicted how long an answer took beyond the host's relative latency; one that predicts nothing
+// counts for nothing.
 #pragma once
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 
 #include "finchstile/load_balancer.hpp"
 
 namespace finchstile::load_balancing {
 
-// Of one host: its last report, beside what it usually reports.
-struct Reported {
-  static constexpr std::size_t kSignals = 2;  // what waits, how long work takes
-  std::array<double, kSignals> last{}, usual{};
-  std::array<bool, kSignals> has{};
-  Time at{};  // heard; 0: none was
+// The last report of one host and its usual one, in logarithms.
+struct ReportedLoad {
+  static constexpr std::size_t kSignals = 2;  // work that waits; how long work takes
+  std::array<double, kSignals> last{};
+  std::array<double, kSignals> usual{};
+  std::array<bool, kSignals> isKnown{};
+  Time reportedAt{};  // zero: never
 };
 
-// A host's report as it stood when an attempt went out.
-struct Hint {
-  std::array<double, Reported::kSignals> apart{};  // from what the host usually reports, in logarithms
-  std::uint8_t band = 0;                           // of age
-  bool any = false;
+// A host's report as it stands at one time, for instance when an attempt goes out.
+struct LoadHint {
+  std::array<double, ReportedLoad::kSignals> deviation{};  // from the usual report, in logarithms
+  std::uint8_t ageBand = 0;
+  bool isKnown = false;
 };
 
-class Reports {
+class LoadReportModel {
  public:
-  void heard(Reported& of, const LoadReport& report, Time now) const;
-  Hint hint(const Reported& of, Time now) const;
-  // How many times as long as by its pace an answer of the host is to be expected. 1: nothing to go by.
-  double factor(const Hint& hint) const;
-  // An answer took `ratio` times what the host's pace led one to expect.
-  void learn(const Hint& hint, double ratio);
+  // Takes a report into the host's record. Figures that are not finite or below 0 count as not reported.
+  static void onReport(ReportedLoad& reported, const LoadReport& report, Time now);
+  static LoadHint hintAt(const ReportedLoad& reported, Time now);
+
+  // How many times its relative latency an answer of the host is expected to take; 1: nothing is known.
+  double latencyFactor(const LoadHint& hint) const;
+
+  // An answer took `ratio` times what the host's relative latency predicted.
+  void onAnswer(const LoadHint& hint, double ratio);
 
  private:
-  struct Fit {  // of the logarithm of the ratio to how far the report was apart; decayed sums
-    double n = 0, x = 0, y = 0, xx = 0, xy = 0, yy = 0;
+  // A linear fit of the logarithm of the ratio to the deviation, by decayed sums.
+  struct Fit {
+    double count = 0;
+    double sumX = 0;
+    double sumY = 0;
+    double sumXX = 0;
+    double sumXY = 0;
+    double sumYY = 0;
     double slope = 0;  // as far as it is proven
+
+    void add(double x, double y);
+    void renewSlope();
   };
-  static constexpr std::size_t kBands = 6;
-  std::array<std::array<Fit, Reported::kSignals>, kBands> fits_{};
+
+  static constexpr std::size_t kAgeBands = 6;
+  std::array<std::array<Fit, ReportedLoad::kSignals>, kAgeBands> fits_{};
 };
 
 }  // namespace finchstile::load_balancing
--- /dev/null
+++ b/src/policy/retry_policy.cpp
@@ -0,0 +1,113 @@
+#include "policy/retry_policy.hpp"
+
+#include <algorithm>
+
+#include "policy/duration_math.hpp"
+#include "policy/outlier_detector.hpp"
+
+namespace finchstile::load_balancing {
+namespace {
+
+constexpr double kRetriesPerRequest = 0.3;  // tokens added by each new request
+constexpr double kMaxTokens = 30;
+constexpr double kReservedTokens = 25;  // kept from requests of next to no priority
+
+// A pool that loses a part of what it is sent looks overloaded: lost attempts are held until their time is
+// up, and a request that may be repeated has no time left by then. So an attempt is given up after half of
+// the time that is left, if that is longer than the first of these; and after the second at the latest.
+constexpr double kLostLatencies = 2;  // typical latencies
+constexpr double kMaxPatienceLatencies = 3;
+
+// Whether a host that may have run an attempt drops repeats together with `other`.
+bool dropsRepeatsWith(const ClassSettings& settings, const std::string& zone, std::int64_t cell,
+                      const HostEntry& other) {
+  if (settings.idempotency != Idempotency::idempotentWithKey)
+    return settings.idempotency == Idempotency::idempotent;
+  if (settings.deduplicationScope != DeduplicationScope::all && zone != other.zone) return false;
+  return settings.deduplicationScope != DeduplicationScope::cell || cell == other.cell;
+}
+
+}  // namespace
+
+RetryPolicy::RetryPolicy(const Settings& settings, const HostRegistry& hosts, const FleetShape& shape,
+                         const TrafficStatistics& traffic)
+    : settings_(settings), hosts_(hosts), shape_(shape), traffic_(traffic), tokens_(kMaxTokens) {}
+
+bool RetryPolicy::mayRunOn(const ActiveRequest& request, const Host& host, Time now) const {
+  const ClassSettings& settings = settingsOf(request);
+  if (now > repeatDeadline(request)) return false;
+  const std::optional<EarlierAttempt>& earlier = request.earlierAttempt;
+  if (earlier && !dropsRepeatsWith(settings, earlier->zone, earlier->cell, host.entry)) return false;
+  for (std::uint32_t i = 0; i < request.attemptCount; ++i) {
+    const Attempt& attempt = request.attempts[i];
+    const HostEntry& first = hosts_[attempt.host].entry;
+    if (attempt.mayHaveRun && !dropsRepeatsWith(settings, first.zone, first.cell, host.entry)) return false;
+  }
+  return true;
+}
+
+Time RetryPolicy::repeatDeadline(const ActiveRequest& request) const {
+  const ClassSettings& settings = settingsOf(request);
+  Time first = request.earlierAttempt ? request.earlierAttempt->sentAt : Time::max();
+  for (std::uint32_t i = 0; i < request.attemptCount; ++i)
+    if (request.attempts[i].mayHaveRun) first = std::min(first, request.attempts[i].sentAt);
+  if (settings.idempotency != Idempotency::idempotentWithKey || first == Time::max()) return Time::max();
+  return first + settings.deduplicationWindow - 2 * settings_.eventInterval;
+}
+
+bool RetryPolicy::mayReject(const ActiveRequest& request) const {
+  const ClassSettings& settings = settingsOf(request);
+  bool mayHaveRun = request.earlierAttempt.has_value();
+  for (std::uint32_t i = 0; i < request.attemptCount; ++i) mayHaveRun |= request.attempts[i].mayHaveRun;
+  return !mayHaveRun || settings.idempotency == Idempotency::idempotent ||
+         (settings.idempotency == Idempotency::idempotentWithKey &&
+          settings.deduplicationScope == DeduplicationScope::all && request.pendingAttempts == 0);
+}
+
+Time RetryPolicy::latestUsefulAnswer(const ActiveRequest& request) const {
+  const Time end = request.deadline - 2 * settings_.eventInterval;
+  return request.lateValueFraction > 0 ? end
+                                       : std::min(end, request.objectiveAt - 2 * settings_.eventInterval);
+}
+
+bool RetryPolicy::maySend(const ActiveRequest& request, Time now) const {
+  const std::size_t maxAttempts =
+      std::min<std::size_t>(request.isSingleAttempt ? 1 : settings_.maxAttempts, kMaxAttemptsPerRequest);
+  return latestUsefulAnswer(request) > now && request.attemptCount < maxAttempts;
+}
+
+Duration RetryPolicy::attemptTimeout(const ActiveRequest& request, Time now) const {
+  const Duration left = latestUsefulAnswer(request) - now;
+  const Duration lost = lossTimeout(request);
+  const bool leavesTimeForRetry = isLosingAttempts() && !request.isStream &&
+                                  settingsOf(request).idempotency != Idempotency::nonIdempotent &&
+                                  tokens_ >= 1;
+  if (!leavesTimeForRetry || left / 2 <= lost) return left;
+  return std::min(left / 2, scaled(lost, kMaxPatienceLatencies / kLostLatencies));
+}
+
+void RetryPolicy::onArrival() { tokens_ = std::min(tokens_ + kRetriesPerRequest, kMaxTokens); }
+
+bool RetryPolicy::mayRetry(const ActiveRequest& request, double highestPriorityWeight, Time now) const {
+  // Where much is rejected, retries run out and the most valuable requests would be rejected like any other.
+  // In a small bank each gateway sees so much that what can be saved lasts for a tenth of a second.
+  const bool reserves = shape_.isLargeBank() && highestPriorityWeight > 0;
+  const double reserved =
+      reserves ? kReservedTokens * (1 - request.priorityWeight / highestPriorityWeight) : 0;
+  return latestUsefulAnswer(request) > now && tokens_ >= 1 + reserved;
+}
+
+void RetryPolicy::onResult(const ActiveRequest& request, Outcome outcome, Duration elapsed, double seconds) {
+  const bool lost = outcome == Outcome::timeout && elapsed >= lossTimeout(request);
+  lostFraction_ += kFiftySampleGain * ((lost ? 1.0 : 0.0) - lostFraction_);
+  lostSeconds_ += kFiftySampleGain * ((lost ? seconds : 0.0) - lostSeconds_);
+  attemptSeconds_ += kFiftySampleGain * (seconds - attemptSeconds_);
+}
+
+Duration RetryPolicy::lossTimeout(const ActiveRequest& request) const {
+  const double typicalLatency = traffic_.classes()[request.classIndex].typicalLatency;
+  return std::max(OutlierDetector::kMinSilence,
+                  scaled(std::chrono::seconds(1), kLostLatencies * typicalLatency * request.relativeWork));
+}
+
+}  // namespace finchstile::load_balancing
--- a/src/policy/subset.cpp
+++ b/src/policy/subset.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <numeric>
 
-#include "policy/state.hpp"
+#include "policy/hashing.hpp"
 
 namespace finchstile::load_balancing {
 
@@ -18,11 +18,11 @@
   // The last round is to be as full as the others, or its hosts are met more often.
   const std::size_t rounds = std::max<std::size_t>(gateways / slots, 1);
   slots = std::max<std::size_t>((gateways + rounds - 1) / rounds, 1);
-  const std::uint64_t round = mix(number / slots);
+  const std::uint64_t round = mixBits(number / slots);
   std::vector<std::size_t> order(hashes.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-    return mix(hashes[a] ^ round) < mix(hashes[b] ^ round);
+    return mixBits(hashes[a] ^ round) < mixBits(hashes[b] ^ round);
   });
   const auto start = static_cast<std::ptrdiff_t>(number % slots * order.size() / slots);
   std::rotate(order.begin(), order.begin() + start, order.end());
--- a/tests/support/driver.hpp
+++ b/tests/support/driver.hpp
@@ -1,4 +1,4 @@
-// Feeds a Balancer by hand and keeps its actions. No model of a server: each test says what happens.
+// Feeds a load balancer by hand and keeps its actions. No model of a server: each test says what happens.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -153,4 +153,36 @@
   std::map<RequestId, Duration> retryAfter;
 };
 
+// Serves what is due: `latencyOf(host)` says how long a host takes, zero for never. What is not served within
+// its time limit ends in a time-out.
+template <class LatencyOf>
+void serveDue(Driver& d, LatencyOf latencyOf) {
+  for (std::size_t k = 0; k < d.out.size();) {
+    const Sent s = d.out[k];
+    const Duration latency = latencyOf(s.host);
+    if (latency > Duration{} && d.now - s.at >= latency) d.serve(s);
+    else if (d.now - s.at >= s.limit) d.settle(s, Outcome::timeout, false);
+    else ++k;
+  }
+}
+
+// A part of the attempts is never answered, on any host; the rest is as quick as ever.
+struct LossyPool {
+  explicit LossyPool(Driver& driver) : d(driver) {}
+  void play(int rounds, int everyLost) {
+    for (int i = 0; i < rounds; ++i) {
+      for (int n = 0; n < 3; ++n) d.request(static_cast<std::uint32_t>(n));
+      d.advance(milliseconds(20));
+      for (const Sent& s : std::vector<Sent>(d.out)) {
+        if (everyLost > 0 && (s.request * 7 + s.attempt) % static_cast<unsigned>(everyLost) == 0) {
+          if (d.now >= s.at + s.limit) d.settle(s, Outcome::timeout, false);
+        } else {
+          d.settle(s, Outcome::served, true);
+        }
+      }
+    }
+  }
+  Driver& d;
+};
+
 }  // namespace finchstile::load_balancing::testing
