--- a/tests/trace/budget_test.cpp
+++ b/tests/trace/budget_test.cpp
@@ -25,6 +25,14 @@
   EXPECT_NEAR(half, 10000, 400);
 }
 
+// Gateways of different versions have to agree.
+TEST(TraceBudget, TheseIdsAreChosen) {
+  std::string all;
+  for (int i = 0; i < 100; ++i)
+    if (chosen("id-" + std::to_string(i), 0.1)) all += std::to_string(i) + " ";
+  EXPECT_EQ(all, "11 13 30 31 42 57 84 88 ");
+}
+
 TEST(TraceBudget, WhatGoesBeyondTheRateIsCounted) {
   Budget b(10, load_balancing::Time(1s));
   int taken = 0;
--- a/tests/trace/join_test.cpp
+++ b/tests/trace/join_test.cpp
@@ -255,11 +255,28 @@
   lines.push_back(request(0, 200, End::served));
   lines.push_back(attempt(2, 50, Outcome::rejectedForCapacity, Ran::no));
   const std::string told = tell(joined().story("x"));
+  EXPECT_EQ(told,
+            "    +0.000 ms  n1 takes it, read (safe), its client waits 500 ms\n"
+            "    +2.000 ms  n1 attempt 0 to s-1 (a): list's word 100 ms ago, sign of life never, up 0 ms\n"
+            "   +50.000 ms  n1 attempt 0: full by host, ran: no, first byte 0.3 ms after its choice\n"
+            "  +200.000 ms  n1: served, 200, after 1 attempts, cutoff 0\n");
   EXPECT_LT(told.find("takes it"), told.find("attempt 0 to s-1"));
   EXPECT_LT(told.find("full by host"), told.find("served, 200"));
   EXPECT_NE(told.find("list's word 100 ms ago, sign of life never"), std::string::npos) << told;
   EXPECT_EQ(tell(joined().story("y")), "");
 }
 
+TEST(FindingName, IsThatOfTheOperatorsPage) {
+  std::string names;
+  for (const Kind kind :
+       {Kind::answeredTwice, Kind::late, Kind::sentAfterAnswer, Kind::noAnswer, Kind::leftOpen,
+        Kind::twoAtOnce, Kind::ranTwice, Kind::refusedAfterRun, Kind::sentToDraining})
+    names.append(name(kind)).append(" ");
+  EXPECT_EQ(
+      names,
+      "answered_twice late sent_after_answer no_answer left_open two_at_once ran_twice refused_after_run "
+      "sent_to_draining ");
+}
+
 }  // namespace
 }  // namespace finchstile::trace
--- a/tests/trace/line_test.cpp
+++ b/tests/trace/line_test.cpp
@@ -71,6 +71,54 @@
   EXPECT_EQ(a.group, DeduplicationScope::zone);
 }
 
+// The bytes of each kind. Logs of earlier versions and the operators' tools depend on them.
+TEST(TraceLine, EachKindHasItsBytes) {
+  RequestLine r;
+  r.gateway = "n54", r.id = "574506fc", r.className = "stock-out";
+  r.came = 5, r.ended = 1000, r.left = 480, r.effect = Idempotency::nonIdempotent, r.end = End::refused;
+  r.status = 503, r.attempts = 1, r.cut = 37;
+  EXPECT_EQ(text(attempt()),
+            "trace attempt gw=n54 id=574506fc class=log-in effect=keyed try=2 host=s-1 zone=cluj cell=3 "
+            "sent=1764621000000001 begun=1764621000000400 ended=1764621000084000 outcome=reset why=host "
+            "ran=maybe word_ms=900 heard_ms=-1 up_ms=12 avoided=1 group=zone window_ms=2000");
+  EXPECT_EQ(text(r),
+            "trace request gw=n54 id=574506fc class=stock-out effect=unsafe came=5 ended=1000 left_ms=480 "
+            "end=refused status=503 attempts=1 cut=37");
+  EXPECT_EQ(text(HostLine{"n54", "s-1", 7, HostPhase::draining}),
+            "trace host gw=n54 host=s-1 at=7 phase=draining");
+  EXPECT_EQ(text(StartLine{"n54", 1}), "trace start gw=n54 at=1");
+  EXPECT_EQ(text(StopLine{"n54", 9, 3}), "trace stop gw=n54 at=9 open=3");
+  EXPECT_EQ(text(GapLine{"n54", 8, 12}), "trace gap gw=n54 at=8 lines=12");
+  AttemptLine unkeyed = attempt();
+  unkeyed.effect = Idempotency::idempotent;
+  unkeyed.id = "a b=c%d\n\xff";
+  EXPECT_EQ(text(unkeyed).substr(0, 61), "trace attempt gw=n54 id=a%20b=c%25d%0a%ff class=log-in effect");
+  EXPECT_EQ(text(unkeyed).find(" group="), std::string::npos);
+}
+
+TEST(TraceLine, EachValueHasItsName) {
+  std::string names;
+  for (int i = 0; i <= static_cast<int>(Outcome::invalidRequest); ++i)
+    names.append(name(static_cast<Outcome>(i))).append(" ");
+  EXPECT_EQ(names, "served error full timeout connect_failed reset cancelled moot rejected ");
+  names.clear();
+  for (const Why why : {Why::host, Why::limit, Why::over, Why::again}) names.append(name(why)).append(" ");
+  EXPECT_EQ(names, "host limit over again ");
+  names.clear();
+  for (const Ran ran : {Ran::no, Ran::maybe, Ran::yes}) names.append(name(ran)).append(" ");
+  EXPECT_EQ(names, "no maybe yes ");
+  names.clear();
+  for (const End end : {End::served, End::refused, End::failed, End::rejected, End::left})
+    names.append(name(end)).append(" ");
+  EXPECT_EQ(names, "served refused failed rejected left ");
+  EXPECT_STREQ(name(Idempotency::idempotent), "safe");
+  EXPECT_STREQ(name(Idempotency::idempotentWithKey), "keyed");
+  EXPECT_STREQ(name(Idempotency::nonIdempotent), "unsafe");
+  EXPECT_STREQ(name(HostPhase::active), "in");
+  EXPECT_STREQ(name(HostPhase::draining), "draining");
+  EXPECT_STREQ(name(HostPhase::removed), "out");
+}
+
 // An id is the client's to choose.
 TEST(TraceLine, NamesMayHoldAnyBytes) {
   AttemptLine a = attempt();
