--- a/bench/trace.cpp
+++ b/bench/trace.cpp
@@ -8,7 +8,9 @@
 #include <string>
 
 #include "app/trace_log.hpp"
-#include "trace/join.hpp"
+#include "trace/log_auditor.hpp"
+#include "trace/log_merger.hpp"
+#include "trace/trace_line_codec.hpp"
 
 int main(int argc, char** argv) {
   using namespace finchstile;
@@ -25,10 +27,10 @@
   const auto play = [&](double share, double perSecond) {
     trace::TraceSettings settings;
     settings.file = "/dev/null";
-    settings.share = share;
+    settings.sampleFraction = share;
     settings.linesPerSecond = perSecond;
-    settings.fileMost = std::size_t{1} << 40;
-    settings.waitingMost = std::size_t{1} << 30;
+    settings.maxFileBytes = std::size_t{1} << 40;
+    settings.maxQueuedBytes = std::size_t{1} << 30;
     TraceLog log(io, clock, settings, "n54");
     return seconds([&] {
              for (int i = 0; i < requests; ++i) {
@@ -46,7 +48,7 @@
   std::printf(
       "a request, two lines: %.2f us written, %.2f us beyond the rate, %.2f us not chosen (share 0.01)\n",
       play(1, 1e6 * 1000), play(1, 1), play(0.01, 1e9));
-  trace::Join join;
+  trace::LogMerger log;
   std::string text;
   const double read = seconds([&] {
     for (int i = 0; i < requests; ++i) {
@@ -54,17 +56,17 @@
       a.gateway = "n" + std::to_string(i % 300);
       a.id = std::to_string(i);
       a.host = "s-" + std::to_string(i % 200);
-      a.sent = 1764621000000000 + std::int64_t{100} * i;
-      a.begun = a.sent + 300;
-      a.ended = a.sent + 80000;
+      a.chosenAtUs = 1764621000000000 + std::int64_t{100} * i;
+      a.firstByteAtUs = a.chosenAtUs + 300;
+      a.endedAtUs = a.chosenAtUs + 80000;
       text.clear();
-      trace::append(text, a);
+      trace::appendLine(text, a);
       text.pop_back();
-      join.add(trace::parse(text).line);
+      log.add(trace::parseLine(text).line);
     }
   });
   std::size_t findings = 0;
-  const double audit = seconds([&] { findings = join.audit({}).size(); });
+  const double audit = seconds([&] { findings = trace::audit(log, {}).size(); });
   std::printf("put together: %.2f us a line, audit of %d requests %.2f s, %zu findings\n",
               read / requests * 1e6, requests, audit, findings);
 }
--- a/src/app/trace_command.hpp
+++ b/src/app/trace_command.hpp
@@ -1,4 +1,5 @@
-// `finchstile trace`: the logs of attempts of many gateways, put together.
+// The command `finchstile trace`: merges the attempt logs of many gateways and shows request timelines,
+// totals and an audit.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -6,6 +7,8 @@
 
 namespace finchstile {
 
+// Adds the command to `app`. When the command line selects it, parsing sets `chosen` to the function that
+// runs it and returns the exit code.
 void addTraceCommand(CLI::App& app, std::function<int()>& chosen);
 
 }  // namespace finchstile
--- a/src/app/trace_file.cpp
+++ b/src/app/trace_file.cpp
@@ -8,93 +8,124 @@
 #include <cerrno>
 #include <cstdio>
 #include <cstring>
-#include <stdexcept>
 #include <utility>
 
 namespace finchstile {
+namespace {
 
-TraceFile::TraceFile(std::string path, std::size_t most, std::size_t waitingMost)
-    : path_(std::move(path)), most_(most), waitingMost_(waitingMost) {
-  if (path_.empty()) fd_ = ::fcntl(STDERR_FILENO, F_DUPFD_CLOEXEC, 3);
+constexpr mode_t kFileMode = 0640;
+constexpr int kFirstOwnDescriptor = 3;
+
+std::string describeOpenError(const std::string& path, int errorNumber) {
+  const std::string file = path.empty() ? "standard error" : path;
+  return "trace.file: " + file + " cannot be opened for appending: " + std::strerror(errorNumber);
+}
+
+}  // namespace
+
+TraceFileError::TraceFileError(const std::string& path, int errorNumber)
+    : std::runtime_error(describeOpenError(path, errorNumber)), errorNumber_(errorNumber) {}
+
+TraceFile::TraceFile(std::string path, std::size_t maxFileBytes, std::size_t maxQueuedBytes)
+    : path_(std::move(path)), maxFileBytes_(maxFileBytes), maxQueuedBytes_(maxQueuedBytes) {
+  if (path_.empty()) descriptor_ = ::fcntl(STDERR_FILENO, F_DUPFD_CLOEXEC, kFirstOwnDescriptor);
   else openFile();
-  if (fd_ < 0)
-    throw std::runtime_error("trace.file: " + (path_.empty() ? std::string("standard error") : path_) +
-                             " cannot be opened for appending: " + std::strerror(errno));
-  thread_ = std::thread([this] { work(); });
+  if (descriptor_ < 0) throw TraceFileError(path_, errno);
+  writer_ = std::thread([this] { runWriter(); });
 }
 
 TraceFile::~TraceFile() {
   {
     const std::lock_guard lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
   }
   changed_.notify_one();
-  thread_.join();
-  ::close(fd_);
+  writer_.join();
+  ::close(descriptor_);
 }
 
 void TraceFile::openFile() {
-  fd_ = ::open(path_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0640);
-  struct stat found {};
-  size_ = fd_ >= 0 && ::fstat(fd_, &found) == 0 ? static_cast<std::size_t>(found.st_size) : 0;
+  descriptor_ = ::open(path_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kFileMode);
+  if (descriptor_ < 0) {
+    fileBytes_ = 0;
+    return;
+  }
+  struct stat status {};
+  const bool known = ::fstat(descriptor_, &status) == 0;
+  fileBytes_ = known ? static_cast<std::size_t>(status.st_size) : 0;
 }
 
 bool TraceFile::write(const std::string& lines) {
   {
     const std::lock_guard lock(mutex_);
-    if (waiting_.size() + lines.size() > waitingMost_) return false;
-    waiting_ += lines;
+    if (queue_.size() + lines.size() > maxQueuedBytes_) return false;
+    queue_ += lines;
   }
   changed_.notify_one();
   return true;
 }
 
-std::uint64_t TraceFile::takeLost() {
+std::uint64_t TraceFile::takeLostLines() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(lost_, 0);
+  return std::exchange(lostLines_, 0);
 }
 
-void TraceFile::work() {
+void TraceFile::runWriter() {
   for (;;) {
-    std::string lines;
+    std::string block;
     bool last = false;
     {
       std::unique_lock lock(mutex_);
-      changed_.wait(lock, [this] { return ending_ || !waiting_.empty(); });
-      lines.swap(waiting_);
-      last = ending_;
+      changed_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
+      block.swap(queue_);
+      last = stopping_;
     }
-    if (!lines.empty()) put(std::move(lines));
+    if (!block.empty()) writeBlock(std::move(block));
     if (last) return;
   }
 }
 
-// Danger: a block that could not be written whole leaves half a line, and the next one would be read as the
-// rest of it.
-void TraceFile::put(std::string&& lines) {
-  const std::size_t mend = torn_ ? 1 : 0;  // a line feed that ends nobody's line
-  lines.insert(0, mend, '\n');
-  std::size_t done = 0;
-  while (done < lines.size()) {
-    const ssize_t n = ::write(fd_, lines.data() + done, lines.size() - done);
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) break;
-    done += static_cast<std::size_t>(n);
-  }
-  size_ += done;
-  if (done > 0) torn_ = lines[done - 1] != '\n';
-  if (done < lines.size()) {
-    const auto from = static_cast<std::ptrdiff_t>(std::max(done, mend));
+void TraceFile::writeBlock(std::string block) {
+  // A write that was cut off leaves part of a line in the file. Without a line feed of its own the next line
+  // would be read as the rest of it. This line feed ends no line that anybody counts.
+  const std::size_t repairBytes = endsWithinLine_ ? 1 : 0;
+  block.insert(0, repairBytes, '\n');
+  const std::size_t written = writeAll(block);
+  fileBytes_ += written;
+  if (written > 0) endsWithinLine_ = block[written - 1] != '\n';
+  if (written < block.size()) {
+    const auto firstLost = static_cast<std::ptrdiff_t>(std::max(written, repairBytes));
+    const auto lost = std::count(block.begin() + firstLost, block.end(), '\n');
     const std::lock_guard lock(mutex_);
-    lost_ += static_cast<std::uint64_t>(std::count(lines.begin() + from, lines.end(), '\n'));
+    lostLines_ += static_cast<std::uint64_t>(lost);
   }
-  if (path_.empty() || size_ < most_) return;
-  // The file that could not be put aside goes on growing: better too long than not written.
-  if (std::rename(path_.c_str(), (path_ + ".1").c_str()) != 0) return;
-  const int old = fd_;
+  if (!path_.empty() && fileBytes_ >= maxFileBytes_) rotate();
+}
+
+// Returns the number of bytes that were written: all, unless there was an error.
+std::size_t TraceFile::writeAll(const std::string& block) const {
+  std::size_t written = 0;
+  while (written < block.size()) {
+    const ssize_t count = ::write(descriptor_, block.data() + written, block.size() - written);
+    if (count < 0 && errno == EINTR) continue;
+    if (count <= 0) break;
+    written += static_cast<std::size_t>(count);
+  }
+  return written;
+}
+
+// A file that cannot be renamed or replaced keeps growing: an oversized log is better than a lost one.
+void TraceFile::rotate() {
+  const std::string rotatedPath = path_ + ".1";
+  if (std::rename(path_.c_str(), rotatedPath.c_str()) != 0) return;
+  const int previous = descriptor_;
   openFile();
-  if (fd_ < 0) fd_ = old;
-  else ::close(old), torn_ = false;
+  if (descriptor_ < 0) {
+    descriptor_ = previous;
+    return;
+  }
+  ::close(previous);
+  endsWithinLine_ = false;
 }
 
 }  // namespace finchstile
--- a/src/app/trace_file.hpp
+++ b/src/app/trace_file.hpp
@@ -1,47 +1,67 @@
-// The file that the log of attempts goes to, written by a thread of its own: a slow disk must not hold up the
-// loop. What waits is bounded, and so is the file.
+// The file of the attempt log. A thread of its own writes it, so that a slow disk does not delay the event
+// loop. The queue and the file are bounded.
 #pragma once
 
 #include <condition_variable>
 #include <cstddef>
 #include <cstdint>
 #include <mutex>
+#include <stdexcept>
 #include <string>
 #include <thread>
 
 namespace finchstile {
 
+// The file could not be opened for appending. The text names the path and the reason.
+class TraceFileError : public std::runtime_error {
+ public:
+  TraceFileError(const std::string& path, int errorNumber);
+  int errorNumber() const { return errorNumber_; }  // errno's value
+
+ private:
+  int errorNumber_;
+};
+
 class TraceFile {
  public:
-  // `path` empty: standard error, which is never put aside. `most`: bytes, beyond which the file is renamed
-  // to PATH.1, in place of an earlier one, and begun anew. `waitingMost`: bytes that may wait. Throws
-  // std::runtime_error, which names the path, if it can't be opened for appending.
-  TraceFile(std::string path, std::size_t most, std::size_t waitingMost);
-  ~TraceFile();  // writes what still waits
+  // `path`: empty for standard error, which is never renamed. A file of `maxFileBytes` is renamed to PATH.1,
+  // replaces an earlier one there, and a new file is opened. `maxQueuedBytes`: that may wait to be written.
+  // Throws TraceFileError if the file cannot be opened for appending.
+  TraceFile(std::string path, std::size_t maxFileBytes, std::size_t maxQueuedBytes);
+  // Writes what is still queued.
+  ~TraceFile();
   TraceFile(const TraceFile&) = delete;
   TraceFile& operator=(const TraceFile&) = delete;
 
-  // Whole lines. False: too much waits, and none of it will be written.
+  // Queues complete lines. Returns false, and queues none of them, if the queue would exceed its limit.
   bool write(const std::string& lines);
-  // Lines that were taken and then could not be written, since this was last asked.
-  std::uint64_t takeLost();
+
+  // Returns the number of queued lines that could not be written since the last call, and resets it.
+  std::uint64_t takeLostLines();
 
  private:
-  void work();
-  void put(std::string&& lines);
+  void runWriter();
+  void writeBlock(std::string block);
+  std::size_t writeAll(const std::string& block) const;
+  void rotate();
   void openFile();
 
   const std::string path_;
-  const std::size_t most_, waitingMost_;
-  int fd_ = -1;
-  std::size_t size_ = 0;
-  bool torn_ = false;  // the last line in the file may be cut off
-  std::mutex mutex_;
+  const std::size_t maxFileBytes_;
+  const std::size_t maxQueuedBytes_;
+
+  // Used by the writer's thread only, once it runs.
+  int descriptor_ = -1;
+  std::size_t fileBytes_ = 0;
+  bool endsWithinLine_ = false;  // the last write was cut off within a line
+
+  std::mutex mutex_;  // guards the members below
   std::condition_variable changed_;
-  std::string waiting_;
-  std::uint64_t lost_ = 0;
-  bool ending_ = false;
-  std::thread thread_;
+  std::string queue_;
+  std::uint64_t lostLines_ = 0;
+  bool stopping_ = false;
+
+  std::thread writer_;
 };
 
 }  // namespace finchstile
--- a/src/app/trace_log.cpp
+++ b/src/app/trace_log.cpp
@@ -3,50 +3,63 @@
 #include <algorithm>
 
 #include "base/file_name.hpp"
+#include "trace/request_sampling.hpp"
+#include "trace/trace_line_codec.hpp"
 
 namespace finchstile {
 namespace {
 
+using load_balancing::Duration;
 using load_balancing::Outcome;
 using load_balancing::Time;
-using trace::Ran;
-using trace::Why;
+using trace::EndReason;
+using trace::Execution;
 
-constexpr std::chrono::milliseconds kFlush(200);
-constexpr std::size_t kFlushBytes = 64 * 1024;
+constexpr std::chrono::milliseconds kFlushInterval(200);
+constexpr std::size_t kFlushBytes = std::size_t{64} * 1024;
 
-std::string fileFor(std::string path, const std::string& gateway) {
+std::string expandName(std::string path, const std::string& gateway) {
+  static constexpr std::string_view kPlaceholder = "{name}";
   const std::string name = fileNameOf(gateway);
-  static constexpr std::string_view kName = "{name}";
-  for (std::size_t at = path.find(kName); at != std::string::npos; at = path.find(kName, at + name.size()))
-    path.replace(at, kName.size(), name);
+  std::size_t at = path.find(kPlaceholder);
+  while (at != std::string::npos) {
+    path.replace(at, kPlaceholder.size(), name);
+    at = path.find(kPlaceholder, at + name.size());
+  }
   return path;
 }
 
-Ran ranOf(Outcome outcome) {
-  if (!load_balancing::mayHaveRun(outcome)) return Ran::no;
-  return outcome == Outcome::served || outcome == Outcome::invalidRequest ? Ran::yes : Ran::maybe;
+Execution executionOf(Outcome outcome) {
+  if (!load_balancing::mayHaveRun(outcome)) return Execution::no;
+  const bool ran = outcome == Outcome::served || outcome == Outcome::invalidRequest;
+  return ran ? Execution::yes : Execution::maybe;
 }
 
-Why whyOf(const AttemptLogEntry& a) {
-  if (a.timedOut) return Why::limit;
-  if (a.outcome != Outcome::cancelled && a.outcome != Outcome::notSent) return Why::host;
-  return a.requestEnded ? Why::over : Why::again;
+EndReason endReasonOf(const AttemptLogEntry& attempt) {
+  if (attempt.timedOut) return EndReason::timeLimit;
+  const bool givenUp = attempt.outcome == Outcome::cancelled || attempt.outcome == Outcome::notSent;
+  if (!givenUp) return EndReason::host;
+  return attempt.requestEnded ? EndReason::requestEnded : EndReason::abandoned;
 }
 
-trace::End endOf(RequestResult end) {
-  switch (end) {
-    case RequestResult::served: return trace::End::served;
-    case RequestResult::rejected: return trace::End::refused;
-    case RequestResult::failed: return trace::End::failed;
-    case RequestResult::rejectedByFilter: return trace::End::rejected;
-    case RequestResult::clientDisconnected: return trace::End::left;
+trace::RequestEnd endOf(RequestResult result) {
+  switch (result) {
+    case RequestResult::served: return trace::RequestEnd::served;
+    case RequestResult::rejected: return trace::RequestEnd::rejected;
+    case RequestResult::failed: return trace::RequestEnd::failed;
+    case RequestResult::rejectedByFilter: return trace::RequestEnd::rejectedByFilter;
+    case RequestResult::clientDisconnected: return trace::RequestEnd::clientDisconnected;
   }
-  return trace::End::failed;
+  return trace::RequestEnd::failed;
+}
+
+std::int64_t toMilliseconds(Duration duration) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-std::int64_t inMs(load_balancing::Duration d) {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(d).count();
+// The age at `now` of an event at `at`; kNever for a time of 0.
+std::int64_t ageMs(Time at, Time now) {
+  return at == Time{} ? trace::kNever : toMilliseconds(std::max(now - at, Duration{}));
 }
 
 }  // namespace
@@ -56,106 +69,111 @@
     : clock_(clock),
       settings_(settings),
       gateway_(gateway),
-      file_(fileFor(settings.file, gateway), settings.fileMost, settings.waitingMost),
-      budget_(settings.linesPerSecond, clock.now()),
-      timer_(io) {
-  add(trace::StartLine{gateway_, unixUs(clock_.now())});
-  waitToFlush();
+      file_(expandName(settings.file, gateway), settings.maxFileBytes, settings.maxQueuedBytes),
+      rateLimiter_(settings.linesPerSecond, clock.now()),
+      flushTimer_(io) {
+  add(trace::StartLine{gateway_, unixMicrosecondsNow()});
+  scheduleFlush();
 }
 
-std::int64_t TraceLog::unixUs(Time at) const {
+std::int64_t TraceLog::unixMicroseconds(Time at) const {
   if (at == Time{}) return 0;
   return std::chrono::duration_cast<std::chrono::microseconds>(clock_.unixAt(at)).count();
 }
 
-std::int64_t TraceLog::ageMs(Time since, Time at) const {
-  return since == Time{} ? trace::kNever : inMs(std::max(at - since, load_balancing::Duration{}));
-}
+std::int64_t TraceLog::unixMicrosecondsNow() const { return unixMicroseconds(clock_.now()); }
 
-void TraceLog::describe(trace::About& about, std::string_view id,
-                        const load_balancing::ClassSettings& type) const {
-  about.gateway = gateway_;
-  about.id = id;
-  about.className = type.name;
-  about.effect = type.idempotency;
+void TraceLog::fillIdentity(trace::RequestIdentity& identity, std::string_view id,
+                            const load_balancing::ClassSettings& classSettings) const {
+  identity.gateway = gateway_;
+  identity.id = id;
+  identity.className = classSettings.name;
+  identity.idempotency = classSettings.idempotency;
 }
 
-void TraceLog::onAttempt(const AttemptLogEntry& a) {
-  if (!trace::chosen(a.id, settings_.share)) return;
+void TraceLog::onAttempt(const AttemptLogEntry& attempt) {
+  if (!trace::isSampled(attempt.id, settings_.sampleFraction)) return;
   trace::AttemptLine line;
-  describe(line, a.id, a.classSettings);
-  line.host = a.host;
-  line.zone = a.zone;
-  line.cell = a.cell;
-  line.sent = unixUs(a.chosenAt);
-  line.begun = unixUs(a.firstByteAt);
-  line.ended = unixUs(clock_.now());
-  line.number = a.number;
-  line.group = a.classSettings.deduplicationScope;
-  line.window = inMs(a.classSettings.deduplicationWindow);
-  line.outcome = a.outcome;
-  line.why = whyOf(a);
-  line.ran = ranOf(a.outcome);
-  line.word = ageMs(a.hostObservation.lastListedAt, a.chosenAt);
-  line.heard = ageMs(a.hostObservation.lastResponseAt, a.chosenAt);
-  line.up = std::max(ageMs(a.hostObservation.startedAt, a.chosenAt), std::int64_t{0});
-  line.avoided = a.hostObservation.avoided;
+  fillIdentity(line, attempt.id, attempt.classSettings);
+  line.host = attempt.host;
+  line.zone = attempt.zone;
+  line.cell = attempt.cell;
+  line.chosenAtUs = unixMicroseconds(attempt.chosenAt);
+  line.firstByteAtUs = unixMicroseconds(attempt.firstByteAt);
+  line.endedAtUs = unixMicrosecondsNow();
+  line.attemptNumber = attempt.number;
+  line.deduplicationScope = attempt.classSettings.deduplicationScope;
+  line.deduplicationWindowMs = toMilliseconds(attempt.classSettings.deduplicationWindow);
+  line.outcome = attempt.outcome;
+  line.endReason = endReasonOf(attempt);
+  line.execution = executionOf(attempt.outcome);
+  const HostObservation& host = attempt.hostObservation;
+  line.listingAgeMs = ageMs(host.lastListedAt, attempt.chosenAt);
+  line.responseAgeMs = ageMs(host.lastResponseAt, attempt.chosenAt);
+  line.uptimeMs = std::max(ageMs(host.startedAt, attempt.chosenAt), std::int64_t{0});
+  line.avoided = host.avoided;
   add(line);
 }
 
-void TraceLog::onRequest(const RequestLogEntry& r) {
-  if (!trace::chosen(r.id, settings_.share)) return;
+void TraceLog::onRequest(const RequestLogEntry& request) {
+  if (!trace::isSampled(request.id, settings_.sampleFraction)) return;
   trace::RequestLine line;
-  describe(line, r.id, r.classSettings);
-  line.came = unixUs(r.arrivedAt);
-  line.ended = unixUs(clock_.now());
-  line.left = inMs(r.timeLeft);
-  line.end = endOf(r.result);
-  line.status = r.status;
-  line.attempts = static_cast<std::uint32_t>(r.attempts);
-  line.cut = static_cast<std::uint32_t>(std::max(r.cutoff, 0.0));
+  fillIdentity(line, request.id, request.classSettings);
+  line.arrivedAtUs = unixMicroseconds(request.arrivedAt);
+  line.endedAtUs = unixMicrosecondsNow();
+  line.timeLeftMs = toMilliseconds(request.timeLeft);
+  line.end = endOf(request.result);
+  line.status = request.status;
+  line.attempts = static_cast<std::uint32_t>(request.attempts);
+  line.admissionCutoff = static_cast<std::uint32_t>(std::max(request.cutoff, 0.0));
   add(line);
 }
 
 void TraceLog::onHostPhase(const std::string& host, load_balancing::HostPhase phase) {
-  add(trace::HostLine{gateway_, host, unixUs(clock_.now()), phase});
+  add(trace::HostLine{gateway_, host, unixMicrosecondsNow(), phase});
 }
 
-void TraceLog::stop(std::size_t open) {
-  add(trace::StopLine{gateway_, unixUs(clock_.now()), open});
+void TraceLog::stop(std::size_t openRequests) {
+  add(trace::StopLine{gateway_, unixMicrosecondsNow(), openRequests});
   flush();
 }
 
-void TraceLog::add(const trace::Line& line) {
-  if (!budget_.take(clock_.now())) return;
-  trace::append(lines_, line);
-  ++linesNow_;
-  if (lines_.size() >= kFlushBytes) flush();
+void TraceLog::add(const trace::TraceLine& line) {
+  if (!rateLimiter_.tryAcquire(clock_.now())) return;
+  trace::appendLine(buffer_, line);
+  ++bufferedLines_;
+  if (buffer_.size() >= kFlushBytes) flush();
 }
 
-// Danger: it may go to standard error, among the lines; it must be none of them.
+// docs/operators/trace.md promises this form. It must not begin as a line of the log does, since both may go
+// to standard error.
 std::string TraceLog::summary() const {
-  return "attempt_log written=" + std::to_string(written_) + " left_out=" + std::to_string(leftOut_);
+  return "attempt_log written=" + std::to_string(writtenLines_) +
+         " left_out=" + std::to_string(droppedLines_);
 }
 
-// Danger: lines that are missing without a word would make a fault of ours look like none, or like one.
 void TraceLog::flush() {
-  budget_.drop(file_.takeLost());
-  const std::uint64_t missing = budget_.takeDropped();
-  if (missing > 0) trace::append(lines_, trace::GapLine{gateway_, unixUs(clock_.now()), missing});
-  if (lines_.empty()) return;
-  if (file_.write(lines_)) written_ += linesNow_, leftOut_ += missing;
-  else budget_.drop(linesNow_ + missing);  // told with the next that can be written
-  lines_.clear();
-  linesNow_ = 0;
-}
-
-void TraceLog::waitToFlush() {
-  timer_.expires_after(kFlush);
-  timer_.async_wait([this](const boost::system::error_code& stopped) {
-    if (stopped) return;
+  rateLimiter_.recordDropped(file_.takeLostLines());
+  const std::uint64_t dropped = rateLimiter_.takeDropped();
+  // Without a gap line an audit could take dropped lines for a violation, or overlook one.
+  if (dropped > 0) trace::appendLine(buffer_, trace::GapLine{gateway_, unixMicrosecondsNow(), dropped});
+  if (buffer_.empty()) return;
+  if (file_.write(buffer_)) {
+    writtenLines_ += bufferedLines_;
+    droppedLines_ += dropped;
+  } else {
+    rateLimiter_.recordDropped(bufferedLines_ + dropped);  // reported by the next gap line that is written
+  }
+  buffer_.clear();
+  bufferedLines_ = 0;
+}
+
+void TraceLog::scheduleFlush() {
+  flushTimer_.expires_after(kFlushInterval);
+  flushTimer_.async_wait([this](const boost::system::error_code& error) {
+    if (error) return;
     flush();
-    waitToFlush();
+    scheduleFlush();
   });
 }
 
--- a/src/app/trace_log.hpp
+++ b/src/app/trace_log.hpp
@@ -1,4 +1,4 @@
-// The log of attempts in the program: what the gateway tells, as lines in a file.
+// The attempt log of the program: receives the gateway's log entries and writes them to a file as lines.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,16 +9,17 @@
 #include "app/trace_file.hpp"
 #include "net/attempt_log.hpp"
 #include "net/clock.hpp"
-#include "trace/budget.hpp"
-#include "trace/line.hpp"
+#include "trace/line_rate_limiter.hpp"
 #include "trace/settings.hpp"
+#include "trace/trace_line.hpp"
 
 namespace finchstile {
 
+// Used from the event loop's thread only.
 class TraceLog : public AttemptLog {
  public:
-  // `{name}` in the file's path stands for the gateway's name. Throws std::runtime_error if the file can't be
-  // opened.
+  // `{name}` in the file's path stands for the gateway's name. `io` and `clock` must outlive the log. Throws
+  // TraceFileError if the file cannot be opened.
   TraceLog(boost::asio::io_context& io, const Clock& clock, const trace::TraceSettings& settings,
            const std::string& gateway);
   ~TraceLog() override { flush(); }
@@ -26,25 +27,32 @@
   void onAttempt(const AttemptLogEntry& attempt) override;
   void onRequest(const RequestLogEntry& request) override;
   void onHostPhase(const std::string& host, load_balancing::HostPhase phase) override;
-  void stop(std::size_t open);  // the process ends in order, with so many requests open
+
+  // Records the orderly end of the process, with the number of requests that are open then.
+  void stop(std::size_t openRequests);
+
+  // The numbers of written and dropped lines, for the program's log.
   std::string summary() const;
 
  private:
-  void describe(trace::About& about, std::string_view id, const load_balancing::ClassSettings& type) const;
-  void add(const trace::Line& line);
+  void fillIdentity(trace::RequestIdentity& identity, std::string_view id,
+                    const load_balancing::ClassSettings& classSettings) const;
+  void add(const trace::TraceLine& line);
   void flush();
-  void waitToFlush();
-  std::int64_t unixUs(load_balancing::Time at) const;  // 0 for never
-  std::int64_t ageMs(load_balancing::Time since, load_balancing::Time at) const;
+  void scheduleFlush();
+  std::int64_t unixMicroseconds(load_balancing::Time at) const;  // 0 for a time of 0
+  std::int64_t unixMicrosecondsNow() const;
 
   const Clock& clock_;
   const trace::TraceSettings settings_;
   const std::string gateway_;
   TraceFile file_;
-  trace::Budget budget_;
-  boost::asio::steady_timer timer_;
-  std::string lines_;
-  std::uint64_t linesNow_ = 0, written_ = 0, leftOut_ = 0;
+  trace::LineRateLimiter rateLimiter_;
+  boost::asio::steady_timer flushTimer_;
+  std::string buffer_;
+  std::uint64_t bufferedLines_ = 0;  // without gap lines
+  std::uint64_t writtenLines_ = 0;
+  std::uint64_t droppedLines_ = 0;  // that a gap line in the file reports
 };
 
 }  // namespace finchstile
--- a/src/trace/settings.hpp
+++ b/src/trace/settings.hpp
@@ -1,4 +1,5 @@
-// The part of the operator's file that is about the log of attempts: [trace].
+// The settings of the attempt log: [trace] of the operator's file. docs/operators/trace.md has a line on
+// each.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +12,15 @@
 struct TraceSettings {
   bool enabled = false;
   std::string file;              // empty: standard error
-  double share = 1;              // of the requests, chosen by their ids: all gateways choose the same ones
-  double linesPerSecond = 5000;  // what goes beyond is left out, and counted
-  std::size_t fileMost = 256u << 20;   // bytes; a file that has grown so large is put aside as FILE.1
-  std::size_t waitingMost = 4u << 20;  // bytes that wait for a slow disk; what goes beyond is left out
+  double sampleFraction = 1;     // of the requests, chosen by their ids: all gateways choose the same ones
+  double linesPerSecond = 5000;  // lines beyond this rate are dropped and counted
+  std::size_t maxFileBytes = std::size_t{256} << 20;  // a larger file is renamed to FILE.1
+  std::size_t maxQueuedBytes = std::size_t{4}
+                               << 20;  // queued for a slow disk; lines beyond are dropped and counted
 };
 
-// `folder`: the operator's file lies there; a path in it starts at that.
+// Reads the table [trace] of `root`, which collects the errors. `folder` is that of the operator's file,
+// where relative paths start. Settings that are absent keep their values in `out`.
 void readTraceSettings(SettingReader& root, const std::string& folder, TraceSettings& out);
 
 }  // namespace finchstile::trace
--- /dev/null
+++ b/src/trace/trace_line.hpp
@@ -0,0 +1,111 @@
+// The records of the attempt log. A gateway writes one record per ended attempt, per ended request and per
+// change of a host's phase, and records that mark the start, the orderly end and the gaps of a process's log.
+// trace_line_codec.hpp defines their text form. No I/O.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <variant>
+
+#include "finchstile/load_balancer.hpp"
+
+namespace finchstile::trace {
+
+using load_balancing::DeduplicationScope;
+using load_balancing::HostPhase;
+using load_balancing::Idempotency;
+using load_balancing::Outcome;
+
+// An age of this value means that the event never happened.
+inline constexpr std::int64_t kNever = -1;
+
+// Whether the host executed an attempt.
+enum class Execution { no, maybe, yes };
+
+// What ended an attempt.
+enum class EndReason {
+  host,          // the host or its connection; the outcome tells the details
+  timeLimit,     // its time limit expired
+  requestEnded,  // its request ended: it was answered, or the client disconnected
+  abandoned      // given up in favour of another attempt, or before it was sent
+};
+
+// How a request ended at a gateway.
+enum class RequestEnd { served, rejected, failed, rejectedByFilter, clientDisconnected };
+
+// What the records of attempts and requests have in common.
+struct RequestIdentity {
+  std::string gateway;
+  std::string id;  // chosen by the client; any bytes
+  std::string className;
+  Idempotency idempotency = Idempotency::nonIdempotent;
+};
+
+// One attempt. Times are Unix time in microseconds.
+struct AttemptLine : RequestIdentity {
+  std::string host;
+  std::string zone;
+  std::int64_t chosenAtUs = 0;
+  std::int64_t endedAtUs = 0;
+  std::int64_t firstByteAtUs = 0;   // 0: no byte was sent
+  std::uint32_t attemptNumber = 0;  // from 0
+  std::int64_t cell = 0;
+  // Of classes with idempotency keys: which hosts drop repeats of each other's requests, and for how long.
+  DeduplicationScope deduplicationScope = DeduplicationScope::all;
+  std::int64_t deduplicationWindowMs = 0;
+  Outcome outcome = Outcome::notSent;
+  EndReason endReason = EndReason::host;
+  Execution execution = Execution::no;
+  // What the gateway knew of the host when it chose it.
+  std::int64_t listingAgeMs = kNever;   // since the endpoint list last named the host
+  std::int64_t responseAgeMs = kNever;  // since the host last responded to this gateway
+  std::int64_t uptimeMs = 0;            // since the host started; 0: long ago or unknown
+  bool avoided = false;                 // whether the load balancer avoided the host
+};
+
+// One request at one gateway. Times are Unix time in microseconds.
+struct RequestLine : RequestIdentity {
+  std::int64_t arrivedAtUs = 0;
+  std::int64_t endedAtUs = 0;
+  std::int64_t timeLeftMs = 0;  // until the client's deadline, on arrival
+  RequestEnd end = RequestEnd::failed;
+  std::uint32_t status = 0;  // 0: the client had disconnected
+  std::uint32_t attempts = 0;
+  std::uint32_t admissionCutoff = 0;  // at the end of the request, 0 to 100
+};
+
+// A host's phase at one gateway from `atUs` on.
+struct HostLine {
+  std::string gateway;
+  std::string host;
+  std::int64_t atUs = 0;
+  HostPhase phase = HostPhase::active;
+};
+
+// The start of a process.
+struct StartLine {
+  std::string gateway;
+  std::int64_t atUs = 0;
+};
+
+// The orderly end of a process.
+struct StopLine {
+  std::string gateway;
+  std::int64_t atUs = 0;
+  std::uint64_t openRequests = 0;
+};
+
+// Lines that were dropped before this one.
+struct GapLine {
+  std::string gateway;
+  std::int64_t atUs = 0;
+  std::uint64_t lines = 0;
+};
+
+using TraceLine = std::variant<AttemptLine, RequestLine, HostLine, StartLine, StopLine, GapLine>;
+
+// When the record was written, Unix time in microseconds.
+std::int64_t timeOf(const TraceLine& line);
+const std::string& gatewayOf(const TraceLine& line);
+
+}  // namespace finchstile::trace
--- a/tests/fuzz/trace_line.cpp
+++ b/tests/fuzz/trace_line.cpp
@@ -1,25 +1,33 @@
-// Any bytes as a line of the log of attempts: what is read is written the same again, and joins without harm.
+// Any bytes as a line of the attempt log. A line that is read is written again without change, and merging
+// and auditing it does no harm.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
-#include "trace/join.hpp"
+#include "trace/log_auditor.hpp"
+#include "trace/log_merger.hpp"
+#include "trace/log_totals.hpp"
+#include "trace/trace_line_codec.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace finchstile::trace;
-  const Parsed first = parse(asText(data, size));
-  if (first.kind == Parsed::Kind::bad && first.problem.empty()) std::abort();
-  if (first.kind != Parsed::Kind::line) return 0;
-  std::string once, twice;
-  append(once, first.line);
-  const Parsed again = parse(std::string_view(once).substr(0, once.size() - 1));
-  if (again.kind == Parsed::Kind::bad && again.problem == "longer than 16 KiB") return 0;
-  if (again.kind != Parsed::Kind::line) std::abort();
-  append(twice, again.line);
+  using Status = ParseResult::Status;
+  const ParseResult first = parseLine(asText(data, size));
+  const bool explained = first.error.code != ParseErrorCode::none && !first.error.message.empty();
+  if ((first.status == Status::malformed) != explained) std::abort();
+  if (first.status != Status::ok) return 0;
+  std::string once;
+  appendLine(once, first.line);
+  const ParseResult again = parseLine(std::string_view(once).substr(0, once.size() - 1));
+  // Percent-encoding may make the line longer than the limit.
+  if (again.error.code == ParseErrorCode::lineTooLong) return 0;
+  if (again.status != Status::ok) std::abort();
+  std::string twice;
+  appendLine(twice, again.line);
   if (once != twice) std::abort();
-  Join join;
-  join.add(first.line);
-  join.add(again.line);
-  join.audit({});
-  join.sums(Join::By::second);
+  LogMerger log;
+  log.add(first.line);
+  log.add(again.line);
+  audit(log, {});
+  totalsBy(log, GroupBy::second);
   return 0;
 }
