--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -22,14 +22,14 @@
     f.counts = {};
     plan(f);
     f.run(until);
-    const double asked = static_cast<double>(f.counts.asked) * seeds;
-    worth += f.counts.worthServed / f.counts.worthAsked / seeds;
+    const double asked = static_cast<double>(f.counts.requests) * seeds;
+    worth += f.counts.valueServed / f.counts.valueRequested / seeds;
     handshakes += static_cast<double>(f.counts.handshakes) / asked;
-    full += static_cast<double>(f.counts.full) / asked;
-    unconnected += static_cast<double>(f.counts.unconnected) / asked;
+    full += static_cast<double>(f.counts.capacityRejections) / asked;
+    unconnected += static_cast<double>(f.counts.refusedConnections) / asked;
     pairs += static_cast<double>(f.counts.pairs.size()) / seeds;
-    cold = std::max(cold, f.counts.coldMost);
-    open = std::max(open, f.counts.openMost);
+    cold = std::max(cold, f.counts.maxWarmingLoad);
+    open = std::max(open, f.counts.maxConnectionsPerHost);
   }
   std::printf(
       "%-22s worth %.3f  a request: handshakes %.3f, turned away %.3f, unconnected %.3f  "
@@ -37,11 +37,11 @@
       name, worth, handshakes, full, unconnected, open, pairs, cold);
 }
 
-FleetSettings sized(std::uint32_t gateways, int hosts, double perSecond) {
+FleetSettings sized(std::uint32_t gateways, int hosts, double requestsPerSecond) {
   FleetSettings s;
   s.gateways = gateways;
   s.hosts = hosts;
-  s.perSecond = perSecond;
+  s.requestsPerSecond = requestsPerSecond;
   return s;
 }
 
--- a/src/policy/host.hpp
+++ b/src/policy/host.hpp
@@ -40,7 +40,7 @@
   Time ejectedUntil{};
   int ejections = 0;          // in a row; lengthens the next one
   bool unresponsive = false;  // holds attempts and has shown no sign of life for too long
-  Time lastHeard{};           // when it last showed life; zero: never
+  Time lastSeenAlive{};       // when it last showed life; zero: never
 
   // Whether the host gets no ordinary traffic because of its health.
   bool isUnhealthy() const { return state != HealthState::healthy || unresponsive; }
--- a/src/policy/host_picker.cpp
+++ b/src/policy/host_picker.cpp
@@ -27,18 +27,18 @@
 }  // namespace
 
 void HostPicker::rebuildPreferenceOrder() {
-  const std::vector<HostId>& active = in_.hosts.active();
+  const std::vector<HostId>& active = inputs_.hosts.active();
   preferenceOrder_ = active;
   baseSubsetSize_ = active.size();
-  if (!in_.shape.usesSubsets()) return;
-  const double hostsPerGateway = static_cast<double>(active.size()) / in_.settings.gatewayCount;
+  if (!inputs_.shape.usesSubsets()) return;
+  const double hostsPerGateway = static_cast<double>(active.size()) / inputs_.settings.gatewayCount;
   const auto maxSize = static_cast<std::size_t>(std::max(kMaxGatewaysPerHost * hostsPerGateway, 1.0));
   const auto minSize = static_cast<std::size_t>(std::ceil(kMinGatewaysPerHost * hostsPerGateway));
   baseSubsetSize_ = std::max(std::min(kMaxSubset, maxSize), minSize);
   std::vector<std::uint64_t> hashes;
-  for (const HostId id : active) hashes.push_back(in_.hosts[id].hash);
+  for (const HostId id : active) hashes.push_back(inputs_.hosts[id].hash);
   const auto places =
-      subsetOrder(hashes, in_.settings.gatewayIndex, in_.settings.gatewayCount, baseSubsetSize_);
+      subsetOrder(hashes, inputs_.settings.gatewayIndex, inputs_.settings.gatewayCount, baseSubsetSize_);
   for (std::size_t i = 0; i < places.size(); ++i) preferenceOrder_[i] = active[places[i]];
 }
 
@@ -51,32 +51,32 @@
   // Without a healthy host, any that the rules allow is better than none.
   if (candidates_.empty()) gatherCandidates(request, Health::ignored, Zone::any, now, random);
   if (candidates_.empty())
-    return drawWarmingHost(request, SlowStart::kCollapseFraction * in_.settings.collapseLoadFactor - 1, now,
-                           random);
-  if (in_.settings.keyAffinity && request.hasAffinityKey)
+    return drawWarmingHost(request, SlowStart::kCollapseFraction * inputs_.settings.collapseLoadFactor - 1,
+                           now, random);
+  if (inputs_.settings.keyAffinity && request.hasAffinityKey)
     if (const HostId id = pickByAffinity(request); id != kNone) return id;
   if (const HostId id = drawIdleHost(now, random); id != kNone) return id;
   return lighterOfTwo(now, random);
 }
 
 HostId HostPicker::pickForStream(const ActiveRequest& request, Time now, RandomSource& random) {
-  if (!in_.streams.hasGatewayCapacity()) return kNone;
+  if (!inputs_.streams.hasGatewayCapacity()) return kNone;
   gatherCandidates(request, Health::required, Zone::any, now, random);
   if (candidates_.empty()) gatherCandidates(request, Health::ignored, Zone::any, now, random);
-  const auto isFull = [&](HostId id) { return !hasStreamCapacity(in_.hosts[id], now); };
+  const auto isFull = [&](HostId id) { return !hasStreamCapacity(inputs_.hosts[id], now); };
   candidates_.erase(std::remove_if(candidates_.begin(), candidates_.end(), isFull), candidates_.end());
-  return in_.streams.choose(in_.hosts, candidates_, random);
+  return inputs_.streams.choose(inputs_.hosts, candidates_, random);
 }
 
 // A gateway of a large bank offers each attempt to one host of its subset, which takes it if it is warming up
 // and the draw falls so (slow_start.hpp).
 HostId HostPicker::drawWarmingHost(const ActiveRequest& request, double share, Time now,
                                    RandomSource& random) const {
-  if (!in_.shape.isLargeBank() || in_.hosts.active().empty()) return kNone;
+  if (!inputs_.shape.isLargeBank() || inputs_.hosts.active().empty()) return kNone;
   const HostId id = preferenceOrder_[random.below(std::min(subsetSize(), preferenceOrder_.size()))];
-  const Host& host = in_.hosts[id];
-  if (!in_.slowStart.isWarmingUp(host, now) || !isUsable(request, id, now)) return kNone;
-  return random.unit() < in_.slowStart.offerProbability(host, in_.hosts, share, now) ? id : kNone;
+  const Host& host = inputs_.hosts[id];
+  if (!inputs_.slowStart.isWarmingUp(host, now) || !isUsable(request, id, now)) return kNone;
+  return random.unit() < inputs_.slowStart.offerProbability(host, inputs_.hosts, share, now) ? id : kNone;
 }
 
 // The first idle host in the key's rendezvous order, which all gateways share; if none is, only the first few
@@ -85,11 +85,11 @@
   const std::size_t count = std::min(kAffinityCandidates, candidates_.size());
   std::partial_sort(candidates_.begin(), candidates_.begin() + static_cast<std::ptrdiff_t>(count),
                     candidates_.end(), [&](HostId a, HostId b) {
-                      return mixBits(in_.hosts[a].hash ^ request.affinityKey) >
-                             mixBits(in_.hosts[b].hash ^ request.affinityKey);
+                      return mixBits(inputs_.hosts[a].hash ^ request.affinityKey) >
+                             mixBits(inputs_.hosts[b].hash ^ request.affinityKey);
                     });
   for (std::size_t i = 0; i < count; ++i)
-    if (isIdle(in_.hosts[candidates_[i]])) return candidates_[i];
+    if (isIdle(inputs_.hosts[candidates_[i]])) return candidates_[i];
   candidates_.resize(count);
   return kNone;
 }
@@ -97,11 +97,11 @@
 // Draws once for each idle candidate. The local zone weighs only a little more, or it would be overrun where
 // every host looks idle.
 HostId HostPicker::drawIdleHost(Time now, RandomSource& random) const {
-  const int exponent = in_.shape.isLargeBank() ? kLatencyExponentOfLargeBank : kLatencyExponent;
+  const int exponent = inputs_.shape.isLargeBank() ? kLatencyExponentOfLargeBank : kLatencyExponent;
   double weightSum = 0;
   HostId chosen = kNone;
   for (const HostId id : candidates_) {
-    const Host& host = in_.hosts[id];
+    const Host& host = inputs_.hosts[id];
     if (!isIdle(host)) continue;
     const double weight = (host.isLocal ? kLocalZoneWeight : 1) /
                           std::max(std::pow(currentRelativeLatency(host, now), exponent), kMinLatencyPower);
@@ -114,36 +114,36 @@
 HostId HostPicker::lighterOfTwo(Time now, RandomSource& random) const {
   const HostId a = candidates_[random.below(candidates_.size())];
   const HostId b = candidates_[random.below(candidates_.size())];
-  return load(in_.hosts[a], now) <= load(in_.hosts[b], now) ? a : b;
+  return load(inputs_.hosts[a], now) <= load(inputs_.hosts[b], now) ? a : b;
 }
 
 // From a random place in the subset on, then from the hosts behind it. Draws once.
 void HostPicker::gatherCandidates(const ActiveRequest& request, Health health, Zone zone, Time now,
                                   RandomSource& random) {
   candidates_.clear();
-  const std::size_t hostCount = in_.hosts.active().size();
+  const std::size_t hostCount = inputs_.hosts.active().size();
   const std::size_t subset = std::min(subsetSize(), hostCount);
   const std::size_t maxCount = std::min(subset, kMaxCandidates);
   const std::size_t start = random.below(subset);
   for (std::size_t i = 0; i < hostCount && candidates_.size() < maxCount; ++i) {
     const HostId id = preferenceOrder_[i < subset ? (start + i) % subset : i];
-    Host& host = in_.hosts[id];
+    Host& host = inputs_.hosts[id];
     if (zone == Zone::local && !host.isLocal) continue;
     const bool isAllowed =
-        health == Health::ignored ? in_.retries.mayRunOn(request, host, now) : isUsable(request, id, now);
+        health == Health::ignored ? inputs_.retries.mayRunOn(request, host, now) : isUsable(request, id, now);
     if (isAllowed && hasCapacity(request, host, now)) candidates_.push_back(id);
   }
 }
 
 bool HostPicker::isUsable(const ActiveRequest& request, HostId id, Time now) const {
-  const Host& host = in_.hosts[id];
+  const Host& host = inputs_.hosts[id];
   if (CapacityBackoff::isBackingOff(host, now) || host.health.unresponsive) return false;
   if (host.health.state == HealthState::ejected) return false;
   if (host.health.state == HealthState::trial) {
-    const ClassSettings& settings = in_.traffic.classes()[request.classIndex].settings;
-    if (!in_.outliers.mayTry(host, settings.idempotency, now)) return false;
+    const ClassSettings& settings = inputs_.traffic.classes()[request.classIndex].settings;
+    if (!inputs_.outliers.mayTry(host, settings.idempotency, now)) return false;
   }
-  return !wasTried(request, id) && in_.retries.mayRunOn(request, host, now);
+  return !wasTried(request, id) && inputs_.retries.mayRunOn(request, host, now);
 }
 
 bool HostPicker::wasTried(const ActiveRequest& request, HostId id) const {
@@ -153,40 +153,40 @@
 }
 
 bool HostPicker::hasCapacity(const ActiveRequest& request, Host& host, Time now) const {
-  if (!request.isStream) return in_.slowStart.hasCapacity(host, in_.hosts, now);
-  return (in_.streams.limitsRate() || in_.slowStart.hasCapacity(host, in_.hosts, now)) &&
+  if (!request.isStream) return inputs_.slowStart.hasCapacity(host, inputs_.hosts, now);
+  return (inputs_.streams.limitsRate() || inputs_.slowStart.hasCapacity(host, inputs_.hosts, now)) &&
          hasStreamCapacity(host, now);
 }
 
 bool HostPicker::hasStreamCapacity(Host& host, Time now) const {
-  return in_.streams.hasCapacity(host, in_.slowStart.capacityFraction(host, now), in_.traffic.startedAt(),
-                                 now);
+  return inputs_.streams.hasCapacity(host, inputs_.slowStart.capacityFraction(host, now),
+                                     inputs_.traffic.startedAt(), now);
 }
 
 // One of the candidates, all of the local zone, holds less than its part of the pool's in-flight threshold,
 // or answers so fast that what it holds takes no larger part of the objective. Beyond, latency would grow.
 bool HostPicker::localZoneHasCapacity(Time now) const {
-  const double hostCount = static_cast<double>(std::max<std::size_t>(in_.hosts.active().size(), 1));
+  const double hostCount = static_cast<double>(std::max<std::size_t>(inputs_.hosts.active().size(), 1));
   const double part =
-      std::max(1.0, OverloadEstimator::kInFlightThreshold * in_.overload.inFlightLimit(now) / hostCount);
+      std::max(1.0, OverloadEstimator::kInFlightThreshold * inputs_.overload.inFlightLimit(now) / hostCount);
   const double seconds = OverloadEstimator::kInFlightThreshold * OverloadEstimator::kMaxObjectiveFraction *
-                         in_.traffic.meanLatencyObjective();
+                         inputs_.traffic.meanLatencyObjective();
   return std::any_of(candidates_.begin(), candidates_.end(), [&](HostId id) {
-    const Host& host = in_.hosts[id];
+    const Host& host = inputs_.hosts[id];
     return host.inFlight.count + 1 <= std::max(part, seconds * host.traffic.answerRate);
   });
 }
 
 // Holds nothing of this gateway; a fast host may hold more.
 bool HostPicker::isIdle(const Host& host) const {
-  return host.inFlight.count < std::max(1.0, in_.traffic.medianRelativeLatency() /
+  return host.inFlight.count < std::max(1.0, inputs_.traffic.medianRelativeLatency() /
                                                  std::max(host.traffic.relativeLatency, kMinRelativeLatency));
 }
 
 // With what the host's last load report adds, as far as such reports have proven worth anything.
 double HostPicker::currentRelativeLatency(const Host& host, Time now) const {
   return host.traffic.relativeLatency *
-         in_.loadReports.latencyFactor(in_.loadReports.hintAt(host.reportedLoad, now));
+         inputs_.loadReports.latencyFactor(inputs_.loadReports.hintAt(host.reportedLoad, now));
 }
 
 double HostPicker::load(const Host& host, Time now) const {
@@ -195,8 +195,9 @@
 
 // The next hosts in the order stand in for those that are not usable, and help while the gateway holds more.
 std::size_t HostPicker::subsetSize() const {
-  if (!in_.shape.usesSubsets()) return baseSubsetSize_;
-  return baseSubsetSize_ + static_cast<std::size_t>(kSubsetHostsPerRequest * in_.overload.smoothedInFlight());
+  if (!inputs_.shape.usesSubsets()) return baseSubsetSize_;
+  return baseSubsetSize_ +
+         static_cast<std::size_t>(kSubsetHostsPerRequest * inputs_.overload.smoothedInFlight());
 }
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/host_picker.hpp
+++ b/src/policy/host_picker.hpp
@@ -37,7 +37,7 @@
     const LoadReportModel& loadReports;
   };
 
-  explicit HostPicker(const Inputs& inputs) : in_(inputs) {}
+  explicit HostPicker(const Inputs& inputs) : inputs_(inputs) {}
 
   // Call when the list of active hosts has changed.
   void rebuildPreferenceOrder();
@@ -69,7 +69,7 @@
   double load(const Host& host, Time now) const;
   std::size_t subsetSize() const;
 
-  const Inputs in_;
+  const Inputs inputs_;
   std::vector<HostId> preferenceOrder_;  // of the active hosts; the subset comes first
   std::size_t baseSubsetSize_ = 0;
   std::vector<HostId> candidates_;  // of the pick at hand; kept to spare an allocation for each pick
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -129,7 +129,7 @@
     if (!request || number >= request->attemptCount || !request->attempts[number].isPending) return;
     Attempt& attempt = request->attempts[number];
     inFlight.end(hosts, attempt);
-    hosts[attempt.host].health.lastHeard = now;
+    hosts[attempt.host].health.lastSeenAlive = now;
   }
 
   void onResponseStarted(RequestId id, std::uint32_t number) {
@@ -274,7 +274,8 @@
     probing.probe(request, drawn);
     for (int i = 1; i < LoadProbing::kProbedHosts; ++i) {
       const HostId other = picker.pick(request, now, random);
-      if (other != drawn && !slowStart.isWarmingUp(hosts[other], now)) probing.probe(request, other);
+      if (other == kNone || other == drawn || slowStart.isWarmingUp(hosts[other], now)) continue;
+      probing.probe(request, other);
     }
   }
 
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -27,15 +27,15 @@
   HostHealth& health = host.health;
   bool failed = false;
   switch (outcome) {
-    case Outcome::served: health.lastHeard = now; break;
+    case Outcome::served: health.lastSeenAlive = now; break;
     case Outcome::rejectedForCapacity:
-    case Outcome::invalidRequest: health.lastHeard = now; return;
+    case Outcome::invalidRequest: health.lastSeenAlive = now; return;
     case Outcome::timeout:
       if (!firstHand || isResponsive(host, now)) return;
       failed = true;
       break;
     case Outcome::error:
-      health.lastHeard = now;
+      health.lastSeenAlive = now;
       failed = true;
       break;
     case Outcome::connectFailed:
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -39,7 +39,7 @@
   // connections break all over the fleet, hosts that do most of their work would be ejected and the rest
   // overloaded; a process that died answers no more and is ejected a moment later.
   static bool isResponsive(const Host& host, Time now) {
-    return host.health.lastHeard > Time{} && now - host.health.lastHeard < kMinSilence;
+    return host.health.lastSeenAlive > Time{} && now - host.health.lastSeenAlive < kMinSilence;
   }
 
   // Whether a request may serve as the trial of a host after its ejection. Every gateway tries a host on its
@@ -89,7 +89,7 @@
     while (!sent.empty() && !find(sent.front(), id)) sent.pop_front();
     host.health.unresponsive =
         !sent.empty() &&
-        now - std::max(host.health.lastHeard, find(sent.front(), id)->sentAt) > silenceLimit(host);
+        now - std::max(host.health.lastSeenAlive, find(sent.front(), id)->sentAt) > silenceLimit(host);
   }
   ejectOutliers(now, unhealthy, goodPeersFailureRate(failureRates), random);
 }
--- a/src/policy/overload_estimator.cpp
+++ b/src/policy/overload_estimator.cpp
@@ -11,8 +11,8 @@
 namespace finchstile::load_balancing {
 namespace {
 
-constexpr double kArrivalGain = 0.05;  // in-flight count over the last twenty arrivals
-constexpr double kSweepGain = 0.5;     // the same, per sweep
+constexpr double kArrivalGain = 0.05;  // per arrival: mean in-flight count over the last twenty
+constexpr double kSweepGain = 0.5;     // per sweep: mean in-flight count
 constexpr double kFirstPerHost = 6;    // in flight a host, by all gateways, before anything was measured
 constexpr double kMinPerHost = 2;      // and the least that the learned limit is ever taken for
 // Hosts that were overloaded stay slow for long, and rejections are the first sign of it. So many times the
@@ -94,7 +94,7 @@
   const double reduction =
       1 - std::min(kRejectionFactor * recentRejections_ / recentOutcomes_, kMaxRejectionReduction);
   // Before anything was measured (an own start in an overload) and after a lull, guesses per host stand in.
-  const double leastPerHost = traffic_.isWarmingUp(now)
+  const double leastPerHost = traffic_.isLearning(now)
                                   ? kFirstPerHost * reduction / settings_.gatewayCount
                                   : std::max(kMinPerHost / settings_.gatewayCount, unloadedConcurrency_);
   const double rate = std::max(traffic_.inTimeRate(), traffic_.initialInTimeRate(now));
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -33,7 +33,7 @@
                          const TrafficStatistics& traffic)
     : settings_(settings), hosts_(hosts), shape_(shape), traffic_(traffic), tokens_(kMaxTokens) {}
 
-bool RetryPolicy::mayRunOn(const ActiveRequest& request, const Host& host, Time now) const {
+bool RetryPolicy::mayRepeatOn(const ActiveRequest& request, const Host& host, Time now) const {
   const ClassSettings& settings = settingsOf(request);
   if (now > repeatDeadline(request)) return false;
   const std::optional<EarlierAttempt>& earlier = request.earlierAttempt;
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -22,7 +22,10 @@
   // --- The rule on repeats
 
   // Whether the request may run on this host now, after all that may have run of it.
-  bool mayRunOn(const ActiveRequest& request, const Host& host, Time now) const;
+  bool mayRunOn(const ActiveRequest& request, const Host& host, Time now) const {
+    const bool isFirst = request.attemptCount == 0 && !request.earlierAttempt;
+    return isFirst || mayRepeatOn(request, host, now);
+  }
   // No byte of another attempt may go out later: the first host may have forgotten the key.
   Time repeatDeadline(const ActiveRequest& request) const;
   // Whether the client may be told that nothing of the request took effect, and so that it may try again.
@@ -61,6 +64,7 @@
   const ClassSettings& settingsOf(const ActiveRequest& request) const {
     return traffic_.classes()[request.classIndex].settings;
   }
+  bool mayRepeatOn(const ActiveRequest& request, const Host& host, Time now) const;
   Duration lossTimeout(const ActiveRequest& request) const;
 
   // Attempts are abandoned early only once this fraction of recent attempts got no answer: where answers are
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -10,34 +10,37 @@
 namespace finchstile::load_balancing {
 namespace {
 
-void require(bool good, const std::string& what) {
-  if (!good) throw std::invalid_argument("load balancer settings: " + what);
+void require(bool isValid, const std::string& problem) {
+  if (!isValid) throw std::invalid_argument("load balancer settings: " + problem);
 }
 
-struct Value {
-  std::string_view path, text;
+// A setting as it was read, for messages with its path.
+struct SettingText {
+  std::string_view path;
+  std::string_view text;
 
   template <class Number>
   Number number() const {
-    Number n{};
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n);
+    Number value{};
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     require(error == std::errc{} && end == text.data() + text.size(),
             "'" + std::string(text) + "' is no number (" + std::string(path) + ")");
-    return n;
+    return value;
   }
-  Duration span() const { return Duration(number<std::int64_t>()); }
+  Duration nanoseconds() const { return Duration(number<std::int64_t>()); }
   bool boolean() const {
-    const bool yes = text == "1" || text == "true";
-    require(yes || text == "0" || text == "false",
+    const bool isTrue = text == "1" || text == "true";
+    require(isTrue || text == "0" || text == "false",
             "'" + std::string(text) + "' is no bool (" + std::string(path) + ")");
-    return yes;
+    return isTrue;
   }
 };
 
-// Splits "<head>.<index>.<field>" and returns the item of that index, or null for any other path.
+// Splits "<head>.<index>.<field>" and returns the item of that index, which is added if need be, or null for
+// any other path.
 template <class T>
-T* item(std::vector<T>& items, std::size_t most, std::string_view path, std::string_view head,
-        std::string_view& field) {
+T* findItem(std::vector<T>& items, std::size_t maxItems, std::string_view path, std::string_view head,
+            std::string_view& field) {
   if (path.substr(0, head.size()) != head || path.size() <= head.size() || path[head.size()] != '.')
     return nullptr;
   path.remove_prefix(head.size() + 1);
@@ -46,94 +49,107 @@
   std::size_t index = 0;
   const auto [end, error] = std::from_chars(path.data(), path.data() + dot, index);
   if (error != std::errc{} || end != path.data() + dot) return nullptr;
-  // Danger: an item that is passed over in silence is a class or tenant whose requests are turned away later.
-  // An absurd index must not fill the memory.
-  require(index < most, std::string(head) + " has more than " + std::to_string(most) +
-                            " items: there is one numbered " + std::to_string(index));
+  // An item that was skipped would be a class or tenant whose requests are rejected later, and an absurd
+  // index must not fill the memory: it is an error.
+  require(index < maxItems, std::string(head) + " has more than " + std::to_string(maxItems) +
+                                " items: there is one numbered " + std::to_string(index));
   field = path.substr(dot + 1);
   if (items.size() <= index) items.resize(index + 1);
   return &items[index];
 }
 
-void applyToClass(ClassSettings& c, std::string_view field, const Value& v) {
-  if (field == "name") c.name = v.text;
-  else if (field == "aimNs") c.latencyObjective = v.span();
-  else if (field == "giveUpNs") c.clientTimeout = v.span();
-  else if (field == "windowNs") c.deduplicationWindow = v.span();
-  else if (field == "points") c.priorityWeight = v.number<double>();
-  else if (field == "lateShare") c.lateValueFraction = v.number<double>();
-  else if (field == "aimStretch") c.objectiveStretch = v.number<double>();
+void applyToClass(ClassSettings& classSettings, std::string_view field, const SettingText& value) {
+  if (field == "name") classSettings.name = value.text;
+  else if (field == "aimNs") classSettings.latencyObjective = value.nanoseconds();
+  else if (field == "giveUpNs") classSettings.clientTimeout = value.nanoseconds();
+  else if (field == "windowNs") classSettings.deduplicationWindow = value.nanoseconds();
+  else if (field == "points") classSettings.priorityWeight = value.number<double>();
+  else if (field == "lateShare") classSettings.lateValueFraction = value.number<double>();
+  else if (field == "aimStretch") classSettings.objectiveStretch = value.number<double>();
   else if (field == "effect")
-    c.idempotency = v.text == "retryable" ? Idempotency::idempotent
-                    : v.text == "dedup"   ? Idempotency::idempotentWithKey
-                                          : Idempotency::nonIdempotent;
+    classSettings.idempotency = value.text == "retryable" ? Idempotency::idempotent
+                                : value.text == "dedup"   ? Idempotency::idempotentWithKey
+                                                          : Idempotency::nonIdempotent;
   else if (field == "group")
-    c.deduplicationScope = v.text == "all"    ? DeduplicationScope::all
-                           : v.text == "zone" ? DeduplicationScope::zone
-                                              : DeduplicationScope::cell;
+    classSettings.deduplicationScope = value.text == "all"    ? DeduplicationScope::all
+                                       : value.text == "zone" ? DeduplicationScope::zone
+                                                              : DeduplicationScope::cell;
 }
 
 }  // namespace
 
-void applySetting(Settings& s, std::string_view n, std::string_view text) {
-  const Value v{n, text};
+void applySetting(Settings& settings, std::string_view path, std::string_view text) {
+  const SettingText value{path, text};
   std::string_view field;
-  if (n == "rngSeed") s.seed = static_cast<std::uint64_t>(v.number<std::int64_t>());
-  else if (n == "groupSize") s.gatewayCount = v.number<std::uint32_t>();
-  else if (n == "zone") s.zone = text;
-  else if (n == "overShareWorth") s.overQuotaWeightFactor = v.number<double>();
-  else if (n == "registryMode") s.pollsDiscovery = text == "ask";
-  else if (n == "stepNs") s.eventInterval = v.span();
-  else if (n == "domain.warmKeys") s.keyAffinity = v.boolean();
-  else if (n == "ceilings.retryAfter") s.retryAfterEnabled = v.boolean();
-  else if (n == "ceilings.cancel") s.cancellationEnabled = v.boolean();
-  else if (n == "ceilings.maxAttempts") s.maxAttempts = v.number<std::uint32_t>();
-  else if (n == "ceilings.maxRetryAfterNs") s.maxRetryAfter = v.span();
-  else if (n == "ceilings.probes") s.probingEnabled = v.boolean();
-  else if (n == "ceilings.peers") s.peerMessagesEnabled = v.boolean();
-  else if (n == "myNumber") s.gatewayIndex = v.number<std::uint32_t>();
-  else if (n == "rules.askWithinNs") s.maxDiscoverySilence = v.span();
-  else if (n == "rules.coldNs") s.warmUpTime = v.span();
-  else if (n == "rules.coldShare") s.initialCapacityFraction = v.number<double>();
-  else if (n == "rules.fallMultiple") s.collapseLoadFactor = v.number<double>();
-  else if (n == "rules.fallNs") s.collapseWindow = v.span();
-  else if (ClassSettings* c = item(s.classes, kMaxClasses, n, "grades", field)) applyToClass(*c, field, v);
-  else if (TenantSettings* t = item(s.tenants, kMaxTenants, n, "tenants", field)) {
-    if (field == "name") t->name = text;
-    else if (field == "quotaRps") t->quotaPerSecond = v.number<double>();
+  if (path == "rngSeed") settings.seed = static_cast<std::uint64_t>(value.number<std::int64_t>());
+  else if (path == "groupSize") settings.gatewayCount = value.number<std::uint32_t>();
+  else if (path == "zone") settings.zone = text;
+  else if (path == "overShareWorth") settings.overQuotaWeightFactor = value.number<double>();
+  else if (path == "registryMode") settings.pollsDiscovery = text == "ask";
+  else if (path == "stepNs") settings.eventInterval = value.nanoseconds();
+  else if (path == "domain.warmKeys") settings.keyAffinity = value.boolean();
+  else if (path == "ceilings.retryAfter") settings.retryAfterEnabled = value.boolean();
+  else if (path == "ceilings.cancel") settings.cancellationEnabled = value.boolean();
+  else if (path == "ceilings.maxAttempts") settings.maxAttempts = value.number<std::uint32_t>();
+  else if (path == "ceilings.maxRetryAfterNs") settings.maxRetryAfter = value.nanoseconds();
+  else if (path == "ceilings.probes") settings.probingEnabled = value.boolean();
+  else if (path == "ceilings.peers") settings.peerMessagesEnabled = value.boolean();
+  else if (path == "myNumber") settings.gatewayIndex = value.number<std::uint32_t>();
+  else if (path == "rules.askWithinNs") settings.maxDiscoverySilence = value.nanoseconds();
+  else if (path == "rules.coldNs") settings.warmUpTime = value.nanoseconds();
+  else if (path == "rules.coldShare") settings.initialCapacityFraction = value.number<double>();
+  else if (path == "rules.fallMultiple") settings.collapseLoadFactor = value.number<double>();
+  else if (path == "rules.fallNs") settings.collapseWindow = value.nanoseconds();
+  else if (ClassSettings* classSettings = findItem(settings.classes, kMaxClasses, path, "grades", field))
+    applyToClass(*classSettings, field, value);
+  else if (TenantSettings* tenant = findItem(settings.tenants, kMaxTenants, path, "tenants", field)) {
+    if (field == "name") tenant->name = text;
+    else if (field == "quotaRps") tenant->quotaPerSecond = value.number<double>();
   }
 }
 
-void completeSettings(Settings& s) {
-  for (ClassSettings& c : s.classes) c.clientTimeout = std::max(c.clientTimeout, c.latencyObjective);
+void completeSettings(Settings& settings) {
+  for (ClassSettings& classSettings : settings.classes)
+    classSettings.clientTimeout = std::max(classSettings.clientTimeout, classSettings.latencyObjective);
 }
 
-void validate(const Settings& s) {
-  require(s.gatewayCount >= 1, "groupSize must be at least 1");
-  require(s.gatewayIndex < s.gatewayCount, "myNumber is " + std::to_string(s.gatewayIndex) + ", not 0 to " +
-                                               std::to_string(s.gatewayCount - 1) + ", as groupSize has it");
-  require(!s.classes.empty(), "at least one class is needed");
-  require(s.maxAttempts >= 1, "maxAttempts must be at least 1");
-  require(s.initialCapacityFraction > 0 && s.initialCapacityFraction <= 1, "coldShare must lie in (0, 1]");
-  require(s.collapseLoadFactor > 0, "fallMultiple must be above 0");
-  require(s.overQuotaWeightFactor >= 0 && s.overQuotaWeightFactor <= 1, "overShareWorth must lie in [0, 1]");
-  for (Duration d : {s.maxRetryAfter, s.maxDiscoverySilence, s.eventInterval, s.warmUpTime, s.collapseWindow})
-    require(d >= Duration::zero(), "durations must not be negative");
-  require(std::isfinite(s.hostStreamRate) && s.hostStreamRate >= 0, "streamRate must be 0 or more");
-  require(s.streamRetrySpread >= Duration::zero(), "streamReturn must not be negative");
-  for (const ClassSettings& c : s.classes) {
-    require(!c.name.empty(), "a class has no name");
-    require(c.latencyObjective > Duration::zero(), "class " + c.name + ": aim must be above 0");
-    require(c.clientTimeout >= c.latencyObjective, "class " + c.name + ": giveUp must not be below aim");
-    require(std::isfinite(c.priorityWeight) && c.priorityWeight >= 0,
-            "class " + c.name + ": worth must be 0 or more");
-    require(c.lateValueFraction >= 0 && c.lateValueFraction <= 1,
-            "class " + c.name + ": lateShare must lie in [0, 1]");
-    require(c.objectiveStretch >= 0, "class " + c.name + ": aimStretch must be 0 or more");
-    require(c.deduplicationWindow >= Duration::zero(), "class " + c.name + ": window must not be negative");
+// The messages name the settings as operators and the simulator do.
+void validate(const Settings& settings) {
+  require(settings.gatewayCount >= 1, "groupSize must be at least 1");
+  require(settings.gatewayIndex < settings.gatewayCount,
+          "myNumber is " + std::to_string(settings.gatewayIndex) + ", not 0 to " +
+              std::to_string(settings.gatewayCount - 1) + ", as groupSize has it");
+  require(!settings.classes.empty(), "at least one class is needed");
+  require(settings.maxAttempts >= 1, "maxAttempts must be at least 1");
+  require(settings.initialCapacityFraction > 0 && settings.initialCapacityFraction <= 1,
+          "coldShare must lie in (0, 1]");
+  require(settings.collapseLoadFactor > 0, "fallMultiple must be above 0");
+  require(settings.overQuotaWeightFactor >= 0 && settings.overQuotaWeightFactor <= 1,
+          "overShareWorth must lie in [0, 1]");
+  for (const Duration duration : {settings.maxRetryAfter, settings.maxDiscoverySilence,
+                                  settings.eventInterval, settings.warmUpTime, settings.collapseWindow})
+    require(duration >= Duration::zero(), "durations must not be negative");
+  require(std::isfinite(settings.hostStreamRate) && settings.hostStreamRate >= 0,
+          "streamRate must be 0 or more");
+  require(settings.streamRetrySpread >= Duration::zero(), "streamReturn must not be negative");
+  for (const ClassSettings& classSettings : settings.classes) {
+    require(!classSettings.name.empty(), "a class has no name");
+    require(classSettings.latencyObjective > Duration::zero(),
+            "class " + classSettings.name + ": aim must be above 0");
+    require(classSettings.clientTimeout >= classSettings.latencyObjective,
+            "class " + classSettings.name + ": giveUp must not be below aim");
+    require(std::isfinite(classSettings.priorityWeight) && classSettings.priorityWeight >= 0,
+            "class " + classSettings.name + ": worth must be 0 or more");
+    require(classSettings.lateValueFraction >= 0 && classSettings.lateValueFraction <= 1,
+            "class " + classSettings.name + ": lateShare must lie in [0, 1]");
+    require(classSettings.objectiveStretch >= 0,
+            "class " + classSettings.name + ": aimStretch must be 0 or more");
+    require(classSettings.deduplicationWindow >= Duration::zero(),
+            "class " + classSettings.name + ": window must not be negative");
   }
-  for (const TenantSettings& t : s.tenants)
-    require(std::isfinite(t.quotaPerSecond) && t.quotaPerSecond >= 0, "tenant " + t.name + ": bad quota");
+  for (const TenantSettings& tenant : settings.tenants)
+    require(std::isfinite(tenant.quotaPerSecond) && tenant.quotaPerSecond >= 0,
+            "tenant " + tenant.name + ": bad quota");
 }
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/subset.cpp
+++ b/src/policy/subset.cpp
@@ -7,24 +7,28 @@
 
 namespace finchstile::load_balancing {
 
-// Gateways of a round. It hardly ever follows the number of hosts: where it did, each host that came or went
-// could move every gateway to another round, and all connections with it.
-constexpr std::size_t kSlots = 16;
-
-std::vector<std::size_t> subsetOrder(const std::vector<std::uint64_t>& hashes, std::uint32_t number,
-                                     std::uint32_t gateways, std::size_t width) {
-  std::size_t slots = kSlots;
-  while (slots * 2 * std::max<std::size_t>(width, 1) <= hashes.size()) slots *= 2;
-  // The last round is to be as full as the others, or its hosts are met more often.
-  const std::size_t rounds = std::max<std::size_t>(gateways / slots, 1);
-  slots = std::max<std::size_t>((gateways + rounds - 1) / rounds, 1);
-  const std::uint64_t round = mixBits(number / slots);
+namespace {
+
+// Gateways of a round. It follows the number of hosts only in doublings: each host that comes or goes could
+// otherwise move every gateway to another round, and all connections with it.
+constexpr std::size_t kMinRoundSize = 16;
+
+}  // namespace
+
+std::vector<std::size_t> subsetOrder(const std::vector<std::uint64_t>& hashes, std::uint32_t gatewayIndex,
+                                     std::uint32_t gatewayCount, std::size_t subsetSize) {
+  std::size_t roundSize = kMinRoundSize;
+  while (roundSize * 2 * std::max<std::size_t>(subsetSize, 1) <= hashes.size()) roundSize *= 2;
+  // The last round is as full as the others, or its hosts would be met more often.
+  const std::size_t rounds = std::max<std::size_t>(gatewayCount / roundSize, 1);
+  roundSize = std::max<std::size_t>((gatewayCount + rounds - 1) / rounds, 1);
+  const std::uint64_t roundHash = mixBits(gatewayIndex / roundSize);
   std::vector<std::size_t> order(hashes.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-    return mixBits(hashes[a] ^ round) < mixBits(hashes[b] ^ round);
+    return mixBits(hashes[a] ^ roundHash) < mixBits(hashes[b] ^ roundHash);
   });
-  const auto start = static_cast<std::ptrdiff_t>(number % slots * order.size() / slots);
+  const auto start = static_cast<std::ptrdiff_t>(gatewayIndex % roundSize * order.size() / roundSize);
   std::rotate(order.begin(), order.begin() + start, order.end());
   return order;
 }
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -89,7 +89,7 @@
           : 1;
   const bool inTime = now <= request.objectiveAt;
   inTimeAnswers_ += weight * (inTime ? 1 : request.lateValueFraction);
-  if (isWarmingUp(now)) firstInTimeAnswers_ += inTime ? 1 : 0;
+  if (isLearning(now)) firstInTimeAnswers_ += inTime ? 1 : 0;
   return relativeLatency;
 }
 
@@ -155,7 +155,7 @@
 }
 
 double TrafficStatistics::initialInTimeRate(Time now) const {
-  if (!isWarmingUp(now) || firstInTimeAnswers_ < kMinSamples || now - firstArrivalAt_ < kMinInitialSpan)
+  if (!isLearning(now) || firstInTimeAnswers_ < kMinSamples || now - firstArrivalAt_ < kMinInitialSpan)
     return 0;
   return firstInTimeAnswers_ / toSeconds(now - firstArrivalAt_);
 }
--- a/src/policy/traffic_statistics.hpp
+++ b/src/policy/traffic_statistics.hpp
@@ -62,13 +62,11 @@
   // `gain` per sweep, or less, so that at least kMinSamples arrivals are in the figure.
   double sweepGain(double gain) const;
 
-  // Whether too little was measured since the start to rely on.
-  bool isWarmingUp(Time now) const {
-    return now - startedAt_ < 10 * kSweepInterval || answers_ < kMinSamples;
-  }
-  // Answers in time a second since the first arrival; 0 unless it is warming up and has enough of them. Until
+  // Too little was measured since the start to rely on.
+  bool isLearning(Time now) const { return now - startedAt_ < 10 * kSweepInterval || answers_ < kMinSamples; }
+  // Answers in time a second since the first arrival; 0 unless it is learning and has enough of them. Until
   // the swept rate has come near the true one, fast hosts would stand idle under the first guess. Slow or
-  // cold hosts give too few answers here, and the guess stands.
+  // warming hosts give too few answers here, and the guess stands.
   double initialInTimeRate(Time now) const;
 
   Time startedAt() const { return startedAt_; }
@@ -84,7 +82,7 @@
   double medianRelativeLatency() const { return medianRelativeLatency_; }
 
   void capture(LearnedState& learned, Time now) const;
-  // Takes over what makes sense of the figures of another load balancer for the same classes.
+  // Takes over the valid figures of another load balancer for the same classes.
   void restore(const LearnedState& learned, Time now);
 
  private:
@@ -100,7 +98,7 @@
   double inTimeAnswers_ = 0;  // since the sweep
   double inTimeRate_ = 0;
   Time firstArrivalAt_{};
-  double firstInTimeAnswers_ = 0;  // while warming up
+  double firstInTimeAnswers_ = 0;  // while learning
   double sends_ = 0;               // since the sweep
   double sendRate_ = 1;
   double served_ = 0;  // since the sweep
--- a/tests/policy/host_picker_test.cpp
+++ b/tests/policy/host_picker_test.cpp
@@ -166,5 +166,59 @@
   EXPECT_NE(d.sent[0].host, d.sent[1].host);
 }
 
+// --- The class alone
+
+class HostPickerTest : public ::testing::Test {
+ protected:
+  HostPickerTest() {
+    hosts.apply(HostListUpdate::complete, {makeHost(0), makeHost(1), makeHost(2)}, [](Host&) {});
+    picker.rebuildPreferenceOrder();
+    request.classIndex = 0;
+  }
+  Host& host(int number) { return hosts[hosts.findByAddress(makeHost(number).address)]; }
+
+  Settings settings = makeSettings();
+  HostRegistry hosts{"east"};
+  FleetShape shape{settings, hosts};
+  InFlightTracker inFlight;
+  ActionQueue actions;
+  TrafficStatistics traffic{settings, {}};
+  RetryPolicy retries{settings, hosts, shape, traffic};
+  OutlierDetector outliers{hosts, shape, traffic, actions};
+  OverloadEstimator overload{settings, hosts, shape, traffic, inFlight, retries, actions};
+  SlowStart slowStart{settings, shape, traffic};
+  StreamPlacement streams{settings};
+  LoadReportModel loadReports;
+  HostPicker picker{
+      {settings, hosts, shape, traffic, overload, outliers, slowStart, retries, streams, loadReports}};
+  RandomSource random{1};
+  ActiveRequest request;
+};
+
+TEST_F(HostPickerTest, UsesHealthyHostsThatWereNotTried) {
+  EXPECT_TRUE(picker.isUsable(request, host(0).id, seconds(1)));
+  host(0).health.unresponsive = true;
+  EXPECT_FALSE(picker.isUsable(request, host(0).id, seconds(1)));
+  host(1).capacity.backoffUntil = seconds(2);
+  EXPECT_FALSE(picker.isUsable(request, host(1).id, seconds(1)));
+  EXPECT_TRUE(picker.isUsable(request, host(1).id, seconds(2)));
+  request.attemptCount = 1;
+  request.attempts[0].host = host(2).id;
+  EXPECT_FALSE(picker.isUsable(request, host(2).id, seconds(1)));
+}
+
+TEST_F(HostPickerTest, FallsBackToUnhealthyHosts) {
+  for (int i = 0; i < 3; ++i) host(i).health.state = HealthState::ejected;
+  EXPECT_NE(picker.pick(request, seconds(1), random), kNone);
+  host(1).health.state = HealthState::healthy;
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(picker.pick(request, seconds(1), random), host(1).id);
+}
+
+TEST_F(HostPickerTest, PicksNothingWithoutHosts) {
+  hosts.apply(HostListUpdate::complete, {}, [](Host&) {});
+  picker.rebuildPreferenceOrder();
+  EXPECT_EQ(picker.pick(request, seconds(1), random), kNone);
+}
+
 }  // namespace
 }  // namespace finchstile::load_balancing::testing
--- a/tests/policy/load_probing_test.cpp
+++ b/tests/policy/load_probing_test.cpp
@@ -1,4 +1,6 @@
 // LoadProbing: probes, and recommendations of group trackers, where gateways outnumber hosts.
+#include "policy/load_probing.hpp"
+
 #include <cmath>
 #include <random>
 #include <set>
@@ -87,6 +89,29 @@
   EXPECT_EQ(d.lastSent().host, probes[0].host);
 }
 
+// Where every host is warming up, a further draw may find none.
+TEST(LoadProbing, ProbesOnlyHostsThatWereDrawn) {
+  Driver d(largeBankSettings(true), 20);
+  std::vector<HostEntry> restarted;
+  for (int i = 0; i < 20; ++i) {
+    restarted.push_back(makeHost(i, "east", i % 2));
+    restarted.back().startedAt = d.now;
+  }
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, restarted);
+  std::size_t probes = 0;
+  for (int i = 0; i < 300; ++i) {
+    d.forget();
+    d.request(0);
+    for (const Action& a : of(d, ActionKind::probeHost)) {
+      ++probes;
+      ASSERT_NE(a.host, kNone);
+    }
+    d.advance(milliseconds(20));
+    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+  }
+  EXPECT_GT(probes, 0U);
+}
+
 TEST(LoadProbing, IgnoresUnrequestedResults) {
   Driver d(largeBankSettings(true), 20);
   report(d, d.host(0), 0);
@@ -249,5 +274,63 @@
   EXPECT_EQ(recommended, (std::vector<bool>{true, false, true}));
 }
 
+// --- The class alone
+
+class LoadProbingTest : public ::testing::Test {
+ protected:
+  LoadProbingTest() {
+    std::vector<HostEntry> entries;
+    for (int i = 0; i < 20; ++i) entries.push_back(makeHost(i));
+    hosts.apply(HostListUpdate::complete, entries, [](Host&) {});
+    probing.assignGroups();
+  }
+  Host& host(int number) { return hosts[hosts.findByAddress(makeHost(number).address)]; }
+
+  Settings settings = largeBankSettings(false);
+  HostRegistry hosts{"east"};
+  FleetShape shape{settings, hosts};
+  TrafficStatistics traffic{settings, {}};
+  SlowStart slowStart{settings, shape, traffic};
+  ActionQueue actions;
+  LoadProbing probing{settings, hosts, shape, traffic, slowStart, actions};
+  RandomSource random{1};
+};
+
+TEST_F(LoadProbingTest, SilentTrackerHasAStandInForThreeSeconds) {
+  const std::uint64_t group = host(0).probing.group;
+  const std::uint32_t tracker = probing.trackerOf(group, seconds(1));
+  probing.onTrackerSilent(group, seconds(1));
+  EXPECT_NE(probing.trackerOf(group, seconds(1)), tracker);
+  EXPECT_NE(probing.trackerOf(group, seconds(4) - Duration(1)), tracker);
+  EXPECT_EQ(probing.trackerOf(group, seconds(4)), tracker);
+}
+
+TEST_F(LoadProbingTest, AssignedAttemptsExpireAfterTheLongestObjective) {
+  const Recommendation first = probing.recommend(host(0).id, seconds(1), random);
+  EXPECT_EQ(first.load, 0);
+  EXPECT_EQ(hosts[first.host].probing.assignedUntil.size(), 1U);
+  const Recommendation second = probing.recommend(host(0).id, seconds(1), random);
+  EXPECT_NE(second.host, first.host);
+  probing.onAttemptStarted(hosts[first.host], seconds(1) + milliseconds(400));
+  EXPECT_EQ(hosts[first.host].probing.assignedUntil.size(), 1U) << "the first one must be over";
+  probing.onAttemptEnded(hosts[first.host], seconds(1) + milliseconds(401));
+  EXPECT_EQ(hosts[first.host].probing.assignedUntil.size(), 0U);
+}
+
+TEST_F(LoadProbingTest, CutoffGrowsWithTheLeastLoad) {
+  ActiveRequest request;
+  request.latencyObjective = milliseconds(400);
+  LoadProbing::begin(request);
+  LoadProbing::end(request);
+  EXPECT_EQ(request.observedLoad, -1) << "no report came";
+  EXPECT_EQ(probing.cutoff(request), 0);
+  request.observedLoad = 2;  // three requests, each 0.15 of the objective
+  EXPECT_NEAR(probing.cutoff(request), 0, 1e-9);
+  request.observedLoad = 3;
+  EXPECT_NEAR(probing.cutoff(request), 5.2734375, 1e-6);
+  request.observedLoad = 5;
+  EXPECT_EQ(probing.cutoff(request), 100);
+}
+
 }  // namespace
 }  // namespace finchstile::load_balancing::testing
--- a/tests/policy/slow_start_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -36,18 +36,19 @@
     s.slots = c.slots;
     s.work = milliseconds(c.workMs);
     s.handshake = milliseconds(c.workMs / 8);
-    s.perSecond = c.load * c.hosts * c.slots * 1000.0 / c.workMs;
+    s.requestsPerSecond = c.load * c.hosts * c.slots * 1000.0 / c.workMs;
     s.connections = 10000;
-    s.coldShare = 0.32;
+    s.initialCapacityFraction = 0.32;
     s.listDelay = milliseconds(200);  // a start is known while the host has its least capacity
     s.seed = seed;
     return s;
   }
   void expectBudget(const Fleet& f, const std::string& day) const {
     std::printf("%s: %.2f of the budget in the worst window, %.0f calls to spare, worth %.3f\n", day.c_str(),
-                f.audit.coldPart, -f.audit.coldExcess, f.counts.worthServed / f.counts.worthAsked);
-    EXPECT_LE(f.audit.coldExcess, 0) << day;
-    EXPECT_GT(f.audit.coldPart, 0) << day << ": nothing was sent to a cold host";
+                f.audit.worstBudgetFraction, -f.audit.worstBudgetExcess,
+                f.counts.valueServed / f.counts.valueRequested);
+    EXPECT_LE(f.audit.worstBudgetExcess, 0) << day;
+    EXPECT_GT(f.audit.worstBudgetFraction, 0) << day << ": nothing was sent to a cold host";
   }
 };
 
@@ -56,7 +57,7 @@
   for (const std::uint64_t seed : {1, 2}) {
     Fleet f(settings(seed));
     f.run(seconds(3));
-    const int n = f.set.hosts * 6 / 10;
+    const int n = f.settings.hosts * 6 / 10;
     for (int h = 0; h < n; ++h) {
       const Time when = seconds(3) + Duration(seconds(4)) * h / n;
       f.at(when, [&f, h] { f.addHost(h % 2 ? "west" : "east"); });
@@ -77,7 +78,7 @@
   f.at(seconds(6), [&f] { f.restartHost(0); });
   f.at(seconds(6), [&f] { f.restartHost(1); });
   for (int round = 0; round < 3; ++round)
-    for (std::uint32_t g = 0; g < f.set.gateways; ++g) {
+    for (std::uint32_t g = 0; g < f.settings.gateways; ++g) {
       const Time when = milliseconds(6500) + milliseconds(700) * round;
       f.at(when, [&f, g] { f.stopGateway(g); });
       f.at(when + milliseconds(100), [&f, g] { f.startGateway(g); });
@@ -89,11 +90,11 @@
 // Traffic is half as much again for a while, and one gateway has five times the mean.
 TEST_P(SlowStartBudget, HoldsInABurstOnUnevenGateways) {
   FleetSettings s = settings(4);
-  s.heavyGateway = 5;
-  s.perSecond *= 1.5;
+  s.heavyGatewayFactor = 5;
+  s.requestsPerSecond *= 1.5;
   Fleet f(s);
   f.run(seconds(3));
-  for (int h = 0; h < f.set.hosts; h += 3) {
+  for (int h = 0; h < f.settings.hosts; h += 3) {
     f.killHost(h);
     f.at(seconds(6), [&f, h] { f.restartHost(h); });
   }
@@ -105,12 +106,13 @@
 TEST_P(SlowStartBudget, HoldsWhereNextToNothingElseIsLeft) {
   Fleet f(settings(5));
   f.run(seconds(3));
-  const int cold = std::max(1, f.set.hosts / 20);
+  const int cold = std::max(1, f.settings.hosts / 20);
   for (int h = 0; h < cold; ++h) {
     f.killHost(h);
     f.at(seconds(6), [&f, h] { f.restartHost(h); });
   }
-  for (int h = f.set.hosts / 10; h < f.set.hosts; ++h) f.at(seconds(5), [&f, h] { f.cutOff(h, true); });
+  for (int h = f.settings.hosts / 10; h < f.settings.hosts; ++h)
+    f.at(seconds(5), [&f, h] { f.setUnreachable(h, true); });
   f.run(seconds(12));
   expectBudget(f, "few left");
 }
--- a/tests/policy/stream_placement_test.cpp
+++ b/tests/policy/stream_placement_test.cpp
@@ -1,5 +1,7 @@
 // StreamPlacement: hosts are chosen by the streams that they hold; bounds, rates, and no load in flight once
 // a stream is established.
+#include "policy/stream_placement.hpp"
+
 #include <algorithm>
 
 #include "support/driver.hpp"
@@ -263,5 +265,42 @@
   EXPECT_THROW(Driver d(s), std::invalid_argument);
 }
 
+// --- The class alone
+
+TEST(StreamPlacement, TokensFollowTheRateOfTheGatewaysPart) {
+  Settings settings = makeSettings();
+  settings.gatewayCount = 2;
+  settings.hostStreamRate = 40;  // 20 a second are this gateway's, 5 of them at once
+  HostRegistry hosts("east");
+  hosts.apply(HostListUpdate::complete, {makeHost(0)}, [](Host&) {});
+  Host& host = hosts[hosts.active()[0]];
+  StreamPlacement streams(settings);
+  Attempt attempt;
+  attempt.host = host.id;
+  int begun = 0;
+  for (; streams.hasCapacity(host, 1, seconds(1), seconds(2)); ++begun) streams.begin(hosts, attempt);
+  EXPECT_EQ(begun, 5);
+  EXPECT_EQ(streams.streamCount(), 5U);
+  EXPECT_TRUE(streams.hasCapacity(host, 1, seconds(1), seconds(2) + milliseconds(50)));
+}
+
+TEST(StreamPlacement, EndsEachStreamOnce) {
+  const Settings settings = makeSettings();
+  HostRegistry hosts("east");
+  hosts.apply(HostListUpdate::complete, {makeHost(0)}, [](Host&) {});
+  Host& host = hosts[hosts.active()[0]];
+  StreamPlacement streams(settings);
+  Attempt attempt;
+  attempt.host = host.id;
+  streams.end(hosts, attempt);  // it is no stream
+  EXPECT_EQ(streams.streamCount(), 0U);
+  streams.begin(hosts, attempt);
+  EXPECT_EQ(host.streams.count, 1U);
+  streams.end(hosts, attempt);
+  streams.end(hosts, attempt);
+  EXPECT_EQ(host.streams.count, 0U);
+  EXPECT_EQ(streams.streamCount(), 0U);
+}
+
 }  // namespace
 }  // namespace finchstile::load_balancing::testing
--- a/tests/scale/slopes_test.cpp
+++ b/tests/scale/request_cost_test.cpp
@@ -1,6 +1,6 @@
 // What a request costs must not grow with the hosts and tenants of a deployment: processor time at two sizes,
-// in one process, the least of several runs. The bounds are far above the noise and far below the slopes that
-// they guard against (30 and 60 times).
+// in one process, the least of several runs. The bound is far above the noise and far below the growth that
+// it guards against (30 and 60 times).
 #include <gtest/gtest.h>
 #include <time.h>
 
@@ -11,8 +11,9 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-constexpr double kSlopeMost = 8;  // times the cost at the small size
-constexpr int kRuns = 7, kRequests = 500;
+constexpr double kMaxCostRatio = 8;  // of the large size to the small one
+constexpr int kRuns = 7;
+constexpr int kRequests = 500;
 constexpr std::uint32_t kGateways = 520;
 
 double processorSeconds() {
@@ -21,7 +22,7 @@
   return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * 1e-9;
 }
 
-// The least processor time of a request that is answered, in seconds.
+// The least processor time of an answered request, in seconds.
 double costOfRequest(int hosts, int tenants) {
   Settings s = makeSettings();
   s.gatewayCount = kGateways;
@@ -32,9 +33,9 @@
   Time now = seconds(100);
   balancer.onHostListUpdate(now, HostListUpdate::complete, list);
   RequestId last = 0;
-  double least = 1e9;
+  double lowest = 1e9;
   for (int run = 0; run < kRuns; ++run) {
-    const double begun = processorSeconds();
+    const double startedAt = processorSeconds();
     for (int i = 0; i < kRequests; ++i) {
       now += milliseconds(4);
       Request q;
@@ -51,17 +52,17 @@
           balancer.onAttemptResult(now,
                                    {a.request, a.attempt, a.host, Outcome::served, milliseconds(20), true});
     }
-    least = std::min(least, (processorSeconds() - begun) / kRequests);
+    lowest = std::min(lowest, (processorSeconds() - startedAt) / kRequests);
   }
-  return least;
+  return lowest;
 }
 
-TEST(Slopes, ARequestCostsTheSameBefore46And6400Hosts) {
-  EXPECT_LT(costOfRequest(6400, 0), kSlopeMost * costOfRequest(46, 0));
+TEST(RequestCost, DoesNotGrowWithTheHosts) {
+  EXPECT_LT(costOfRequest(6400, 0), kMaxCostRatio * costOfRequest(46, 0));
 }
 
-TEST(Slopes, ARequestCostsTheSameFor100And27000Tenants) {
-  EXPECT_LT(costOfRequest(46, 27000), kSlopeMost * costOfRequest(46, 100));
+TEST(RequestCost, DoesNotGrowWithTheTenants) {
+  EXPECT_LT(costOfRequest(46, 27000), kMaxCostRatio * costOfRequest(46, 100));
 }
 
 }  // namespace
--- a/tests/support/fleet_audit.hpp
+++ b/tests/support/fleet_audit.hpp
@@ -1,5 +1,7 @@
-// The four rules, checked on what the gateways of a fleet did. Shares nothing with the module: it sees
-// requests come, attempts go out and end, answers, and what each gateway was told of hosts.
+// The four rules that no gateway may break, checked on what the gateways of a fleet did: 1, each request ends
+// once and in time; 2, no effect takes place twice; 3, nothing is sent to draining hosts; 4, warming hosts
+// are not overloaded. Shares nothing with the decision module: it sees requests, attempts, answers and
+// published hosts.
 #pragma once
 
 #include <cmath>
@@ -16,170 +18,181 @@
 
 class FleetAudit {
  public:
-  enum class Answer { served, refused, failed };
+  enum class Answer { served, rejected, failed };
 
-  void asked(std::uint32_t gateway, RequestId id, const ClassSettings& of, Time deadline) {
-    open_[id] = {gateway, of.idempotency, of.deduplicationScope, of.deduplicationWindow, deadline, {},
-                 false,   false};
+  void onRequest(std::uint32_t gateway, RequestId id, const ClassSettings& settings, Time deadline) {
+    requests_[id] = {gateway,
+                     settings.idempotency,
+                     settings.deduplicationScope,
+                     settings.deduplicationWindow,
+                     deadline,
+                     {},
+                     false,
+                     false};
   }
-  void sent(std::uint32_t gateway, RequestId id, std::uint32_t attempt, const HostEntry& host, Time now) {
-    const auto it = open_.find(id);
-    if (it == open_.end()) return note("1: " + name(id) + " sent, and never asked for");
+  void onSend(std::uint32_t gateway, RequestId id, std::uint32_t attempt, const HostEntry& host, Time now) {
+    const auto it = requests_.find(id);
+    if (it == requests_.end()) return report("1: " + name(id) + " sent without a request");
     Request& r = it->second;
-    if (r.answered) note("1: " + name(id) + " sent after its answer");
-    for (const Try& t : r.tries) {
-      if (!t.out && !t.mayHaveRun) continue;
-      if (r.effect == Idempotency::idempotent) {
-        if (t.out && !t.calledOff) note("2: " + name(id) + " out twice at once");
+    if (r.isAnswered) report("1: " + name(id) + " sent after its answer");
+    for (const Attempt& t : r.attempts) {
+      if (!t.isPending && !t.mayHaveRun) continue;
+      if (r.idempotency == Idempotency::idempotent) {
+        if (t.isPending && !t.isCancelled) report("2: " + name(id) + " pending twice at once");
         continue;
       }
-      if (t.out) note("2: " + name(id) + " sent while an attempt is out");
-      else if (r.effect == Idempotency::nonIdempotent)
-        note("2: " + name(id) + " sent again, and it may have run");
-      else if (now > t.at + r.window || (r.group == DeduplicationScope::zone && t.zone != host.zone) ||
-               (r.group == DeduplicationScope::cell && t.cell != host.cell))
-        note("2: " + name(id) + " sent again outside its group or window");
+      if (t.isPending) report("2: " + name(id) + " sent while an attempt is pending");
+      else if (r.idempotency == Idempotency::nonIdempotent)
+        report("2: " + name(id) + " sent again, and it may have run");
+      else if (now > t.at + r.window || (r.scope == DeduplicationScope::zone && t.zone != host.zone) ||
+               (r.scope == DeduplicationScope::cell && t.cell != host.cell))
+        report("2: " + name(id) + " sent again outside its scope or window");
     }
-    r.tries.push_back({attempt, now, host.zone, host.cell, true, true, false});
-    const auto told = told_.find({gateway, host.address});
-    if (told != told_.end() && told->second.phase != HostPhase::active && now > told->second.at + kDrainGrace)
-      note("3: " + name(id) + " sent to " + host.address + ", which the gateway knew to drain");
+    r.attempts.push_back({attempt, now, host.zone, host.cell, true, true, false});
+    const auto published = published_.find({gateway, host.address});
+    if (published != published_.end() && published->second.phase != HostPhase::active &&
+        now > published->second.at + kDrainGrace)
+      report("3: " + name(id) + " sent to " + host.address + ", which the gateway knew to be draining");
   }
-  void calledOff(RequestId id, std::uint32_t attempt) {
-    if (Try* t = find(id, attempt)) t->calledOff = true;
+  void onCancel(RequestId id, std::uint32_t attempt) {
+    if (Attempt* t = find(id, attempt)) t->isCancelled = true;
   }
-  void over(RequestId id, std::uint32_t attempt, Outcome outcome) {
-    Try* t = find(id, attempt);
+  void onAttemptEnd(RequestId id, std::uint32_t attempt, Outcome outcome) {
+    Attempt* t = find(id, attempt);
     if (!t) return;
-    t->out = false;
+    t->isPending = false;
     t->mayHaveRun = mayHaveRun(outcome);
   }
-  void answered(RequestId id, Answer how, Time now) {
-    const auto it = open_.find(id);
-    if (it == open_.end()) return;
+  void onAnswer(RequestId id, Answer how, Time now) {
+    const auto it = requests_.find(id);
+    if (it == requests_.end()) return;
     Request& r = it->second;
-    if (r.excused) return;
-    if (std::exchange(r.answered, true)) return note("1: " + name(id) + " answered twice");
-    if (now > r.deadline + kAnswerSlack) note("1: " + name(id) + " answered too late");
-    if (how != Answer::refused || r.effect == Idempotency::idempotent) return;
-    for (const Try& t : r.tries) {
-      const bool dropped =
-          r.effect == Idempotency::idempotentWithKey && r.group == DeduplicationScope::all && !t.out;
-      if ((t.out || t.mayHaveRun) && !dropped) note("2: " + name(id) + " refused, and it may have run");
+    if (r.isExcused) return;
+    if (std::exchange(r.isAnswered, true)) return report("1: " + name(id) + " answered twice");
+    if (now > r.deadline + kAnswerSlack) report("1: " + name(id) + " answered too late");
+    if (how != Answer::rejected || r.idempotency == Idempotency::idempotent) return;
+    for (const Attempt& t : r.attempts) {
+      const bool dropped = r.idempotency == Idempotency::idempotentWithKey &&
+                           r.scope == DeduplicationScope::all && !t.isPending;
+      if ((t.isPending || t.mayHaveRun) && !dropped)
+        report("2: " + name(id) + " rejected, and it may have run");
     }
   }
-  // What a gateway has been told of a host. A new process knows only what it is told.
-  void told(std::uint32_t gateway, const HostEntry& e, Time now) {
-    Word& w = told_[{gateway, e.address}];
-    if (w.phase != e.phase || w.at == Time{}) w.at = now;
-    w.phase = e.phase;
-    w.started = e.startedAt;
+  // A gateway has received the entry of a host. A new process knows only what it has received itself.
+  void onHostPublished(std::uint32_t gateway, const HostEntry& e, Time now) {
+    PublishedHost& host = published_[{gateway, e.address}];
+    if (host.phase != e.phase || host.at == Time{}) host.at = now;
+    host.phase = e.phase;
+    host.started = e.startedAt;
   }
-  // The process has gone with all that it held: that is its clients' to repeat.
-  void gone(std::uint32_t gateway) {
-    for (auto& [id, r] : open_)
-      if (r.gateway == gateway && !r.answered) r.excused = true;
-    for (auto it = told_.lower_bound({gateway, ""}); it != told_.end() && it->first.first == gateway;)
-      it = told_.erase(it);
+  // The process has ended with all that it held; repeating that is left to its clients.
+  void onGatewayStop(std::uint32_t gateway) {
+    for (auto& [id, r] : requests_)
+      if (r.gateway == gateway && !r.isAnswered) r.isExcused = true;
+    for (auto it = published_.lower_bound({gateway, ""});
+         it != published_.end() && it->first.first == gateway;)
+      it = published_.erase(it);
   }
-  // Work was sent to a cold host that can do so much in a second now. How many times what it can do was sent
-  // to it in the window that ends now.
-  double sentCold(std::uint32_t gateway, const HostEntry& host, double work, double capacity, Time now) {
-    const auto word = told_.find({gateway, host.address});
-    const bool told = word != told_.end() && word->second.phase == HostPhase::active &&
-                      word->second.started == host.startedAt;
-    Cold& c = cold_[host.address];
-    c.sent.push_back({now, work, told});
+  // Work of so many seconds was sent to a warming host that can do `capacity` seconds of work a second now.
+  // Returns how many times its capacity was sent to it in the window that ends now.
+  double onWarmingHostSend(std::uint32_t gateway, const HostEntry& host, double work, double capacity,
+                           Time now) {
+    const auto published = published_.find({gateway, host.address});
+    const bool wasPublished = published != published_.end() && published->second.phase == HostPhase::active &&
+                              published->second.started == host.startedAt;
+    WarmingHost& c = warmingHosts_[host.address];
+    c.sent.push_back({now, work, wasPublished});
     c.sum += work;
-    c.known += told ? work : 0;
-    while (c.sent.front().at < now - kFallWindow) {
+    c.publishedSum += wasPublished ? work : 0;
+    while (c.sent.front().at < now - kCollapseWindow) {
       c.sum -= c.sent.front().work;
-      c.known -= c.sent.front().told ? c.sent.front().work : 0;
+      c.publishedSum -= c.sent.front().wasPublished ? c.sent.front().work : 0;
       c.sent.pop_front();
     }
-    const double window = std::chrono::duration<double>(kFallWindow).count();
+    const double window = std::chrono::duration<double>(kCollapseWindow).count();
     const double times = c.sum / (capacity * window);
-    // The same by calls: so many of mean work as the window allows, and two of its roots and two more for
+    // Counted by calls, the window allows so many of mean work; two square roots of it and two more are
     // chance.
-    if (meanWork > 0 && c.known > c.sum * 2 / 3) {
-      const double allowed = kFallMultiple * capacity * window / meanWork;
-      coldExcess =
-          std::max(coldExcess, static_cast<double>(c.sent.size()) - (allowed + 2 * std::sqrt(allowed) + 2));
-      coldPart = std::max(coldPart, static_cast<double>(c.sent.size()) / allowed);
+    if (meanWorkSeconds > 0 && c.publishedSum > c.sum * 2 / 3) {
+      const double allowed = kCollapseLoadFactor * capacity * window / meanWorkSeconds;
+      worstBudgetExcess = std::max(
+          worstBudgetExcess, static_cast<double>(c.sent.size()) - (allowed + 2 * std::sqrt(allowed) + 2));
+      worstBudgetFraction = std::max(worstBudgetFraction, static_cast<double>(c.sent.size()) / allowed);
     }
-    if (times > kFallMultiple && c.known > c.sum * 2 / 3 && !std::exchange(c.fell, true))
-      note("4: " + host.address + " was pushed over while cold");
+    if (times > kCollapseLoadFactor && c.publishedSum > c.sum * 2 / 3 && !std::exchange(c.hasCollapsed, true))
+      report("4: " + host.address + " was overloaded while warming up");
     return times;
   }
-  double meanWork = 0;       // seconds of a call on a warm host; 0: calls are not counted
-  double coldExcess = -1e9;  // the worst window: calls to a cold host beyond what is allowed and chance
-  double coldPart = 0;       // the worst window: calls to a cold host, as a part of what is allowed
-  // No request may be open past its time.
-  void close(Time now) {
-    for (const auto& [id, r] : open_)
-      if (!r.answered && !r.excused && now > r.deadline + kAnswerSlack)
-        note("1: " + name(id) + " never answered");
+  double meanWorkSeconds = 0;       // of a call on a warm host; 0: calls are not counted
+  double worstBudgetExcess = -1e9;  // the worst window: calls to a warming host beyond budget and chance
+  double worstBudgetFraction = 0;   // the worst window: calls to a warming host, as a fraction of the budget
+  // Call at the end: no request may be left without an answer past its time.
+  void finish(Time now) {
+    for (const auto& [id, r] : requests_)
+      if (!r.isAnswered && !r.isExcused && now > r.deadline + kAnswerSlack)
+        report("1: " + name(id) + " never answered");
   }
 
-  const std::vector<std::string>& breaks() const { return breaks_; }
-  std::size_t broken(char rule) const {
+  const std::vector<std::string>& violations() const { return violations_; }
+  std::size_t violationsOf(char rule) const {
     std::size_t n = 0;
-    for (const std::string& b : breaks_) n += b[0] == rule;
+    for (const std::string& b : violations_) n += b[0] == rule;
     return n;
   }
 
  private:
-  struct Try {
+  struct Attempt {
     std::uint32_t number;
     Time at;
     std::string zone;
     std::int64_t cell;
-    bool out, mayHaveRun, calledOff;
+    bool isPending, mayHaveRun, isCancelled;
   };
   struct Request {
     std::uint32_t gateway;
-    Idempotency effect;
-    DeduplicationScope group;
+    Idempotency idempotency;
+    DeduplicationScope scope;
     Duration window;
     Time deadline;
-    std::vector<Try> tries;
-    bool answered, excused;
+    std::vector<Attempt> attempts;
+    bool isAnswered, isExcused;
   };
-  struct Word {
+  struct PublishedHost {
     HostPhase phase = HostPhase::active;
-    Time at{};       // when it was told of that phase first
-    Time started{};  // the start of the process that it was told of
+    Time at{};       // when the gateway received that phase first
+    Time started{};  // of the host process that it knows
   };
-  struct ColdSend {
+  struct WarmingSend {
     Time at;
     double work;
-    bool told;
+    bool wasPublished;
   };
-  struct Cold {
-    std::deque<ColdSend> sent;
-    double sum = 0, known = 0;
-    bool fell = false;
+  struct WarmingHost {
+    std::deque<WarmingSend> sent;
+    double sum = 0;
+    double publishedSum = 0;
+    bool hasCollapsed = false;
   };
 
   static constexpr Duration kAnswerSlack = std::chrono::milliseconds(50);  // past a client's time
   static constexpr Duration kDrainGrace = std::chrono::milliseconds(500);
-  static constexpr double kFallMultiple = 3;                        // of what a cold host can do,
-  static constexpr Duration kFallWindow = std::chrono::seconds(2);  // for this long
+  static constexpr double kCollapseLoadFactor = 3;                      // times what a warming host can do,
+  static constexpr Duration kCollapseWindow = std::chrono::seconds(2);  // for this long
 
   static std::string name(RequestId id) { return "request " + std::to_string(id); }
-  Try* find(RequestId id, std::uint32_t attempt) {
-    const auto it = open_.find(id);
-    if (it == open_.end()) return nullptr;
-    for (Try& t : it->second.tries)
+  Attempt* find(RequestId id, std::uint32_t attempt) {
+    const auto it = requests_.find(id);
+    if (it == requests_.end()) return nullptr;
+    for (Attempt& t : it->second.attempts)
       if (t.number == attempt) return &t;
     return nullptr;
   }
-  void note(std::string what) { breaks_.push_back(std::move(what)); }
+  void report(std::string what) { violations_.push_back(std::move(what)); }
 
-  std::map<RequestId, Request> open_;
-  std::map<std::pair<std::uint32_t, std::string>, Word> told_;
-  std::map<std::string, Cold> cold_;
-  std::vector<std::string> breaks_;
+  std::map<RequestId, Request> requests_;
+  std::map<std::pair<std::uint32_t, std::string>, PublishedHost> published_;
+  std::map<std::string, WarmingHost> warmingHosts_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace finchstile::load_balancing::testing
