--- a/bench/hooks.cpp
+++ b/bench/hooks.cpp
@@ -18,8 +18,8 @@
 #include <vector>
 
 #include "hook/compiler.hpp"
-#include "hook/filter.hpp"
-#include "hook/machine.hpp"
+#include "hook/hook_filter.hpp"
+#include "hook/interpreter.hpp"
 #include "hook/verifier.hpp"
 #include "host.hpp"
 #include "net/gateway.hpp"
@@ -48,14 +48,17 @@
   return std::chrono::duration<double, std::nano>(SteadyClock::now() - begin).count();
 }
 
-std::shared_ptr<const Code> codeOf(const std::string& source) {
+std::shared_ptr<const Executable> codeOf(const std::string& source) {
   std::vector<Problem> problems;
   auto compiled = compile(source, problems);
   for (const Problem& p : problems) std::fprintf(stderr, "%s\n", describe("hook", p).c_str());
-  std::string why;
-  auto code = compiled ? bind(std::move(compiled->program), {}, why) : nullptr;
-  if (!code) std::fprintf(stderr, "%s\n", why.c_str()), std::exit(1);
-  return code;
+  if (!compiled) std::exit(1);
+  try {
+    return linkProgram(std::move(compiled->program), {});
+  } catch (const LinkError& error) {
+    std::fprintf(stderr, "%s\n", error.what());
+    std::exit(1);
+  }
 }
 
 // The median of some runs.
@@ -75,8 +78,8 @@
   for (int i = 0; i < checks; ++i)
     body += "if length(path) == " + std::to_string(1000 + i) + " { reject(403, \"no\"); }\n";
   const auto code = codeOf("hook \"h\";\non request {\n" + body + "}\n");
-  Machine machine;
-  Input in;
+  Interpreter machine;
+  RunInput in;
   in.className = "cut-plan";
   in.path = "/cut-plan/site-7/log-1234567";
   constexpr int kRuns = 20000;
@@ -85,7 +88,7 @@
     before = allocations;
     const auto begin = SteadyClock::now();
     for (int i = 0; i < kRuns; ++i)
-      instructions = machine.run(*code, Handler::request, in, Budget{}).instructions;
+      instructions = machine.run(*code, Handler::request, in, RunBudget{}).instructions;
     const double ns = nsSince(begin) / kRuns;
     before = allocations - before;
     return ns;
@@ -114,18 +117,18 @@
       "hook \"h\";\non request {\n  if class in {\"cut-plan\", \"x\"} and path matches "
       "r\"^/cut-plan/site-[0-9]+/\" { "
       "tag(\"site\", part(path, 15, 1)); }\n}\n");
-  Machine machine;
-  Input in;
+  Interpreter machine;
+  RunInput in;
   in.className = "cut-plan";
   in.path = "/cut-plan/site-7/log-1234567";
   constexpr int kRuns = 20000;
-  for (int i = 0; i < 100; ++i) machine.run(*code, Handler::request, in, Budget{});
+  for (int i = 0; i < 100; ++i) machine.run(*code, Handler::request, in, RunBudget{});
   std::uint64_t instructions = 0, before = 0;
   const double ns = median([&] {
     before = allocations;
     const auto begin = SteadyClock::now();
     for (int i = 0; i < kRuns; ++i)
-      instructions = machine.run(*code, Handler::request, in, Budget{}).instructions;
+      instructions = machine.run(*code, Handler::request, in, RunBudget{}).instructions;
     const double t = nsSince(begin) / kRuns;
     before = allocations - before;
     return t;
@@ -197,9 +200,9 @@
     auto set = std::make_shared<HookSet>();
     for (std::size_t i = 0; i < hooks; ++i) {
       HookSpec s;
-      s.code = codeOf("hook \"h" + std::to_string(i) +
-                      "\";\non request {\n  if class == \"x\" and header(\"X-Yard\") == \"" +
-                      std::to_string(version) + "\" { reject(403, \"no\"); }\n}\n");
+      s.executable = codeOf("hook \"h" + std::to_string(i) +
+                            "\";\non request {\n  if class == \"x\" and header(\"X-Yard\") == \"" +
+                            std::to_string(version) + "\" { reject(403, \"no\"); }\n}\n");
       set->hooks.push_back(std::move(s));
     }
     return set;
@@ -207,7 +210,7 @@
   HookFilter stage(clock, Duration{}, [](std::string_view) {});
   Gateway gateway(io, clock, readConfig(config.dump(), clock));
   if (hooks > 0) {
-    stage.chain().take(setOf(0));
+    stage.chain().install(setOf(0));
     gateway.attach(stage);
   }
   gateway.start();
@@ -226,7 +229,7 @@
     if (i == 0) clock_gettime(cpu, &begin);
     if (swapEvery > 0 && i % swapEvery == 0) {
       const auto next = setOf(i);  // compiled on this thread, as the program's loader does
-      asio::post(io, [&stage, &clock, next] { stage.chain().take(next); });
+      asio::post(io, [&stage, &clock, next] { stage.chain().install(next); });
     }
     const std::string request = "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: i" + std::to_string(i) +
                                 "\r\nX-Time-Left-Ms: 2000\r\n\r\n";
--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -12,7 +12,7 @@
 #include "app/operator_file.hpp"
 #include "app/run.hpp"
 #include "app/trace_command.hpp"
-#include "hook/files.hpp"
+#include "hook/hook_loader.hpp"
 #include "net/config.hpp"
 
 namespace finchstile {
--- a/src/app/hook_commands.cpp
+++ b/src/app/hook_commands.cpp
@@ -4,137 +4,191 @@
 #include <cstdio>
 #include <fstream>
 #include <memory>
+#include <string>
+#include <vector>
 
 #include "app/commands.hpp"
-#include "hook/expect.hpp"
-#include "hook/files.hpp"
+#include "hook/bytecode.hpp"
+#include "hook/disassembler.hpp"
+#include "hook/expectations.hpp"
+#include "hook/hook_loader.hpp"
+#include "hook/interpreter.hpp"
 
 namespace finchstile {
 namespace {
 
-using namespace hook;
+using hook::Expectation;
+using hook::Handler;
+using hook::RunBudget;
+using hook::RunInput;
+using hook::RunResult;
 
-int told(const std::vector<std::string>& problems) {
-  for (const std::string& p : problems) std::fprintf(stderr, "%s\n", p.c_str());
+constexpr std::int64_t kNanosecondsPerMillisecond = 1'000'000;
+
+// Returns the exit code of a command that found problems.
+int reportProblems(const std::vector<std::string>& problems) {
+  for (const std::string& problem : problems) std::fprintf(stderr, "%s\n", problem.c_str());
   return kExitCheck;
 }
 
-int check(const std::vector<std::string>& files, const std::string& bytecode) {
+// Returns whether the file was written.
+bool writeBytecode(const std::string& path, const hook::Program& program) {
+  std::ofstream file(path, std::ios::binary | std::ios::trunc);
+  file << hook::encode(program);
+  file.close();
+  return static_cast<bool>(file);
+}
+
+void checkHook(const std::string& file, const std::string& bytecodePath, std::vector<std::string>& problems) {
+  const auto loaded = hook::loadHook(file, problems);
+  if (!loaded) return;
+  const auto failed = hook::runExpectations(*loaded->executable, loaded->expectations, RunBudget{});
+  for (const hook::Problem& problem : failed) problems.push_back(describe(file, problem));
+  if (!failed.empty()) return;
+  const hook::Program& program = loaded->executable->program();
+  std::printf("%s: good: hook %s, %zu instructions, %zu expectations hold\n", file.c_str(),
+              program.name.c_str(), program.code.size(), loaded->expectations.size());
+  if (!bytecodePath.empty() && !writeBytecode(bytecodePath, program))
+    problems.push_back(bytecodePath + ": cannot be written");
+}
+
+int checkHooks(const std::vector<std::string>& files, const std::string& bytecodePath) {
   std::vector<std::string> problems;
-  for (const std::string& file : files) {
-    const auto loaded = loadHook(file, problems);
-    if (!loaded) continue;
-    const auto failed = runExpectations(*loaded->code, loaded->expectations, Budget{});
-    for (const Problem& p : failed) problems.push_back(describe(file, p));
-    if (!failed.empty()) continue;
-    const Program& p = loaded->code->program();
-    std::printf("%s: good: hook %s, %zu instructions, %zu expectations hold\n", file.c_str(), p.name.c_str(),
-                p.code.size(), loaded->expectations.size());
-    if (bytecode.empty()) continue;
-    std::ofstream out(bytecode, std::ios::binary | std::ios::trunc);
-    out << encode(p);
-    out.close();
-    if (!out) problems.push_back(bytecode + ": cannot be written");
-  }
-  return problems.empty() ? 0 : told(problems);
+  for (const std::string& file : files) checkHook(file, bytecodePath, problems);
+  return problems.empty() ? 0 : reportProblems(problems);
 }
 
-int show(const std::string& file) {
+int showHook(const std::string& file) {
   std::vector<std::string> problems;
-  const auto loaded = loadHook(file, problems);
-  if (!loaded) return told(problems);
-  std::fputs(disassemble(loaded->code->program()).c_str(), stdout);
+  const auto loaded = hook::loadHook(file, problems);
+  if (!loaded) return reportProblems(problems);
+  std::fputs(hook::disassemble(loaded->executable->program()).c_str(), stdout);
   return 0;
 }
 
-struct RunRequest {
-  std::string file, handler = "request";
+// The options of `hook run`.
+struct HookRunOptions {
+  std::string file;
+  std::string handler = "request";
   Expectation given;
-  std::vector<std::string> headers, answerHeaders;
-  std::int64_t status = 200, attempt = 1, leftMs = 1000;
+  std::vector<std::string> headers;          // NAME=VALUE
+  std::vector<std::string> responseHeaders;  // NAME=VALUE
+  std::int64_t status = 200;
+  std::int64_t attempt = 1;
+  std::int64_t timeLeftMs = 1000;
 };
 
-// "NAME=VALUE"; what has no '=' names none.
-std::vector<Expectation::Pair> pairs(const std::vector<std::string>& lines) {
-  std::vector<Expectation::Pair> out;
-  for (const std::string& l : lines) {
-    const std::size_t split = l.find('=');
-    if (split != std::string::npos) out.push_back({l.substr(0, split), l.substr(split + 1)});
+// Options without '=' are ignored.
+std::vector<Expectation::Pair> parsePairs(const std::vector<std::string>& options) {
+  std::vector<Expectation::Pair> pairs;
+  for (const std::string& option : options) {
+    const std::size_t equals = option.find('=');
+    if (equals != std::string::npos) pairs.push_back({option.substr(0, equals), option.substr(equals + 1)});
   }
-  return out;
+  return pairs;
 }
 
-int run(const RunRequest& q) {
-  std::vector<std::string> problems;
-  const auto loaded = loadHook(q.file, problems);
-  if (!loaded) return told(problems);
-  const Handler h = q.handler == "request"   ? Handler::request
-                    : q.handler == "attempt" ? Handler::attempt
-                                             : Handler::answer;
-  if (!loaded->code->handles(h)) return told({q.file + ": has no `on " + q.handler + "`"});
-  const auto headers = pairs(q.headers), answerHeaders = pairs(q.answerHeaders);
-  const ListedHeaders request(headers), answer(answerHeaders);
-  Input in = inputOf(q.given);
-  in.timeLeft = q.leftMs * 1'000'000;
-  in.attempt = q.attempt;
-  in.status = q.status;
-  in.fromHost = true;
-  in.mayReject = h == Handler::request;
-  in.request = &request;
-  in.answer = &answer;
-  Machine machine;
-  const Result& r = machine.run(*loaded->code, h, in, Budget{});
-  const auto text = [](std::string_view s) { return std::string(s); };
-  for (std::size_t i = 0; i < r.headerCount; ++i)
-    std::printf("set header %s: %s\n", text(r.headers[i].name).c_str(), text(r.headers[i].value).c_str());
-  for (std::size_t i = 0; i < r.tagCount; ++i)
-    std::printf("tag %s=%s\n", text(r.tags[i].name).c_str(), text(r.tags[i].value).c_str());
-  for (std::size_t i = 0; i < r.countCount; ++i)
-    std::printf("count %s\n", loaded->code->program().counters[r.counts[i]].c_str());
-  for (std::size_t i = 0; i < r.logCount; ++i) std::printf("log %s\n", text(r.logs[i]).c_str());
-  if (r.fault != Fault::none) std::printf("fault on line %u: %s\n", r.line, text(describe(r.fault)).c_str());
-  else if (r.rejectStatus)
-    std::printf("reject %lld: %s\n", static_cast<long long>(r.rejectStatus), text(r.rejectReason).c_str());
+Handler handlerOf(const std::string& name) {
+  if (name == "request") return Handler::request;
+  return name == "attempt" ? Handler::attempt : Handler::response;
+}
+
+RunInput inputOf(const HookRunOptions& options, Handler handler) {
+  RunInput input = hook::inputOf(options.given);
+  input.timeLeftNs = options.timeLeftMs * kNanosecondsPerMillisecond;
+  input.attempt = options.attempt;
+  input.responseStatus = options.status;
+  input.responseFromHost = true;
+  input.mayReject = handler == Handler::request;
+  return input;
+}
+
+void printResult(const RunResult& result, const hook::Program& program) {
+  const auto text = [](std::string_view view) { return std::string(view); };
+  for (std::size_t i = 0; i < result.headerCount; ++i)
+    std::printf("set header %s: %s\n", text(result.headers[i].name).c_str(),
+                text(result.headers[i].value).c_str());
+  for (std::size_t i = 0; i < result.tagCount; ++i)
+    std::printf("tag %s=%s\n", text(result.tags[i].name).c_str(), text(result.tags[i].value).c_str());
+  for (std::size_t i = 0; i < result.countCount; ++i)
+    std::printf("count %s\n", program.counters[result.counts[i]].c_str());
+  for (std::size_t i = 0; i < result.logCount; ++i) std::printf("log %s\n", text(result.logs[i]).c_str());
+  if (result.fault != hook::Fault::none)
+    std::printf("fault on line %u: %s\n", result.faultLine, text(describe(result.fault)).c_str());
+  else if (result.rejectStatus != 0)
+    std::printf("reject %lld: %s\n", static_cast<long long>(result.rejectStatus),
+                text(result.rejectReason).c_str());
   else std::printf("pass\n");
-  std::printf("%llu instructions, %llu bytes\n", static_cast<unsigned long long>(r.instructions),
-              static_cast<unsigned long long>(r.bytes));
+  std::printf("%llu instructions, %llu bytes\n", static_cast<unsigned long long>(result.instructions),
+              static_cast<unsigned long long>(result.bytes));
+}
+
+int runHook(const HookRunOptions& options) {
+  std::vector<std::string> problems;
+  const auto loaded = hook::loadHook(options.file, problems);
+  if (!loaded) return reportProblems(problems);
+  const Handler handler = handlerOf(options.handler);
+  if (!loaded->executable->handles(handler))
+    return reportProblems({options.file + ": has no `on " + options.handler + "`"});
+  const auto requestPairs = parsePairs(options.headers);
+  const auto responsePairs = parsePairs(options.responseHeaders);
+  const hook::ExpectationHeaders requestHeaders(requestPairs);
+  const hook::ExpectationHeaders responseHeaders(responsePairs);
+  RunInput input = inputOf(options, handler);
+  input.requestHeaders = &requestHeaders;
+  input.responseHeaders = &responseHeaders;
+  hook::Interpreter interpreter;
+  printResult(interpreter.run(*loaded->executable, handler, input, RunBudget{}),
+              loaded->executable->program());
   return 0;
 }
 
+void addCheckCommand(CLI::App& hooks, std::function<int()>& chosen) {
+  const auto files = std::make_shared<std::vector<std::string>>();
+  const auto bytecodePath = std::make_shared<std::string>();
+  CLI::App* command = hooks.add_subcommand("check", "compile, verify, and run the hook's own expectations");
+  command->add_option("file", *files, "sources or bytecode")->required();
+  command->add_option("--bytecode", *bytecodePath, "write the bytecode of the (last) hook here");
+  command->callback([=, &chosen] { chosen = [=] { return checkHooks(*files, *bytecodePath); }; });
+}
+
+void addShowCommand(CLI::App& hooks, std::function<int()>& chosen) {
+  const auto file = std::make_shared<std::string>();
+  CLI::App* command = hooks.add_subcommand("show", "print a hook's instructions");
+  command->add_option("file", *file, "source or bytecode")->required();
+  command->callback([=, &chosen] { chosen = [=] { return showHook(*file); }; });
+}
+
+void addRunCommand(CLI::App& hooks, std::function<int()>& chosen) {
+  const auto options = std::make_shared<HookRunOptions>();
+  CLI::App* command = hooks.add_subcommand("run", "run one handler on a request given here");
+  command->add_option("file", options->file, "source or bytecode")->required();
+  command->add_option("--on", options->handler, "the handler")
+      ->check(CLI::IsMember({"request", "attempt", "answer"}));
+  command->add_option("--class", options->given.className, "the request's class");
+  command->add_option("--method", options->given.method, "GET unless given");
+  command->add_option("--path", options->given.path, "without the query");
+  command->add_option("--query", options->given.query, "behind the '?'");
+  command->add_option("--tenant", options->given.tenant, "the tenant");
+  command->add_option("--body", options->given.body, "the body");
+  command->add_option("--header", options->headers, "NAME=VALUE, of the request; may be repeated");
+  command->add_option("--answer-header", options->responseHeaders,
+                      "NAME=VALUE, of the answer; may be repeated");
+  command->add_option("--status", options->status, "of the answer")->check(CLI::Range(100, 599));
+  command->add_option("--attempt", options->attempt, "the attempt's number")->check(CLI::Range(1, 100));
+  command->add_option("--time-left-ms", options->timeLeftMs, "of the client")
+      ->check(CLI::Range(0, 3'600'000));
+  command->callback([=, &chosen] { chosen = [=] { return runHook(*options); }; });
+}
+
 }  // namespace
 
 void addHookCommands(CLI::App& app, std::function<int()>& chosen) {
   CLI::App* hooks = app.add_subcommand("hook", "check, run or show a hook");
   hooks->require_subcommand(1);
-
-  const auto files = std::make_shared<std::vector<std::string>>();
-  const auto bytecode = std::make_shared<std::string>();
-  CLI::App* c = hooks->add_subcommand("check", "compile, verify, and run the hook's own expectations");
-  c->add_option("file", *files, "sources or bytecode")->required();
-  c->add_option("--bytecode", *bytecode, "write the bytecode of the (last) hook here");
-  c->callback([=, &chosen] { chosen = [=] { return check(*files, *bytecode); }; });
-
-  const auto shown = std::make_shared<std::string>();
-  CLI::App* s = hooks->add_subcommand("show", "print a hook's instructions");
-  s->add_option("file", *shown, "source or bytecode")->required();
-  s->callback([=, &chosen] { chosen = [=] { return show(*shown); }; });
-
-  const auto q = std::make_shared<RunRequest>();
-  CLI::App* r = hooks->add_subcommand("run", "run one handler on a request given here");
-  r->add_option("file", q->file, "source or bytecode")->required();
-  r->add_option("--on", q->handler, "the handler")->check(CLI::IsMember({"request", "attempt", "answer"}));
-  r->add_option("--class", q->given.className, "the request's class");
-  r->add_option("--method", q->given.method, "GET unless given");
-  r->add_option("--path", q->given.path, "without the query");
-  r->add_option("--query", q->given.query, "behind the '?'");
-  r->add_option("--tenant", q->given.tenant, "the tenant");
-  r->add_option("--body", q->given.body, "the body");
-  r->add_option("--header", q->headers, "NAME=VALUE, of the request; may be repeated");
-  r->add_option("--answer-header", q->answerHeaders, "NAME=VALUE, of the answer; may be repeated");
-  r->add_option("--status", q->status, "of the answer")->check(CLI::Range(100, 599));
-  r->add_option("--attempt", q->attempt, "the attempt's number")->check(CLI::Range(1, 100));
-  r->add_option("--time-left-ms", q->leftMs, "of the client")->check(CLI::Range(0, 3'600'000));
-  r->callback([=, &chosen] { chosen = [=] { return run(*q); }; });
+  addCheckCommand(*hooks, chosen);
+  addShowCommand(*hooks, chosen);
+  addRunCommand(*hooks, chosen);
 }
 
 }  // namespace finchstile
--- a/src/app/hook_commands.hpp
+++ b/src/app/hook_commands.hpp
@@ -1,4 +1,4 @@
-// finchstile hook check | run | show
+// The commands `finchstile hook check`, `run` and `show`.
 #pragma once
 
 #include <CLI/App.hpp>
@@ -6,8 +6,8 @@
 
 namespace finchstile {
 
-// Adds the commands to `app`; one that is chosen leaves what is to be done in `chosen`, which gives the exit
-// code.
+// Adds the commands to `app`. When the command line selects one, parsing sets `chosen` to the function that
+// runs it and returns the exit code.
 void addHookCommands(CLI::App& app, std::function<int()>& chosen);
 
 }  // namespace finchstile
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -29,8 +29,8 @@
 #include "app/trace_log.hpp"
 #include "configuration/client.hpp"
 #include "cross_zone/filter.hpp"
-#include "hook/files.hpp"
-#include "hook/filter.hpp"
+#include "hook/hook_filter.hpp"
+#include "hook/hook_loader.hpp"
 #include "idempotency/filter.hpp"
 #include "net/gateway.hpp"
 #include "stream/table.hpp"
@@ -220,7 +220,7 @@
 
   void takeHooks() {
     if (built_.hooks->hooks.empty() && !attached_) return;
-    hooks_.chain().take(built_.hooks);
+    hooks_.chain().install(built_.hooks);
     if (!std::exchange(attached_, true)) gateway_.attach(hooks_);
     waitToReport();
   }
@@ -283,7 +283,7 @@
   }
 
   void waitToReport() {
-    report_.expires_after(built_.file.hooks.report);
+    report_.expires_after(built_.file.hooks.reportInterval);
     report_.async_wait([this](const boost::system::error_code& stopped) {
       if (stopped) return;
       std::vector<std::string> lines = hooks_.chain().summary(clock_.now());
--- a/src/hook/compiler.cpp
+++ b/src/hook/compiler.cpp
@@ -4,7 +4,7 @@
 #include <map>
 
 #include "hook/headers.hpp"
-#include "operator/reader.hpp"  // nearestOf
+#include "operator/reader.hpp"  // for nearestOf
 
 namespace finchstile::hook {
 namespace {
@@ -15,11 +15,11 @@
   std::string name;
   std::uint32_t slot;
   Type type;
-  bool fixed;  // the variable of a `for`
+  bool isLoopCounter;  // which the source cannot assign to
 };
 
-// Emits one handler. A problem does not end it: an expression whose type is not known has none, and what uses
-// it stays silent, so that one mistake is told once.
+// Emits the handlers of a unit. It goes on after a problem. An expression in error has no type, and what uses
+// it reports nothing, so that one mistake is reported once.
 class Emitter {
  public:
   Emitter(const Unit& unit, Program& program, std::vector<Problem>& problems)
@@ -27,7 +27,7 @@
     for (std::size_t i = 0; i < unit.constants.size(); ++i) constants_.emplace(unit.constants[i].name, i);
   }
 
-  void handler(Handler handler, const Block& block) {
+  void emitHandler(Handler handler, const Block& block) {
     handler_ = handler;
     code_ = HandlerCode{};
     code_.entry = here();
@@ -39,22 +39,24 @@
     p_.handlers[static_cast<std::size_t>(handler)] = std::move(code_);
   }
 
+  // Returns the index of a pattern.
   std::uint32_t pattern(const Expression& e) {
-    if (e.name.size() > kPatternBytesMost)
-      problem(e.at, "a pattern has at most " + std::to_string(kPatternBytesMost) + " bytes");
-    return intern(p_.patterns, e.name, kPatternsMost, "patterns", e.at);
+    if (e.name.size() > kMaxPatternBytes)
+      problem(e.at, "a pattern has at most " + std::to_string(kMaxPatternBytes) + " bytes");
+    return intern(p_.patterns, e.name, kMaxPatterns, "patterns", e.at);
   }
 
  private:
   using MaybeType = std::optional<Type>;
 
-  void problem(Position at, std::string what) { problems_.push_back({at, std::move(what)}); }
+  void problem(Position at, std::string message) { problems_.push_back({at, std::move(message)}); }
   std::uint32_t here() const { return static_cast<std::uint32_t>(p_.code.size()); }
 
   std::uint32_t emit(Op op, std::uint32_t k, Position at) {
     at_ = at;
-    if (p_.code.size() >= kCodeMost) {
-      if (!full_) problem(at, "the hook needs more than " + std::to_string(kCodeMost) + " instructions");
+    if (p_.code.size() >= kMaxInstructions) {
+      if (!full_)
+        problem(at, "the hook needs more than " + std::to_string(kMaxInstructions) + " instructions");
       full_ = true;
       return 0;
     }
@@ -62,37 +64,39 @@
     p_.lines.push_back(at.line);
     return here() - 1;
   }
-  void land(std::uint32_t jump) {  // lets a jump go to the next instruction
+  // Makes a jump that was emitted earlier lead to the next instruction.
+  void patchJump(std::uint32_t jump) {
     if (full_) return;
     p_.code[jump] = instruction(static_cast<Op>(opByte(p_.code[jump])), here());
   }
 
+  // Returns the index of `value` in the pool, to which it is added if needed.
   template <class T>
-  std::uint32_t intern(std::vector<T>& pool, const T& value, std::size_t most, const char* what,
+  std::uint32_t intern(std::vector<T>& pool, const T& value, std::size_t maxItems, const char* what,
                        Position at) {
     const auto it = std::find(pool.begin(), pool.end(), value);
     if (it != pool.end()) return static_cast<std::uint32_t>(it - pool.begin());
-    if (pool.size() >= most) {
-      problem(at, "more than " + std::to_string(most) + " " + what);
+    if (pool.size() >= maxItems) {
+      problem(at, "more than " + std::to_string(maxItems) + " " + what);
       return 0;
     }
     pool.push_back(value);
     return static_cast<std::uint32_t>(pool.size() - 1);
   }
-  // The pools of literals grow with the source: a search through all of one for each would be quadratic.
+  // The pools of literals grow with the source. A linear search for each would take quadratic time.
   std::uint32_t internText(const std::string& text, Position at) {
     const auto [it, fresh] = textAt_.emplace(text, static_cast<std::uint32_t>(p_.texts.size()));
     if (!fresh) return it->second;
-    if (p_.texts.size() >= kConstantsMost)
-      problem(at, "more than " + std::to_string(kConstantsMost) + " texts");
+    if (p_.texts.size() >= kMaxConstants)
+      problem(at, "more than " + std::to_string(kMaxConstants) + " texts");
     else p_.texts.push_back(text);
     return it->second;
   }
   std::uint32_t internInteger(std::int64_t n, Position at) {
     const auto [it, fresh] = integerAt_.emplace(n, static_cast<std::uint32_t>(p_.integers.size()));
     if (!fresh) return it->second;
-    if (p_.integers.size() >= kConstantsMost)
-      problem(at, "more than " + std::to_string(kConstantsMost) + " numbers");
+    if (p_.integers.size() >= kMaxConstants)
+      problem(at, "more than " + std::to_string(kMaxConstants) + " numbers");
     else p_.integers.push_back(n);
     return it->second;
   }
@@ -103,14 +107,14 @@
       if (it->name == name) return &*it;
     return nullptr;
   }
-  std::uint32_t declare(const std::string& name, Type type, bool fixed, Position at) {
-    // Slots are never given to a second variable: a local has one type for the whole handler.
-    if (code_.locals.size() >= kLocalsMost) {
-      problem(at, "more than " + std::to_string(kLocalsMost) + " variables in one handler");
+  // Returns the slot of a new variable. No slot is used twice: a local has one type in the whole handler.
+  std::uint32_t declare(const std::string& name, Type type, bool isLoopCounter, Position at) {
+    if (code_.locals.size() >= kMaxLocals) {
+      problem(at, "more than " + std::to_string(kMaxLocals) + " variables in one handler");
       return 0;
     }
     code_.locals.push_back(type);
-    locals_.push_back({name, static_cast<std::uint32_t>(code_.locals.size() - 1), type, fixed});
+    locals_.push_back({name, static_cast<std::uint32_t>(code_.locals.size() - 1), type, isLoopCounter});
     return locals_.back().slot;
   }
   void unknown(const std::string& name, Position at, const char* what) {
@@ -137,7 +141,7 @@
   void block(const Block& b) {
     const std::size_t before = locals_.size();
     for (const auto& s : b) {
-      if (problems_.size() >= kProblemsMost || full_) break;
+      if (problems_.size() >= kMaxProblems || full_) break;
       statement(*s);
     }
     locals_.resize(std::min(before, locals_.size()));
@@ -158,32 +162,32 @@
         const MaybeType t = value(*s.values[0]);
         const Local* l = local(s.name);
         if (!l) return unknown(s.name, s.at, "variable");
-        if (l->fixed) problem(s.at, "'" + s.name + "' counts a loop and can't be given a value");
+        if (l->isLoopCounter) problem(s.at, "'" + s.name + "' counts a loop and can't be given a value");
         else if (t && *t != l->type)
           problem(s.at, "'" + s.name + "' is " + std::string(nameOf(l->type)) + ", and the value is " +
                             std::string(nameOf(*t)));
         emit(Op::store, l->slot, s.at);
         return;
       }
-      case Statement::Kind::choose: return choose(s);
-      case Statement::Kind::loop: {
+      case Statement::Kind::conditional: return conditional(s);
+      case Statement::Kind::whileLoop: {
         const std::uint32_t start = here();
         value(*s.values[0], Type::boolean);
         const std::uint32_t out = emit(Op::jumpIfFalse, 0, s.at);
         loops_.emplace_back();
         block(s.body);
         emit(Op::jump, start, s.at);
-        land(out);
+        patchJump(out);
         endLoop();
         return;
       }
-      case Statement::Kind::range: return range(s);
-      case Statement::Kind::stop:
+      case Statement::Kind::forLoop: return forLoop(s);
+      case Statement::Kind::breakLoop:
         if (loops_.empty()) return problem(s.at, "`break` stands in no loop");
         loops_.back().push_back(emit(Op::jump, 0, s.at));
         return;
       case Statement::Kind::pass: emit(Op::halt, 0, s.at); return;
-      case Statement::Kind::act: return act(s);
+      case Statement::Kind::action: return action(s);
     }
   }
 
@@ -194,7 +198,7 @@
     return false;
   }
 
-  void choose(const Statement& s) {
+  void conditional(const Statement& s) {
     std::vector<std::uint32_t> ends;
     for (std::size_t i = 0; i < s.branches.size(); ++i) {
       const auto& [condition, body] = s.branches[i];
@@ -205,13 +209,13 @@
       }
       block(body);
       if (i + 1 < s.branches.size()) ends.push_back(emit(Op::jump, 0, s.at));
-      if (condition) land(next);
+      if (condition) patchJump(next);
     }
-    for (const std::uint32_t e : ends) land(e);
+    for (const std::uint32_t e : ends) patchJump(e);
   }
 
-  // for i in a .. b: from a up to b, without b. Both bounds are worked out once.
-  void range(const Statement& s) {
+  // for i in a .. b: from a up to b, excluding b. Both bounds are evaluated once.
+  void forLoop(const Statement& s) {
     value(*s.values[0], Type::integer);
     if (local(s.name) || taken(s.name)) problem(s.at, "'" + s.name + "' is the name of something else");
     const std::size_t before = locals_.size();
@@ -232,17 +236,17 @@
     emit(Op::add, 0, s.at);
     emit(Op::store, counter, s.at);
     emit(Op::jump, start, s.at);
-    land(out);
+    patchJump(out);
     endLoop();
     locals_.resize(before);
   }
 
   void endLoop() {
-    for (const std::uint32_t b : loops_.back()) land(b);
+    for (const std::uint32_t b : loops_.back()) patchJump(b);
     loops_.pop_back();
   }
 
-  void act(const Statement& s) {
+  void action(const Statement& s) {
     const Expression& first = *s.values[0];
     const bool literal = first.kind == Kind::text;
     if (s.name == "count") {
@@ -250,7 +254,7 @@
         return problem(first.at, "a counter's name is a text in quotes, so that there is a bound to them");
       if (!isHeaderName(first.name))
         return problem(first.at, "a counter's name is a word of 1 to 64 letters, digits, '-' and '_'");
-      emit(Op::count, intern(p_.counters, first.name, kCountersMost, "counters", first.at), s.at);
+      emit(Op::count, intern(p_.counters, first.name, kMaxCounters, "counters", first.at), s.at);
       return;
     }
     if (s.name == "log") {
@@ -276,7 +280,7 @@
     if (s.values[1]->kind == Kind::text && !isHeaderValue(s.values[1]->name))
       problem(s.values[1]->at,
               "the value has a byte that can't stand in a header (line ends, NUL), or is longer than " +
-                  std::to_string(kHeaderValueMost));
+                  std::to_string(kMaxHeaderValueBytes));
     value(first, Type::text);
     value(*s.values[1], Type::text);
     emit(header ? Op::setHeader : Op::tag, 0, s.at);
@@ -346,18 +350,21 @@
     }
     const auto& all = builtins();
     const auto b = std::find_if(all.begin(), all.end(), [&](const Builtin& x) { return x.name == e.name; });
-    if (b == all.end()) return unknown(e.name, e.at, "function"), std::nullopt;
-    if (b->op == Op::answerHeader && handler_ != Handler::answer)
+    if (b == all.end()) {
+      unknown(e.name, e.at, "function");
+      return std::nullopt;
+    }
+    if (b->op == Op::responseHeader && handler_ != Handler::response)
       problem(e.at, "answer_header() is known in `on answer` only");
-    if (e.parts.size() != b->takes.size()) {
+    if (e.parts.size() != b->parameters.size()) {
       std::string takes;
-      for (const Type t : b->takes) takes += (takes.empty() ? "" : ", ") + std::string(nameOf(t));
+      for (const Type t : b->parameters) takes += (takes.empty() ? "" : ", ") + std::string(nameOf(t));
       problem(e.at, e.name + "(" + takes + ") is called with " + std::to_string(e.parts.size()) + " values");
-      return b->gives;
+      return b->result;
     }
-    for (std::size_t i = 0; i < e.parts.size(); ++i) value(*e.parts[i], b->takes[i]);
+    for (std::size_t i = 0; i < e.parts.size(); ++i) value(*e.parts[i], b->parameters[i]);
     emit(b->op, 0, e.at);
-    return b->gives;
+    return b->result;
   }
 
   MaybeType unary(const Expression& e) {
@@ -373,17 +380,18 @@
   }
 
   MaybeType binary(const Expression& e) {
-    const Expression &left = *e.parts[0], &right = *e.parts[1];
+    const Expression& left = *e.parts[0];
+    const Expression& right = *e.parts[1];
     if (e.name == "and" || e.name == "or") {
-      // The right side is not worked out where the left one settles it.
+      // The right side is not evaluated if the left one determines the result.
       value(left, Type::boolean);
       const bool both = e.name == "and";
-      const std::uint32_t settled = emit(both ? Op::jumpIfFalse : Op::jumpIfTrue, 0, e.at);
+      const std::uint32_t shortCircuit = emit(both ? Op::jumpIfFalse : Op::jumpIfTrue, 0, e.at);
       value(right, Type::boolean);
       const std::uint32_t end = emit(Op::jump, 0, e.at);
-      land(settled);
+      patchJump(shortCircuit);
       emit(Op::pushBoolean, both ? 0 : 1, e.at);
-      land(end);
+      patchJump(end);
       return Type::boolean;
     }
     if (e.name == "matches") {
@@ -394,7 +402,8 @@
       return Type::boolean;
     }
     if (e.name == "in") return in(e, left, right);
-    const MaybeType a = value(left), b = value(right);
+    const MaybeType a = value(left);
+    const MaybeType b = value(right);
     if (!a || !b) return e.name == "+" || e.name == "-" ? a : MaybeType(Type::boolean);
     const auto wrong = [&]() -> MaybeType {
       problem(e.at, "'" + e.name + "' does not take " + std::string(nameOf(*a)) + " and " +
@@ -403,15 +412,21 @@
     };
     const bool numbers = *a != Type::text && *a != Type::boolean && *b != Type::text && *b != Type::boolean;
     if (e.name == "==" || e.name == "!=") {
-      if (*a != *b) return wrong(), Type::boolean;
+      if (*a != *b) {
+        wrong();
+        return Type::boolean;
+      }
       const bool text = *a == Type::text;
       if (e.name == "==") emit(text ? Op::textEqual : Op::equal, 0, e.at);
       else emit(text ? Op::textNotEqual : Op::notEqual, 0, e.at);
       return Type::boolean;
     }
     if (e.name == "<" || e.name == "<=" || e.name == ">" || e.name == ">=") {
-      if (*a != *b || !numbers) return wrong(), Type::boolean;
-      // a > b is not (a <= b): there is no value that is neither.
+      if (*a != *b || !numbers) {
+        wrong();
+        return Type::boolean;
+      }
+      // The bytecode has no `greater`: a > b is emitted as not (a <= b), which is equal for numbers.
       const bool inverse = e.name[0] == '>';
       emit((e.name.size() == 1) != inverse ? Op::less : Op::lessEqual, 0, e.at);
       if (inverse) emit(Op::invert, 0, e.at);
@@ -442,13 +457,13 @@
     if (right.kind == Kind::set) {
       std::vector<std::string> items;
       for (const auto& part : right.parts) items.push_back(part->name);
-      emit(Op::inSet, intern(p_.sets, items, kConstantsMost, "sets", right.at), e.at);
+      emit(Op::inSet, intern(p_.sets, items, kMaxConstants, "sets", right.at), e.at);
     } else if (right.kind != Kind::name) {
       problem(right.at, "right of `in` stands a table, a set, or {\"a\", \"b\"}");
     } else if (const auto table = indexOf(unit_.tables, right.name)) {
       emit(Op::inTable, *table, e.at);
     } else if (const auto set = indexOf(unit_.sets, right.name)) {
-      emit(Op::inSet, intern(p_.sets, unit_.sets[*set].items, kConstantsMost, "sets", right.at), e.at);
+      emit(Op::inSet, intern(p_.sets, unit_.sets[*set].items, kMaxConstants, "sets", right.at), e.at);
     } else {
       unknown(right.name, right.at, "table or set");
     }
@@ -464,7 +479,7 @@
   Handler handler_{};
   HandlerCode code_;
   std::vector<Local> locals_;
-  std::vector<std::vector<std::uint32_t>> loops_;  // the jumps of `break`, to be landed at the loop's end
+  std::vector<std::vector<std::uint32_t>> loops_;  // of each open loop the jumps of `break`
   Position at_;
   bool full_ = false;
 };
@@ -487,8 +502,8 @@
     if (c.value && c.value->kind > Kind::boolean)
       problems.push_back({c.at, "a constant is a number, a duration, a text, true or false"});
   }
-  if (u.tables.size() > kTablesMost)
-    problems.push_back({u.tables.back().at, "more than " + std::to_string(kTablesMost) + " tables"});
+  if (u.tables.size() > kMaxTables)
+    problems.push_back({u.tables.back().at, "more than " + std::to_string(kMaxTables) + " tables"});
   for (const auto& t : u.tables)
     if (!isPlainFileName(t.file))
       problems.push_back({t.at, "a table's file is a plain name of a file beside the hook"});
@@ -500,13 +515,13 @@
   static const std::vector<Builtin> kAll = {
       {"header", Op::header, {Type::text}, Type::text},
       {"has_header", Op::hasHeader, {Type::text}, Type::boolean},
-      {"answer_header", Op::answerHeader, {Type::text}, Type::text},
+      {"answer_header", Op::responseHeader, {Type::text}, Type::text},
       {"parameter", Op::parameter, {Type::text}, Type::text},
       {"body", Op::body, {Type::integer, Type::integer}, Type::text},
       {"tag_value", Op::tagValue, {Type::text}, Type::text},
       {"length", Op::length, {Type::text}, Type::integer},
       {"lower", Op::lower, {Type::text}, Type::text},
-      {"part", Op::part, {Type::text, Type::integer, Type::integer}, Type::text},
+      {"part", Op::substring, {Type::text, Type::integer, Type::integer}, Type::text},
       {"find", Op::find, {Type::text, Type::text}, Type::integer},
       {"starts_with", Op::startsWith, {Type::text, Type::text}, Type::boolean},
       {"ends_with", Op::endsWith, {Type::text, Type::text}, Type::boolean},
@@ -532,7 +547,7 @@
     for (const auto& t : unit.tables) out.program.tables.push_back(t.file);
     Emitter emitter(unit, out.program, problems);
     for (std::size_t h = 0; h < kHandlers; ++h)
-      if (unit.handlers[h]) emitter.handler(static_cast<Handler>(h), *unit.handlers[h]);
+      if (unit.handlers[h]) emitter.emitHandler(static_cast<Handler>(h), *unit.handlers[h]);
   }
   std::stable_sort(problems.begin() + static_cast<std::ptrdiff_t>(before), problems.end(),
                    [](const Problem& a, const Problem& b) {
--- a/src/hook/compiler.hpp
+++ b/src/hook/compiler.hpp
@@ -1,5 +1,5 @@
-// From a hook's source to bytecode: parses, checks names and types, and emits. What it emits is verified like
-// any other bytecode; a program of its own that does not verify is a fault of the compiler.
+// Compiles a hook's source to bytecode: parses it, checks names and types, and emits instructions. The result
+// is verified like any other program; if that fails, the compiler is at fault.
 #pragma once
 
 #include <optional>
@@ -16,15 +16,15 @@
   std::vector<Expectation> expectations;
 };
 
-// None, with problems in the order of the source, if anything is wrong.
+// On errors returns none and adds them to `problems` in the order of the source.
 std::optional<Compiled> compile(std::string_view source, std::vector<Problem>& problems);
 
-// What the source may call, for the operators' page and for messages.
+// A function that a source may call.
 struct Builtin {
   std::string_view name;
   Op op;
-  std::vector<Type> takes;
-  Type gives;
+  std::vector<Type> parameters;
+  Type result;
 };
 const std::vector<Builtin>& builtins();
 
--- a/src/hook/headers.cpp
+++ b/src/hook/headers.cpp
@@ -15,7 +15,7 @@
 }
 
 bool isHeaderName(std::string_view name) {
-  if (name.empty() || name.size() > kHeaderNameMost) return false;
+  if (name.empty() || name.size() > kMaxHeaderNameBytes) return false;
   return std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
            std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
@@ -23,7 +23,7 @@
 }
 
 bool isHeaderValue(std::string_view value) {
-  if (value.size() > kHeaderValueMost) return false;
+  if (value.size() > kMaxHeaderValueBytes) return false;
   return std::all_of(value.begin(), value.end(), [](char c) {
     const auto b = static_cast<unsigned char>(c);
     return b == '\t' || (b >= 0x20 && b != 0x7f);
--- a/src/hook/lexer.cpp
+++ b/src/hook/lexer.cpp
@@ -5,12 +5,12 @@
 namespace finchstile::hook {
 namespace {
 
-// Not <cctype>: those go by the locale.
+// The functions of <cctype> depend on the locale.
 bool isDigit(char c) { return c >= '0' && c <= '9'; }
 bool isLetter(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
 bool isSpace(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
 
-int hexOf(char c) {
+int hexDigit(char c) {
   if (isDigit(c)) return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
   if (c >= 'A' && c <= 'F') return c - 'A' + 10;
@@ -21,34 +21,44 @@
  public:
   Lexer(std::string_view source, std::vector<Problem>& problems) : source_(source), problems_(problems) {}
 
-  std::vector<Token> all() {
-    if (source_.size() > kSourceMost) {
-      problem({1, 1}, "the source has " + std::to_string(source_.size()) + " bytes; at most " +
-                          std::to_string(kSourceMost) + " are read");
+  std::vector<Token> run() {
+    if (source_.size() > kMaxSourceBytes) {
+      addProblem({1, 1}, "the source has " + std::to_string(source_.size()) + " bytes; at most " +
+                             std::to_string(kMaxSourceBytes) + " are read");
       source_ = {};
     }
-    std::vector<Token> out;
+    std::vector<Token> tokens;
     while (skipBlanks()) {
-      Token t;
-      t.at = at_;
-      if (one(t)) out.push_back(std::move(t));
-      if (problems_.size() >= kProblemsMost) break;
+      Token token;
+      token.at = at_;
+      if (readToken(token)) tokens.push_back(std::move(token));
+      if (problems_.size() >= kMaxProblems) break;
     }
-    out.emplace_back();
-    out.back().at = at_;
-    return out;
+    tokens.emplace_back();  // of kind `end`
+    tokens.back().at = at_;
+    return tokens;
   }
 
  private:
   char peek(std::size_t ahead = 0) const { return i_ + ahead < source_.size() ? source_[i_ + ahead] : '\0'; }
   char take() {
     const char c = source_[i_++];
-    if (c == '\n') ++at_.line, at_.column = 1;
-    else ++at_.column;
+    if (c == '\n') {
+      ++at_.line;
+      at_.column = 1;
+    } else {
+      ++at_.column;
+    }
     return c;
   }
-  void problem(Position at, std::string what) { problems_.push_back({at, std::move(what)}); }
+  void addProblem(Position at, std::string message) { problems_.push_back({at, std::move(message)}); }
+
+  char takeHexByte() {
+    const int high = hexDigit(take());
+    return static_cast<char>(high * 16 + hexDigit(take()));
+  }
 
+  // Skips blanks and comments. Returns whether there is more.
   bool skipBlanks() {
     while (i_ < source_.size()) {
       if (isSpace(peek())) {
@@ -62,20 +72,24 @@
     return false;
   }
 
-  bool one(Token& t) {
+  // Each of these reads one token and returns whether it is valid.
+  bool readToken(Token& t) {
     const char c = peek();
-    if (c == '"') return text(t, false);
-    if (c == 'r' && peek(1) == '"') return take(), text(t, true);
+    if (c == '"') return readText(t, false);
+    if (c == 'r' && peek(1) == '"') {
+      take();
+      return readText(t, true);
+    }
     if (isLetter(c)) {
       t.kind = Token::Kind::name;
       while (isLetter(peek()) || isDigit(peek())) t.text += take();
       return true;
     }
-    if (isDigit(c)) return number(t);
-    return sign(t);
+    if (isDigit(c)) return readNumber(t);
+    return readSign(t);
   }
 
-  bool sign(Token& t) {
+  bool readSign(Token& t) {
     static constexpr std::string_view kSigns[] = {"==", "!=", "<=", ">=", "..", "<", ">", "=", "+", "-",
                                                   "*",  "/",  "%",  "(",  ")",  "{", "}", ",", ";"};
     for (const std::string_view s : kSigns) {
@@ -86,18 +100,19 @@
       return true;
     }
     const auto byte = static_cast<unsigned char>(take());
-    problem(t.at, byte >= 0x20 && byte < 0x7f ? "unexpected '" + std::string(1, static_cast<char>(byte)) + "'"
-                                              : "unexpected byte " + std::to_string(byte));
+    addProblem(t.at, byte >= 0x20 && byte < 0x7f
+                         ? "unexpected '" + std::string(1, static_cast<char>(byte)) + "'"
+                         : "unexpected byte " + std::to_string(byte));
     return false;
   }
 
-  bool number(Token& t) {
-    constexpr std::int64_t kMost = std::numeric_limits<std::int64_t>::max();
+  bool readNumber(Token& t) {
+    constexpr std::int64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();
     bool fits = true;
     while (isDigit(peek()) || (peek() == '_' && isDigit(peek(1)))) {
       const char c = take();
       if (c == '_') continue;
-      if (t.number > (kMost - (c - '0')) / 10) fits = false;
+      if (t.number > (kMaxNumber - (c - '0')) / 10) fits = false;
       else t.number = t.number * 10 + (c - '0');
     }
     t.kind = Token::Kind::integer;
@@ -106,7 +121,7 @@
     if (!unit.empty()) {
       struct Unit {
         std::string_view name;
-        std::int64_t by;
+        std::int64_t nanoseconds;
       };
       static constexpr Unit kUnits[] = {{"us", 1'000},
                                         {"ms", 1'000'000},
@@ -118,25 +133,25 @@
       for (const Unit& u : kUnits)
         if (u.name == unit) found = &u;
       if (!found) {
-        problem(t.at, "'" + unit.substr(0, 20) + "' is no unit of time; these are: us ms s m h");
+        addProblem(t.at, "'" + unit.substr(0, 20) + "' is no unit of time; these are: us ms s m h");
         return false;
       }
-      if (t.number > kMost / found->by) fits = false;
-      else t.number *= found->by;
+      if (t.number > kMaxNumber / found->nanoseconds) fits = false;
+      else t.number *= found->nanoseconds;
     }
     if (fits) return true;
-    problem(t.at, "the number does not fit into 64 bits");
+    addProblem(t.at, "the number does not fit into 64 bits");
     return false;
   }
 
-  bool text(Token& t, bool raw) {
+  bool readText(Token& t, bool raw) {
     t.kind = Token::Kind::text;
     take();
     while (i_ < source_.size() && peek() != '"' && peek() != '\n') {
       const Position at = at_;
       char c = take();
       if (c == '\\' && raw) {
-        t.text += c;  // r"\"" has a quote in it, with its backslash
+        t.text += c;  // in a raw text an escaped quote keeps its backslash
         if (peek() == '"') t.text += take();
         continue;
       }
@@ -146,21 +161,20 @@
         else if (e == 't') c = '\t';
         else if (e == 'r') c = '\r';
         else if (e == '"' || e == '\\') c = e;
-        else if (e == 'x' && hexOf(peek()) >= 0 && hexOf(peek(1)) >= 0)
-          c = static_cast<char>(hexOf(take()) * 16), c = static_cast<char>(c + hexOf(take()));
-        else problem(at, R"(no such escape; these are: \" \\ \n \r \t \xHH)");
+        else if (e == 'x' && hexDigit(peek()) >= 0 && hexDigit(peek(1)) >= 0) c = takeHexByte();
+        else addProblem(at, R"(no such escape; these are: \" \\ \n \r \t \xHH)");
       }
       t.text += c;
     }
     if (peek() != '"' || i_ >= source_.size()) {
-      problem(t.at, "the text does not end on its line");
-      return true;  // as if it did: one mistake is told once
+      addProblem(t.at, "the text does not end on its line");
+      return true;  // the rest of the line is part of the text, so that the error is reported once
     }
     take();
-    if (t.text.size() <= kLiteralMost) return true;
-    problem(t.at, "the text has " + std::to_string(t.text.size()) + " bytes, at most " +
-                      std::to_string(kLiteralMost) + " are allowed: use a table");
-    t.text.resize(kLiteralMost);
+    if (t.text.size() <= kMaxLiteralBytes) return true;
+    addProblem(t.at, "the text has " + std::to_string(t.text.size()) + " bytes, at most " +
+                         std::to_string(kMaxLiteralBytes) + " are allowed: use a table");
+    t.text.resize(kMaxLiteralBytes);
     return true;
   }
 
@@ -172,17 +186,8 @@
 
 }  // namespace
 
-std::string_view nameOf(Type type) {
-  static constexpr std::string_view kNames[] = {"integer", "boolean", "text", "duration"};
-  return kNames[static_cast<std::size_t>(type)];
-}
-
-std::string describe(const std::string& file, const Problem& p) {
-  return file + ":" + std::to_string(p.at.line) + ":" + std::to_string(p.at.column) + ": " + p.what;
-}
-
 std::vector<Token> lex(std::string_view source, std::vector<Problem>& problems) {
-  return Lexer(source, problems).all();
+  return Lexer(source, problems).run();
 }
 
 }  // namespace finchstile::hook
--- a/src/hook/lexer.hpp
+++ b/src/hook/lexer.hpp
@@ -1,4 +1,4 @@
-// Words of a hook's source, with their positions.
+// Splits a hook's source into tokens.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
   enum class Kind : std::uint8_t { end, name, integer, duration, text, sign };
   Kind kind = Kind::end;
   Position at;
-  std::string text;         // of a name, a sign ("==", "{") or a text with its escapes resolved
-  std::int64_t number = 0;  // of an integer, or a duration's nanoseconds
+  std::string text;         // of a name, a sign ("==", "{") or a text, with its escapes resolved
+  std::int64_t number = 0;  // of an integer; nanoseconds of a duration
 };
 
-// Ends with a token `end`. Problems are added for what is no word; such bytes are passed over.
+// The last token is `end`. Bytes that form no token are added to `problems` and skipped.
 std::vector<Token> lex(std::string_view source, std::vector<Problem>& problems);
 
 }  // namespace finchstile::hook
--- a/src/hook/parser.cpp
+++ b/src/hook/parser.cpp
@@ -2,34 +2,37 @@
 
 #include "hook/lexer.hpp"
 #include "hook/syntax.hpp"
-#include "operator/reader.hpp"  // nearestOf
+#include "operator/reader.hpp"  // for nearestOf
 
 namespace finchstile::hook {
 namespace {
 
 using Kind = Expression::Kind;
 
-// Thrown within the parser only, and caught at the next statement or declaration.
-struct Lost {};
+constexpr std::size_t kMaxTreeDepth = 4 * kMaxDepth;
+
+// Thrown after a syntax error was added to the problems. Caught by the enclosing list of statements or
+// declarations, which goes on behind the error.
+struct SyntaxErrorFound {};
 
 class Parser {
  public:
   Parser(std::vector<Token> tokens, std::vector<Problem>& problems)
       : problems_(problems), tokens_(std::move(tokens)) {}
 
-  Unit unit() {
+  Unit run() {
     Unit u;
     try {
       word("hook");
       u.name = text("the hook's name");
       sign(";");
-    } catch (const Lost&) {
+    } catch (const SyntaxErrorFound&) {
       skipTo(true);
     }
-    while (!at(Token::Kind::end) && problems_.size() < kProblemsMost) {
+    while (!at(Token::Kind::end) && problems_.size() < kMaxProblems) {
       try {
         declaration(u);
-      } catch (const Lost&) {
+      } catch (const SyntaxErrorFound&) {
         skipTo(true);
       }
     }
@@ -57,29 +60,29 @@
     if (at(Token::Kind::duration)) return "a duration";
     return "'" + now().text.substr(0, 40) + "'";
   }
-  [[noreturn]] void wanted(const std::string& what) {
+  [[noreturn]] void failExpected(const std::string& what) {
     problems_.push_back({now().at, "expected " + what + ", found " + shown()});
-    throw Lost{};
+    throw SyntaxErrorFound{};
   }
   void sign(std::string_view s) {
-    if (!takeSign(s)) wanted("'" + std::string(s) + "'");
+    if (!takeSign(s)) failExpected("'" + std::string(s) + "'");
   }
   void word(std::string_view s) {
-    if (!takeWord(s)) wanted("'" + std::string(s) + "'");
+    if (!takeWord(s)) failExpected("'" + std::string(s) + "'");
   }
   std::string text(const std::string& what) {
-    if (!at(Token::Kind::text)) wanted(what + " as a text in quotes");
+    if (!at(Token::Kind::text)) failExpected(what + " as a text in quotes");
     return take().text;
   }
   std::string name(const std::string& what) {
-    if (!at(Token::Kind::name)) wanted(what);
+    if (!at(Token::Kind::name)) failExpected(what);
     return take().text;
   }
   std::int64_t integer(const std::string& what) {
-    if (!at(Token::Kind::integer)) wanted(what + " as a number");
+    if (!at(Token::Kind::integer)) failExpected(what + " as a number");
     return take().number;
   }
-  // Behind the next ';' or a block's end; `top`: to the start of a declaration.
+  // Skips to behind the next ';' or the end of a block; with `top` to the start of the next declaration.
   void skipTo(bool top) {
     while (!at(Token::Kind::end)) {
       if (top && (isWord("on") || isWord("table") || isWord("const") || isWord("expect")) &&
@@ -95,7 +98,7 @@
     }
   }
 
-  void skipBlock() {  // and what stands in it
+  void skipBlock() {
     std::size_t open = 0;
     while (!at(Token::Kind::end)) {
       if (isSign("{")) ++open;
@@ -105,15 +108,16 @@
     }
   }
 
-  struct Deeper {  // counts how far blocks and brackets stand within one another
-    explicit Deeper(Parser& p) : parser(p) {
-      if (++parser.depth_ <= kDepthMost) return;
+  // Counts the nesting of blocks and brackets while it exists. The parser recurses with it.
+  struct NestingGuard {
+    explicit NestingGuard(Parser& p) : parser(p) {
+      if (++parser.depth_ <= kMaxDepth) return;
       parser.problems_.push_back({parser.now().at, "blocks and brackets stand within one another more than " +
-                                                       std::to_string(kDepthMost) + " deep"});
+                                                       std::to_string(kMaxDepth) + " deep"});
       --parser.depth_;
-      throw Lost{};
+      throw SyntaxErrorFound{};
     }
-    ~Deeper() { --parser.depth_; }
+    ~NestingGuard() { --parser.depth_; }
     Parser& parser;
   };
 
@@ -149,7 +153,7 @@
     } else if (takeWord("expect")) {
       u.expectations.push_back(expectation(here));
     } else {
-      wanted("'table', 'set', 'const', 'on' or 'expect'");
+      failExpected("'table', 'set', 'const', 'on' or 'expect'");
     }
   }
 
@@ -157,7 +161,7 @@
     std::size_t which = kHandlers;
     for (std::size_t h = 0; h < kHandlers; ++h)
       if (isWord(nameOf(static_cast<Handler>(h)))) which = h;
-    if (which == kHandlers) wanted("'request', 'attempt' or 'answer'");
+    if (which == kHandlers) failExpected("'request', 'attempt' or 'answer'");
     take();
     Block b = block();
     if (u.handlers[which])
@@ -170,9 +174,11 @@
   std::vector<std::string> items() {
     std::vector<std::string> out;
     sign("{");
-    if (!isSign("}")) do
+    if (!isSign("}")) {
+      do {
         out.push_back(text("an item"));
-      while (takeSign(","));
+      } while (takeSign(","));
+    }
     sign("}");
     return out;
   }
@@ -183,12 +189,9 @@
     e.title = text("what is expected");
     sign("{");
     while (!takeSign("}")) {
-      if (at(Token::Kind::end)) wanted("'}'");
-      if (takeWord("then")) {
-        outcome(e);
-      } else {
-        given(e);
-      }
+      if (at(Token::Kind::end)) failExpected("'}'");
+      if (takeWord("then")) expectedResult(e);
+      else givenInput(e);
       sign(";");
     }
     return e;
@@ -200,7 +203,7 @@
     p.value = text("a value");
     return p;
   }
-  void given(Expectation& e) {
+  void givenInput(Expectation& e) {
     if (takeWord("class")) e.className = text("the class");
     else if (takeWord("method")) e.method = text("the method");
     else if (takeWord("path")) e.path = text("the path");
@@ -208,41 +211,46 @@
     else if (takeWord("tenant")) e.tenant = text("the tenant");
     else if (takeWord("body")) e.body = text("the body");
     else if (takeWord("header")) e.headers.push_back(pair());
-    else if (takeWord("answer_header")) e.answerHeaders.push_back(pair());
+    else if (takeWord("answer_header")) e.responseHeaders.push_back(pair());
     else if (takeWord("attempt")) e.attempt = integer("the attempt's number");
     else if (takeWord("status")) e.status = integer("the answer's status");
     else if (takeWord("time_left")) {
-      if (!at(Token::Kind::duration)) wanted("a duration, as in 500ms");
-      e.timeLeft = take().number;
+      if (!at(Token::Kind::duration)) failExpected("a duration, as in 500ms");
+      e.timeLeftNs = take().number;
     } else {
-      wanted(
+      failExpected(
           "class, method, path, query, tenant, body, header, answer_header, attempt, status, time_left or "
           "then");
     }
   }
-  void outcome(Expectation& e) {
+  void expectedResult(Expectation& e) {
     if (takeWord("pass")) return;
     if (takeWord("reject")) e.reject = integer("the status");
     else if (takeWord("fault")) e.fault = true;
     else if (takeWord("header")) e.setHeaders.push_back(pair());
-    else if (takeWord("no")) word("header"), e.noHeaders.push_back(text("a name"));
+    else if (takeWord("no")) unsetHeader(e);
     else if (takeWord("tag")) e.tags.push_back(pair());
     else if (takeWord("count")) e.counts.push_back(text("the counter"));
-    else wanted("pass, reject, fault, header, no header, tag or count");
+    else failExpected("pass, reject, fault, header, no header, tag or count");
+  }
+
+  void unsetHeader(Expectation& e) {
+    word("header");
+    e.noHeaders.push_back(text("a name"));
   }
 
   // --- statements
   Block block() {
-    const Deeper deeper(*this);
+    const NestingGuard guard(*this);
     Block out;
     sign("{");
     while (!takeSign("}")) {
-      if (at(Token::Kind::end)) wanted("'}'");
-      if (problems_.size() >= kProblemsMost) throw Lost{};
+      if (at(Token::Kind::end)) failExpected("'}'");
+      if (problems_.size() >= kMaxProblems) throw SyntaxErrorFound{};
       try {
         out.push_back(statement());
-      } catch (const Lost&) {
-        if (depth_ >= kDepthMost) throw;
+      } catch (const SyntaxErrorFound&) {
+        if (depth_ >= kMaxDepth) throw;
         skipTo(false);
       }
     }
@@ -259,13 +267,13 @@
       s->values.push_back(expression());
       sign(";");
     } else if (takeWord("if")) {
-      choose(*s);
+      conditional(*s);
     } else if (takeWord("while")) {
-      s->kind = Statement::Kind::loop;
+      s->kind = Statement::Kind::whileLoop;
       s->values.push_back(expression());
       s->body = block();
     } else if (takeWord("for")) {
-      s->kind = Statement::Kind::range;
+      s->kind = Statement::Kind::forLoop;
       s->name = name("a variable's name");
       word("in");
       s->values.push_back(sum());
@@ -273,18 +281,18 @@
       s->values.push_back(sum());
       s->body = block();
     } else if (takeWord("break")) {
-      s->kind = Statement::Kind::stop;
+      s->kind = Statement::Kind::breakLoop;
       sign(";");
     } else if (takeWord("pass")) {
       s->kind = Statement::Kind::pass;
       sign(";");
     } else if (takeWord("set")) {
       word("header");
-      act(*s, "set header", 2);
+      action(*s, "set header", 2);
     } else if (isWord("reject") || isWord("tag")) {
-      act(*s, take().text, 2);
+      action(*s, take().text, 2);
     } else if (isWord("count") || isWord("log")) {
-      act(*s, take().text, 1);
+      action(*s, take().text, 1);
     } else if (at(Token::Kind::name)) {
       s->kind = Statement::Kind::assign;
       const Position here = now().at;
@@ -294,7 +302,7 @@
       s->values.push_back(expression());
       sign(";");
     } else {
-      wanted("a statement");
+      failExpected("a statement");
     }
     return s;
   }
@@ -304,29 +312,29 @@
     if (const auto near = nearestOf(name, {"reject", "tag", "count", "log", "set header"}); !near.empty())
       what += "; did you mean '" + std::string(near) + "'?";
     problems_.push_back({here, std::move(what)});
-    throw Lost{};
+    throw SyntaxErrorFound{};
   }
 
-  void choose(Statement& s) {
-    s.kind = Statement::Kind::choose;
+  void conditional(Statement& s) {
+    s.kind = Statement::Kind::conditional;
     ExpressionPtr condition = expression();
     Block body = block();
-    s.branches.emplace_back(std::move(condition), std::move(body));
+    s.branches.push_back({std::move(condition), std::move(body)});
     while (takeWord("else")) {
       if (takeWord("if")) {
         condition = expression();
         body = block();
-        s.branches.emplace_back(std::move(condition), std::move(body));
+        s.branches.push_back({std::move(condition), std::move(body)});
         continue;
       }
-      s.branches.emplace_back(nullptr, block());
+      s.branches.push_back({nullptr, block()});
       return;
     }
   }
 
-  void act(Statement& s, std::string what, std::size_t arguments) {
-    s.kind = Statement::Kind::act;
-    s.name = std::move(what);
+  void action(Statement& s, std::string name, std::size_t arguments) {
+    s.kind = Statement::Kind::action;
+    s.name = std::move(name);
     sign("(");
     for (std::size_t i = 0; i < arguments; ++i) {
       if (i > 0) sign(",");
@@ -336,7 +344,7 @@
     sign(";");
   }
 
-  // --- expressions, the loosest binding first
+  // --- expressions, from the loosest binding to the tightest
   ExpressionPtr node(Kind kind, Position at, std::string name) {
     auto e = std::make_unique<Expression>();
     e->kind = kind;
@@ -346,10 +354,10 @@
   }
   void add(Expression& to, ExpressionPtr part) {
     to.depth = std::max(to.depth, part->depth + 1);
-    // Danger: a chain "a + a + a ..." is a tree as deep as it is long, without a bracket in it.
-    if (to.depth > 4 * kDepthMost) {
+    // A chain "a + a + a ..." makes a tree as deep as it is long, without any bracket.
+    if (to.depth > kMaxTreeDepth) {
       problems_.push_back({to.at, "the expression is too long; use variables"});
-      throw Lost{};
+      throw SyntaxErrorFound{};
     }
     to.parts.push_back(std::move(part));
   }
@@ -361,7 +369,7 @@
   }
 
   ExpressionPtr expression() {
-    const Deeper deeper(*this);
+    const NestingGuard guard(*this);
     ExpressionPtr left = conjunction();
     while (isWord("or")) {
       Token op = take();
@@ -379,7 +387,7 @@
   }
   ExpressionPtr negation() {
     if (!isWord("not")) return comparison();
-    const Deeper deeper(*this);
+    const NestingGuard guard(*this);
     auto e = node(Kind::unary, now().at, "not");
     take();
     add(*e, negation());
@@ -423,11 +431,12 @@
   }
   ExpressionPtr unary() {
     if (!isSign("-")) return primary();
-    const Deeper deeper(*this);
+    const NestingGuard guard(*this);
     auto e = node(Kind::unary, now().at, "-");
     take();
     ExpressionPtr of = unary();
-    if (of->kind == Kind::integer || of->kind == Kind::duration) {  // so that a constant may be below 0
+    // Folded, since a constant has to be a literal.
+    if (of->kind == Kind::integer || of->kind == Kind::duration) {
       of->number = -of->number;
       return of;
     }
@@ -455,31 +464,29 @@
     auto e = node(Kind::name, here, name("a value"));
     if (!takeSign("(")) return e;
     e->kind = Kind::call;
-    if (!isSign(")")) do
+    if (!isSign(")")) {
+      do {
         add(*e, expression());
-      while (takeSign(","));
+      } while (takeSign(","));
+    }
     sign(")");
     return e;
   }
 
   std::vector<Problem>& problems_;
   std::vector<Token> tokens_;
-  std::size_t i_ = 0, depth_ = 0;
+  std::size_t i_ = 0;
+  std::size_t depth_ = 0;
 };
 
 }  // namespace
 
-std::string_view nameOf(Handler handler) {
-  static constexpr std::string_view kNames[] = {"request", "attempt", "answer"};
-  return kNames[static_cast<std::size_t>(handler)];
-}
-
 Unit parse(std::string_view source, std::vector<Problem>& problems) {
   const std::size_t before = problems.size();
   std::vector<Token> tokens = lex(source, problems);
-  // What is no word spoils the words behind it: its own problems are told first, and alone.
+  // After an invalid token the parser would report errors that are none.
   if (problems.size() > before) return {};
-  return Parser(std::move(tokens), problems).unit();
+  return Parser(std::move(tokens), problems).run();
 }
 
 }  // namespace finchstile::hook
--- a/src/hook/program.hpp
+++ b/src/hook/program.hpp
@@ -1,6 +1,5 @@
-// The bytecode of a hook, and its format in a file. docs/design/hooks.md gives the format and each operation.
-// Nothing here is trusted: what is decoded is as good or bad as its bytes until `verify` (verifier.hpp) has
-// passed it.
+// A hook as bytecode: its operations, fields, limits and parts. bytecode.hpp has its form in a file. A
+// program is not trusted, wherever it comes from, until verify() of verifier.hpp has passed it.
 #pragma once
 
 #include <array>
@@ -15,10 +14,8 @@
 
 namespace finchstile::hook {
 
-inline constexpr std::uint16_t kFormatVersion = 1;
-
-// An instruction is 32 bits: the operation in the low 8, its operand in the other 24. `a b -> c`: takes b,
-// then a, off the stack and leaves c. num: an integer or a duration, both alike.
+// The operations. Their numbers are part of the file format. `a b -> c` means that the operation pops b, then
+// a, and pushes c. num is an integer or a duration, the same type for all operands of an instruction.
 enum class Op : std::uint8_t {
   halt,          // ends the handler
   pushInteger,   // operand: into `integers`           -> integer
@@ -47,7 +44,7 @@
   concatenate,  // text text -> text, in the arena
   length,       // text -> integer, bytes
   lower,        // text -> text, in the arena; ASCII only
-  part,         // text from:integer count:integer -> text; cut to what is there
+  substring,    // text from:integer count:integer -> text; clipped to the text
   find,         // text needle:text -> integer, -1 for none
   startsWith,
   endsWith,
@@ -57,23 +54,23 @@
   milliseconds,  // duration -> integer
   field,         // operand: a Field -> its type
   header,
-  hasHeader,     // name:text -> text, boolean: of the client's request
-  answerHeader,  // name:text -> text: of the host's answer; handler `answer` only
-  parameter,     // name:text -> text: of the query, decoded, in the arena
-  body,          // from:integer count:integer -> text; cut to what is there and may be read
-  tagValue,      // name:text -> text, empty if there is none
-  matches,       // operand: into `patterns`    text -> boolean
+  hasHeader,       // name:text -> text, boolean: of the client's request
+  responseHeader,  // name:text -> text: of the response; handler `response` only
+  parameter,       // name:text -> text: of the query, decoded, in the arena
+  body,            // from:integer count:integer -> text; clipped to the part that hooks may read
+  tagValue,        // name:text -> text, empty if there is none
+  matches,         // operand: into `patterns`    text -> boolean
   inTable,
   inSet,   // operand: into `tables`, `sets`    text -> boolean
   lookUp,  // operand: into `tables`      text -> text, empty if there is none
-  reject,  // status:integer reason:text -> ; ends the handler. Not in handler `attempt`
+  reject,  // status:integer reason:text -> ; ends the handler. Not allowed in handler `attempt`
   setHeader,
   tag,    // name:text value:text ->
   count,  // operand: into `counters`
   log,    // text ->
 };
 inline constexpr std::uint8_t kOps = static_cast<std::uint8_t>(Op::log) + 1;
-std::string_view nameOf(Op op);
+std::string_view nameOf(Op op);  // as the disassembler shows it
 
 enum class Field : std::uint8_t {
   className,
@@ -85,13 +82,14 @@
   timeLeft,  // in every handler
   attempt,   // not in `request`
   status,
-  fromHost  // in `answer` only
+  fromHost  // in `response` only
 };
 inline constexpr std::uint8_t kFields = static_cast<std::uint8_t>(Field::fromHost) + 1;
-std::string_view nameOf(Field field);  // as in a source
+std::string_view nameOf(Field field);  // as in the language
 Type typeOf(Field field);
 bool allowedIn(Field field, Handler handler);
 
+// The operation in the low 8 bits, its operand in the other 24.
 using Instruction = std::uint32_t;
 constexpr Instruction instruction(Op op, std::uint32_t operand = 0) {
   return static_cast<std::uint32_t>(op) | operand << 8;
@@ -99,21 +97,22 @@
 constexpr std::uint8_t opByte(Instruction i) { return static_cast<std::uint8_t>(i & 0xff); }
 constexpr std::uint32_t operand(Instruction i) { return i >> 8; }
 
-// Bounds of a program, in a file and in memory.
-inline constexpr std::size_t kProgramBytesMost = std::size_t{4} * 1024 * 1024;
-inline constexpr std::size_t kCodeMost = 32768;       // instructions
-inline constexpr std::size_t kConstantsMost = 16384;  // of each pool
-inline constexpr std::size_t kPatternsMost = 256;
-inline constexpr std::size_t kPatternBytesMost = 1024;
-inline constexpr std::size_t kTablesMost = 64;
-inline constexpr std::size_t kCountersMost = 64;
-inline constexpr std::size_t kLocalsMost = 128;  // of one handler
-inline constexpr std::size_t kStackMost = 256;
-inline constexpr std::size_t kNameMost = 64;  // of a hook, a counter
+// Limits of a program, in a file and in memory.
+inline constexpr std::size_t kMaxProgramBytes = std::size_t{4} * 1024 * 1024;
+inline constexpr std::size_t kMaxInstructions = 32768;  // instructions
+inline constexpr std::size_t kMaxConstants = 16384;     // of each pool
+inline constexpr std::size_t kMaxPatterns = 256;
+inline constexpr std::size_t kMaxPatternBytes = 1024;
+inline constexpr std::size_t kMaxTables = 64;
+inline constexpr std::size_t kMaxCounters = 64;
+inline constexpr std::size_t kMaxLocals = 128;  // of one handler
+inline constexpr std::size_t kMaxStackValues = 256;
+inline constexpr std::size_t kMaxNameBytes = 64;  // of a hook, a counter
 
 struct HandlerCode {
-  std::uint32_t entry = 0, end = 0;  // its instructions: [entry, end)
-  std::vector<Type> locals;          // zero, false or empty at first
+  std::uint32_t entry = 0;  // its instructions are [entry, end)
+  std::uint32_t end = 0;
+  std::vector<Type> locals;  // initially zero, false or empty
 };
 
 struct Program {
@@ -122,24 +121,17 @@
   std::vector<std::string> texts;
   std::vector<std::vector<std::string>> sets;
   std::vector<std::string> patterns;  // RE2's syntax
-  std::vector<std::string> tables;    // their files' names
+  std::vector<std::string> tables;    // the names of their files
   std::vector<std::string> counters;
   std::array<std::optional<HandlerCode>, kHandlers> handlers;
   std::vector<Instruction> code;
-  std::vector<std::uint32_t> lines;  // of each instruction, for faults
+  std::vector<std::uint32_t> lines;  // the source line of each instruction, for faults
 
   bool operator==(const Program&) const = default;
 };
 bool operator==(const HandlerCode& a, const HandlerCode& b);
 
-// A table stands beside its hook: a way elsewhere would be one to any file.
+// Whether `name` names a file beside the hook. A path could name any file of the machine.
 bool isPlainFileName(std::string_view name);
 
-std::string encode(const Program& program);
-// None, with `why`, for what is cut, damaged, too large or of another version. `checkSum` false leaves the
-// sum unlooked at: for tests that damage what is behind it.
-std::optional<Program> decode(std::string_view bytes, std::string& why, bool checkSum = true);
-
-std::string disassemble(const Program& program);
-
 }  // namespace finchstile::hook
--- a/src/hook/settings.hpp
+++ b/src/hook/settings.hpp
@@ -1,27 +1,29 @@
-// The part of the operator's file that is about hooks: [hooks] and its [[hooks.hook]].
+// The settings of hooks: [hooks] of the operator's file and its [[hooks.hook]].
 #pragma once
 
 #include <string>
 #include <vector>
 
-#include "hook/chain.hpp"
+#include "hook/hook_chain.hpp"
 #include "operator/reader.hpp"
 
 namespace finchstile::hook {
 
-struct HookFile {
-  HookSpec spec;       // its code is still to be loaded
+// One [[hooks.hook]].
+struct HookFileSettings {
+  HookSpec spec;       // its executables are loaded later
   std::string path;    // of the source or the bytecode
-  std::string shadow;  // the same of a next version; empty: none
+  std::string shadow;  // the path of a candidate version; empty: none
 };
 
 struct HookSettings {
   ChainSettings chain;
-  Duration report = std::chrono::minutes(1);  // a line of counts for each hook so often, if they changed
-  std::vector<HookFile> hooks;
+  Duration reportInterval = std::chrono::minutes(1);  // of the log lines with the counts
+  std::vector<HookFileSettings> hooks;
 };
 
-// `folder` is that of the operator's file: paths that are not absolute start there.
+// Reads the table [hooks] of `root`, which collects the errors. `folder` is that of the operator's file,
+// where relative paths start. Settings that are absent keep their values in `out`.
 void readHookSettings(SettingReader& root, const std::string& folder, HookSettings& out);
 
 }  // namespace finchstile::hook
--- a/src/hook/source.hpp
+++ b/src/hook/source.hpp
@@ -1,4 +1,4 @@
-// What the stages of compiling a hook share: positions, problems, types, and the bounds of a source.
+// What the steps of compiling a hook share: positions, problems, types and the limits of a source.
 #pragma once
 
 #include <cstddef>
@@ -11,24 +11,26 @@
 
 enum class Type : std::uint8_t { integer, boolean, text, duration };
 inline constexpr std::uint8_t kTypes = 4;
-std::string_view nameOf(Type type);
+std::string_view nameOf(Type type);  // as in messages
 
 struct Position {
-  std::uint32_t line = 0, column = 0;  // from 1; columns in bytes
+  std::uint32_t line = 0;    // from 1
+  std::uint32_t column = 0;  // from 1, in bytes
 };
 
+// An error in a source or a table, for its author.
 struct Problem {
   Position at;
-  std::string what;
+  std::string message;
 };
 
-// "FILE:LINE:COLUMN: WHAT"
+// "FILE:LINE:COLUMN: MESSAGE"
 std::string describe(const std::string& file, const Problem& problem);
 
-// A source of any size and shape costs a bounded amount of memory, stack and time.
-inline constexpr std::size_t kSourceMost = std::size_t{256} * 1024;  // bytes
-inline constexpr std::size_t kLiteralMost = 4096;                    // bytes of one text
-inline constexpr std::size_t kDepthMost = 100;    // of blocks and of expressions within one another
-inline constexpr std::size_t kProblemsMost = 20;  // told of one source; the rest is left out
+// They bound the memory, stack and time that any source takes.
+inline constexpr std::size_t kMaxSourceBytes = std::size_t{256} * 1024;
+inline constexpr std::size_t kMaxLiteralBytes = 4096;  // of one text
+inline constexpr std::size_t kMaxDepth = 100;          // of nested blocks and expressions
+inline constexpr std::size_t kMaxProblems = 20;        // reported of one source; further ones are omitted
 
 }  // namespace finchstile::hook
--- a/src/hook/syntax.hpp
+++ b/src/hook/syntax.hpp
@@ -1,4 +1,4 @@
-// The tree of a hook's source, as the parser leaves it: names and types are not looked at yet.
+// The syntax tree of a hook's source. The parser does not check names and types; the compiler does.
 #pragma once
 
 #include <array>
@@ -13,9 +13,10 @@
 
 namespace finchstile::hook {
 
-enum class Handler : std::uint8_t { request, attempt, answer };
+// The events of a request that a hook handles. The language calls a response `answer`.
+enum class Handler : std::uint8_t { request, attempt, response };
 inline constexpr std::size_t kHandlers = 3;
-std::string_view nameOf(Handler handler);
+std::string_view nameOf(Handler handler);  // as in the language
 
 struct Expression {
   enum class Kind : std::uint8_t {
@@ -27,48 +28,73 @@
     call,     // `name` with arguments
     unary,    // `name`: "-" or "not"
     binary,   // `name`: "+", "==", "and", "in", "matches", ...
-    set       // {"a", "b"}: only right of `in`
+    set       // {"a", "b"}: only to the right of `in`
   };
   Kind kind = Kind::integer;
   Position at;
   std::string name;
   std::int64_t number = 0;
   std::vector<std::unique_ptr<Expression>> parts;
-  std::size_t depth = 1;
+  std::size_t depth = 1;  // of the tree below it, with itself
 };
 using ExpressionPtr = std::unique_ptr<Expression>;
 
 struct Statement;
 using Block = std::vector<std::unique_ptr<Statement>>;
 
+struct Branch {
+  ExpressionPtr condition;  // null: `else`
+  Block body;
+};
+
 struct Statement {
-  enum class Kind : std::uint8_t { let, assign, choose, loop, range, stop, pass, act };
+  enum class Kind : std::uint8_t {
+    let,
+    assign,
+    conditional,  // if, else if, else
+    whileLoop,
+    forLoop,
+    breakLoop,
+    pass,
+    action  // reject, set header, tag, count, log
+  };
   Kind kind = Kind::pass;
   Position at;
-  std::string name;                   // of the variable, or of what is done ("reject", "set header")
+  std::string name;                   // of the variable, or of the action ("reject", "set header")
   std::vector<ExpressionPtr> values;  // of let and assign; the condition; the bounds; the arguments
-  std::vector<std::pair<ExpressionPtr, Block>> branches;  // of `choose`; a null condition is `else`
-  Block body;                                             // of loops
+  std::vector<Branch> branches;       // of a conditional
+  Block body;                         // of loops
 };
 
+// An `expect` block: a request and what the handlers shall do with it.
 struct Expectation {
   struct Pair {
     std::string name, value;
   };
   std::string title;
   Position at;
-  std::string className, method = "GET", path = "/", query, tenant, body;
-  std::vector<Pair> headers, answerHeaders;
-  std::int64_t timeLeft = 1'000'000'000;
-  std::optional<std::int64_t> attempt, status;  // given: that handler is run too
-  // What shall come of it. Each is looked for; a rejection that is not expected is a failure, and so is a
-  // fault.
+  std::string className;
+  std::string method = "GET";
+  std::string path = "/";
+  std::string query;
+  std::string tenant;
+  std::string body;
+  std::vector<Pair> headers;
+  std::vector<Pair> responseHeaders;
+  std::int64_t timeLeftNs = 1'000'000'000;
+  std::optional<std::int64_t> attempt;  // if set, the handler of attempts runs too
+  std::optional<std::int64_t> status;   // if set, the handler of responses runs too
+
+  // All of it has to come true. A rejection or a fault that is not expected is a failure too.
   std::optional<std::int64_t> reject;
   bool fault = false;
-  std::vector<Pair> setHeaders, tags;
-  std::vector<std::string> counts, noHeaders;
+  std::vector<Pair> setHeaders;
+  std::vector<Pair> tags;
+  std::vector<std::string> counts;
+  std::vector<std::string> noHeaders;
 };
 
+// A complete source.
 struct Unit {
   struct Named {
     std::string name;
@@ -78,13 +104,16 @@
     ExpressionPtr value;             // of a constant: a literal
   };
   std::string name;
-  std::vector<Named> tables, sets, constants;
+  std::vector<Named> tables;
+  std::vector<Named> sets;
+  std::vector<Named> constants;
   std::array<std::optional<Block>, kHandlers> handlers;
   std::array<Position, kHandlers> handlerAt{};
   std::vector<Expectation> expectations;
 };
 
-// Goes on behind errors where it can, so that one look at the list mends a file.
+// Adds all errors to `problems`. Goes on after an error where it can, so that one run reports most errors of
+// a file.
 Unit parse(std::string_view source, std::vector<Problem>& problems);
 
 }  // namespace finchstile::hook
--- a/src/hook/table.cpp
+++ b/src/hook/table.cpp
@@ -15,12 +15,13 @@
 }
 
 constexpr std::string_view kCountMark = "#entries ";
+constexpr std::size_t kMaxShownKeyBytes = 40;
 
 }  // namespace
 
 std::uint32_t Table::hashOf(std::string_view key) {
   const auto h = static_cast<std::uint64_t>(std::hash<std::string_view>{}(key));
-  return static_cast<std::uint32_t>(h ^ (h >> 32)) | 1U;  // never 0
+  return static_cast<std::uint32_t>(h ^ (h >> 32)) | 1U;  // 0 marks a free slot
 }
 
 void Table::reserve(std::size_t entries) {
@@ -63,52 +64,84 @@
   return t;
 }
 
-std::optional<Table> Table::parse(std::string_view text, std::vector<Problem>& problems) {
-  const std::size_t before = problems.size();
-  const auto problem = [&](std::uint32_t line, std::string what) {
-    problems.push_back({{line, 1}, std::move(what)});
-  };
-  if (text.size() > kTableBytesMost) {
-    problem(1, "the table has " + std::to_string(text.size()) + " bytes; at most " +
-                   std::to_string(kTableBytesMost) + " are read");
-    return std::nullopt;
+// Reads the lines of a table. Errors are added to `problems`.
+class Table::Parser {
+ public:
+  Parser(std::string_view text, std::vector<Problem>& problems) : text_(text), problems_(problems) {}
+
+  std::optional<Table> run() {
+    const std::size_t problemsBefore = problems_.size();
+    if (text_.size() > kMaxTableBytes) {
+      addProblem(1, "the table has " + std::to_string(text_.size()) + " bytes; at most " +
+                        std::to_string(kMaxTableBytes) + " are read");
+      return std::nullopt;
+    }
+    const auto lines = static_cast<std::size_t>(std::count(text_.begin(), text_.end(), '\n')) + 1;
+    table_.reserve(std::min(lines, kMaxTableEntries));
+    table_.bytes_.reserve(text_.size());
+    while (!text_.empty() && problems_.size() < problemsBefore + kMaxProblems) readLine(takeLine());
+    if (problems_.size() == problemsBefore) checkEntryCount();
+    if (problems_.size() > problemsBefore) return std::nullopt;
+    return std::move(table_);
   }
-  const auto lines = static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n')) + 1;
-  Table t;
-  t.reserve(std::min(lines, kTableEntriesMost));
-  t.bytes_.reserve(text.size());
-  std::optional<std::size_t> told;
-  std::uint32_t line = 0;
-  while (!text.empty() && problems.size() < before + kProblemsMost) {
-    ++line;
-    const std::size_t end = std::min(text.find('\n'), text.size());
-    const std::string_view whole = trimmed(text.substr(0, end));
-    text.remove_prefix(std::min(end + 1, text.size()));
-    if (line == 1 && whole.substr(0, kCountMark.size()) == kCountMark) {
-      std::size_t n = 0;
-      const std::string_view digits = trimmed(whole.substr(kCountMark.size()));
-      const auto [last, error] = std::from_chars(digits.data(), digits.data() + digits.size(), n);
-      if (error != std::errc{} || last != digits.data() + digits.size())
-        problem(line, "no number behind #entries");
-      told = n;
+
+ private:
+  void addProblem(std::uint32_t line, std::string message) {
+    problems_.push_back({{line, 1}, std::move(message)});
+  }
+
+  std::string_view takeLine() {
+    ++line_;
+    const std::size_t end = std::min(text_.find('\n'), text_.size());
+    const std::string_view line = trimmed(text_.substr(0, end));
+    text_.remove_prefix(std::min(end + 1, text_.size()));
+    return line;
+  }
+
+  void readLine(std::string_view line) {
+    if (line_ == 1 && line.substr(0, kCountMark.size()) == kCountMark)
+      readEntryCount(trimmed(line.substr(kCountMark.size())));
+    if (line.empty() || line.front() == '#') return;
+    const std::size_t equals = line.find('=');
+    const bool hasValue = equals != std::string_view::npos;
+    addEntry(trimmed(line.substr(0, equals)), hasValue ? trimmed(line.substr(equals + 1)) : "");
+  }
+
+  void readEntryCount(std::string_view digits) {
+    const char* const digitsEnd = digits.data() + digits.size();
+    std::size_t entries = 0;
+    const auto [end, error] = std::from_chars(digits.data(), digitsEnd, entries);
+    if (error != std::errc{} || end != digitsEnd) addProblem(line_, "no number behind #entries");
+    declaredEntries_ = entries;
+  }
+
+  void addEntry(std::string_view key, std::string_view value) {
+    if (key.empty() || key.size() > kMaxTableTextBytes || value.size() > kMaxTableTextBytes) {
+      addProblem(line_,
+                 "a key has 1 to " + std::to_string(kMaxTableTextBytes) + " bytes, a value at most as many");
+    } else if (table_.entries_ >= kMaxTableEntries) {
+      addProblem(line_, "more than " + std::to_string(kMaxTableEntries) + " entries");
+      text_ = {};
+    } else if (!table_.add(key, value)) {
+      addProblem(line_, "the key '" + std::string(key.substr(0, kMaxShownKeyBytes)) + "' stands twice");
     }
-    if (whole.empty() || whole.front() == '#') continue;
-    const std::size_t split = whole.find('=');
-    const std::string_view key = trimmed(whole.substr(0, split));
-    const std::string_view value =
-        split == std::string_view::npos ? std::string_view() : trimmed(whole.substr(split + 1));
-    if (key.empty() || key.size() > kTableKeyMost || value.size() > kTableKeyMost)
-      problem(line, "a key has 1 to " + std::to_string(kTableKeyMost) + " bytes, a value at most as many");
-    else if (t.entries_ >= kTableEntriesMost)
-      problem(line, "more than " + std::to_string(kTableEntriesMost) + " entries"), text = {};
-    else if (!t.add(key, value))
-      problem(line, "the key '" + std::string(key.substr(0, 40)) + "' stands twice");
   }
-  if (told && *told != t.entries_ && problems.size() == before)
-    problem(1, "the table is not whole: #entries says " + std::to_string(*told) + ", and " +
-                   std::to_string(t.entries_) + " were read");
-  if (problems.size() > before) return std::nullopt;
-  return t;
+
+  void checkEntryCount() {
+    if (!declaredEntries_ || *declaredEntries_ == table_.entries_) return;
+    addProblem(1, "the table is not whole: #entries says " + std::to_string(*declaredEntries_) + ", and " +
+                      std::to_string(table_.entries_) + " were read");
+  }
+
+  std::string_view text_;  // that is still to be read
+  std::vector<Problem>& problems_;
+  Table table_;
+  std::optional<std::size_t> declaredEntries_;
+  std::uint32_t line_ = 0;
+};
+
+std::optional<Table> Table::parse(std::string_view text, std::vector<Problem>& problems) {
+  return Parser(text, problems).run();
 }
 
 }  // namespace finchstile::hook
--- a/src/hook/verifier.cpp
+++ b/src/hook/verifier.cpp
@@ -1,6 +1,6 @@
 #include "hook/verifier.hpp"
 
-#include <algorithm>
+#include <array>
 #include <vector>
 
 #include "hook/headers.hpp"
@@ -8,221 +8,306 @@
 namespace finchstile::hook {
 namespace {
 
-struct Bad {
-  std::size_t at;
-  std::string what;
+using Code = VerifyErrorCode;
+
+// What an operand is an index of.
+enum class Pool : std::uint8_t { none, integers, texts, booleans, patterns, tables, sets, counters };
+
+// An operation whose types do not depend on the stack or the handler.
+struct Signature {
+  Op op;
+  Pool pool;
+  std::vector<Type> pops;  // in the order of popping, the topmost first
+  std::optional<Type> pushes;
 };
 
+const std::vector<Signature>& signatures() {
+  constexpr Type kInteger = Type::integer;
+  constexpr Type kBoolean = Type::boolean;
+  constexpr Type kText = Type::text;
+  constexpr Type kDuration = Type::duration;
+  static const std::vector<Signature> kAll = {
+      {Op::pushInteger, Pool::integers, {}, kInteger},
+      {Op::pushDuration, Pool::integers, {}, kDuration},
+      {Op::pushText, Pool::texts, {}, kText},
+      {Op::pushBoolean, Pool::booleans, {}, kBoolean},
+      {Op::modulo, Pool::none, {kInteger, kInteger}, kInteger},
+      {Op::invert, Pool::none, {kBoolean}, kBoolean},
+      {Op::concatenate, Pool::none, {kText, kText}, kText},
+      {Op::length, Pool::none, {kText}, kInteger},
+      {Op::lower, Pool::none, {kText}, kText},
+      {Op::substring, Pool::none, {kInteger, kInteger, kText}, kText},
+      {Op::find, Pool::none, {kText, kText}, kInteger},
+      {Op::textEqual, Pool::none, {kText, kText}, kBoolean},
+      {Op::textNotEqual, Pool::none, {kText, kText}, kBoolean},
+      {Op::startsWith, Pool::none, {kText, kText}, kBoolean},
+      {Op::endsWith, Pool::none, {kText, kText}, kBoolean},
+      {Op::contains, Pool::none, {kText, kText}, kBoolean},
+      {Op::toInteger, Pool::none, {kInteger, kText}, kInteger},
+      {Op::toText, Pool::none, {kInteger}, kText},
+      {Op::milliseconds, Pool::none, {kDuration}, kInteger},
+      {Op::header, Pool::none, {kText}, kText},
+      {Op::hasHeader, Pool::none, {kText}, kBoolean},
+      {Op::responseHeader, Pool::none, {kText}, kText},
+      {Op::parameter, Pool::none, {kText}, kText},
+      {Op::body, Pool::none, {kInteger, kInteger}, kText},
+      {Op::tagValue, Pool::none, {kText}, kText},
+      {Op::matches, Pool::patterns, {kText}, kBoolean},
+      {Op::inTable, Pool::tables, {kText}, kBoolean},
+      {Op::inSet, Pool::sets, {kText}, kBoolean},
+      {Op::lookUp, Pool::tables, {kText}, kText},
+      {Op::reject, Pool::none, {kText, kInteger}, std::nullopt},
+      {Op::setHeader, Pool::none, {kText, kText}, std::nullopt},
+      {Op::tag, Pool::none, {kText, kText}, std::nullopt},
+      {Op::count, Pool::counters, {}, std::nullopt},
+      {Op::log, Pool::none, {kText}, std::nullopt},
+  };
+  return kAll;
+}
+
+// Null for operations that have no fixed signature.
+const Signature* signatureOf(Op op) {
+  using Index = std::array<const Signature*, kOps>;
+  static const Index kIndex = [] {
+    Index index{};
+    for (const Signature& signature : signatures())
+      index[static_cast<std::size_t>(signature.op)] = &signature;
+    return index;
+  }();
+  return kIndex[static_cast<std::size_t>(op)];
+}
+
+// Follows every path through one handler with the types on the stack. Throws VerifyError.
 class HandlerVerifier {
  public:
-  HandlerVerifier(const Program& p, Handler handler, const HandlerCode& code)
-      : p_(p), handler_(handler), code_(code), seen_(code.end - code.entry) {}
+  HandlerVerifier(const Program& program, Handler handler, const HandlerCode& code)
+      : program_(program), handler_(handler), code_(code), stackBefore_(code.end - code.entry) {}
 
   void run() {
     reach(code_.entry, {});
-    while (!open_.empty()) {
-      at_ = open_.back();
-      open_.pop_back();
-      stack_ = *seen_[at_ - code_.entry];
-      step();
+    while (!unvisited_.empty()) {
+      instruction_ = unvisited_.back();
+      unvisited_.pop_back();
+      stack_ = *stackBefore_[instruction_ - code_.entry];
+      visit();
     }
   }
 
  private:
   using Stack = std::vector<Type>;
 
-  [[noreturn]] void bad(std::string what) const { throw Bad{at_, std::move(what)}; }
-
-  // The first way to an instruction settles its stack; any other must bring the same.
-  void reach(std::size_t to, const Stack& stack) {
-    if (to < code_.entry || to >= code_.end) bad("leads out of its handler");
-    auto& there = seen_[to - code_.entry];
-    if (!there) {
-      there = stack;
-      open_.push_back(to);
-    } else if (*there != stack) {
-      bad("two ways lead to instruction " + std::to_string(to) + " with different stacks");
+  [[noreturn]] void fail(Code code, std::string message) const {
+    throw VerifyError{code, instruction_, std::move(message)};
+  }
+
+  // The first path to an instruction determines its stack. Every other path must bring an equal one.
+  void reach(std::size_t target, const Stack& stack) {
+    if (target < code_.entry || target >= code_.end) fail(Code::controlFlow, "leads out of its handler");
+    std::optional<Stack>& known = stackBefore_[target - code_.entry];
+    if (!known) {
+      known = stack;
+      unvisited_.push_back(target);
+    } else if (*known != stack) {
+      fail(Code::controlFlow,
+           "two ways lead to instruction " + std::to_string(target) + " with different stacks");
     }
   }
 
   Type pop() {
-    if (stack_.empty()) bad("takes from an empty stack");
-    const Type t = stack_.back();
+    if (stack_.empty()) fail(Code::stackBounds, "takes from an empty stack");
+    const Type type = stack_.back();
     stack_.pop_back();
-    return t;
+    return type;
   }
-  void pop(Type wanted) {
-    if (const Type t = pop(); t != wanted)
-      bad("takes " + std::string(nameOf(wanted)) + " and finds " + std::string(nameOf(t)));
+  void pop(Type expected) {
+    const Type type = pop();
+    if (type != expected)
+      fail(Code::typeMismatch,
+           "takes " + std::string(nameOf(expected)) + " and finds " + std::string(nameOf(type)));
   }
-  void push(Type t) {
-    if (stack_.size() >= kStackMost) bad("needs more stack than allowed");
-    stack_.push_back(t);
+  Type popNumber() {
+    const Type type = pop();
+    if (type != Type::integer && type != Type::duration)
+      fail(Code::typeMismatch, "takes a number and finds " + std::string(nameOf(type)));
+    return type;
   }
-  Type number() {
-    const Type t = pop();
-    if (t != Type::integer && t != Type::duration) bad("takes a number and finds " + std::string(nameOf(t)));
-    return t;
+  void push(Type type) {
+    if (stack_.size() >= kMaxStackValues) fail(Code::stackBounds, "needs more stack than allowed");
+    stack_.push_back(type);
   }
-  void index(std::size_t size, const char* what) const {
-    if (operand(p_.code[at_]) >= size) bad(std::string("names no ") + what + " that is there");
+
+  void checkOperand(std::size_t size, const char* what) const {
+    if (operand(program_.code[instruction_]) >= size)
+      fail(Code::invalidOperand, std::string("names no ") + what + " that is there");
+  }
+  void checkOperand(Pool pool) const {
+    switch (pool) {
+      case Pool::none: return;
+      case Pool::integers: return checkOperand(program_.integers.size(), "integer");
+      case Pool::texts: return checkOperand(program_.texts.size(), "text");
+      case Pool::booleans: return checkOperand(2, "boolean");
+      case Pool::patterns: return checkOperand(program_.patterns.size(), "pattern");
+      case Pool::tables: return checkOperand(program_.tables.size(), "table");
+      case Pool::sets: return checkOperand(program_.sets.size(), "set");
+      case Pool::counters: return checkOperand(program_.counters.size(), "counter");
+    }
+  }
+  Type localOperand() const {
+    checkOperand(code_.locals.size(), "local");
+    return code_.locals[operand(program_.code[instruction_])];
+  }
+
+  void checkAllowed(Op op) const {
+    if (op == Op::responseHeader && handler_ != Handler::response)
+      fail(Code::notAllowedInHandler, "reads an answer before there is one");
+    // An attempt is sent whatever a hook says: the load balancer decides whether, when and where.
+    if (op == Op::reject && handler_ == Handler::attempt)
+      fail(Code::notAllowedInHandler, "rejects in a handler of attempts");
+  }
+
+  void visit() {
+    const Instruction instruction = program_.code[instruction_];
+    if (opByte(instruction) >= kOps) fail(Code::unknownOperation, "is no operation");
+    const Op op = static_cast<Op>(opByte(instruction));
+    checkAllowed(op);
+    if (const Signature* const signature = signatureOf(op)) applySignature(*signature);
+    else applyOperation(op);
+    const bool endsPath = op == Op::halt || op == Op::reject || op == Op::jump;
+    if (op == Op::jump || op == Op::jumpIfFalse || op == Op::jumpIfTrue) reach(operand(instruction), stack_);
+    if (!endsPath) reach(instruction_ + 1, stack_);
+  }
+
+  void applySignature(const Signature& signature) {
+    checkOperand(signature.pool);
+    for (const Type type : signature.pops) pop(type);
+    if (signature.pushes) push(*signature.pushes);
   }
 
-  void step() {
-    const Instruction in = p_.code[at_];
-    if (opByte(in) >= kOps) bad("is no operation");
-    const Op op = static_cast<Op>(opByte(in));
-    const std::uint32_t k = operand(in);
+  // Operations whose types depend on the stack, the locals or the field.
+  void applyOperation(Op op) {
     switch (op) {
-      case Op::halt: return;
-      case Op::pushInteger: index(p_.integers.size(), "integer"), push(Type::integer); break;
-      case Op::pushDuration: index(p_.integers.size(), "integer"), push(Type::duration); break;
-      case Op::pushText: index(p_.texts.size(), "text"), push(Type::text); break;
-      case Op::pushBoolean: index(2, "boolean"), push(Type::boolean); break;
-      case Op::load: index(code_.locals.size(), "local"), push(code_.locals[k]); break;
-      case Op::store: index(code_.locals.size(), "local"), pop(code_.locals[k]); break;
-      case Op::drop: pop(); break;
+      case Op::load: return push(localOperand());
+      case Op::store: return pop(localOperand());
+      case Op::drop: pop(); return;
       case Op::add:
-      case Op::subtract: {
-        const Type t = number();
-        pop(t);
-        push(t);
-        break;
-      }
+      case Op::subtract: return applyToEqualNumbers();
       case Op::multiply:
-      case Op::divide: {
-        pop(Type::integer);
-        push(number());
-        break;
-      }
-      case Op::modulo: pop(Type::integer), pop(Type::integer), push(Type::integer); break;
-      case Op::negate: push(number()); break;
+      case Op::divide: pop(Type::integer); return push(popNumber());
+      case Op::negate: return push(popNumber());
       case Op::equal:
-      case Op::notEqual: {
-        const Type t = pop();
-        if (t == Type::text) bad("compares texts as numbers");
-        pop(t);
-        push(Type::boolean);
-        break;
-      }
+      case Op::notEqual: return applyEquality();
       case Op::less:
-      case Op::lessEqual: {
-        const Type t = number();
-        pop(t);
-        push(Type::boolean);
-        break;
-      }
-      case Op::invert: pop(Type::boolean), push(Type::boolean); break;
-      case Op::jump: return reach(k, stack_);
+      case Op::lessEqual: pop(popNumber()); return push(Type::boolean);
       case Op::jumpIfFalse:
-      case Op::jumpIfTrue:
-        pop(Type::boolean);
-        reach(k, stack_);
-        break;
-      case Op::concatenate: pop(Type::text), pop(Type::text), push(Type::text); break;
-      case Op::length: pop(Type::text), push(Type::integer); break;
-      case Op::lower: pop(Type::text), push(Type::text); break;
-      case Op::part: pop(Type::integer), pop(Type::integer), pop(Type::text), push(Type::text); break;
-      case Op::find: pop(Type::text), pop(Type::text), push(Type::integer); break;
-      case Op::textEqual:
-      case Op::textNotEqual:
-      case Op::startsWith:
-      case Op::endsWith:
-      case Op::contains: pop(Type::text), pop(Type::text), push(Type::boolean); break;
-      case Op::toInteger: pop(Type::integer), pop(Type::text), push(Type::integer); break;
-      case Op::toText: pop(Type::integer), push(Type::text); break;
-      case Op::milliseconds: pop(Type::duration), push(Type::integer); break;
-      case Op::field: {
-        index(kFields, "field");
-        const Field f = static_cast<Field>(k);
-        if (!allowedIn(f, handler_)) bad("reads a field that this handler does not have");
-        push(typeOf(f));
-        break;
-      }
-      case Op::answerHeader:
-        if (handler_ != Handler::answer) bad("reads an answer before there is one");
-        [[fallthrough]];
-      case Op::header:
-      case Op::parameter:
-      case Op::tagValue: pop(Type::text), push(Type::text); break;
-      case Op::hasHeader: pop(Type::text), push(Type::boolean); break;
-      case Op::body: pop(Type::integer), pop(Type::integer), push(Type::text); break;
-      case Op::matches: index(p_.patterns.size(), "pattern"), pop(Type::text), push(Type::boolean); break;
-      case Op::inTable: index(p_.tables.size(), "table"), pop(Type::text), push(Type::boolean); break;
-      case Op::inSet: index(p_.sets.size(), "set"), pop(Type::text), push(Type::boolean); break;
-      case Op::lookUp: index(p_.tables.size(), "table"), pop(Type::text), push(Type::text); break;
-      case Op::reject:
-        // An attempt goes out whatever a hook says of it: where, whether and when is the module's to decide.
-        if (handler_ == Handler::attempt) bad("rejects in a handler of attempts");
-        pop(Type::text), pop(Type::integer);
-        return;
-      case Op::setHeader:
-      case Op::tag: pop(Type::text), pop(Type::text); break;
-      case Op::count: index(p_.counters.size(), "counter"); break;
-      case Op::log: pop(Type::text); break;
+      case Op::jumpIfTrue: return pop(Type::boolean);
+      case Op::field: return applyField();
+      default: return;  // halt and jump; all others have a signature
     }
-    reach(at_ + 1, stack_);
   }
 
-  const Program& p_;
-  Handler handler_;
+  void applyToEqualNumbers() {
+    const Type type = popNumber();
+    pop(type);
+    push(type);
+  }
+
+  void applyEquality() {
+    const Type type = pop();
+    if (type == Type::text) fail(Code::typeMismatch, "compares texts as numbers");
+    pop(type);
+    push(Type::boolean);
+  }
+
+  void applyField() {
+    checkOperand(kFields, "field");
+    const Field field = static_cast<Field>(operand(program_.code[instruction_]));
+    if (!allowedIn(field, handler_))
+      fail(Code::notAllowedInHandler, "reads a field that this handler does not have");
+    push(typeOf(field));
+  }
+
+  const Program& program_;
+  const Handler handler_;
   const HandlerCode& code_;
-  std::vector<std::optional<Stack>>
-      seen_;  // the stack right before an instruction, once a way to it is known
-  std::vector<std::size_t> open_;
-  std::size_t at_ = 0;
+  std::vector<std::optional<Stack>> stackBefore_;  // of each instruction, once a path to it is known
+  std::vector<std::size_t> unvisited_;
+  std::size_t instruction_ = 0;
   Stack stack_;
 };
 
-template <class T>
-void bound(std::size_t whole, const std::vector<T>& items, std::size_t most, const char* what) {
-  if (items.size() > most) throw Bad{whole, std::string("more ") + what + " than allowed"};
-}
+// Checks the limits of a program as a whole. Throws VerifyError.
+class LimitVerifier {
+ public:
+  explicit LimitVerifier(const Program& program) : program_(program) {}
 
-void bounds(const Program& p) {
-  const std::size_t whole = p.code.size();
-  const auto texts = [&](const std::vector<std::string>& all, std::size_t longest, const char* what) {
-    for (const auto& s : all)
-      if (s.size() > longest)
-        throw Bad{whole, std::string("a longer text among its ") + what + " than allowed"};
-  };
-  if (!isHeaderName(p.name) || p.name.size() > kNameMost) throw Bad{whole, "its name is no word"};
-  bound(whole, p.code, kCodeMost, "instructions");
-  bound(whole, p.integers, kConstantsMost, "integers");
-  bound(whole, p.texts, kConstantsMost, "texts");
-  bound(whole, p.sets, kConstantsMost, "sets");
-  bound(whole, p.patterns, kPatternsMost, "patterns");
-  bound(whole, p.tables, kTablesMost, "tables");
-  bound(whole, p.counters, kCountersMost, "counters");
-  texts(p.texts, kLiteralMost, "texts");
-  texts(p.patterns, kPatternBytesMost, "patterns");
-  for (const auto& set : p.sets) {
-    bound(whole, set, kConstantsMost, "items of a set");
-    texts(set, kLiteralMost, "sets");
-  }
-  for (const auto& c : p.counters)  // they become names of metrics and stand in lines of the log
-    if (!isHeaderName(c)) throw Bad{whole, "a counter's name is no word"};
-  if (p.lines.size() != p.code.size()) throw Bad{whole, "not a line for each instruction"};
+  void run() const {
+    if (!isHeaderName(program_.name) || program_.name.size() > kMaxNameBytes) fail("its name is no word");
+    checkSize(program_.code, kMaxInstructions, "instructions");
+    checkSize(program_.integers, kMaxConstants, "integers");
+    checkSize(program_.texts, kMaxConstants, "texts");
+    checkSize(program_.sets, kMaxConstants, "sets");
+    checkSize(program_.patterns, kMaxPatterns, "patterns");
+    checkSize(program_.tables, kMaxTables, "tables");
+    checkSize(program_.counters, kMaxCounters, "counters");
+    checkTexts(program_.texts, kMaxLiteralBytes, "texts");
+    checkTexts(program_.patterns, kMaxPatternBytes, "patterns");
+    for (const auto& set : program_.sets) {
+      checkSize(set, kMaxConstants, "items of a set");
+      checkTexts(set, kMaxLiteralBytes, "sets");
+    }
+    // Counters become names of metrics and stand in log lines.
+    for (const std::string& counter : program_.counters)
+      if (!isHeaderName(counter)) fail("a counter's name is no word");
+    if (program_.lines.size() != program_.code.size()) fail("not a line for each instruction");
+  }
+
+  // `previousEnd`: of the handler before. Handlers lie apart and in order, so that no instruction is checked
+  // by the rules of two handlers.
+  void checkHandler(const HandlerCode& handler, std::size_t previousEnd) const {
+    const bool apart = handler.entry >= previousEnd;
+    const bool inside = handler.entry < handler.end && handler.end <= program_.code.size();
+    if (!apart || !inside) fail("a handler lies out of the code or over another one");
+    checkSize(handler.locals, kMaxLocals, "locals");
+  }
+
+ private:
+  [[noreturn]] void fail(std::string message) const {
+    throw VerifyError{Code::invalidProgram, program_.code.size(), std::move(message)};
+  }
+  template <class Item>
+  void checkSize(const std::vector<Item>& items, std::size_t maxItems, const char* what) const {
+    if (items.size() > maxItems) fail(std::string("more ") + what + " than allowed");
+  }
+  void checkTexts(const std::vector<std::string>& texts, std::size_t maxBytes, const char* what) const {
+    for (const std::string& text : texts)
+      if (text.size() > maxBytes) fail(std::string("a longer text among its ") + what + " than allowed");
+  }
+
+  const Program& program_;
+};
+
+void verifyOrThrow(const Program& program) {
+  const LimitVerifier limits(program);
+  limits.run();
+  std::size_t previousEnd = 0;
+  for (std::size_t i = 0; i < kHandlers; ++i) {
+    if (!program.handlers[i]) continue;
+    const HandlerCode& handler = *program.handlers[i];
+    limits.checkHandler(handler, previousEnd);
+    previousEnd = handler.end;
+    HandlerVerifier(program, static_cast<Handler>(i), handler).run();
+  }
 }
 
 }  // namespace
 
-std::optional<VerifyError> verify(const Program& p) try {
-  bounds(p);
-  std::size_t before = 0;
-  for (std::size_t h = 0; h < kHandlers; ++h) {
-    if (!p.handlers[h]) continue;
-    const HandlerCode& code = *p.handlers[h];
-    // Apart and in order, so that no instruction is judged under two handlers' rules.
-    if (code.entry < before || code.entry >= code.end || code.end > p.code.size())
-      throw Bad{p.code.size(), "a handler lies out of the code or over another one"};
-    before = code.end;
-    bound(p.code.size(), code.locals, kLocalsMost, "locals");
-    HandlerVerifier(p, static_cast<Handler>(h), code).run();
+std::optional<VerifyError> verify(const Program& program) {
+  try {
+    verifyOrThrow(program);
+  } catch (const VerifyError& error) {
+    return error;
   }
   return std::nullopt;
-} catch (const Bad& bad) {
-  return VerifyError{bad.at, bad.what};
 }
 
 }  // namespace finchstile::hook
--- a/src/hook/verifier.hpp
+++ b/src/hook/verifier.hpp
@@ -1,8 +1,7 @@
-// Proves of bytecode, whoever made it, that running it stays within its bounds: every operand names something
-// that is there, every jump lands in its own handler, the stack has the same known types on each way to an
-// instruction and never more than kStackMost values, every value has the type that its operation takes, no
-// operation stands in a handler that does not allow it, and no way leads off the end. What passes can be run
-// without any such look.
+// Proves that running a program stays within its bounds, whoever made it: operands name what is there, jumps
+// stay in their handler, the stack has the same types on every path to an instruction and at most
+// kMaxStackValues values, every operation finds the types that it takes and stands in a handler that allows
+// it, and no path runs off the end. The interpreter relies on this and checks none of it.
 #pragma once
 
 #include <optional>
@@ -12,12 +11,24 @@
 
 namespace finchstile::hook {
 
+enum class VerifyErrorCode {
+  invalidProgram,  // a limit of program.hpp, a name, or the place of a handler
+  unknownOperation,
+  invalidOperand,  // names nothing
+  controlFlow,     // leaves the handler, or paths join with different stacks
+  stackBounds,     // pops from an empty stack, or pushes onto a full one
+  typeMismatch,
+  notAllowedInHandler
+};
+
 struct VerifyError {
-  std::size_t instruction = 0;  // the first that is wrong; as many as there are: the program as a whole
-  std::string what;
+  VerifyErrorCode code = VerifyErrorCode::invalidProgram;
+  std::size_t instruction = 0;  // the number of instructions stands for the program as a whole
+  std::string message;          // completes the sentence "instruction N ..."
 };
 
-// None if the program is good. Takes time and memory in proportion to code times stack at the most.
+// The first error; none if the program is valid. Takes time and memory in proportion to instructions times
+// stack size.
 std::optional<VerifyError> verify(const Program& program);
 
 }  // namespace finchstile::hook
--- a/tests/fuzz/hook_bytecode.cpp
+++ b/tests/fuzz/hook_bytecode.cpp
@@ -1,30 +1,33 @@
-// Any bytes as bytecode, with its sum not looked at: refused, or run within its bounds.
+// Any bytes as bytecode, without the check of the checksum: refused, or run within its bounds.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
-#include "hook/machine.hpp"
+#include "hook/bytecode.hpp"
+#include "hook/disassembler.hpp"
+#include "hook/interpreter.hpp"
 
 using namespace finchstile::hook;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  std::string why;
-  auto program = decode(asText(data, size), why, false);
-  if (!program) {
-    if (why.empty()) std::abort();
+  std::shared_ptr<const Executable> code;
+  try {
+    Program program = decode(asText(data, size), ChecksumCheck::ignored);
+    disassemble(program);
+    std::vector<std::shared_ptr<const Table>> tables(program.tables.size(), std::make_shared<const Table>());
+    code = linkProgram(std::move(program), std::move(tables));
+  } catch (const BytecodeError& error) {
+    if (std::string_view(error.what()).empty()) std::abort();
+    return 0;
+  } catch (const LinkError&) {
     return 0;
   }
-  disassemble(*program);
-  const std::vector<std::shared_ptr<const Table>> tables(program->tables.size(),
-                                                         std::make_shared<const Table>());
-  const auto code = bind(std::move(*program), tables, why);
-  if (!code) return 0;
-  Machine machine;
-  Input in;
+  Interpreter interpreter;
+  RunInput in;
   in.path = "/log-in/1";
-  Budget budget;
+  RunBudget budget;
   budget.instructions = 500;
-  for (const Handler h : {Handler::request, Handler::attempt, Handler::answer})
-    if (code->handles(h) && machine.run(*code, h, in, budget).instructions > budget.instructions)
+  for (const Handler h : {Handler::request, Handler::attempt, Handler::response})
+    if (code->handles(h) && interpreter.run(*code, h, in, budget).instructions > budget.instructions)
       std::abort();
   return 0;
 }
--- a/tests/hook/chain_test.cpp
+++ b/tests/hook/hook_chain_test.cpp
@@ -1,5 +1,5 @@
-// Order, scopes, faults, setting aside, versions and shadows; the time is the test's.
-#include "hook/chain.hpp"
+// The chain of hooks: order, scopes, faults, suspension, versions and shadows. The tests set the time.
+#include "hook/hook_chain.hpp"
 
 #include "hook/support.hpp"
 
@@ -9,9 +9,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct ChainTest : ::testing::Test {
+struct HookChainTest : ::testing::Test {
   std::vector<std::string> lines;
-  Chain chain{[this](std::string_view line) { lines.emplace_back(line); }};
+  HookChain chain{[this](std::string_view line) { lines.emplace_back(line); }};
   Time now = std::chrono::hours(1);
   std::uint64_t version = 0;
   MapHeaders headers;
@@ -19,38 +19,38 @@
   static HookSpec spec(const std::string& source) {
     HookSpec s;
     s.file = "f.hook";
-    s.code = codeOf(source);
+    s.executable = codeOf(source);
     return s;
   }
   static std::string named(const std::string& name, const std::string& body,
                            const std::string& on = "request") {
     return "hook \"" + name + "\";\non " + on + " {\n" + body + "\n}\n";
   }
-  void take(std::vector<HookSpec> hooks, ChainSettings settings = {}) {
+  void install(std::vector<HookSpec> hooks, ChainSettings settings = {}) {
     auto set = std::make_shared<HookSet>();
     set->version = ++version;
     set->settings = settings;
     set->hooks = std::move(hooks);
-    chain.take(set);
+    chain.install(set);
   }
-  // One request's way to its first attempt.
+  // A request that has passed the handlers of its arrival.
   struct Asked {
     HookedRequest q;
-    Verdict verdict;
+    HookDecision decision;
     std::vector<HeaderLine> headers;
   };
   Asked ask(const std::string& path = "/log-in/1", Duration left = seconds(1)) {
     Asked a;
-    a.q = chain.begin(left);
-    Input in = input(path);
-    a.verdict = chain.onRequest(now, a.q, in, "id-1", a.headers);
+    a.q = chain.beginRequest(left);
+    RunInput in = input(path);
+    a.decision = chain.onRequest(now, a.q, in, "id-1", a.headers);
     return a;
   }
-  Input input(const std::string& path) {
-    Input in = anInput();
+  RunInput input(const std::string& path) {
+    RunInput in = anInput();
     path_ = path;
     in.path = path_;
-    in.request = &headers;
+    in.requestHeaders = &headers;
     return in;
   }
   std::string path_;
@@ -59,14 +59,14 @@
 const char* const kFaultsAtBad =
     "if starts_with(path, \"/bad\") { let a = 1 / (length(path) - length(path)); }";
 
-TEST_F(ChainTest, HooksRunInTheirOrderAndSeeEarlierTags) {
-  take({spec(named("a", "tag(\"t\", \"a\"); set header(\"X-A\", \"1\");")),
-        spec(named("b", "set header(\"X-B\", tag_value(\"t\")); tag(\"t\", tag_value(\"t\") + \"b\");")),
-        spec(named("c", "if tag_value(\"t\") == \"ab\" { reject(403, \"seen\"); }")),
-        spec(named("d", "log(\"never reached\");"))});
+TEST_F(HookChainTest, RunsHooksInOrderAndShowsThemEarlierTags) {
+  install({spec(named("a", "tag(\"t\", \"a\"); set header(\"X-A\", \"1\");")),
+           spec(named("b", "set header(\"X-B\", tag_value(\"t\")); tag(\"t\", tag_value(\"t\") + \"b\");")),
+           spec(named("c", "if tag_value(\"t\") == \"ab\" { reject(403, \"seen\"); }")),
+           spec(named("d", "log(\"never reached\");"))});
   const Asked a = ask();
-  EXPECT_EQ(a.verdict.status, 403);
-  EXPECT_EQ(a.verdict.reason, "seen");
+  EXPECT_EQ(a.decision.rejectStatus, 403);
+  EXPECT_EQ(a.decision.reason, "seen");
   ASSERT_EQ(a.headers.size(), 2u);
   EXPECT_EQ(a.headers[1].value, "a");
   EXPECT_TRUE(lines.empty());
@@ -75,157 +75,157 @@
   EXPECT_EQ(chain.counts("none"), nullptr);
 }
 
-TEST_F(ChainTest, TagsThatAreReplacedWhileOthersQuoteThem) {
+TEST_F(HookChainTest, ReplacesTagsThatOtherResultsStillQuote) {
   const std::string longText(300, 'v');  // beyond any small buffer
-  take({spec(named("a", "tag(\"t\", \"" + longText + "\");")),
-        spec(named("b", "let old = tag_value(\"t\"); tag(\"t\", \"new\"); tag(\"u\", old);"))});
+  install({spec(named("a", "tag(\"t\", \"" + longText + "\");")),
+           spec(named("b", "let old = tag_value(\"t\"); tag(\"t\", \"new\"); tag(\"u\", old);"))});
   const Asked a = ask();
   ASSERT_EQ(a.q.tags.size(), 2u);
   EXPECT_EQ(a.q.tags[0].value, "new");
   EXPECT_EQ(a.q.tags[1].value, longText);
 }
 
-TEST_F(ChainTest, ScopesAreClassesPathsAndTenants) {
+TEST_F(HookChainTest, RunsHooksOnlyInTheirScope) {
   HookSpec s = spec(named("a", "count(\"n\");"));
   s.classes = {"log-in", "x"};
   s.paths = {"/log-in/1"};
   s.tenants = {"acme"};
-  take({s});
+  install({s});
   ask("/log-in/17");
   ask("/log-in/2");
   EXPECT_EQ(chain.counts("a")->runs, 1u);
   s.tenants = {"other"};
-  take({s});
+  install({s});
   ask("/log-in/17");
   EXPECT_EQ(chain.counts("a")->runs, 1u);
 }
 
-// Hard case: one that faults on one request in a thousand. Open: as if it were not there, and it stays in
-// force.
-TEST_F(ChainTest, ARareFaultIsReportedAndCostsNothingElse) {
-  take({spec(named("rare", kFaultsAtBad)), spec(named("next", "count(\"n\");"))});
+// A hook that fails open and faults on one request in a thousand.
+TEST_F(HookChainTest, ReportsRareFaultsAndLetsTheRequestPass) {
+  install({spec(named("rare", kFaultsAtBad)), spec(named("next", "count(\"n\");"))});
   for (int i = 0; i < 20000; ++i, now += milliseconds(5)) {
     const Asked a = ask(i % 1000 == 7 ? "/bad" : "/good");
-    EXPECT_EQ(a.verdict.status, 0);
+    EXPECT_EQ(a.decision.rejectStatus, 0);
   }
   const HookCounts& c = *chain.counts("rare");
   EXPECT_EQ(c.faults, 20u);
   EXPECT_EQ(c.byFault[static_cast<std::size_t>(Fault::divideByZero)], 20u);
-  EXPECT_EQ(c.setAside, 0u);
+  EXPECT_EQ(c.suspensions, 0u);
   EXPECT_EQ(chain.counts("next")->runs, 20000u);
   ASSERT_EQ(lines.size(), 20u);
   EXPECT_EQ(lines[0],
             "hook rare faulted on line 3 of f.hook (on request): division by zero; request id-1; fault 1");
 }
 
-TEST_F(ChainTest, ManyFaultsSetItAsideWithABackoffThatGrowsAndIsForgiven) {
+TEST_F(HookChainTest, SuspendsAFaultyHookWithAGrowingBackoffThatATrialResets) {
   HookSpec s = spec(named("h", kFaultsAtBad));
-  s.faults = 3;
-  s.window = seconds(10);
-  s.backoff = seconds(1);
-  s.backoffMost = seconds(3);
-  take({s});
-  ask("/bad"), ask("/bad");
-  EXPECT_FALSE(chain.isSetAside("h", now));
+  s.faultPolicy.maxFaults = 3;
+  s.faultPolicy.window = seconds(10);
+  s.faultPolicy.initialBackoff = seconds(1);
+  s.faultPolicy.maxBackoff = seconds(3);
+  install({s});
   ask("/bad");
-  EXPECT_TRUE(chain.isSetAside("h", now));
-  EXPECT_EQ(ask("/bad").verdict.status, 0);
-  EXPECT_EQ(chain.counts("h")->runs, 3u);  // it does not run while it is aside
+  ask("/bad");
+  EXPECT_FALSE(chain.isSuspended("h", now));
+  ask("/bad");
+  EXPECT_TRUE(chain.isSuspended("h", now));
+  EXPECT_EQ(ask("/bad").decision.rejectStatus, 0);
+  EXPECT_EQ(chain.counts("h")->runs, 3u);  // it does not run while it is suspended
   EXPECT_EQ(chain.counts("h")->skipped, 1u);
   now += milliseconds(1001);
-  ask("/bad");  // on trial one is enough
-  EXPECT_EQ(chain.counts("h")->setAside, 2u);
+  ask("/bad");  // on trial one fault is enough
+  EXPECT_EQ(chain.counts("h")->suspensions, 2u);
   now += milliseconds(1500);
-  EXPECT_TRUE(chain.isSetAside("h", now));  // twice as long
+  EXPECT_TRUE(chain.isSuspended("h", now));  // twice as long
   now += milliseconds(600);
   ask("/bad");
   now += milliseconds(2900);
-  EXPECT_TRUE(chain.isSetAside("h", now));  // at most backoffMost
+  EXPECT_TRUE(chain.isSuspended("h", now));  // limited by maxBackoff
   now += milliseconds(200);
   ask("/good");
-  now += seconds(11);  // it has stood for longer than the window
+  now += seconds(11);  // the trial has lasted longer than the window
   ask("/good");
   ask("/bad");
-  EXPECT_FALSE(chain.isSetAside("h", now));
-  EXPECT_EQ(chain.counts("h")->setAside, 3u);
+  EXPECT_FALSE(chain.isSuspended("h", now));
+  EXPECT_EQ(chain.counts("h")->suspensions, 3u);
 }
 
-TEST_F(ChainTest, FaultsSpreadOverMoreThanTheWindowDoNotSetItAside) {
+TEST_F(HookChainTest, KeepsAHookWhoseFaultsAreSpreadOverMoreThanTheWindow) {
   HookSpec s = spec(named("h", kFaultsAtBad));
-  s.faults = 2;
-  s.window = seconds(1);
-  take({s});
+  s.faultPolicy.maxFaults = 2;
+  s.faultPolicy.window = seconds(1);
+  install({s});
   for (int i = 0; i < 50; ++i, now += milliseconds(1100)) ask("/bad");
-  EXPECT_EQ(chain.counts("h")->setAside, 0u);
+  EXPECT_EQ(chain.counts("h")->suspensions, 0u);
 }
 
-TEST_F(ChainTest, AClosedHookRefusesBeforeAnAttemptAndNeverAfter) {
+TEST_F(HookChainTest, FailsClosedBeforeAnAttemptAndNeverAfter) {
   HookSpec s = spec("hook \"h\";\non request { " + std::string(kFaultsAtBad) +
                     " }\non attempt { let a = 1 / (attempt - attempt); }\non answer { let a = 1 / (attempt - "
                     "attempt); }\n");
-  s.closed = true;
-  s.faults = 1;
-  take({s});
+  s.failClosed = true;
+  s.faultPolicy.maxFaults = 1;
+  install({s});
   Asked good = ask("/good");
-  EXPECT_EQ(good.verdict.status, 0);
-  Input in = input("/good");
+  EXPECT_EQ(good.decision.rejectStatus, 0);
+  RunInput in = input("/good");
   std::vector<HeaderLine> out;
   chain.onAttempt(now, good.q, in, "id-2", out);
-  chain.onAnswer(now, good.q, in, "id-2", out);
+  chain.onResponse(now, good.q, in, "id-2", out);
   EXPECT_TRUE(out.empty());
-  EXPECT_EQ(chain.counts("h")->faults, 1u);   // the attempt's
-  EXPECT_EQ(chain.counts("h")->skipped, 1u);  // the answer's: set aside by then
+  EXPECT_EQ(chain.counts("h")->faults, 1u);   // in the handler of attempts
+  EXPECT_EQ(chain.counts("h")->skipped, 1u);  // the handler of responses: it is suspended by then
   const Asked refused = ask("/good");
-  EXPECT_EQ(refused.verdict.status, 503);
-  EXPECT_GT(refused.verdict.retryAfter, Duration{});
-  EXPECT_LE(refused.verdict.retryAfter, seconds(1));
-  EXPECT_EQ(chain.counts("h")->refusedClosed, 1u);
+  EXPECT_EQ(refused.decision.rejectStatus, 503);
+  EXPECT_GT(refused.decision.retryAfter, Duration{});
+  EXPECT_LE(refused.decision.retryAfter, seconds(1));
+  EXPECT_EQ(chain.counts("h")->rejectedFailClosed, 1u);
 }
 
-// Danger: a client that leaves a hook no time must not be able to switch it off for the others.
-TEST_F(ChainTest, TheClientsTimeBoundsTheFuelAndIsNoFaultOfTheHook) {
+// A client that leaves a hook no time must not have it suspended for all others.
+TEST_F(HookChainTest, CountsRunsThatTheClientsTimeCutsShortAsNoFault) {
   HookSpec s = spec(named("h", "for i in 0 .. 400 { }"));
-  s.faults = 1;
-  take({s});
-  ask("/x", milliseconds(1));  // a tenth of it is 100 us, and 400 rounds may take more than that
+  s.faultPolicy.maxFaults = 1;
+  install({s});
+  ask("/x", milliseconds(1));  // a tenth of it is 100 us, which does not pay for 400 rounds
   EXPECT_EQ(chain.counts("h")->runs, 1u);
   for (int i = 0; i < 10; ++i) ask("/x", std::chrono::microseconds(100));
   ask("/x", Duration(-5));
   EXPECT_EQ(chain.counts("h")->faults, 0u);
-  EXPECT_GE(chain.counts("h")->shortOfTime, 11u);
-  EXPECT_FALSE(chain.isSetAside("h", now));
-  EXPECT_EQ(ask("/x", seconds(1)).verdict.status, 0);
+  EXPECT_GE(chain.counts("h")->outOfTime, 11u);
+  EXPECT_FALSE(chain.isSuspended("h", now));
+  EXPECT_EQ(ask("/x", seconds(1)).decision.rejectStatus, 0);
   EXPECT_TRUE(lines.empty());
 }
 
-// Hard case: 64 hooks at once share one allowance.
-TEST_F(ChainTest, SixtyFourHooksStayWithinTheClientsTime) {
+// All hooks of a request share one allowance.
+TEST_F(HookChainTest, KeepsSixtyFourHooksWithinOneAllowance) {
   std::vector<HookSpec> all;
-  for (std::size_t i = 0; i < kHooksMost; ++i) {
+  for (std::size_t i = 0; i < kMaxHooks; ++i) {
     all.push_back(spec(named("h" + std::to_string(i), "while true { }")));
     all.back().budget.instructions = 100'000;
-    all.back().faults = 64;
+    all.back().faultPolicy.maxFaults = 64;
   }
-  take(all);
-  HookedRequest q = chain.begin(milliseconds(100));
-  const std::int64_t allowed = q.allowance;
-  Input in = input("/x");
+  install(all);
+  HookedRequest q = chain.beginRequest(milliseconds(100));
+  const std::int64_t allowed = q.allowanceNs;
+  RunInput in = input("/x");
   std::vector<HeaderLine> out;
   chain.onRequest(now, q, in, "id", out);
   std::uint64_t spent = 0;
-  for (std::size_t i = 0; i < kHooksMost; ++i) spent += chain.counts("h" + std::to_string(i))->instructions;
+  for (std::size_t i = 0; i < kMaxHooks; ++i) spent += chain.counts("h" + std::to_string(i))->instructions;
   EXPECT_LE(spent * 20, static_cast<std::uint64_t>(allowed));
   EXPECT_GT(spent, 0u);
 }
 
-TEST_F(ChainTest, RequestsUnderWayKeepTheVersionThatTheyBeganWith) {
-  take(
+TEST_F(HookChainTest, KeepsTheVersionThatARequestBeganWith) {
+  install(
       {spec("hook \"h\";\non request { tag(\"v\", \"1\"); }\non attempt { set header(\"X-V\", \"1\"); }\n")});
   Asked old = ask();
-  take(
+  install(
       {spec("hook \"h\";\non request { tag(\"v\", \"2\"); }\non attempt { set header(\"X-V\", \"2\"); }\n")});
   Asked fresh = ask();
-  Input in = input("/x");
+  RunInput in = input("/x");
   std::vector<HeaderLine> out;
   chain.onAttempt(now, old.q, in, "id", out);
   chain.onAttempt(now, fresh.q, in, "id", out);
@@ -234,54 +234,54 @@
   EXPECT_EQ(out[1].value, "2");
 }
 
-TEST_F(ChainTest, TheSameCodeKeepsItsStandingAndNewCodeStartsClean) {
+TEST_F(HookChainTest, KeepsTheHealthOfUnchangedProgramsOnly) {
   HookSpec s = spec(named("h", kFaultsAtBad));
-  s.faults = 1;
-  s.backoff = seconds(60);
-  take({s});
+  s.faultPolicy.maxFaults = 1;
+  s.faultPolicy.initialBackoff = seconds(60);
+  install({s});
   ask("/bad");
-  take({spec(named("h", kFaultsAtBad))});  // compiled anew from the same source
-  EXPECT_TRUE(chain.isSetAside("h", now));
+  install({spec(named("h", kFaultsAtBad))});  // compiled anew from the same source
+  EXPECT_TRUE(chain.isSuspended("h", now));
   EXPECT_EQ(chain.counts("h")->faults, 1u);
-  take({spec(named("h", "count(\"mended\");"))});
-  EXPECT_FALSE(chain.isSetAside("h", now));
+  install({spec(named("h", "count(\"mended\");"))});
+  EXPECT_FALSE(chain.isSuspended("h", now));
   ask("/bad");
   EXPECT_EQ(chain.counts("h")->faults, 0u);
   EXPECT_EQ(chain.counts("h")->counted.at("mended"), 1u);
 }
 
-TEST_F(ChainTest, AShadowIsComparedAndHasNoEffect) {
+TEST_F(HookChainTest, ComparesAShadowWithoutApplyingIt) {
   HookSpec s = spec(named("h", "set header(\"X\", \"1\");"));
   s.shadow =
       codeOf(named("h", "if starts_with(path, \"/new\") { reject(403, \"no\"); } set header(\"X\", \"1\");"));
-  take({s});
+  install({s});
   for (int i = 0; i < 10; ++i) {
     const Asked a = ask(i == 3 ? "/new" : "/old");
-    EXPECT_EQ(a.verdict.status, 0);
+    EXPECT_EQ(a.decision.rejectStatus, 0);
     EXPECT_EQ(a.headers.size(), 1u);
   }
   EXPECT_EQ(chain.counts("h")->shadowRuns, 10u);
-  EXPECT_EQ(chain.counts("h")->shadowDifferent, 1u);
+  EXPECT_EQ(chain.counts("h")->shadowDifferences, 1u);
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_EQ(lines[0], "hook h: its shadow rejects with 403 (on request); request id-1; difference 1 of 4");
 }
 
-TEST_F(ChainTest, AShadowThatLoopsNeitherSetsAsideNorTakesMoreThanItsShare) {
+TEST_F(HookChainTest, NeverSuspendsAHookForItsShadow) {
   HookSpec s = spec(named("h", "count(\"n\");"));
   s.shadow = codeOf(named("h", "while true { }"));
-  s.faults = 1;
-  take({s});
+  s.faultPolicy.maxFaults = 1;
+  install({s});
   for (int i = 0; i < 20; ++i) ask();
-  EXPECT_FALSE(chain.isSetAside("h", now));
-  EXPECT_EQ(chain.counts("h")->shadowDifferent, 20u);
+  EXPECT_FALSE(chain.isSuspended("h", now));
+  EXPECT_EQ(chain.counts("h")->shadowDifferences, 20u);
   EXPECT_EQ(chain.counts("h")->counted.at("n"), 20u);
 }
 
-TEST_F(ChainTest, LinesAreLimitedAndTheirNumberIsToldLater) {
+TEST_F(HookChainTest, LimitsLinesAndReportsHowManyWereOmitted) {
   HookSpec s = spec(named("h", kFaultsAtBad));
-  s.faults = 64;
-  s.window = milliseconds(100);
-  take({s});
+  s.faultPolicy.maxFaults = 64;
+  s.faultPolicy.window = milliseconds(100);
+  install({s});
   for (int i = 0; i < 40; ++i) ask("/bad");
   EXPECT_EQ(lines.size(), 5u);
   now += seconds(2);
@@ -290,15 +290,15 @@
   EXPECT_NE(lines[5].find("(35 lines before it left out)"), std::string::npos) << lines[5];
 }
 
-TEST_F(ChainTest, LinesCarryNoBytesThatMoveATerminal) {
-  take({spec(named("h", "log(\"a\\n\\x1b[2J\" + path);"))});
+TEST_F(HookChainTest, ReplacesControlBytesInLines) {
+  install({spec(named("h", "log(\"a\\n\\x1b[2J\" + path);"))});
   ask("/x\x01y");
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_EQ(lines[0], "hook h: a??[2J/x?y; request id-1");
 }
 
-TEST_F(ChainTest, TheSummaryHasALineForEachHook) {
-  take({spec(named("a", "count(\"n\");")), spec(named("b", kFaultsAtBad))});
+TEST_F(HookChainTest, SummarizesEachHookInALine) {
+  install({spec(named("a", "count(\"n\");")), spec(named("b", kFaultsAtBad))});
   ask("/bad");
   const auto all = chain.summary(now);
   ASSERT_EQ(all.size(), 2u);
--- a/tests/hook/filter_test.cpp
+++ b/tests/hook/hook_filter_test.cpp
@@ -1,6 +1,6 @@
-// Hooks in the gateway, over loopback: what clients and hosts see of them, and the rules that hold all the
-// same.
-#include "hook/filter.hpp"
+// Hooks in a gateway over loopback: what clients and hosts see of them, and that the rules of the service
+// hold.
+#include "hook/hook_filter.hpp"
 
 #include "hook/support.hpp"
 #include "support/sockets.hpp"
@@ -11,7 +11,7 @@
 using namespace finchstile::testing;
 using std::chrono::milliseconds;
 
-struct HookGatewayTest : ::testing::Test {
+struct HookFilterTest : ::testing::Test {
   asio::io_context io;
   Clock clock;
   std::vector<std::string> lines;
@@ -21,19 +21,19 @@
   std::unique_ptr<Gateway> gateway;
   std::uint64_t version = 0;
 
-  static HookSpec spec(const std::string& source, bool closed = false) {
+  static HookSpec spec(const std::string& source, bool failClosed = false) {
     HookSpec s;
     s.file = "f.hook";
-    s.code = codeOf(source);
-    s.closed = closed;
+    s.executable = codeOf(source);
+    s.failClosed = failClosed;
     return s;
   }
-  void take(std::vector<HookSpec> all, ChainSettings settings = {}) {
+  void install(std::vector<HookSpec> all, ChainSettings settings = {}) {
     auto set = std::make_shared<HookSet>();
     set->version = ++version;
     set->settings = settings;
     set->hooks = std::move(all);
-    hooks.chain().take(set);
+    hooks.chain().install(set);
   }
   void start() {
     json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", host.endpoint())}));
@@ -42,7 +42,7 @@
     gateway->start();
   }
   std::shared_ptr<Client> client() { return Client::connect(io, gateway->endpoint()); }
-  // Its answer, or a response of status 0.
+  // Sends a request and returns its answer, or a response of status 0 if there is none.
   http::response<http::string_body> ask(const std::shared_ptr<Client>& c, const std::string& method,
                                         const std::string& path, const std::string& headers = "",
                                         int left = 2500) {
@@ -55,14 +55,15 @@
   }
 };
 
-TEST_F(HookGatewayTest, RejectsTagsAndAddsHeadersOnBothSides) {
+TEST_F(HookFilterTest, RejectsTagsAndSetsHeadersForHostAndClient) {
   ChainSettings settings;
   settings.tagHeader = "X-Tags";
-  take({spec("hook \"a\";\non request {\n  if header(\"X-Yard\") == \"\" { reject(422, \"no yard code\"); }\n"
-             "  tag(\"site\", \"7\"); set header(\"X-From\", parameter(\"q\")); }\n"
-             "on attempt { set header(\"X-Attempt\", to_text(attempt)); }\n"
-             "on answer { set header(\"X-Saw\", answer_header(\"X-Host\") + to_text(status)); }\n")},
-       settings);
+  install(
+      {spec("hook \"a\";\non request {\n  if header(\"X-Yard\") == \"\" { reject(422, \"no yard code\"); }\n"
+            "  tag(\"site\", \"7\"); set header(\"X-From\", parameter(\"q\")); }\n"
+            "on attempt { set header(\"X-Attempt\", to_text(attempt)); }\n"
+            "on answer { set header(\"X-Saw\", answer_header(\"X-Host\") + to_text(status)); }\n")},
+      settings);
   start();
   const auto c = client();
   const auto refused = ask(c, "GET", "/read/1");
@@ -70,7 +71,7 @@
   EXPECT_EQ(refused.body(), "no yard code");
   EXPECT_EQ(refused["X-Saw"], "422");
   EXPECT_TRUE(host.received.empty());
-  const auto served = ask(c, "GET", "/read/1?q=a%20b", "X-Yard: B\r\n");  // on the same connection
+  const auto served = ask(c, "GET", "/read/1?q=a%20b", "X-Yard: B\r\n");  // on one connection
   EXPECT_EQ(served.result_int(), 200u);
   EXPECT_EQ(served["X-Saw"], "h200");
   ASSERT_EQ(host.received.size(), 1u);
@@ -80,14 +81,14 @@
   EXPECT_EQ(host.received[0]["X-Correlation-Id"], c->id);
 }
 
-// Hard case: a hook that loops for ever, in each handler, with clients of little time.
-TEST_F(HookGatewayTest, ALoopForEverCostsNobodyAnAnswer) {
+// A hook loops forever in each handler, and the clients have little time.
+TEST_F(HookFilterTest, AnswersRequestsWhoseHooksLoopForever) {
   HookSpec s = spec(
       "hook \"loop\";\non request { while true { } }\non attempt { while true { } }\n"
       "on answer { while true { } }\n");
   s.budget.instructions = 1'000'000;
-  s.faults = 64;
-  take({s});
+  s.faultPolicy.maxFaults = 64;
+  install({s});
   start();
   const auto c = client();
   for (const int left : {20, 50, 100, 500, 2500}) {
@@ -96,14 +97,13 @@
     EXPECT_LT(std::chrono::steady_clock::now() - begin, milliseconds(2500));
   }
   const HookCounts& n = *hooks.chain().counts("loop");
-  EXPECT_GE(n.faults + n.shortOfTime, 10u);
+  EXPECT_GE(n.faults + n.outOfTime, 10u);
   EXPECT_EQ(host.received.size(), 5u);
 }
 
-// Hard case: a hook on an unsafe request that rejects after its attempt. The effect has happened: the answer
-// is the host's, once, and nothing is sent again.
-TEST_F(HookGatewayTest, AnUnsafeRequestIsNotRejectedAfterItsAttempt) {
-  take({spec("hook \"late\";\non answer { reject(503, \"again\"); }\n", true)});
+// The request has had its effect. The client gets the host's answer, once, and nothing is sent again.
+TEST_F(HookFilterTest, DoesNotRejectANonIdempotentRequestAfterItsAttempt) {
+  install({spec("hook \"late\";\non answer { reject(503, \"again\"); }\n", true)});
   start();
   const auto c = client();
   const auto answer = ask(c, "POST", "/book/1");
@@ -114,9 +114,9 @@
   EXPECT_NE(lines[0].find("rejected after an attempt that may have run"), std::string::npos);
 }
 
-// Hard case: one fault in a thousand requests; each is answered, and each fault is reported with its count.
-TEST_F(HookGatewayTest, OneFaultInAThousandIsReportedAndEveryRequestAnswered) {
-  take({spec("hook \"rare\";\non request { let a = 100 / to_integer(parameter(\"n\"), 1); }\n")});
+// Each fault is reported with its count.
+TEST_F(HookFilterTest, AnswersEveryRequestAndReportsRareFaults) {
+  install({spec("hook \"rare\";\non request { let a = 100 / to_integer(parameter(\"n\"), 1); }\n")});
   start();
   const auto c = client();
   for (int i = 0; i < 2000; ++i)
@@ -126,24 +126,23 @@
   EXPECT_NE(lines[1].find("fault 2"), std::string::npos);
 }
 
-TEST_F(HookGatewayTest, AClosedHookThatFaultsRefusesWithARetryAfter) {
+TEST_F(HookFilterTest, RejectsWithRetryAfterWhenAFailClosedHookFaults) {
   HookSpec s = spec("hook \"guard\";\non request { let a = 1 / (body_length - body_length); }\n", true);
-  s.faults = 1;
-  s.backoff = std::chrono::seconds(30);
-  take({s});
+  s.faultPolicy.maxFaults = 1;
+  s.faultPolicy.initialBackoff = std::chrono::seconds(30);
+  install({s});
   start();
   const auto c = client();
   EXPECT_EQ(ask(c, "POST", "/book/1").result_int(), 503u);
   const auto answer = ask(c, "POST", "/book/1");
   EXPECT_EQ(answer.result_int(), 503u);
-  EXPECT_EQ(answer["Retry-After"], "1.000");  // as much as the settings allow
+  EXPECT_EQ(answer["Retry-After"], "1.000");  // the maximum of the settings
   EXPECT_TRUE(host.received.empty());
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-// Hard case: a swap under load, a hundred times, with a version between that does not load. Each request gets
-// one answer, from one version throughout.
-TEST_F(HookGatewayTest, AHundredSwapsUnderLoad) {
+// Some versions do not compile. Each request gets one answer, and all its handlers are of one version.
+TEST_F(HookFilterTest, InstallsAHundredVersionsUnderLoad) {
   const auto of = [](int v) {
     const std::string n = std::to_string(v);
     return spec("hook \"v\";\non request { set header(\"X-Request\", \"" + n +
@@ -152,14 +151,15 @@
   };
   std::vector<std::shared_ptr<Peer>> held;
   host.handler = [&](const std::shared_ptr<Peer>& peer, const Received&) { held.push_back(peer); };
-  take({of(0)});
+  install({of(0)});
   start();
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 8; ++i) clients.push_back(client());
   for (int v = 1; v <= 100; ++v) {
-    // Swapped while all of them are with the host.
+    // The next version is installed while the host has all requests.
     for (const auto& c : clients) c->ask("GET", "/read/1", 2500);
-    // On a machine that is slow the module may refuse one for the host's slowness: it has its answer then.
+    // On a slow machine the load balancer may reject a request because of the host's latency; it is answered
+    // then.
     ASSERT_TRUE(runUntil(io, [&] {
       const auto had = std::count_if(clients.begin(), clients.end(),
                                      [&](const auto& c) { return c->answers.size() == std::size_t(v); });
@@ -167,8 +167,8 @@
     }));
     std::vector<Problem> problems;
     if (v % 10 == 0)
-      EXPECT_FALSE(compile("hook \"v\";\non request { oops }\n", problems));  // the old one stays
-    else take({of(v)});
+      EXPECT_FALSE(compile("hook \"v\";\non request { oops }\n", problems));  // the previous version stays
+    else install({of(v)});
     for (const auto& peer : std::exchange(held, {})) peer->reply(200, "ok");
     ASSERT_TRUE(runUntil(io, [&] {
       return std::all_of(clients.begin(), clients.end(),
@@ -185,20 +185,19 @@
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-// Hard case: 64 hooks at once.
-TEST_F(HookGatewayTest, SixtyFourHooksAllRun) {
+TEST_F(HookFilterTest, RunsSixtyFourHooks) {
   std::vector<HookSpec> all;
-  for (std::size_t i = 0; i < kHooksMost; ++i)
+  for (std::size_t i = 0; i < kMaxHooks; ++i)
     all.push_back(spec("hook \"h" + std::to_string(i) + "\";\non request { count(\"n\"); }\n"));
-  take(all);
+  install(all);
   start();
   const auto c = client();
   for (int i = 0; i < 50; ++i) ASSERT_EQ(ask(c, "GET", "/read/1").result_int(), 200u);
-  for (std::size_t i = 0; i < kHooksMost; ++i)
+  for (std::size_t i = 0; i < kMaxHooks; ++i)
     EXPECT_EQ(hooks.chain().counts("h" + std::to_string(i))->counted.at("n"), 50u);
 }
 
-TEST_F(HookGatewayTest, HooksThatComeWhileRequestsAreOpenLeaveThemAlone) {
+TEST_F(HookFilterTest, IgnoresRequestsThatArrivedBeforeTheHooks) {
   std::vector<std::shared_ptr<Peer>> held;
   host.handler = [&](const std::shared_ptr<Peer>& peer, const Received&) { held.push_back(peer); };
   json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", host.endpoint())}));
@@ -207,7 +206,7 @@
   const auto c = client();
   c->ask("GET", "/read/1", 2500);
   ASSERT_TRUE(runUntil(io, [&] { return held.size() == 1; }));
-  take({spec("hook \"a\";\non answer { set header(\"X-Saw\", \"1\"); }\n")});
+  install({spec("hook \"a\";\non answer { set header(\"X-Saw\", \"1\"); }\n")});
   gateway->attach(hooks);
   held[0]->reply(200, "ok");
   ASSERT_TRUE(runUntil(io, [&] { return c->answers.size() == 1; }));
@@ -216,12 +215,13 @@
   EXPECT_EQ(ask(c, "GET", "/read/1")["X-Saw"], "1");
 }
 
-// What a hook may read of a body is bounded; what goes to the host is the whole of it.
-TEST_F(HookGatewayTest, BodiesGoOnWholeWhateverAHookReads) {
+// The limit of what a hook may read of a body does not cut the body that the host receives.
+TEST_F(HookFilterTest, ForwardsCompleteBodiesWhateverAHookReads) {
   ChainSettings settings;
-  settings.bodyLimit = 2;
-  take({spec("hook \"a\";\non request { set header(\"X-Read\", body(0, 100) + to_text(body_length)); }\n")},
-       settings);
+  settings.maxBodyBytes = 2;
+  install(
+      {spec("hook \"a\";\non request { set header(\"X-Read\", body(0, 100) + to_text(body_length)); }\n")},
+      settings);
   start();
   const auto c = client();
   EXPECT_EQ(ask(c, "POST", "/book/1").result_int(), 200u);
--- a/tests/hook/files_test.cpp
+++ b/tests/hook/hook_loader_test.cpp
@@ -1,12 +1,15 @@
-// Hooks and tables from files, as they are written, replaced and broken.
-#include "hook/files.hpp"
+// Hooks and tables from files that are written, replaced or invalid.
+#include "hook/hook_loader.hpp"
 
 #include <gtest/gtest.h>
 
 #include <atomic>
 #include <thread>
 
-#include "hook/expect.hpp"
+#include "hook/bytecode.hpp"
+#include "hook/compiler.hpp"
+#include "hook/expectations.hpp"
+#include "hook/stable_file.hpp"
 #include "support/process.hpp"
 
 namespace finchstile::hook {
@@ -29,7 +32,7 @@
   return problems;
 }
 
-TEST(Files, LoadsSourcesWithTheirTablesAndBytecodeTheSame) {
+TEST(HookLoader, LoadsSourcesAndBytecodeWithTheirTables) {
   Folder f;
   f.write("y.txt", "B12 = Brasov\n");
   const std::string source =
@@ -41,14 +44,14 @@
   std::vector<std::string> problems;
   const auto loaded = loadHook(source, problems);
   ASSERT_TRUE(loaded) << problems[0];
-  EXPECT_TRUE(runExpectations(*loaded->code, loaded->expectations, Budget{}).empty());
-  const std::string bytecode = f.write("y.hookc", encode(loaded->code->program()));
+  EXPECT_TRUE(runExpectations(*loaded->executable, loaded->expectations, RunBudget{}).empty());
+  const std::string bytecode = f.write("y.hookc", encode(loaded->executable->program()));
   const auto again = loadHook(bytecode, problems);
   ASSERT_TRUE(again);
-  EXPECT_EQ(again->code->program(), loaded->code->program());
+  EXPECT_EQ(again->executable->program(), loaded->executable->program());
 }
 
-TEST(Files, AllProblemsOfAllHooksComeAtOnce) {
+TEST(HookLoader, ReportsAllProblemsOfAllHooks) {
   Folder f;
   const std::string a = f.write("a.hook", "hook \"a\";\non request { lgo(\"x\"); }\n");
   const std::string b = f.write("b.hook", "hook \"b\";\ntable t from \"none.txt\";\non request { }\n");
@@ -68,8 +71,8 @@
   EXPECT_NE(all[5].find("missing.hook: No such file"), std::string::npos) << all[5];
 }
 
-// A file compiled elsewhere is no more trusted than a source: its tables stand beside it as well.
-TEST(Files, BytecodeNamesNoTableElsewhere) {
+// Bytecode is not trusted more than a source: its tables must be files beside it.
+TEST(HookLoader, RefusesBytecodeThatNamesATableElsewhere) {
   Folder f;
   std::vector<Problem> found;
   auto compiled = compile("hook \"h\";\ntable t from \"t.txt\";\non request { if path in t { } }\n", found);
@@ -84,20 +87,41 @@
   }
 }
 
-TEST(Files, WhatIsNoOrdinaryFileIsNotWaitedFor) {
+FileError errorOf(const std::string& path) {
+  constexpr std::size_t kMaxBytes = 100;
+  try {
+    readStableFile(path, kMaxBytes);
+  } catch (const FileError& error) {
+    return error;
+  }
+  ADD_FAILURE() << path << " was read";
+  return {FileErrorCode{}, ""};
+}
+
+// None, with `why`, if the file changes too often.
+std::optional<std::string> readTable(const std::string& path, std::string& why) {
+  try {
+    return readStableFile(path, kMaxTableBytes);
+  } catch (const FileError& error) {
+    EXPECT_EQ(error.code(), FileErrorCode::changing);
+    why = error.what();
+    return std::nullopt;
+  }
+}
+
+TEST(StableFile, RefusesWhatIsNoRegularFileWithoutWaiting) {
   Folder f;
-  std::string why;
   ASSERT_EQ(mkfifo((f / "fifo").c_str(), 0600), 0);
-  EXPECT_FALSE(readWhole(f / "fifo", 100, why));
-  EXPECT_EQ(why, "is no ordinary file");
-  EXPECT_FALSE(readWhole(f / ".", 100, why));
+  EXPECT_EQ(errorOf(f / "fifo").code(), FileErrorCode::notRegularFile);
+  EXPECT_STREQ(errorOf(f / "fifo").what(), "is no ordinary file");
+  EXPECT_EQ(errorOf(f / ".").code(), FileErrorCode::notRegularFile);
   f.write("large", std::string(101, 'x'));
-  EXPECT_FALSE(readWhole(f / "large", 100, why));
+  EXPECT_EQ(errorOf(f / "large").code(), FileErrorCode::tooLarge);
+  EXPECT_EQ(errorOf(f / "missing").code(), FileErrorCode::cannotRead);
 }
 
-// Hard case: a table of 100,000 entries replaced while it is read: what comes is one version, never a
-// mixture.
-TEST(Files, ATableReplacedWhileItIsReadComesInOneVersion) {
+// A table of 100,000 entries is replaced while it is read. What is read is one version, never a mixture.
+TEST(StableFile, ReadsOneVersionOfAFileThatIsReplacedMeanwhile) {
   Folder f;
   const auto version = [](int v) {
     std::string text = "#entries 100000\n";
@@ -114,9 +138,9 @@
     }
   });
   int read = 0;
+  std::string why;
   for (int i = 0; i < 20; ++i) {
-    std::string why;
-    const auto text = readWhole(f / "t", kTableBytesMost, why);
+    const auto text = readTable(f / "t", why);
     if (!text) continue;
     ++read;
     ASSERT_TRUE(*text == texts[0] || *text == texts[1]);
@@ -126,9 +150,9 @@
   EXPECT_EQ(read, 20);
 }
 
-// The same written in place, over the old bytes and without a change of size: while it is written it is
-// nearly always a mixture of two versions, and never read; when the writer is through, it is.
-TEST(Files, ATableWrittenInPlaceIsReadInOneVersionOrNotAtAll) {
+// The file is overwritten without a change of size. While the writer runs it is nearly always a mixture of
+// two versions, which must not be read. Once the writer is done it can be read.
+TEST(StableFile, ReadsOneVersionOfAFileThatIsWrittenInPlaceOrNone) {
   Folder f;
   const auto version = [](char v) {
     std::string text;
@@ -144,7 +168,7 @@
   std::string why;
   for (int round = 0; round < 20 && judged < 3; ++round) {
     std::atomic<bool> stop{false}, begun{false};
-    std::atomic<bool> rested{false};  // a writer that rests for long midway looks as if it were through
+    std::atomic<bool> rested{false};  // a writer that pauses midway looks as if it were done
     std::thread writer([&] {
       const int fd = ::open((f / "t").c_str(), O_WRONLY);
       auto last = std::chrono::steady_clock::now();
@@ -163,7 +187,7 @@
       ::close(fd);
     });
     while (!begun) std::this_thread::yield();
-    const auto text = readWhole(f / "t", kTableBytesMost, why);
+    const auto text = readTable(f / "t", why);
     stop = true;
     writer.join();
     if (rested) continue;
@@ -172,12 +196,12 @@
     else EXPECT_NE(why.find("changes while it is read"), std::string::npos) << why;
   }
   EXPECT_GT(judged, 0);
-  const auto text = readWhole(f / "t", kTableBytesMost, why);
+  const auto text = readTable(f / "t", why);
   ASSERT_TRUE(text) << why;
   EXPECT_TRUE(whole(text));
 }
 
-TEST(Files, ATableThatIsCutIsRefusedByItsCount) {
+TEST(Table, RefusesATruncatedFileByItsEntryCount) {
   const std::string whole = "#entries 3\na\nb\nc\n";
   std::vector<Problem> problems;
   for (std::size_t n = 11; n < whole.size() - 1; ++n) {
@@ -186,61 +210,5 @@
   }
 }
 
-TEST(Expectations, SayWhatDoesNotHold) {
-  Folder f;
-  const std::string path =
-      f.write("h.hook",
-              "hook \"h\";\non request { tag(\"t\", \"1\"); set header(\"X\", \"1\"); }\non attempt { let a "
-              "= 1 / (attempt - 1); }\n"
-              "on answer { set header(\"Y\", to_text(status)); }\n"
-              "expect \"a\" { then tag \"t\" = \"2\"; then header \"Z\" = \"1\"; then count \"c\"; }\n"
-              "expect \"b\" { then no header \"X\"; then fault; }\n"
-              "expect \"c\" { attempt 1; then fault; }\n"
-              "expect \"d\" { attempt 2; status 404; then header \"Y\" = \"404\"; then tag \"t\" = \"1\"; }\n"
-              "expect \"e\" { attempt 1; }\n");
-  std::vector<std::string> problems;
-  const auto loaded = loadHook(path, problems);
-  ASSERT_TRUE(loaded) << problems[0];
-  std::vector<std::string> got;
-  for (const Problem& p : runExpectations(*loaded->code, loaded->expectations, Budget{}))
-    got.push_back(p.what);
-  EXPECT_EQ(
-      got,
-      (std::vector<std::string>{
-          "'a' does not hold: header \"Z\" is not set", "'a' does not hold: tag \"t\" is \"1\", not \"2\"",
-          "'a' does not hold: \"c\" is not counted", "'b' does not hold: there is no fault",
-          "'b' does not hold: header \"X\" is set", "'e' does not hold: fault on line 3: division by zero"}));
-}
-
-TEST(Settings, AreReadWithAllTheirErrors) {
-  std::vector<SettingProblem> problems;
-  const auto read = [&](const char* text) {
-    problems.clear();
-    const SettingNode document = parseToml(text, problems);
-    HookSettings s;
-    {
-      SettingReader root(document, "", problems);
-      readHookSettings(root, "/etc/finch", s);
-    }
-    return s;
-  };
-  const HookSettings s = read(
-      "[hooks]\nbody_limit = 100\ntag_header = 'X-Tags'\n[[hooks.hook]]\nfile = 'y.hook'\nclasses = "
-      "['log-in']\n"
-      "on_fault = 'closed'\nfaults = 3\nbackoff = '2s'\n[[hooks.hook]]\nfile = '/abs/z.hook'\nshadow = "
-      "'n.hook'\n");
-  EXPECT_TRUE(problems.empty());
-  ASSERT_EQ(s.hooks.size(), 2u);
-  EXPECT_EQ(s.hooks[0].path, "/etc/finch/y.hook");
-  EXPECT_TRUE(s.hooks[0].spec.closed);
-  EXPECT_EQ(s.hooks[0].spec.faults, 3u);
-  EXPECT_EQ(s.hooks[1].path, "/abs/z.hook");
-  EXPECT_EQ(s.hooks[1].shadow, "/etc/finch/n.hook");
-  read(
-      "[hooks]\ntag_header = 'Content-Length'\ntime_share = 0.9\n[[hooks.hook]]\nfuel = 3\npaths = ['x']\n"
-      "backoff = '10s'\nbackoff_most = '1s'\non_fault = 'close'\n");
-  EXPECT_EQ(problems.size(), 7u);
-}
-
 }  // namespace
 }  // namespace finchstile::hook
--- a/tests/hook/machine_test.cpp
+++ b/tests/hook/interpreter_test.cpp
@@ -1,4 +1,4 @@
-// Metering, faults and what a run may leave.
+// The interpreter: metering, faults and results. Linking of programs.
 #include <new>
 
 #include "hook/support.hpp"
@@ -6,29 +6,28 @@
 namespace finchstile::hook::testing {
 namespace {
 
-Budget instructions(std::uint64_t n) {
-  Budget b;
+RunBudget instructions(std::uint64_t n) {
+  RunBudget b;
   b.instructions = n;
   return b;
 }
-Budget bytes(std::uint64_t n) {
-  Budget b;
+RunBudget bytes(std::uint64_t n) {
+  RunBudget b;
   b.bytes = n;
   return b;
 }
 
-// Hard case: a hook that loops for ever.
-TEST(Machine, ALoopForEverEndsWithItsBudget) {
+TEST(Interpreter, EndsALoopThatSpendsItsInstructions) {
   EXPECT_EQ(ran("while true { }"), "fault: the budget of instructions is spent");
   EXPECT_EQ(ran("let n = 0; while n == 0 { log(\"\"); }"), "fault: more results than one run may leave");
   const auto code = codeOf(onRequest("while true {\n}\n"));
-  Machine m;
-  const Result& r = m.run(*code, Handler::request, anInput(), instructions(500));
+  Interpreter m;
+  const RunResult& r = m.run(*code, Handler::request, anInput(), instructions(500));
   EXPECT_EQ(r.instructions, 500u);
-  EXPECT_EQ(r.line, 4u);  // where it was
+  EXPECT_EQ(r.faultLine, 4u);  // the line of the loop
 }
 
-TEST(Machine, EveryByteTouchedIsPaidFor) {
+TEST(Interpreter, ChargesForEveryByteTouched) {
   const std::string grow = "let s = path; for i in 0 .. 20 { s = s + s; }";
   EXPECT_EQ(ran(grow, "", bytes(2000)), "fault: the budget of bytes is spent");
   EXPECT_EQ(ran(grow), "fault: the arena is full");
@@ -42,8 +41,7 @@
             "fault: the budget of bytes is spent");
 }
 
-// Hard case: header injection.
-TEST(Machine, NothingCanBeSlippedInBehindAHeader) {
+TEST(Interpreter, RefusesHeadersThatCouldInjectALine) {
   for (const char* bad : {"\"a\\r\\nX-B: 1\"", "\"a\\n\"", "\"\\x00\"", "\"\\x7f\"", "\"a\\r\""})
     EXPECT_EQ(ran(std::string("let v = ") + bad + "; set header(\"X-A\", v);"),
               "fault: a header's value has a byte that can't stand there, or is too long")
@@ -62,28 +60,28 @@
   EXPECT_EQ(ran("let v = \"caf\\xc3\\xa9\\t!\"; set header(\"X-A\", v);"), "X-A: caf\xc3\xa9\t!");
 }
 
-// Hard case: a hook on an unsafe request that rejects after an attempt.
-TEST(Machine, ARejectionAfterAnAttemptIsAFault) {
+// The client would retry a request that may have run.
+TEST(Interpreter, FaultsOnARejectionAfterAnAttempt) {
   const auto code =
       codeOf("hook \"h\";\non answer {\n  set header(\"X-A\", \"1\");\n  reject(503, \"late\");\n}\n");
-  Machine m;
-  Input in = anInput();
-  in.status = 200;
+  Interpreter m;
+  RunInput in = anInput();
+  in.responseStatus = 200;
   in.mayReject = false;
-  const Result& r = m.run(*code, Handler::answer, in, Budget{});
+  const RunResult& r = m.run(*code, Handler::response, in, RunBudget{});
   EXPECT_EQ(r.fault, Fault::rejectTooLate);
-  EXPECT_EQ(r.line, 4u);
+  EXPECT_EQ(r.faultLine, 4u);
   EXPECT_EQ(r.rejectStatus, 0);
-  EXPECT_EQ(r.headerCount, 0u);  // a fault leaves nothing behind
+  EXPECT_EQ(r.headerCount, 0u);  // a fault leaves no result
 }
 
-TEST(Machine, StatusesOfRejectionsAreBounded) {
+TEST(Interpreter, FaultsOnOtherStatusesOfRejections) {
   EXPECT_EQ(ran("let s = 200; reject(s, \"\");"), "fault: a rejection has a status of 400 to 499, or 503");
   EXPECT_EQ(ran("let s = 500; reject(s, \"\");"), "fault: a rejection has a status of 400 to 499, or 503");
   EXPECT_EQ(ran("let s = 499; reject(s, \"\");"), "reject 499 ");
 }
 
-TEST(Machine, ResultsAreBounded) {
+TEST(Interpreter, FaultsOnTooManyResults) {
   EXPECT_EQ(ran("for i in 0 .. 17 { set header(\"X\", \"1\"); }"),
             "fault: more results than one run may leave");
   EXPECT_EQ(ran("for i in 0 .. 17 { tag(\"X\", \"1\"); }"), "fault: more results than one run may leave");
@@ -91,49 +89,73 @@
   EXPECT_EQ(ran("for i in 0 .. 5 { log(\"X\"); }"), "fault: more results than one run may leave");
 }
 
-TEST(Machine, TheSameInputGivesTheSameResult) {
+TEST(Interpreter, GivesEqualResultsForEqualInputs) {
   const auto code =
       codeOf(onRequest("let s = \"\"; for i in 0 .. 9 { s = s + to_text(i * 7 % 5); } log(s);"));
-  Machine a, b;
-  const std::string first = effect(*code, a.run(*code, Handler::request, anInput(), Budget{}));
+  Interpreter a, b;
+  const std::string first = effect(*code, a.run(*code, Handler::request, anInput(), RunBudget{}));
   for (int i = 0; i < 3; ++i) {
-    EXPECT_EQ(effect(*code, a.run(*code, Handler::request, anInput(), Budget{})), first);
-    EXPECT_EQ(effect(*code, b.run(*code, Handler::request, anInput(), Budget{})), first);
+    EXPECT_EQ(effect(*code, a.run(*code, Handler::request, anInput(), RunBudget{})), first);
+    EXPECT_EQ(effect(*code, b.run(*code, Handler::request, anInput(), RunBudget{})), first);
   }
   EXPECT_EQ(first, "024130241");
 }
 
-// Hard case: a pattern made to blow up a backtracking matcher takes time in proportion to the text.
-TEST(Machine, PatternsTakeLinearTime) {
+// These patterns take exponential time in a backtracking matcher.
+TEST(Interpreter, MatchesPatternsInLinearTime) {
   const auto code =
       codeOf(onRequest("if body(0, 65536) matches r\"^(a+)+$\" { log(\"yes\"); } "
                        "if body(0, 65536) matches r\"(x+x+)+y\" { log(\"yes\"); }"));
   const std::string body = std::string(65000, 'a') + "!" + std::string(500, 'x');
-  Input in = anInput();
+  RunInput in = anInput();
   in.body = body;
-  Machine m;
-  Budget b;
+  Interpreter m;
+  RunBudget b;
   b.bytes = 1024 * 1024;
   const auto begin = std::chrono::steady_clock::now();
   EXPECT_EQ(effect(*code, m.run(*code, Handler::request, in, b)), "");
-  // Backtracking would take longer than the sun will last; a generous bound keeps slow machines apart from
-  // that.
+  // Exponential time would not end at all, so a generous bound tells it from a slow machine.
   EXPECT_LT(std::chrono::steady_clock::now() - begin, std::chrono::seconds(5));
 }
 
-TEST(Machine, PatternsThatWouldTakeTooMuchMemoryAreRefused) {
+LinkErrorCode linkErrorOf(const std::string& pattern, const std::string& words) {
   std::vector<Problem> problems;
-  auto compiled = compile(onRequest("if path matches r\"((a{100}){100}){10}\" { }"), problems);
+  auto compiled = compile(onRequest("if path matches " + pattern + " { }"), problems);
+  EXPECT_TRUE(compiled);
+  try {
+    linkProgram(std::move(compiled->program), {});
+  } catch (const LinkError& error) {
+    EXPECT_NE(std::string(error.what()).find(words), std::string::npos) << error.what();
+    return error.code();
+  }
+  ADD_FAILURE() << pattern << " was linked";
+  return {};
+}
+
+TEST(LinkProgram, RefusesPatternsThatAreInvalidOrTakeTooMuchMemory) {
+  EXPECT_EQ(linkErrorOf("r\"((a{100}){100}){10}\"", "can't be used"), LinkErrorCode::patternInvalid);
+  EXPECT_EQ(linkErrorOf("\"(\"", "missing )"), LinkErrorCode::patternInvalid);
+}
+
+TEST(LinkProgram, RefusesAProgramThatDoesNotVerifyOrLacksATable) {
+  const auto codeOfError = [](Program program) {
+    try {
+      linkProgram(std::move(program), {});
+    } catch (const LinkError& error) {
+      return error.code();
+    }
+    ADD_FAILURE() << "linked";
+    return LinkErrorCode{};
+  };
+  std::vector<Problem> problems;
+  auto compiled = compile("hook \"h\";\ntable t from \"t\";\non request { if path in t { } }\n", problems);
   ASSERT_TRUE(compiled);
-  std::string why;
-  EXPECT_FALSE(bind(std::move(compiled->program), {}, why));
-  EXPECT_NE(why.find("can't be used"), std::string::npos);
-  compiled = compile(onRequest("if path matches \"(\" { }"), problems);
-  EXPECT_FALSE(bind(std::move(compiled->program), {}, why));
-  EXPECT_NE(why.find("missing )"), std::string::npos) << why;
+  EXPECT_EQ(codeOfError(compiled->program), LinkErrorCode::tableMissing);
+  compiled->program.lines.clear();
+  EXPECT_EQ(codeOfError(compiled->program), LinkErrorCode::programNotVerified);
 }
 
-TEST(Machine, TablesAnswerKeysAndValues) {
+TEST(Interpreter, LooksUpKeysAndValuesOfTables) {
   std::vector<Problem> problems;
   auto table = std::make_shared<const Table>(*Table::parse("B12 = Brasov\nC3\n", problems));
   const auto code = codeOf(
@@ -141,10 +163,10 @@
       "if header(\"X-Yard\") in t { log(lookup(t, \"B12\") + lookup(t, \"C3\") + lookup(t, \"?\")); } }\n",
       {table});
   const MapHeaders headers{{"X-Yard", "C3"}};
-  Input in = anInput();
-  in.request = &headers;
-  Machine m;
-  EXPECT_EQ(effect(*code, m.run(*code, Handler::request, in, Budget{})), "Brasov");
+  RunInput in = anInput();
+  in.requestHeaders = &headers;
+  Interpreter m;
+  EXPECT_EQ(effect(*code, m.run(*code, Handler::request, in, RunBudget{})), "Brasov");
 }
 
 }  // namespace
--- a/tests/hook/language_test.cpp
+++ b/tests/hook/language_test.cpp
@@ -155,13 +155,13 @@
     const auto all = problemsOf(source);
     ASSERT_FALSE(all.empty());
     EXPECT_NE(all[0].find("deep"), std::string::npos) << all[0];
-    EXPECT_LE(all.size(), kProblemsMost + 1);
+    EXPECT_LE(all.size(), kMaxProblems + 1);
   }
   EXPECT_NE(problemsOf(onRequest("let a = 1" + repeated(" + 1", 50000) + ";"))[0].find("too long"),
             std::string::npos);
   EXPECT_NE(problemsOf(onRequest("log(\"" + std::string(5000, 'x') + "\");"))[0].find("use a table"),
             std::string::npos);
-  EXPECT_NE(problemsOf(std::string(kSourceMost + 1, ' '))[0].find("at most"), std::string::npos);
+  EXPECT_NE(problemsOf(std::string(kMaxSourceBytes + 1, ' '))[0].find("at most"), std::string::npos);
   EXPECT_NE(problemsOf(onRequest("let a = \"x\" matches \"" + std::string(1500, 'x') + "\";"))[0].find(
                 "a pattern has"),
             std::string::npos);
@@ -169,7 +169,7 @@
   const auto brackets = [&](int n) {
     return problemsOf(onRequest("let a = " + repeated("(", n) + "1" + repeated(")", n) + ";"));
   };
-  const int most = static_cast<int>(kDepthMost) - 2;  // within the block and the expression
+  const int most = static_cast<int>(kMaxDepth) - 2;  // within the block and the expression
   EXPECT_TRUE(brackets(most).empty());
   EXPECT_EQ(brackets(most + 1).size(), 1u);
   EXPECT_TRUE(
--- a/tests/hook/support.hpp
+++ b/tests/hook/support.hpp
@@ -1,4 +1,4 @@
-// Short ways to make and run hooks in tests.
+// Compiles and runs hooks in tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "hook/chain.hpp"
 #include "hook/compiler.hpp"
-#include "hook/machine.hpp"
+#include "hook/hook_chain.hpp"
+#include "hook/interpreter.hpp"
 #include "hook/verifier.hpp"
 
 namespace finchstile::hook::testing {
@@ -32,28 +32,30 @@
   compile(source, problems);
   std::vector<std::string> out;
   for (const Problem& p : problems)
-    out.push_back(std::to_string(p.at.line) + ":" + std::to_string(p.at.column) + ": " + p.what);
+    out.push_back(std::to_string(p.at.line) + ":" + std::to_string(p.at.column) + ": " + p.message);
   return out;
 }
 
-inline std::shared_ptr<const Code> codeOf(std::string_view source,
-                                          std::vector<std::shared_ptr<const Table>> tables = {}) {
+inline std::shared_ptr<const Executable> codeOf(std::string_view source,
+                                                std::vector<std::shared_ptr<const Table>> tables = {}) {
   std::vector<Problem> problems;
   auto compiled = compile(source, problems);
   for (const Problem& p : problems) ADD_FAILURE() << describe("hook", p);
   if (!compiled) return nullptr;
-  std::string why;
-  auto code = bind(std::move(compiled->program), std::move(tables), why);
-  EXPECT_TRUE(code) << why;
-  return code;
+  try {
+    return linkProgram(std::move(compiled->program), std::move(tables));
+  } catch (const LinkError& error) {
+    ADD_FAILURE() << error.what();
+    return nullptr;
+  }
 }
 
 inline std::string onRequest(const std::string& body, const std::string& before = "") {
   return "hook \"h\";\n" + before + "\non request {\n" + body + "\n}\n";
 }
 
-// What a run leaves, as one text: "reject 422 why", "fault: ...", or its results in order.
-inline std::string effect(const Code& code, const Result& r) {
+// What a run asks for as one text: "reject 422 reason", "fault: ...", or its results in order.
+inline std::string effect(const Executable& code, const RunResult& r) {
   if (r.fault != Fault::none) return "fault: " + std::string(describe(r.fault));
   std::string out;
   const auto add = [&](const std::string& s) { out += (out.empty() ? "" : "; ") + s; };
@@ -67,8 +69,8 @@
   return out;
 }
 
-inline Input anInput() {
-  Input in;
+inline RunInput anInput() {
+  RunInput in;
   in.className = "log-in";
   in.method = "POST";
   in.path = "/log-in/17";
@@ -76,18 +78,19 @@
   in.tenant = "acme";
   in.body = "{\"log\": 17}";
   in.bodyLength = 11;
-  in.timeLeft = 500'000'000;
+  in.timeLeftNs = 500'000'000;
   return in;
 }
 
-// Runs the statements as `on request` of the usual input.
-inline std::string ran(const std::string& body, const std::string& before = "", const Budget& budget = {}) {
+// Runs the statements as `on request` with anInput().
+inline std::string ran(const std::string& body, const std::string& before = "",
+                       const RunBudget& budget = {}) {
   const auto code = codeOf(onRequest(body, before));
   if (!code) return "does not compile";
   static const MapHeaders headers{{"X-Yard", "B12"}, {"Empty", ""}};
-  Input in = anInput();
-  in.request = &headers;
-  Machine m;
+  RunInput in = anInput();
+  in.requestHeaders = &headers;
+  Interpreter m;
   return effect(*code, m.run(*code, Handler::request, in, budget));
 }
 
--- a/tests/hook/table_test.cpp
+++ b/tests/hook/table_test.cpp
@@ -10,7 +10,7 @@
   const bool good = Table::parse(text, problems).has_value();
   EXPECT_EQ(good, problems.empty());
   std::vector<std::string> out;
-  for (const Problem& p : problems) out.push_back(std::to_string(p.at.line) + ": " + p.what);
+  for (const Problem& p : problems) out.push_back(std::to_string(p.at.line) + ": " + p.message);
   return out;
 }
 
@@ -47,7 +47,7 @@
               return s;
             }())
                 .size(),
-            kProblemsMost);
+            kMaxProblems);
 }
 
 TEST(Table, FindsEachOfAHundredThousand) {
