--- a/tests/cross_zone/account_test.cpp
+++ b/tests/cross_zone/account_test.cpp
@@ -20,6 +20,17 @@
                                       "crossing class=log-in zone=brasov attempts=1 forced=0 out=100 in=0",
                                       "crossing all attempts=3 forced=1 out=600 in=5000 stayed=2"}));
   const std::string text = a.exposition();
+  EXPECT_EQ(text,
+            "# TYPE lb_crossing_attempts_total counter\n"
+            "# TYPE lb_crossing_bytes_total counter\n"
+            "lb_crossing_attempts_total{group=\"cut-plan\",zone=\"cluj\",leave=\"given\"} 1\n"
+            "lb_crossing_attempts_total{group=\"cut-plan\",zone=\"cluj\",leave=\"forced\"} 1\n"
+            "lb_crossing_bytes_total{group=\"cut-plan\",zone=\"cluj\",way=\"out\"} 500\n"
+            "lb_crossing_bytes_total{group=\"cut-plan\",zone=\"cluj\",way=\"in\"} 5000\n"
+            "lb_crossing_attempts_total{group=\"log-in\",zone=\"brasov\",leave=\"given\"} 1\n"
+            "lb_crossing_attempts_total{group=\"log-in\",zone=\"brasov\",leave=\"forced\"} 0\n"
+            "lb_crossing_bytes_total{group=\"log-in\",zone=\"brasov\",way=\"out\"} 100\n"
+            "lb_crossing_bytes_total{group=\"log-in\",zone=\"brasov\",way=\"in\"} 0\n");
   EXPECT_NE(text.find("lb_crossing_bytes_total{group=\"cut-plan\",zone=\"cluj\",way=\"in\"} 5000\n"),
             std::string::npos);
   EXPECT_NE(text.find("lb_crossing_attempts_total{group=\"cut-plan\",zone=\"cluj\",leave=\"forced\"} 1\n"),
