--- a/bench/cross_zone.cpp
+++ b/bench/cross_zone.cpp
@@ -16,8 +16,8 @@
 #include <utility>
 #include <vector>
 
-#include "cross_zone/account.hpp"
-#include "cross_zone/budget.hpp"
+#include "cross_zone/cross_zone_account.hpp"
+#include "cross_zone/cross_zone_budget.hpp"
 #include "finchstile/load_balancer.hpp"
 
 using namespace finchstile::load_balancing;
@@ -102,7 +102,7 @@
     (void)b;
   }
 
-  void carryOut(LoadBalancer& b, cross_zone::Budget* budget) {
+  void carryOut(LoadBalancer& b, cross_zone::CrossZoneBudget* budget) {
     while (!b.actions().empty()) {
       const std::vector<Action> actions = std::exchange(b.actions(), {});
       for (const Action& a : actions) {
@@ -131,7 +131,7 @@
     }
   }
 
-  void run(double perSecond, cross_zone::Budget* budget) {
+  void run(double perSecond, cross_zone::CrossZoneBudget* budget) {
     for (const Kind& k : kKinds) {
       ClassSettings c;
       c.name = k.name;
@@ -218,9 +218,9 @@
   for (const double bytes : {-1.0, 200000.0, 50000.0, 0.0}) {
     Model m;
     m.length = seconds(length);
-    cross_zone::CrossingSettings s;
+    cross_zone::CrossZoneSettings s;
     s.bytesPerSecond = bytes;
-    cross_zone::Budget budget(s, 12, m.now);
+    cross_zone::CrossZoneBudget budget(s, 12, m.now);
     m.run(rate, bytes < 0 ? nullptr : &budget);
     for (int i = 0; i < 3; ++i) {
       const Third& p = m.phases[i];
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -54,7 +54,7 @@
     hook::readHookSettings(root, folder, out.hooks);
     idempotency::readIdempotencySettings(root, folder, out.idempotency);
     peer::readPeerSettings(root, folder, out.peers);
-    cross_zone::readCrossingSettings(root, out.crossing);
+    cross_zone::readCrossZoneSettings(root, out.crossing);
     membership::readMembershipSettings(root, out.membership);
     trace::readTraceSettings(root, folder, out.trace);
     configuration::readConfigurationSettings(root, folder, out.configuration);
--- a/src/app/operator_file.hpp
+++ b/src/app/operator_file.hpp
@@ -26,7 +26,7 @@
   hook::HookSettings hooks;
   idempotency::IdempotencySettings idempotency;
   peer::PeerSettings peers;
-  cross_zone::CrossingSettings crossing;
+  cross_zone::CrossZoneSettings crossing;
   membership::MembershipSettings membership;
   stream::StreamSettings streams;
   trace::TraceSettings trace;
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -28,7 +28,7 @@
 #include "app/process_handover.hpp"
 #include "app/trace_log.hpp"
 #include "configuration/client.hpp"
-#include "cross_zone/filter.hpp"
+#include "cross_zone/cross_zone_filter.hpp"
 #include "hook/hook_filter.hpp"
 #include "hook/hook_loader.hpp"
 #include "idempotency/filter.hpp"
--- /dev/null
+++ b/src/cross_zone/cross_zone_filter.hpp
@@ -0,0 +1,44 @@
+// Applies the budget for traffic between zones in the phases of a request, and accounts for that traffic. The
+// filter marks requests that are to stay in the local zone; the load balancer chooses the host, and uses
+// other zones all the same where the local zone cannot serve a request.
+#pragma once
+
+#include "cross_zone/cross_zone_account.hpp"
+#include "cross_zone/cross_zone_budget.hpp"
+#include "net/clock.hpp"
+#include "net/request_filter.hpp"
+
+namespace finchstile::cross_zone {
+
+class CrossZoneFilter : public RequestFilter {
+ public:
+  // `gatewaySettings`: for the local zone and the request classes. `clock` must outlive the filter.
+  CrossZoneFilter(const Clock& clock, const CrossZoneSettings& settings,
+                  const load_balancing::Settings& gatewaySettings);
+
+  const CrossZoneAccount& account() const { return account_; }
+  // Lines for the log: the account's, with the budget's balance on the last.
+  std::vector<std::string> summary();
+
+  std::uint8_t phases() const override {
+    return phaseBit(RequestPhase::received) | phaseBit(RequestPhase::attemptSending) |
+           phaseBit(RequestPhase::responseHeaders);
+  }
+  FilterDecision onRequestReceived(RequestContext& context) override;
+  void onAttemptSending(RequestContext& context, UpstreamRequest& upstreamRequest) override;
+  void onResponseHeaders(RequestContext& context, const ResponseHead& head,
+                         std::vector<HeaderLine>& clientHeaders) override;
+
+ private:
+  bool isCrossZone(const RequestContext& context) const {
+    return !context.zone.empty() && context.zone != localZone_;
+  }
+
+  const Clock& clock_;
+  const std::string localZone_;
+  const std::vector<double> priorityWeights_;  // by class
+  CrossZoneBudget budget_;
+  CrossZoneAccount account_;
+};
+
+}  // namespace finchstile::cross_zone
--- a/src/cross_zone/settings.hpp
+++ b/src/cross_zone/settings.hpp
@@ -1,4 +1,4 @@
-// The part of the operator's file that is about traffic between zones: [crossing].
+// The settings of traffic between zones: [crossing] of the operator's file.
 #pragma once
 
 #include "operator/reader.hpp"
@@ -7,16 +7,19 @@
 
 using load_balancing::Duration;
 
-struct CrossingSettings {
+struct CrossZoneSettings {
   bool enabled = false;
-  // Bytes of requests and answers that may cross a second, on the average; 0: none unless service would fall.
+  // Average rate of request and response bytes that may cross zones. 0: none, unless requests would fail
+  // otherwise.
   double bytesPerSecond = 0;
-  // What was not used is saved up for so long, and what was used beyond is paid back for as long at the most.
+  // Unused budget accumulates for up to this time, and overdraft is paid back for no longer.
   Duration window = std::chrono::seconds(10);
-  // Part of what is saved up that is kept for requests of the highest worth.
-  double reserve = 0.5;
+  // Fraction of a full budget that is kept for requests of the highest priority weight.
+  double reserveFraction = 0.5;
 };
 
-void readCrossingSettings(SettingReader& root, CrossingSettings& out);
+// Reads the table [crossing] of `root`, which collects the errors. Settings that are absent keep their values
+// in `out`.
+void readCrossZoneSettings(SettingReader& root, CrossZoneSettings& out);
 
 }  // namespace finchstile::cross_zone
--- a/tests/cross_zone/account_test.cpp
+++ b/tests/cross_zone/cross_zone_account_test.cpp
@@ -1,25 +1,25 @@
-#include "cross_zone/account.hpp"
+#include "cross_zone/cross_zone_account.hpp"
 
 #include <gtest/gtest.h>
 
 namespace finchstile::cross_zone {
 namespace {
 
-TEST(Account, TellsWhatCrossedByClassAndZone) {
-  Account a({"cut-plan", "log-in"});
-  a.home(1);
-  a.home(1);
-  a.sent(0, "cluj", 300, false);
-  a.sent(0, "cluj", 200, true);
-  a.answered(0, "cluj", 5000);
-  a.sent(1, "brasov", 100, false);
-  EXPECT_EQ(a.total().attempts, 3u);
-  EXPECT_EQ(a.stayed(), 2u);
-  EXPECT_EQ(a.report(),
+TEST(CrossZoneAccount, ReportsCountsByClassAndZone) {
+  CrossZoneAccount account({"cut-plan", "log-in"});
+  account.recordLocalAttempt(1);
+  account.recordLocalAttempt(1);
+  account.recordAttempt(0, "cluj", 300, false);
+  account.recordAttempt(0, "cluj", 200, true);
+  account.recordResponse(0, "cluj", 5000);
+  account.recordAttempt(1, "brasov", 100, false);
+  EXPECT_EQ(account.total().attempts, 3u);
+  EXPECT_EQ(account.localAttempts(), 2u);
+  EXPECT_EQ(account.report(),
             (std::vector<std::string>{"crossing class=cut-plan zone=cluj attempts=2 forced=1 out=500 in=5000",
                                       "crossing class=log-in zone=brasov attempts=1 forced=0 out=100 in=0",
                                       "crossing all attempts=3 forced=1 out=600 in=5000 stayed=2"}));
-  const std::string text = a.exposition();
+  const std::string text = account.exposition();
   EXPECT_EQ(text,
             "# TYPE lb_crossing_attempts_total counter\n"
             "# TYPE lb_crossing_bytes_total counter\n"
@@ -37,13 +37,13 @@
             std::string::npos);
 }
 
-// A list that changes its mind about the names of zones.
-TEST(Account, IsBoundedAndLosesNothing) {
-  Account a({"x"});
-  for (int i = 0; i < 10000; ++i) a.sent(0, "zone-" + std::to_string(i), 1, false);
-  EXPECT_EQ(a.total().attempts, 10000u);
-  EXPECT_EQ(a.report().size(), Account::kZones + 1);
-  EXPECT_NE(a.exposition().find("zone=\"other\""), std::string::npos);
+// Endpoint lists with ever new names of zones.
+TEST(CrossZoneAccount, CountsZonesBeyondTheMaximumAsOther) {
+  CrossZoneAccount account({"x"});
+  for (int i = 0; i < 10000; ++i) account.recordAttempt(0, "zone-" + std::to_string(i), 1, false);
+  EXPECT_EQ(account.total().attempts, 10000u);
+  EXPECT_EQ(account.report().size(), CrossZoneAccount::kMaxZones + 1);
+  EXPECT_NE(account.exposition().find("zone=\"other\""), std::string::npos);
 }
 
 }  // namespace
--- a/tests/cross_zone/filter_test.cpp
+++ b/tests/cross_zone/cross_zone_filter_test.cpp
@@ -1,31 +1,32 @@
-// Traffic between zones through the gateway: workers labelled by zone, on loopback.
-#include "cross_zone/filter.hpp"
+// Traffic between zones through a gateway: hosts labelled by zone, on loopback.
+#include "cross_zone/cross_zone_filter.hpp"
 
 #include "support/gateway_fixture.hpp"
 
 namespace finchstile::testing {
 namespace {
 
-using cross_zone::CrossingSettings;
 using cross_zone::CrossZoneFilter;
+using cross_zone::CrossZoneSettings;
 
-struct CrossingTest : GatewayTest {
-  std::unique_ptr<CrossZoneFilter> stage;
-  std::size_t home = 0;  // hosts of our own zone; the others follow
+struct CrossZoneFilterTest : GatewayTest {
+  std::unique_ptr<CrossZoneFilter> filter;
+  std::size_t home = 0;  // number of hosts of the local zone; the others follow
 
   void begin(std::size_t own, std::size_t others, double rate, Server::Handler handler = serveOk) {
     home = own;
     for (std::size_t i = 0; i < own + others; ++i) host(handler);
     GatewayConfig config = readConfig(configJson(discovery.endpoint(), zoned(own)).dump(), clock);
-    CrossingSettings s;
+    CrossZoneSettings s;
     s.enabled = true;
     s.bytesPerSecond = rate;
-    stage = std::make_unique<CrossZoneFilter>(clock, s, config.settings);
+    filter = std::make_unique<CrossZoneFilter>(clock, s, config.settings);
     gateway = std::make_unique<Gateway>(io, clock, std::move(config));
-    gateway->attach(*stage);
+    gateway->attach(*filter);
     gateway->start();
   }
-  json zoned(std::size_t own) {  // of the own zone the first `own` are left
+  // The endpoint list, with only the first `own` hosts of the local zone active.
+  json zoned(std::size_t own) {
     json list = json::array();
     for (std::size_t i = 0; i < hosts.size(); ++i) {
       const bool here = i < home;
@@ -50,41 +51,41 @@
   }
 };
 
-TEST_F(CrossingTest, WithLeaveRequestsCrossAndAreAccountedFor) {
+TEST_F(CrossZoneFilterTest, AccountsForRequestsThatCrossWithinTheBudget) {
   begin(2, 2, 1e9);
   ask(60);
-  EXPECT_GT(crossed(), 3u);  // the own zone is only leaned to
-  const auto total = stage->account().total();
+  EXPECT_GT(crossed(), 3u);  // the local zone is only preferred
+  const auto total = filter->account().total();
   EXPECT_EQ(total.attempts, crossed());
-  EXPECT_EQ(total.forced, 0u);
-  EXPECT_EQ(total.attempts + stage->account().stayed(), 60u);
-  EXPECT_GE(total.out, 100 * crossed());
-  EXPECT_GE(total.in, 2 * crossed());
-  EXPECT_NE(stage->account().exposition().find("{group=\"book\",zone=\"west\",way=\"out\"}"),
+  EXPECT_EQ(total.attemptsOverBudget, 0u);
+  EXPECT_EQ(total.attempts + filter->account().localAttempts(), 60u);
+  EXPECT_GE(total.requestBytes, 100 * crossed());
+  EXPECT_GE(total.responseBytes, 2 * crossed());
+  EXPECT_NE(filter->account().exposition().find("{group=\"book\",zone=\"west\",way=\"out\"}"),
             std::string::npos);
 }
 
-TEST_F(CrossingTest, WithoutLeaveNothingCrossesWhileTheOwnZoneHasRoom) {
+TEST_F(CrossZoneFilterTest, KeepsRequestsLocalWithoutBudgetWhileTheZoneHasCapacity) {
   begin(2, 2, 0);
   ask(60);
   EXPECT_EQ(crossed(), 0u);
-  EXPECT_EQ(stage->account().stayed(), 60u);
+  EXPECT_EQ(filter->account().localAttempts(), 60u);
 }
 
-// In calm running it keeps to the budget: a window's worth at first, and then what comes in.
-TEST_F(CrossingTest, InCalmRunningCrossingStaysWithinTheBudget) {
-  begin(1, 3, 500);  // 5,000 bytes saved up
+// The budget allows one window's worth at first, and then its rate.
+TEST_F(CrossZoneFilterTest, KeepsToTheBudgetUnderLightLoad) {
+  begin(1, 3, 500);  // the full budget is 5,000 bytes
   const auto began = clock.now();
-  ask(120);  // of some 620 bytes there and back
+  ask(120);  // each of some 620 bytes with its response
   const double time = std::chrono::duration<double>(clock.now() - began).count();
-  const auto total = stage->account().total();
+  const auto total = filter->account().total();
   EXPECT_GT(total.attempts, 0u);
-  EXPECT_EQ(total.forced, 0u);
-  EXPECT_LE(static_cast<double>(total.out + total.in), 500 * (time + 10) + 1000);
+  EXPECT_EQ(total.attemptsOverBudget, 0u);
+  EXPECT_LE(static_cast<double>(total.requestBytes + total.responseBytes), 500 * (time + 10) + 1000);
 }
 
-// Hard case: one zone loses all its workers, and crossing is the only way to serve.
-TEST_F(CrossingTest, WhenTheOwnZoneIsGoneEverybodyIsServedBeyondTheBudget) {
+// The local zone loses all its hosts: only other zones can serve.
+TEST_F(CrossZoneFilterTest, ServesAllRequestsOverBudgetWhenTheLocalZoneIsLost) {
   begin(2, 2, 0);
   ask(10);
   ASSERT_TRUE(until([&] { return !calls.empty(); }));
@@ -92,12 +93,12 @@
   ASSERT_TRUE(until([&] { return !gateway->isListed("s-0"); }));
   ask(20);
   EXPECT_EQ(crossed(), 20u);
-  EXPECT_EQ(stage->account().total().forced, 20u);
-  EXPECT_NE(stage->summary().back().find("forced=20"), std::string::npos);
+  EXPECT_EQ(filter->account().total().attemptsOverBudget, 20u);
+  EXPECT_NE(filter->summary().back().find("forced=20"), std::string::npos);
 }
 
-// Hard case: the own zone is full. Before anybody is refused, requests cross.
-TEST_F(CrossingTest, BeforeServiceFallsRequestsCross) {
+// The local zone is at its capacity: requests cross before any is rejected.
+TEST_F(CrossZoneFilterTest, CrossesZonesBeforeRequestsAreRejected) {
   begin(1, 3, 0, hold);
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 10; ++i) {
@@ -105,9 +106,9 @@
     clients.back()->ask("GET", "/read", 2900);
     ASSERT_TRUE(until([&] { return received() == static_cast<std::size_t>(i) + 1; }));
   }
-  EXPECT_GT(hosts[0]->received.size(), 1u);  // it came first,
-  EXPECT_LT(hosts[0]->received.size(), 6u);  // up to where the pool's cut would begin
-  EXPECT_EQ(stage->account().total().forced, crossed());
+  EXPECT_GT(hosts[0]->received.size(), 1u);  // the local host is preferred,
+  EXPECT_LT(hosts[0]->received.size(), 6u);  // until it is near its admission cutoff
+  EXPECT_EQ(filter->account().total().attemptsOverBudget, crossed());
   EXPECT_EQ(gateway->metrics().classes[0].rejected, 0u);
   for (const auto& h : hosts)
     for (const auto& peer : h->peers) peer->reply(200, "ok");
