--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -63,8 +63,8 @@
       if (out.webSocket.enabled && !out.streams.enabled)
         streams.error("websocket", "needs [streams], enabled, that holds its streams");
     });
-    // Danger: [idempotency] tells tenants apart as the start's configuration has them; one that comes later
-    // would share its keys with all others that it does not know.
+    // [idempotency] tells tenants apart by the configuration of the start. Tenants that are added later would
+    // share their keys with one another.
     if (out.configuration.enabled && out.idempotency.enabled)
       root.error("configuration",
                  "can't be enabled together with [idempotency] yet, whose tenants are those of "
@@ -78,7 +78,8 @@
   std::stable_sort(problems.begin(), problems.end(),
                    [](const SettingProblem& a, const SettingProblem& b) { return a.line < b.line; });
   std::vector<std::string> lines;
-  for (const SettingProblem& p : problems) lines.push_back(describe(file, p));
+  lines.reserve(problems.size());
+  for (const SettingProblem& problem : problems) lines.push_back(describe(file, problem));
   throw OperatorFileError(std::move(lines));
 }
 
--- a/src/app/operator_file.hpp
+++ b/src/app/operator_file.hpp
@@ -1,5 +1,5 @@
-// The operator's own file (deploy/finchstile.toml): everything that this program can do beyond what its
-// platform tells it. All of it is optional; an empty file changes nothing.
+// The operator's file (deploy/finchstile.toml): the settings of everything that the program does beyond its
+// platform's configuration. All are optional; an empty file changes nothing.
 #pragma once
 
 #include <stdexcept>
@@ -34,7 +34,7 @@
   websocket::WebSocketSettings webSocket;
 };
 
-// All that is wrong with a file, a line each, in the order of the file's lines: "FILE:LINE: WHAT".
+// All errors of a file, one line each, in the order of the file: "FILE:LINE: MESSAGE".
 class OperatorFileError : public std::runtime_error {
  public:
   explicit OperatorFileError(std::vector<std::string> lines);
@@ -44,7 +44,8 @@
   std::vector<std::string> lines_;
 };
 
-// `file` is the name used in messages; the paths in it start at its folder. Throws OperatorFileError.
+// `file`: the path, for messages and for its folder, where relative paths of the settings start. Both throw
+// OperatorFileError.
 OperatorFile readOperatorFile(std::string_view text, const std::string& file);
 OperatorFile loadOperatorFile(const std::string& path);
 
