--- a/src/app/gateway_program.cpp
+++ b/src/app/gateway_program.cpp
@@ -64,7 +64,7 @@
     config.settings.hostStreamRate = streams.hostRate;
     config.settings.streamRetrySpread = streams.returnWithin;
   }
-  if (operator_.file.configuration.enabled) config.reservedDescriptors = configuration::kDescriptors;
+  if (operator_.file.configuration.enabled) config.reservedDescriptors = configuration::kMaxClientDescriptors;
   const char* const inherited = std::getenv(kInheritedListenerVariable);
   if (inherited && *inherited) config.inheritedListenerDescriptor = readDescriptor(inherited);
   return config;
@@ -73,7 +73,7 @@
 // Filters are attached in the order in which requests pass them.
 void GatewayProgram::serve() {
   waitForSignal();
-  summaryLog_.setInterval(operator_.file.hooks.report);
+  summaryLog_.setInterval(operator_.file.hooks.reportInterval);
   if (operator_.hooks) attachHooks();
   if (operator_.file.peers.enabled) peers_ = std::make_unique<PeerLink>(io_, clock_, operator_.file.peers);
   attachCrossZoneBudget();
@@ -93,7 +93,7 @@
 // Also after a reload: the first hooks may come with it.
 void GatewayProgram::attachHooks() {
   if (operator_.hooks->hooks.empty() && !hookFilterAttached_) return;
-  hooks_.chain().take(operator_.hooks);
+  hooks_.chain().install(operator_.hooks);
   ensureHookFilter();
   summaryLog_.start();
 }
@@ -175,7 +175,7 @@
   if (!config_.adminEndpoint) return;
   adminApi_ = std::make_unique<AdminApi>(io_, clock_, config_, opsFile(config_.name), gateway_);
   adminApi_->more = [this] { return furtherMetrics(); };
-  if (membership_) adminApi_->hosts = [this](const std::string& host) { return membership_->text(host); };
+  if (membership_) adminApi_->hosts = [this](const std::string& host) { return membership_->describeHosts(host); };
 }
 
 void GatewayProgram::attachTraceLog() {
@@ -234,7 +234,7 @@
 void GatewayProgram::onOperatorFileLoaded(LoadedOperatorFile&& loaded) {
   operator_ = std::move(loaded);
   gateway_.setOptions(operator_.file.tuning);
-  summaryLog_.setInterval(operator_.file.hooks.report);
+  summaryLog_.setInterval(operator_.file.hooks.reportInterval);
   attachHooks();
   std::fprintf(stderr, "finchstile: operator's file reloaded, version %llu\n",
                static_cast<unsigned long long>(operator_.hooks->version));
--- a/src/app/loaded_operator_file.hpp
+++ b/src/app/loaded_operator_file.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "app/operator_file.hpp"
-#include "hook/files.hpp"
+#include "hook/hook_loader.hpp"
 
 namespace finchstile {
 
--- /dev/null
+++ b/tests/cross_zone/cross_zone_account_test.cpp
@@ -0,0 +1,50 @@
+#include "cross_zone/cross_zone_account.hpp"
+
+#include <gtest/gtest.h>
+
+namespace finchstile::cross_zone {
+namespace {
+
+TEST(CrossZoneAccount, ReportsCountsByClassAndZone) {
+  CrossZoneAccount account({"cut-plan", "log-in"});
+  account.recordLocalAttempt(1);
+  account.recordLocalAttempt(1);
+  account.recordAttempt(0, "cluj", 300, false);
+  account.recordAttempt(0, "cluj", 200, true);
+  account.recordResponse(0, "cluj", 5000);
+  account.recordAttempt(1, "brasov", 100, false);
+  EXPECT_EQ(account.total().attempts, 3u);
+  EXPECT_EQ(account.localAttempts(), 2u);
+  EXPECT_EQ(account.report(),
+            (std::vector<std::string>{"crossing class=cut-plan zone=cluj attempts=2 forced=1 out=500 in=5000",
+                                      "crossing class=log-in zone=brasov attempts=1 forced=0 out=100 in=0",
+                                      "crossing all attempts=3 forced=1 out=600 in=5000 stayed=2"}));
+  const std::string text = account.exposition();
+  EXPECT_EQ(text,
+            "# TYPE lb_crossing_attempts_total counter\n"
+            "# TYPE lb_crossing_bytes_total counter\n"
+            "lb_crossing_attempts_total{group=\"cut-plan\",zone=\"cluj\",leave=\"given\"} 1\n"
+            "lb_crossing_attempts_total{group=\"cut-plan\",zone=\"cluj\",leave=\"forced\"} 1\n"
+            "lb_crossing_bytes_total{group=\"cut-plan\",zone=\"cluj\",way=\"out\"} 500\n"
+            "lb_crossing_bytes_total{group=\"cut-plan\",zone=\"cluj\",way=\"in\"} 5000\n"
+            "lb_crossing_attempts_total{group=\"log-in\",zone=\"brasov\",leave=\"given\"} 1\n"
+            "lb_crossing_attempts_total{group=\"log-in\",zone=\"brasov\",leave=\"forced\"} 0\n"
+            "lb_crossing_bytes_total{group=\"log-in\",zone=\"brasov\",way=\"out\"} 100\n"
+            "lb_crossing_bytes_total{group=\"log-in\",zone=\"brasov\",way=\"in\"} 0\n");
+  EXPECT_NE(text.find("lb_crossing_bytes_total{group=\"cut-plan\",zone=\"cluj\",way=\"in\"} 5000\n"),
+            std::string::npos);
+  EXPECT_NE(text.find("lb_crossing_attempts_total{group=\"cut-plan\",zone=\"cluj\",leave=\"forced\"} 1\n"),
+            std::string::npos);
+}
+
+// Endpoint lists with ever new names of zones.
+TEST(CrossZoneAccount, CountsZonesBeyondTheMaximumAsOther) {
+  CrossZoneAccount account({"x"});
+  for (int i = 0; i < 10000; ++i) account.recordAttempt(0, "zone-" + std::to_string(i), 1, false);
+  EXPECT_EQ(account.total().attempts, 10000u);
+  EXPECT_EQ(account.report().size(), CrossZoneAccount::kMaxZones + 1);
+  EXPECT_NE(account.exposition().find("zone=\"other\""), std::string::npos);
+}
+
+}  // namespace
+}  // namespace finchstile::cross_zone
