--- a/tests/peer/datagram_test.cpp
+++ b/tests/peer/datagram_test.cpp
@@ -42,6 +42,23 @@
   EXPECT_FALSE(encode(example(kPayloadMost + 1), kKey));
 }
 
+std::string hex(std::string_view bytes) {
+  std::string out;
+  for (const char c : bytes) {
+    char digits[3];
+    std::snprintf(digits, sizeof digits, "%02x", static_cast<unsigned char>(c));
+    out += digits;
+  }
+  return out;
+}
+
+// Gateways of other versions read these bytes.
+TEST(PeerDatagram, DatagramHasTheseBytes) {
+  EXPECT_EQ(hex(encode(example(3), kKey).value()),
+            "5046010101020068e5cf8b0100002a000000000000007070700975b60487c9e327e714ff6942abd0"
+            "78");
+}
+
 TEST(PeerDatagram, EveryChangedBitIsTold) {
   const std::string bytes = *encode(example(), kKey);
   Datagram back;
