--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "configuration/store.hpp"
+#include "configuration/configuration_store.hpp"
 #include "control_log.hpp"
 #include "fake_upstream_config.hpp"
 #include "finchstile/load_balancer.hpp"
@@ -233,7 +233,7 @@
   void configuration(std::size_t n) {
     using namespace finchstile::configuration;
     fake_upstream::ControlLog log({1, 1'000'000, 0});
-    std::vector<Change> all;
+    std::vector<DocumentChange> all;
     for (std::size_t i = 0; i < n; ++i)
       all.push_back({std::string(kTenantPrefix) + tenantName(i), TenantDocument{tenantName(i), 50}});
     log.publish(all);
@@ -242,17 +242,17 @@
         [&] { return static_cast<double>(whole.size()) * 1e-3; });
     const Settings start = settingsOf(kUsualClasses, kUsualTenants);
     add("configuration", n, "whole, read and checked", "ms", [&] {
-      Store store(start);
+      ConfigurationStore store(start);
       return 1e3 * processorSecondsOf([&] { store.apply(parseUpdate(whole)); });
     });
     add("configuration", n, "memory of the store", "MB", [&] {
       const std::int64_t before = allocatedBytes();
-      Store store(start);
+      ConfigurationStore store(start);
       store.apply(parseUpdate(whole));
       return static_cast<double>(allocatedBytes() - before) * 1e-6;
     });
-    Store store(start);
-    const SettingsChange terms = store.apply(parseUpdate(whole)).terms;
+    ConfigurationStore store(start);
+    const SettingsChange terms = store.apply(parseUpdate(whole)).change;
     add("configuration", n, "whole, taken by the loop", "ms", [&] {
       Driven driven(kUsualHosts, kUsualClasses, kUsualTenants);
       TenantTable table({});
@@ -264,8 +264,8 @@
     add("configuration", n, "one change, read and checked", "us", [&] {
       log.publish(
           {{std::string(kTenantPrefix) + tenantName(n / 2), TenantDocument{tenantName(n / 2), ++quota_}}});
-      const std::string change = log.answer({"", store.position(), {}}, 0)->body;
-      return 1e6 * processorSecondsOf([&] { last_ = store.apply(parseUpdate(change)).terms; });
+      const std::string change = log.answer({"", store.versionState(), {}}, 0)->body;
+      return 1e6 * processorSecondsOf([&] { last_ = store.apply(parseUpdate(change)).change; });
     });
     add("configuration", n, "one change, taken by the loop", "us", [&] {
       return 1e6 * processorSecondsOf([&] { take(last_, driven.balancer(), table, driven.now()); });
--- a/bench/configuration_changes.cpp
+++ b/bench/configuration_changes.cpp
@@ -23,7 +23,7 @@
 namespace finchstile::bench {
 namespace {
 
-using configuration::Change;
+using configuration::DocumentChange;
 using configuration::TenantDocument;
 using SteadyClock = std::chrono::steady_clock;
 
@@ -50,7 +50,7 @@
   return "";
 }
 
-Change tenant(std::size_t i, double quota) {
+DocumentChange tenant(std::size_t i, double quota) {
   const std::string name = "tenant-" + std::to_string(i);
   return {"tenant/" + name, TenantDocument{name, quota}};
 }
@@ -79,7 +79,7 @@
 class Play {
  public:
   Play(Mode mode, const Size& size) : mode_(mode), size_(size) {
-    std::vector<Change> all;
+    std::vector<DocumentChange> all;
     for (std::size_t i = 0; i < kTenants; ++i) all.push_back(tenant(i, 1e6));
     machine_ =
         std::make_unique<fake_upstream::ControlMachine>(control_.io, fake_upstream::ControlLog::Settings{});
@@ -100,7 +100,7 @@
       configuration::ConfigurationSettings settings;
       settings.addresses = {machine_->address()};
       settings.endpoints = {machine_->endpoint()};
-      settings.pace = std::chrono::milliseconds(0);  // each change by itself
+      settings.minPollInterval = std::chrono::milliseconds(0);  // each change by itself
       client = std::make_unique<configuration::Client>(
           io, worker.get_executor(), clock_, settings, "b", 1, start,
           [&](const configuration::SettingsChange& change) {
--- a/bench/gossip.cpp
+++ b/bench/gossip.cpp
@@ -56,11 +56,11 @@
     const Time start = time();
     for (std::size_t i = 0; i < o.gateways; ++i) {
       GossipSettings s;
-      s.own = static_cast<GatewayNumber>(i);
-      s.gateways = static_cast<GatewayNumber>(o.gateways);
+      s.ownNumber = static_cast<GatewayNumber>(i);
+      s.gatewayCount = static_cast<GatewayNumber>(o.gateways);
       s.quorum = o.quorum;
       s.fanout = o.fanout;
-      s.holds = std::chrono::milliseconds(static_cast<int>(o.holds * 1000));
+      s.observationLifetime = std::chrono::milliseconds(static_cast<int>(o.holds * 1000));
       auto g = std::make_unique<Gateway>();
       g->answered.assign(hosts_, Time{});
       g->alarm.assign(hosts_, false);
@@ -124,7 +124,7 @@
 
   bool knows(const Gateway& g) const {
     return (g.silentAt != Time{} && std::chrono::duration<double>(time() - g.silentAt).count() < o_.holds) ||
-           g.gossip->silentByOthers(1, time());
+           g.gossip->isUnresponsiveByQuorum(1, time());
   }
 
   void attempts(Gateway& g, Result& r) {
@@ -149,7 +149,7 @@
       g.out.pop_front();
       const Time sent = time() - std::chrono::nanoseconds(static_cast<std::int64_t>((now_ - a.sent) * 1e9));
       if (g.answered[a.host] >= sent) continue;  // it has answered others of ours since
-      g.gossip->onSilent(a.host + 1, 0, time());
+      g.gossip->onUnresponsive(a.host + 1, 0, time());
       if (a.host == 0) g.silentAt = time();
     }
   }
@@ -158,11 +158,12 @@
     g.nextTick += 0.2;
     if (now_ >= g.secondEnds) g.secondEnds = now_ + 1, g.inSecond = 0;
     if (i < o_.mad) {  // calls every worker silent, to everybody
-      std::vector<Rumour> all;
-      for (HostKey h = 1; h <= std::min<std::size_t>(hosts_, kRumoursMost); ++h)
-        all.push_back({h, 0, Rumour::What::silent, 0, {}});
+      std::vector<GossipUpdate> all;
+      for (HostKey h = 1; h <= std::min<std::size_t>(hosts_, kMaxUpdatesPerMessage); ++h)
+        all.push_back({h, 0, GossipUpdate::Kind::unresponsive, 0, {}});
       for (std::size_t to = 0; to < o_.gateways; ++to)
-        if (to != i) send(static_cast<GatewayNumber>(i), static_cast<GatewayNumber>(to), *encodeRumours(all));
+        if (to != i)
+          send(static_cast<GatewayNumber>(i), static_cast<GatewayNumber>(to), *encodeGossipMessage(all));
       return;
     }
     const auto out = g.gossip->tick(time());
@@ -170,10 +171,10 @@
     for (const auto& o : out) {
       g.bytes += static_cast<double>(o.payload.size()) + 38;  // what the datagram adds
       g.inSecond += static_cast<double>(o.payload.size()) + 38;
-      send(static_cast<GatewayNumber>(i), o.to, o.payload);
+      send(static_cast<GatewayNumber>(i), o.recipient, o.payload);
     }
     for (std::size_t h = 1; h < hosts_; ++h) {
-      const bool alarm = g.gossip->silentByOthers(h + 1, time());
+      const bool alarm = g.gossip->isUnresponsiveByQuorum(h + 1, time());
       alarms_ += alarm && !g.alarm[h];
       g.alarm[h] = alarm;
     }
@@ -187,7 +188,7 @@
     while (!way_.empty() && way_.front().at <= now_) {
       const Datagram d = std::move(way_.front());
       way_.pop_front();
-      if (d.to >= o_.mad) gateways_[d.to]->gossip->receive(d.from, d.payload, time());
+      if (d.to >= o_.mad) gateways_[d.to]->gossip->onMessage(d.from, d.payload, time());
     }
   }
 
--- a/bench/idempotency_owners.cpp
+++ b/bench/idempotency_owners.cpp
@@ -35,7 +35,7 @@
 struct One {
   One(const nlohmann::json& config, const IdempotencySettings& settings, const peer::PeerSettings& peers)
       : read(readConfig(config.dump(), clock)), gateway(io, clock, read) {
-    stage = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{1, peers.own},
+    stage = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{1, peers.ownNumber},
                                                 gateway.filterCallbacks());
     link = std::make_unique<PeerLink>(io, clock, peers);
     owners = std::make_unique<IdempotencyOwnership>(io, clock, settings, *link, read.settings, *stage);
@@ -108,7 +108,7 @@
     std::vector<asio::ip::udp::socket> held;  // all at once, so that they differ
     for (std::size_t g = 0; g < kGateways; ++g) {
       held.emplace_back(io, asio::ip::udp::endpoint(asio::ip::address_v4::loopback(), 0));
-      peers.addresses.push_back(held.back().local_endpoint());
+      peers.endpoints.push_back(held.back().local_endpoint());
     }
   }
   bench::Host host;
@@ -118,8 +118,8 @@
   settings.limits.entries = 1'000'000;
   std::vector<std::unique_ptr<One>> all;
   for (std::size_t g = 0; g < kGateways; ++g) {
-    peers.own = static_cast<std::uint16_t>(g);
-    peers.listen = peers.addresses[g];
+    peers.ownNumber = static_cast<std::uint16_t>(g);
+    peers.listenEndpoint = peers.endpoints[g];
     all.push_back(std::make_unique<One>(config, settings, peers));
   }
   std::this_thread::sleep_for(std::chrono::seconds(3));  // they come to know each other
--- a/src/app/hosts_command.cpp
+++ b/src/app/hosts_command.cpp
@@ -20,52 +20,69 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr std::chrono::seconds kPatience(5);
-constexpr std::size_t kTextMost = 256u << 20;
+constexpr std::chrono::seconds kRequestTimeout(5);
+constexpr std::size_t kMaxResponseBytes = 256u << 20;
+constexpr unsigned kHttp11 = 11;
 
 struct Options {
-  std::string ops, host;
+  std::string adminAddress;
+  std::string host;  // empty: all
 };
 
-int hosts(const Options& o) {
-  const tcp::endpoint at = readEndpoint(o.ops);
+struct FetchResult {
+  error_code error;
+  http::response<http::string_body> response;  // if there is no error
+};
+
+FetchResult fetchHosts(const Options& options) {
+  const std::string target =
+      options.host.empty() ? "/api/hosts" : "/api/hosts/" + percentEncoded(options.host);
+  http::request<http::empty_body> request(http::verb::get, target, kHttp11);
+  request.set(http::field::host, options.adminAddress);
+
   asio::io_context io;
   boost::beast::tcp_stream stream(io);
   boost::beast::flat_buffer buffer;
-  http::request<http::empty_body> request(
-      http::verb::get, "/api/hosts" + (o.host.empty() ? "" : "/" + percentEncoded(o.host)), 11);
-  request.set(http::field::host, o.ops);
   http::response_parser<http::string_body> parser;
-  parser.body_limit(kTextMost);
-  error_code failed = asio::error::timed_out;
-  stream.expires_after(kPatience);
-  stream.async_connect(at, [&](error_code error) {
-    if (error) return void(failed = error);
-    http::async_write(stream, request, [&](error_code unsent, std::size_t) {
-      if (unsent) return void(failed = unsent);
-      http::async_read(stream, buffer, parser, [&](error_code unread, std::size_t) { failed = unread; });
-    });
-  });
+  parser.body_limit(kMaxResponseBytes);
+  error_code result = asio::error::timed_out;  // until a step fails or the last one succeeds
+  const auto onRead = [&](error_code error, std::size_t /*size*/) { result = error; };
+  const auto onWritten = [&](error_code error, std::size_t /*size*/) {
+    result = error;
+    if (!error) http::async_read(stream, buffer, parser, onRead);
+  };
+  const auto onConnected = [&](error_code error) {
+    result = error;
+    if (!error) http::async_write(stream, request, onWritten);
+  };
+  stream.expires_after(kRequestTimeout);
+  stream.async_connect(readEndpoint(options.adminAddress), onConnected);
   io.run();
-  if (failed) {
-    std::fprintf(stderr, "finchstile: %s does not answer: %s\n", o.ops.c_str(), failed.message().c_str());
+  return {result, parser.release()};
+}
+
+int printHosts(const Options& options) {
+  const FetchResult fetched = fetchHosts(options);
+  if (fetched.error) {
+    std::fprintf(stderr, "finchstile: %s does not answer: %s\n", options.adminAddress.c_str(),
+                 fetched.error.message().c_str());
     return kExitFailed;
   }
-  const auto& answer = parser.get();
-  const bool good = answer.result() == http::status::ok;
-  std::fputs(answer.body().c_str(), good ? stdout : stderr);
-  return good ? 0 : kExitCheck;
+  const bool isOk = fetched.response.result() == http::status::ok;
+  std::fputs(fetched.response.body().c_str(), isOk ? stdout : stderr);
+  return isOk ? 0 : kExitCheck;
 }
 
 }  // namespace
 
 void addHostsCommand(CLI::App& app, std::function<int()>& chosen) {
-  auto o = std::make_shared<Options>();
+  auto options = std::make_shared<Options>();
   CLI::App* command =
       app.add_subcommand("hosts", "what a running gateway knows of its hosts, with sources and ages");
-  command->add_option("--ops", o->ops, "the gateway's operators' address, as 127.0.0.1:9000")->required();
-  command->add_option("name", o->host, "one host, by its name in the list; else all");
-  command->callback([&chosen, o] { chosen = [o] { return hosts(*o); }; });
+  command->add_option("--ops", options->adminAddress, "the gateway's operators' address, as 127.0.0.1:9000")
+      ->required();
+  command->add_option("name", options->host, "one host, by its name in the list; else all");
+  command->callback([&chosen, options] { chosen = [options] { return printHosts(*options); }; });
 }
 
 }  // namespace finchstile
--- a/src/app/hosts_command.hpp
+++ b/src/app/hosts_command.hpp
@@ -1,4 +1,4 @@
-// `finchstile hosts`: what a running gateway knows of its hosts, asked for at its operators' address.
+// `finchstile hosts`: prints what a running gateway knows of its hosts, from its operators' address.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -6,6 +6,8 @@
 
 namespace finchstile {
 
+// Adds the command. When it is parsed, `chosen` becomes the function that runs it and returns the exit code.
+// `chosen` must outlive the parsing.
 void addHostsCommand(CLI::App& app, std::function<int()>& chosen);
 
 }  // namespace finchstile
--- a/src/app/idempotency_owners.cpp
+++ b/src/app/idempotency_owners.cpp
@@ -6,8 +6,8 @@
 idempotency::OwnerSettings ownerSettings(const idempotency::IdempotencySettings& settings,
                                          const PeerLink& link, const load_balancing::Settings& known) {
   idempotency::OwnerSettings o = settings.owners.owners;
-  o.own = link.own();
-  o.gateways = link.gateways();
+  o.own = link.ownNumber();
+  o.gateways = link.gatewayCount();
   o.keep = settings.limits.keep;
   o.longest = idempotency::longestRun(known);
   return o;
@@ -23,11 +23,12 @@
       stage_(stage),
       names_(idempotency::Names::of(known)),
       channel_(link.channel()),
-      owners_(ownerSettings(settings, link, known), link.keyFor("keys"), clock.now()),
+      owners_(ownerSettings(settings, link, known), link.deriveKey("keys"), clock.now()),
       timer_(io) {
-  channel_.take(peer::Topic::keys, [this](peer::Number from, std::uint64_t epoch, std::string_view payload) {
-    stage_.fromGateway(from, epoch, payload);
-  });
+  channel_.setHandler(peer::Topic::keys,
+                      [this](peer::GatewayNumber from, std::uint64_t epoch, std::string_view payload) {
+                        stage_.fromGateway(from, epoch, payload);
+                      });
   stage_.join(owners_, *this, names_, settings.owners.all);
 }
 
--- a/src/app/membership_service.cpp
+++ b/src/app/membership_service.cpp
@@ -2,31 +2,34 @@
 
 #include <algorithm>
 #include <cstdio>
+#include <unordered_set>
 
 namespace finchstile {
 namespace {
 
-// Names of machine kinds that are kept for snapshots: one for each of as many hosts, were it so.
-constexpr std::size_t kKindsMost = 4096;
-
 using load_balancing::HostPhase;
 using membership::HostKey;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kAnswering = seconds(2);  // a host that has answered within this answers
-constexpr Duration kSweep = seconds(1);
-constexpr Duration kRefilterLeast = milliseconds(50);  // between looks at all hosts anew
-constexpr Duration kSnapshotPause = milliseconds(10);
-
-membership::List listOf(const HostList& from) {
-  membership::List out;
-  out.index = from.version;
-  out.whole = from.complete;
-  for (const ListedHost& h : from.hosts)
-    out.hosts.push_back(
-        {h.entry, h.endpoint.address().to_string() + ":" + std::to_string(h.endpoint.port())});
-  return out;
+constexpr std::size_t kMaxMachineTypes = 4096;             // whose names are kept for snapshots
+constexpr Duration kRespondingTime = seconds(2);           // a host that responded within it is responding
+constexpr Duration kCleanupInterval = seconds(1);          // between removals of expired hosts
+constexpr Duration kMinFilterInterval = milliseconds(50);  // the filter is applied to all hosts at a time
+constexpr Duration kSnapshotPause = milliseconds(10);      // between the chunks of snapshots
+constexpr std::uint64_t kWarmStartSeedMask = 0x57a27;  // keeps its random numbers apart from those of gossip
+constexpr std::uint64_t kGossipSlots = 100;            // over which gateways spread within a period
+
+membership::EndpointList toEndpointList(const HostList& from) {
+  membership::EndpointList list;
+  list.version = from.version;
+  list.isComplete = from.complete;
+  for (const ListedHost& host : from.hosts) {
+    const std::string endpoint =
+        host.endpoint.address().to_string() + ":" + std::to_string(host.endpoint.port());
+    list.hosts.push_back({host.entry, endpoint});
+  }
+  return list;
 }
 
 }  // namespace
@@ -36,316 +39,377 @@
                                      const GatewayConfig& config, Gateway& gateway, PeerLink* link)
     : clock_(clock),
       settings_(settings),
-      known_(config.settings),
+      balancerSettings_(config.settings),
       gateway_(gateway),
       link_(link),
-      nameKey_(link ? link->keyFor("hosts") : SipKey{}),
-      policy_(settings.list),
-      view_(settings.view),
-      server_(settings.warmStart.server),
+      nameKey_(link ? link->deriveKey("hosts") : SipKey{}),
+      listPolicy_(settings.list),
+      hostStates_(settings.hostStates),
+      snapshotServer_(settings.warmStart.server),
       timer_(io) {
   const Time now = clock_.now();
-  sweepAt_ = now + kSweep;
-  if (link_) {
-    membership::GossipSettings g = settings_.gossip.gossip;
-    g.own = link_->own();
-    g.gateways = link_->gateways();
-    gossip_ = std::make_unique<membership::Gossip>(g, config.settings.seed, now, [this](HostKey key) {
-      const auto it = names_.find(key);
-      return it == names_.end() ? Time{} : gateway_.lastResponseAt(it->second);
-    });
-    // Spread, or gateways that start together would speak together.
-    gossipAt_ = now + g.period * static_cast<int>(config.settings.seed % 100) / 100;
-    link_->channel().take(peer::Topic::hosts, [this](peer::Number from, std::uint64_t,
-                                                     std::string_view payload) { fromPeer(from, payload); });
-  }
+  nextCleanupAt_ = now + kCleanupInterval;
+  if (link_) startGossip(config.settings.seed, now);
   gateway_.setHostListInterceptor(*this);
   gateway_.addHostEntryFilter(*this);
   gateway_.setHostObserver(*this);
 }
 
+void MembershipService::startGossip(std::uint64_t seed, Time now) {
+  membership::GossipSettings gossip = settings_.gossip.gossip;
+  gossip.ownNumber = link_->ownNumber();
+  gossip.gatewayCount = link_->gatewayCount();
+  gossip_ = std::make_unique<membership::Gossip>(gossip, seed, now, [this](HostKey key) {
+    const std::string* name = findName(key);
+    return name ? gateway_.lastResponseAt(*name) : Time{};
+  });
+  // Gateways that start together would send at the same moments otherwise.
+  nextGossipAt_ =
+      now + gossip.period * static_cast<int>(seed % kGossipSlots) / static_cast<int>(kGossipSlots);
+  link_->channel().setHandler(peer::Topic::hosts,
+                              [this](peer::GatewayNumber from, std::uint64_t /*epoch*/,
+                                     std::string_view payload) { onPeerMessage(from, payload); });
+}
+
 HostKey MembershipService::keyOf(std::string_view name) const {
   return SipHasher(nameKey_).add(name).end().low;
 }
 
-std::int64_t MembershipService::unixMs(Time upSince) const {
-  return upSince == Time{} ? 0 : clock_.unixAt(upSince) / milliseconds(1);
+std::int64_t MembershipService::unixMs(Time startedAt) const {
+  return startedAt == Time{} ? 0 : clock_.unixAt(startedAt) / milliseconds(1);
+}
+
+const std::string* MembershipService::findName(HostKey key) const {
+  const auto it = names_.find(key);
+  return it == names_.end() ? nullptr : &it->second;
+}
+
+const membership::HostState* MembershipService::findState(HostKey key) const {
+  const std::string* name = findName(key);
+  return name ? hostStates_.find(*name) : nullptr;
 }
 
 // --- Lists
 
 void MembershipService::onInitialList(const HostList& known) {
   const Time now = clock_.now();
-  membership::List list = listOf(known);
-  policy_.start(list, now);
-  list.whole = true;
-  told(std::move(list));
-  if (gossip_ && settings_.warmStart.enabled) {
-    membership::WarmStartSettings s = settings_.warmStart.start;
-    s.own = link_->own();
-    s.gateways = link_->gateways();
-    warm_ = std::make_unique<membership::WarmStart>(s, known_.seed ^ 0x57a27, now);
-    sendOut();
-  }
-  arm();
+  membership::EndpointList list = toEndpointList(known);
+  listPolicy_.start(list, now);
+  list.isComplete = true;
+  recordList(std::move(list));
+  if (gossip_ && settings_.warmStart.enabled) startWarmStart(now);
+  scheduleTimer();
 }
 
 std::optional<HostList> MembershipService::onList(HostList&& list) {
   const Time now = clock_.now();
-  membership::ListPolicy::Told t = policy_.onList(listOf(list), now, [&](std::string_view host) {
-    const Time at = gateway_.lastResponseAt(std::string(host));
-    return at != Time{} && now - at < kAnswering;
-  });
-  if (policy_.counts().renumbered != renumbered_) {
-    renumbered_ = policy_.counts().renumbered;
-    view_.renumber();
+  const auto isResponding = [&](std::string_view host) {
+    const Time lastResponse = gateway_.lastResponseAt(std::string(host));
+    return lastResponse != Time{} && now - lastResponse < kRespondingTime;
+  };
+  membership::ListPolicy::Decision decision = listPolicy_.onList(toEndpointList(list), now, isResponding);
+  if (listPolicy_.statistics().renumbered != knownRenumberings_) {
+    knownRenumberings_ = listPolicy_.statistics().renumbered;
+    hostStates_.resetVersions();
   }
-  if (t.askWhole) {
-    std::fprintf(stderr, "membership: list %lld leaves out too many hosts that answer; asked for again\n",
-                 static_cast<long long>(policy_.version()));
+  if (decision.requestCompleteList) {
+    std::fprintf(stderr,
+                 "finchstile: list not effective as a whole, requesting a complete list: version=%lld\n",
+                 static_cast<long long>(listPolicy_.version()));
     gateway_.requestCompleteList();
   }
-  arm();
-  if (!t.list) return std::nullopt;
-  return told(std::move(*t.list));
+  scheduleTimer();
+  if (!decision.list) return std::nullopt;
+  return recordList(std::move(*decision.list));
 }
 
-// What goes to the gateway is noted first: its filter is asked about each entry.
-HostList MembershipService::told(membership::List&& list) {
+// Records a list before the gateway gets it: the gateway asks the filter about each of its entries.
+HostList MembershipService::recordList(membership::EndpointList&& list) {
   const Time now = clock_.now();
-  const auto version = static_cast<std::uint64_t>(std::max<std::int64_t>(list.index, 0));
-  HostList out;
-  out.version = list.index;
-  out.complete = list.whole;
-  std::unordered_set<std::string_view> named;
-  for (const membership::Named& n : list.hosts) {
-    const std::string& name = n.entry.address;
-    view_.onListed(name, n.entry.startedAt, n.entry.phase, version, now);
-    if (const auto* facts = view_.find(name); facts && gossip_) {
-      const auto [it, fresh] = keys_.emplace(name, 0);
-      if (fresh) {
-        it->second = keyOf(name);
-        names_[it->second] = name;
-      }
-      gossip_->onListed(it->second, unixMs(facts->started), n.entry.phase, version, now);
+  const auto version = static_cast<std::uint64_t>(std::max<std::int64_t>(list.version, 0));
+  HostList effective;
+  effective.version = list.version;
+  effective.complete = list.isComplete;
+  for (const membership::ListEntry& entry : list.hosts) {
+    recordEntry(entry, version, now);
+    effective.hosts.push_back({entry.host, readEndpoint(entry.endpoint)});
+  }
+  if (list.isComplete) recordOmissions(list, version, now);
+  return effective;
+}
+
+void MembershipService::recordEntry(const membership::ListEntry& entry, std::uint64_t version, Time now) {
+  const std::string& name = entry.host.address;
+  hostStates_.onListed(name, entry.host.startedAt, entry.host.phase, version, now);
+  const membership::HostState* state = hostStates_.find(name);
+  if (state && gossip_) {
+    const auto [it, isNew] = keys_.emplace(name, 0);
+    if (isNew) {
+      it->second = keyOf(name);
+      names_[it->second] = name;
     }
-    if (kinds_.size() < kKindsMost) kinds_.insert(n.entry.machineType);
-    out.hosts.push_back({n.entry, readEndpoint(n.at)});
-    named.insert(name);
+    gossip_->onListed(it->second, unixMs(state->incarnation), entry.host.phase, version, now);
   }
-  if (list.whole) {
-    view_.onWhole(version, now);
-    if (gossip_)
-      for (const auto& [name, key] : keys_)
-        if (named.count(name) == 0)
-          if (const auto* facts = view_.find(name))
-            gossip_->onListed(key, unixMs(facts->started), HostPhase::removed, version, now);
+  if (machineTypes_.size() < kMaxMachineTypes) machineTypes_.insert(entry.host.machineType);
+}
+
+void MembershipService::recordOmissions(const membership::EndpointList& list, std::uint64_t version,
+                                        Time now) {
+  hostStates_.onCompleteList(version, now);
+  if (!gossip_) return;
+  std::unordered_set<std::string_view> named;
+  for (const membership::ListEntry& entry : list.hosts) named.insert(entry.host.address);
+  for (const auto& [name, key] : keys_) {
+    if (named.count(name) > 0) continue;
+    if (const auto* state = hostStates_.find(name))
+      gossip_->onListed(key, unixMs(state->incarnation), HostPhase::removed, version, now);
   }
-  return out;
 }
 
-void MembershipService::onWatchLost() { policy_.onLost(); }
+void MembershipService::onWatchLost() { listPolicy_.onWatchLost(); }
 
 void MembershipService::onDiscoveryMoved() {
-  policy_.onMoved();
-  view_.renumber();
+  listPolicy_.onDiscoveryMoved();
+  hostStates_.resetVersions();
 }
 
 void MembershipService::apply(load_balancing::HostEntry& entry) const {
   const Time now = clock_.now();
-  if (!view_.find(entry.address)) return;  // no place, or not named yet: nothing is known against it
-  entry.phase = membership::worse(entry.phase, view_.phase(entry.address, now));
+  // An unknown host had no room in the table, or is not listed yet: nothing is known against it.
+  if (!hostStates_.find(entry.address)) return;
+  entry.phase = membership::worsePhase(entry.phase, hostStates_.phase(entry.address, now));
   if (!gossip_ || entry.phase != HostPhase::active) return;
   const auto key = keys_.find(entry.address);
-  if (key != keys_.end() && gossip_->silentByOthers(key->second, now)) entry.phase = HostPhase::draining;
+  if (key != keys_.end() && gossip_->isUnresponsiveByQuorum(key->second, now))
+    entry.phase = HostPhase::draining;
 }
 
-// --- First hand
+// --- First-hand observations
 
 void MembershipService::onHostSilent(const std::string& host) {
   const auto key = keys_.find(host);
-  const auto* facts = view_.find(host);
-  if (gossip_ && key != keys_.end() && facts)
-    gossip_->onSilent(key->second, unixMs(facts->started), clock_.now());
+  const auto* state = hostStates_.find(host);
+  if (gossip_ && key != keys_.end() && state)
+    gossip_->onUnresponsive(key->second, unixMs(state->incarnation), clock_.now());
 }
 
 void MembershipService::onLoadReport(const std::string& host, const load_balancing::LoadReport& report) {
-  const auto* facts = view_.find(host);
-  if (!facts) return;
+  const auto* state = hostStates_.find(host);
+  if (!state) return;
   const Time now = clock_.now();
-  view_.onLoad(host, facts->started, {report, now, now});
+  hostStates_.onLoadReport(host, state->incarnation, {report, now, now});
 }
 
 // --- Other gateways
 
-void MembershipService::fromPeer(peer::Number from, std::string_view payload) {
+void MembershipService::onPeerMessage(peer::GatewayNumber from, std::string_view payload) {
   const Time now = clock_.now();
-  switch (payload.empty() ? 0 : payload.front()) {
-    case membership::kAskForm:
-      if (settings_.warmStart.enabled) server_.receive(from, payload, now, [this] { return snapshot(); });
+  const auto type = payload.empty() ? std::uint8_t{0} : static_cast<std::uint8_t>(payload.front());
+  switch (type) {
+    case membership::kSnapshotRequestType:
+      if (settings_.warmStart.enabled)
+        snapshotServer_.onMessage(from, payload, now, [this] { return makeSnapshot(); });
       break;
-    case membership::kChunkForm:
-      if (warm_ && warm_->receive(from, payload, now) && warm_->over()) endWarmStart();
+    case membership::kSnapshotChunkType:
+      if (warmStart_ && warmStart_->onMessage(from, payload, now) && warmStart_->isFinished())
+        finishWarmStart();
       break;
-    case membership::kRumoursForm:
+    case membership::kGossipMessageType:
       if (!settings_.gossip.enabled) break;
-      gossip_->receive(from, payload, now);
-      settle();
+      gossip_->onMessage(from, payload, now);
+      applyGossip();
       break;
+    default: break;
+  }
+  if (warmStart_) send(warmStart_->drainOutgoing());
+  scheduleTimer();
+}
+
+void MembershipService::send(const std::vector<membership::OutgoingMessage>& messages) {
+  for (const membership::OutgoingMessage& message : messages)
+    link_->channel().send(peer::Topic::hosts, message.recipient, message.payload);
+}
+
+// Makes effective what the messages of other gateways have changed.
+void MembershipService::applyGossip() {
+  for (const Time until : gossip_->drainUnresponsiveUntil()) {
+    restrictionEnds_.insert(until);
+    filterChanged_ = true;
+  }
+  for (const membership::Gossip::AcceptedPhase& accepted : gossip_->drainAcceptedPhases()) {
+    const std::string* name = findName(accepted.host);
+    const auto* state = findState(accepted.host);
+    if (!state || unixMs(state->incarnation) != accepted.startedUnixMs) continue;
+    hostStates_.onPeerPhase(*name, state->incarnation, {accepted.phase, accepted.version, accepted.since});
+    restrictionEnds_.insert(accepted.since + settings_.hostStates.peerPhaseLifetime);
+    filterChanged_ = true;
   }
-  sendOut();
-  arm();
 }
 
-membership::Snapshot MembershipService::snapshot() const {
-  membership::Snapshot s = membership::snapshotOf(
+membership::StateSnapshot MembershipService::makeSnapshot() const {
+  membership::StateSnapshot snapshot = membership::makeSnapshot(
       gateway_.learnedState(), [this](std::string_view name) { return keyOf(name); },
-      [this](const std::string& host) { return factOf(host); });
-  // Of those that drain nothing is learned, but that they do is to be known.
-  for (const Gateway::HostView& h : gateway_.hosts()) {
-    const auto fact = factOf(h.listed.address);
-    if (!fact || fact->phase == HostPhase::active) continue;
-    membership::ToldHost told;
-    told.host = keyOf(h.listed.address);
-    told.started = fact->started;
-    told.phase = fact->phase;
-    told.version = fact->version;
-    told.age = fact->age;
-    s.hosts.push_back(told);
+      [this](const std::string& host) { return listedState(host); });
+  // The learned state has no hosts that are not active, but their phase is of use to the other gateway.
+  for (const Gateway::HostView& host : gateway_.hosts()) {
+    const auto state = listedState(host.listed.address);
+    if (!state || state->phase == HostPhase::active) continue;
+    membership::HostRecord record;
+    record.host = keyOf(host.listed.address);
+    record.startedUnixMs = state->startedUnixMs;
+    record.phase = state->phase;
+    record.version = state->version;
+    record.age = state->age;
+    snapshot.hosts.push_back(record);
   }
-  return s;
+  return snapshot;
 }
 
-std::optional<membership::ListedFact> MembershipService::factOf(const std::string& host) const {
-  const auto* facts = view_.find(host);
-  if (!facts) return std::nullopt;
-  const Time at = gateway_.lastResponseAt(host);
-  return membership::ListedFact{unixMs(facts->started), facts->listed.phase, facts->listed.version,
-                                at == Time{} ? membership::kAgeMost : clock_.now() - at};
+std::optional<membership::ListedHostState> MembershipService::listedState(const std::string& host) const {
+  const auto* state = hostStates_.find(host);
+  if (!state) return std::nullopt;
+  const Time lastResponse = gateway_.lastResponseAt(host);
+  const Duration age = lastResponse == Time{} ? membership::kMaxAge : clock_.now() - lastResponse;
+  return membership::ListedHostState{unixMs(state->incarnation), state->listed.phase, state->listed.version,
+                                     age};
 }
 
-membership::Names MembershipService::names() const {
-  membership::Names n;
-  for (const auto& c : known_.classes) n.classes.emplace_back(keyOf(c.name), c.name);
-  for (const std::string& k : kinds_) n.kinds.emplace_back(keyOf(k), k);
-  n.host = [this](HostKey key) -> std::optional<std::string> {
-    const auto it = names_.find(key);
-    return it == names_.end() ? std::nullopt : std::optional(it->second);
+// --- Warm start
+
+void MembershipService::startWarmStart(Time now) {
+  membership::WarmStartSettings settings = settings_.warmStart.start;
+  settings.ownNumber = link_->ownNumber();
+  settings.gatewayCount = link_->gatewayCount();
+  warmStart_ =
+      std::make_unique<membership::WarmStart>(settings, balancerSettings_.seed ^ kWarmStartSeedMask, now);
+  send(warmStart_->drainOutgoing());
+}
+
+membership::NameResolver MembershipService::nameResolver() const {
+  membership::NameResolver resolver;
+  for (const auto& cls : balancerSettings_.classes) resolver.classes.emplace_back(keyOf(cls.name), cls.name);
+  for (const std::string& type : machineTypes_) resolver.machineTypes.emplace_back(keyOf(type), type);
+  resolver.hostName = [this](HostKey key) -> std::optional<std::string> {
+    const std::string* name = findName(key);
+    return name ? std::optional(*name) : std::nullopt;
   };
-  n.up = [this](HostKey key, std::int64_t started) -> std::optional<Duration> {
-    const auto it = names_.find(key);
-    const auto* facts = it == names_.end() ? nullptr : view_.find(it->second);
-    if (!facts || unixMs(facts->started) != started) return std::nullopt;
-    return facts->started == Time{} ? Duration{} : std::max(clock_.now() - facts->started, Duration(1));
+  resolver.uptime = [this](HostKey key, std::int64_t startedUnixMs) -> std::optional<Duration> {
+    const auto* state = findState(key);
+    if (!state || unixMs(state->incarnation) != startedUnixMs) return std::nullopt;
+    if (state->incarnation == Time{}) return Duration{};
+    return std::max(clock_.now() - state->incarnation, Duration(1));
   };
-  return n;
+  return resolver;
 }
 
-void MembershipService::endWarmStart() {
-  if (std::exchange(warmed_, true)) return;
+void MembershipService::finishWarmStart() {
+  if (std::exchange(warmStartFinished_, true)) return;
   const Time now = clock_.now();
-  const auto learned = warm_->learned(names(), now);
-  for (const auto& [from, host] : warm_->phases()) {
-    const auto what = host.phase == HostPhase::draining ? membership::Rumour::What::draining
-                                                        : membership::Rumour::What::out;
-    gossip_->hear(from, {host.host, host.started, what, host.version, {}}, now);
+  const auto learned = warmStart_->learnedState(nameResolver(), now);
+  for (const auto& [from, host] : warmStart_->nonActiveHosts()) {
+    membership::GossipUpdate update;
+    update.host = host.host;
+    update.startedUnixMs = host.startedUnixMs;
+    update.kind = host.phase == HostPhase::draining ? membership::GossipUpdate::Kind::draining
+                                                    : membership::GossipUpdate::Kind::removed;
+    update.version = host.version;
+    gossip_->onUpdate(from, update, now);
   }
-  const auto& c = warm_->counts();
-  std::fprintf(stderr, "membership: warm start asked=%llu complete=%llu young=%llu hosts=%zu%s\n",
-               static_cast<unsigned long long>(c.asked), static_cast<unsigned long long>(c.complete),
-               static_cast<unsigned long long>(c.young), learned ? learned->hosts.size() : 0,
-               learned ? "" : " nothing to go by");
+  const auto& statistics = warmStart_->statistics();
+  std::fprintf(stderr, "finchstile: warm start finished, %s: asked=%llu complete=%llu young=%llu hosts=%zu\n",
+               learned ? "restoring the state of peers" : "starting without the state of peers",
+               static_cast<unsigned long long>(statistics.requested),
+               static_cast<unsigned long long>(statistics.complete),
+               static_cast<unsigned long long>(statistics.tooYoung), learned ? learned->hosts.size() : 0);
   if (learned) gateway_.restoreLearnedState(*learned);
-  settle();
+  applyGossip();
 }
 
-void MembershipService::settle() {
-  for (const Time until : gossip_->takeSilent()) {
-    until_.insert(until);
-    changed_ = true;
-  }
-  for (const membership::Gossip::Accepted& a : gossip_->takeAccepted()) {
-    const auto name = names_.find(a.host);
-    const auto* facts = name == names_.end() ? nullptr : view_.find(name->second);
-    if (!facts || unixMs(facts->started) != a.started) continue;
-    view_.onPeerPhase(name->second, facts->started, {a.phase, a.version, a.since});
-    until_.insert(a.since + settings_.view.peerHolds);
-    changed_ = true;
-  }
+// --- Time
+
+Time MembershipService::nextTimer() const {
+  Time next = nextCleanupAt_;
+  const auto include = [&](const std::optional<Time>& time) {
+    if (time) next = std::min(next, *time);
+  };
+  include(listPolicy_.nextTimer());
+  if (gossip_) include(nextGossipAt_);
+  if (warmStart_) include(warmStart_->nextTimer());
+  if (snapshotServer_.hasPending()) include(clock_.now() + kSnapshotPause);
+  if (filterChanged_) include(filteredAt_ + kMinFilterInterval);
+  if (!restrictionEnds_.empty()) include(*restrictionEnds_.begin());
+  return next;
 }
 
-void MembershipService::sendOut() {
-  if (!link_) return;
-  if (warm_)
-    for (const auto& o : warm_->takeOutgoing()) link_->channel().send(peer::Topic::hosts, o.to, o.payload);
+void MembershipService::scheduleTimer() {
+  const Time next = nextTimer();
+  if (next == timerAt_) return;
+  timerAt_ = next;
+  timer_.expires_at(clock_.steady(next));
+  timer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (!cancelled) onTimer();
+  });
 }
 
-// --- Time
+void MembershipService::onTimer() {
+  timerAt_ = Time{};
+  const Time now = clock_.now();
+  onListPolicyTimer(now);
+  onGossipTimer(now);
+  onWarmStartTimer(now);
+  send(snapshotServer_.tick());
+  onFilterTimer(now);
+  onCleanupTimer(now);
+  scheduleTimer();
+}
+
+void MembershipService::onListPolicyTimer(Time now) {
+  const auto due = listPolicy_.nextTimer();
+  if (!due || *due > now) return;
+  auto decision = listPolicy_.onTimer(now);
+  if (decision.list) gateway_.applyHostList(recordList(std::move(*decision.list)));
+}
+
+void MembershipService::onGossipTimer(Time now) {
+  if (!gossip_ || nextGossipAt_ > now) return;
+  nextGossipAt_ = now + settings_.gossip.gossip.period;
+  const std::vector<membership::OutgoingMessage> messages = gossip_->tick(now);
+  if (settings_.gossip.enabled) send(messages);
+  applyGossip();
+}
+
+void MembershipService::onWarmStartTimer(Time now) {
+  if (!warmStart_ || warmStartFinished_) return;
+  warmStart_->onTimer(now);
+  if (warmStart_->isFinished()) finishWarmStart();
+  send(warmStart_->drainOutgoing());
+}
 
-void MembershipService::forget() {
-  view_.sweep(clock_.now());
+void MembershipService::onFilterTimer(Time now) {
+  while (!restrictionEnds_.empty() && *restrictionEnds_.begin() <= now) {
+    restrictionEnds_.erase(restrictionEnds_.begin());
+    filterChanged_ = true;
+  }
+  if (!filterChanged_ || now < filteredAt_ + kMinFilterInterval) return;
+  filterChanged_ = false;
+  filteredAt_ = now;
+  gateway_.reapplyHostFilters();
+}
+
+void MembershipService::onCleanupTimer(Time now) {
+  if (now < nextCleanupAt_) return;
+  nextCleanupAt_ = now + kCleanupInterval;
+  hostStates_.removeExpired(clock_.now());
   if (!gossip_) return;
   for (auto it = keys_.begin(); it != keys_.end();) {
-    if (view_.find(it->first)) {
+    if (hostStates_.find(it->first)) {
       ++it;
       continue;
     }
-    gossip_->onForgotten(it->second);
+    gossip_->onHostForgotten(it->second);
     names_.erase(it->second);
     it = keys_.erase(it);
   }
 }
 
-void MembershipService::arm() {
-  Time want = sweepAt_;
-  if (const auto at = policy_.wake()) want = std::min(want, *at);
-  if (gossip_) want = std::min(want, gossipAt_);
-  if (warm_ && !warm_->over())
-    if (const auto at = warm_->wake()) want = std::min(want, *at);
-  if (server_.busy()) want = std::min(want, clock_.now() + kSnapshotPause);
-  if (changed_) want = std::min(want, refilteredAt_ + kRefilterLeast);
-  if (!until_.empty()) want = std::min(want, *until_.begin());
-  if (want == armed_) return;
-  armed_ = want;
-  timer_.expires_at(clock_.steady(want));
-  timer_.async_wait([this](const boost::system::error_code& stopped) {
-    if (!stopped) onTimer();
-  });
-}
-
-void MembershipService::onTimer() {
-  armed_ = Time{};
-  const Time now = clock_.now();
-  if (const auto at = policy_.wake(); at && *at <= now) {
-    auto t = policy_.onWake(now);
-    if (t.list) gateway_.applyHostList(told(std::move(*t.list)));
-  }
-  if (gossip_ && gossipAt_ <= now) {
-    gossipAt_ = now + settings_.gossip.gossip.period;
-    for (const auto& o : gossip_->tick(now))
-      if (settings_.gossip.enabled) link_->channel().send(peer::Topic::hosts, o.to, o.payload);
-    settle();
-  }
-  if (warm_ && !warmed_) {
-    warm_->tick(now);
-    if (warm_->over()) endWarmStart();
-    sendOut();
-  }
-  for (const auto& o : server_.tick()) link_->channel().send(peer::Topic::hosts, o.to, o.payload);
-  while (!until_.empty() && *until_.begin() <= now) {
-    until_.erase(until_.begin());
-    changed_ = true;
-  }
-  if (changed_ && now >= refilteredAt_ + kRefilterLeast) {
-    changed_ = false;
-    refilteredAt_ = now;
-    gateway_.reapplyHostFilters();
-  }
-  if (now >= sweepAt_) {
-    sweepAt_ = now + kSweep;
-    forget();
-  }
-  arm();
-}
-
 }  // namespace finchstile
--- a/src/app/membership_service.hpp
+++ b/src/app/membership_service.hpp
@@ -1,6 +1,6 @@
-// What is known of hosts, in the program: lists, load reports, first-hand silence and the word of other
-// gateways come together here, and go to the gateway as a gate for its lists and a filter of its hosts. The
-// decisions are those of src/membership.
+// Ties src/membership to the gateway: endpoint lists, load reports, first-hand observations and the messages
+// of other gateways go in; effective lists and the filter for host entries come out. The decisions are those
+// of src/membership.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 #include <unordered_map>
-#include <unordered_set>
+#include <vector>
 
 #include "app/peer_link.hpp"
 #include "membership/settings.hpp"
@@ -23,22 +23,22 @@
 
 class MembershipService : HostListInterceptor, HostEntryFilter, HostObserver {
  public:
-  // To be made before the gateway starts; both and `link` must outlive it. `link`: null if there are no
-  // peers.
+  // To be constructed before the gateway starts. `config`, `gateway` and `link` must outlive the service.
+  // `link`: null if there are no peers; gossip and warm start are off then.
   MembershipService(boost::asio::io_context& io, const Clock& clock,
                     const membership::MembershipSettings& settings, const GatewayConfig& config,
                     Gateway& gateway, PeerLink* link);
 
-  std::string summary() const;     // one line, for the log
-  std::string exposition() const;  // in the exposition format
-  // What is known of one host, each fact with its source and age, or of all where `host` is empty. None: no
-  // list names it.
-  std::optional<std::string> text(const std::string& host) const;
+  std::string summary() const;     // the statistics in one line for the log
+  std::string exposition() const;  // the statistics in the exposition format of metrics
+  // What is known of one host, each observation with its source and age, or of all hosts if `host` is empty.
+  // Empty: no list names the host.
+  std::optional<std::string> describeHosts(const std::string& host) const;
 
-  const membership::ListPolicy& lists() const { return policy_; }
-  const membership::Gossip* gossip() const { return gossip_.get(); }
-  const membership::WarmStart* warmStart() const { return warm_.get(); }
-  const membership::View& view() const { return view_; }
+  const membership::ListPolicy& listPolicy() const { return listPolicy_; }
+  const membership::Gossip* gossip() const { return gossip_.get(); }           // null: there are no peers
+  const membership::WarmStart* warmStart() const { return warmStart_.get(); }  // null: off
+  const membership::HostStateTable& hostStates() const { return hostStates_; }
   membership::HostKey keyOf(std::string_view name) const;
 
  private:
@@ -50,38 +50,57 @@
   void onHostSilent(const std::string& host) override;
   void onLoadReport(const std::string& host, const load_balancing::LoadReport& report) override;
 
-  HostList told(membership::List&& list);
-  void fromPeer(peer::Number from, std::string_view payload);
-  void sendOut();
-  void endWarmStart();
-  membership::Names names() const;
-  membership::Snapshot snapshot() const;
-  std::int64_t unixMs(Time upSince) const;
-  std::optional<membership::ListedFact> factOf(const std::string& host) const;
-  void settle();  // what the word of others has changed
-  void forget();
-  void arm();
+  HostList recordList(membership::EndpointList&& list);
+  void recordEntry(const membership::ListEntry& entry, std::uint64_t version, Time now);
+  void recordOmissions(const membership::EndpointList& list, std::uint64_t version, Time now);
+  void onPeerMessage(peer::GatewayNumber from, std::string_view payload);
+  void send(const std::vector<membership::OutgoingMessage>& messages);
+  void applyGossip();
+
+  void startGossip(std::uint64_t seed, Time now);
+  void startWarmStart(Time now);
+  void finishWarmStart();
+  membership::NameResolver nameResolver() const;
+  membership::StateSnapshot makeSnapshot() const;
+  std::optional<membership::ListedHostState> listedState(const std::string& host) const;
+  const std::string* findName(membership::HostKey key) const;
+  const membership::HostState* findState(membership::HostKey key) const;
+  std::int64_t unixMs(Time startedAt) const;
+
+  Time nextTimer() const;
+  void scheduleTimer();
   void onTimer();
-  std::string line(const Gateway::HostView& host) const;
+  void onListPolicyTimer(Time now);
+  void onGossipTimer(Time now);
+  void onWarmStartTimer(Time now);
+  void onFilterTimer(Time now);
+  void onCleanupTimer(Time now);
+
+  std::string describeHost(const Gateway::HostView& host) const;
+  std::string describeListState(std::size_t hostCount) const;
 
   const Clock& clock_;
   const membership::MembershipSettings settings_;
-  const load_balancing::Settings& known_;
+  const load_balancing::Settings& balancerSettings_;
   Gateway& gateway_;
   PeerLink* const link_;
   const SipKey nameKey_;
-  membership::ListPolicy policy_;
-  membership::View view_;
+  membership::ListPolicy listPolicy_;
+  membership::HostStateTable hostStates_;
   std::unique_ptr<membership::Gossip> gossip_;
-  std::unique_ptr<membership::WarmStart> warm_;
-  membership::SnapshotServer server_;
+  std::unique_ptr<membership::WarmStart> warmStart_;
+  membership::SnapshotServer snapshotServer_;
   std::unordered_map<std::string, membership::HostKey> keys_;  // of hosts that the list names
   std::unordered_map<membership::HostKey, std::string> names_;
-  std::set<std::string> kinds_;
-  std::set<Time> until_;  // when what others said ends to hold
-  std::uint64_t renumbered_ = 0;
-  bool warmed_ = false, changed_ = false;
-  Time gossipAt_{}, sweepAt_{}, refilteredAt_{}, armed_{};
+  std::set<std::string> machineTypes_;
+  std::set<Time> restrictionEnds_;  // of phases and unresponsiveness that other gateways reported
+  std::uint64_t knownRenumberings_ = 0;
+  bool warmStartFinished_ = false;
+  bool filterChanged_ = false;  // the gateway has to apply the filter again
+  Time nextGossipAt_{};
+  Time nextCleanupAt_{};
+  Time filteredAt_{};
+  Time timerAt_{};  // 0: the timer is not set
   boost::asio::steady_timer timer_;
 };
 
--- a/src/app/membership_text.cpp
+++ b/src/app/membership_text.cpp
@@ -1,7 +1,8 @@
-// What is known of hosts, as people and scrapers read it.
+// The texts of MembershipService for operators and scrapers. Their wording, field names and metric names are
+// part of the operators' documentation; the code's terms are mapped to them here.
 #include <cmath>
-#include <cstdarg>
 #include <cstdio>
+#include <initializer_list>
 
 #include "app/membership_service.hpp"
 
@@ -10,171 +11,215 @@
 
 using load_balancing::HostPhase;
 
-const char* nameOf(HostPhase p) {
-  return p == HostPhase::active ? "in" : p == HostPhase::draining ? "draining" : "out";
+const char* phaseText(HostPhase phase) {
+  switch (phase) {
+    case HostPhase::active: return "in";
+    case HostPhase::draining: return "draining";
+    default: return "out";
+  }
 }
 
-std::string ago(Duration age) {
+std::string formatAge(Duration age) {
+  constexpr double kMsPerSecond = 1000;
+  constexpr double kMsPerMinute = 60'000;
   const double ms = std::chrono::duration<double, std::milli>(age).count();
   char text[32];
-  if (ms < 1000) std::snprintf(text, sizeof text, "%.0fms", ms);
-  else if (ms < 120'000) std::snprintf(text, sizeof text, "%.1fs", ms / 1000);
-  else std::snprintf(text, sizeof text, "%.0fm", ms / 60'000);
+  if (ms < kMsPerSecond) std::snprintf(text, sizeof text, "%.0fms", ms);
+  else if (ms < 2 * kMsPerMinute) std::snprintf(text, sizeof text, "%.1fs", ms / kMsPerSecond);
+  else std::snprintf(text, sizeof text, "%.0fm", ms / kMsPerMinute);
   return text;
 }
 
-std::string number(double v) {
+std::string formatNumber(double value) {
   char text[32];
-  std::snprintf(text, sizeof text, "%.3g", v);
+  std::snprintf(text, sizeof text, "%.3g", value);
+  return text;
+}
+
+struct Counter {
+  const char* name;
+  std::uint64_t value;
+};
+
+void appendCounters(std::string& line, std::initializer_list<Counter> counters) {
+  for (const Counter& counter : counters)
+    line += std::string(" ") + counter.name + "=" + std::to_string(counter.value);
+}
+
+// A metric family in the exposition format, with the counters' names as values of the label "what".
+void appendFamily(std::string& text, const std::string& name, std::initializer_list<Counter> counters) {
+  text += "# TYPE lb_" + name + " counter\n";
+  for (const Counter& counter : counters)
+    text += "lb_" + name + "{what=\"" + counter.name + "\"} " + std::to_string(counter.value) + "\n";
+}
+
+void appendGauge(std::string& text, const std::string& name, std::uint64_t value) {
+  text += "# TYPE lb_" + name + " gauge\n";
+  text += "lb_" + name + " " + std::to_string(value) + "\n";
+}
+
+std::string describeList(const Gateway::HostView& host, const membership::HostState* state, Time now) {
+  std::string text = std::string("list: ") + phaseText(host.listed.phase);
+  if (state) text += " version " + std::to_string(state->listed.version);
+  if (host.listed.startedAt == Time{}) return text + ", up long";
+  return text + ", up " + formatAge(now - host.listed.startedAt);
+}
+
+std::string describeLoad(const membership::HostStateTable::Load& load) {
+  const load_balancing::LoadReport& report = load.report;
+  std::string text = "report:";
+  if (!std::isnan(report.queue)) text += " queue " + formatNumber(report.queue);
+  if (!std::isnan(report.inflight)) text += " inflight " + formatNumber(report.inflight);
+  if (!std::isnan(report.latencyMs)) text += " latency " + formatNumber(report.latencyMs) + "ms";
+  return text + ", " + formatAge(load.age) + " ago, worth " + formatNumber(load.confidence);
+}
+
+std::string describePeerPhase(const membership::HostState& state, Time now) {
+  const membership::PeerPhase& peer = *state.peerPhase;
+  std::string text = std::string("peer: ") + phaseText(peer.phase) + " version " +
+                     std::to_string(peer.version) + ", " + formatAge(now - peer.observedAt) + " ago";
+  if (peer.version <= state.listed.version) text += ", our list is as new";
   return text;
 }
 
-using Figure = std::pair<const char*, std::uint64_t>;
+std::string describeObservation(const membership::WarmStart::PeerObservation& observation) {
+  return "gateway " + std::to_string(observation.from) + " at our start: pace " +
+         formatNumber(observation.record.relativeLatency) + ", " + formatAge(observation.age) +
+         " ago, weight " + formatNumber(observation.weight);
+}
 
 }  // namespace
 
-std::string MembershipService::line(const Gateway::HostView& h) const {
+std::string MembershipService::describeHost(const Gateway::HostView& host) const {
   const Time now = clock_.now();
-  const std::string& name = h.listed.address;
-  std::string out = name + " at=" + h.endpoint.address().to_string() + ":" +
-                    std::to_string(h.endpoint.port()) + " zone=" + h.listed.zone +
-                    " kind=" + h.listed.machineType + " now=" + nameOf(h.phaseInForce) + "\n";
-  const auto fact = [&](const std::string& text) { out += "  " + text + "\n"; };
-  const auto* facts = view_.find(name);
-  fact(std::string("list: ") + nameOf(h.listed.phase) +
-       (facts ? " version " + std::to_string(facts->listed.version) : "") +
-       (h.listed.startedAt == Time{} ? ", up long" : ", up " + ago(now - h.listed.startedAt)));
-  if (const auto why = policy_.reason(name); !why.empty()) fact("list in doubt: " + std::string(why));
-  fact(h.lastResponseAt == Time{} ? "own: no answer yet"
-                                  : "own: answered " + ago(now - h.lastResponseAt) + " ago");
-  if (h.avoided) fact("own: avoided by choice");
-  if (h.streams > 0) fact("own: streams " + std::to_string(h.streams));
-  if (const auto load = view_.load(name, now); facts && facts->load) {
-    std::string text = "report:";
-    const auto& r = load.report;
-    if (!std::isnan(r.queue)) text += " queue " + number(r.queue);
-    if (!std::isnan(r.inflight)) text += " inflight " + number(r.inflight);
-    if (!std::isnan(r.latencyMs)) text += " latency " + number(r.latencyMs) + "ms";
-    fact(text + ", " + ago(load.age) + " ago, worth " + number(load.confidence));
-  }
-  if (facts && facts->heard)
-    fact(std::string("peer: ") + nameOf(facts->heard->phase) + " version " +
-         std::to_string(facts->heard->version) + ", " + ago(now - facts->heard->observed) + " ago" +
-         (facts->heard->version <= facts->listed.version ? ", our list is as new" : ""));
+  const std::string& name = host.listed.address;
+  const membership::HostState* state = hostStates_.find(name);
+  std::string text = name + " at=" + host.endpoint.address().to_string() + ":" +
+                     std::to_string(host.endpoint.port()) + " zone=" + host.listed.zone +
+                     " kind=" + host.listed.machineType + " now=" + phaseText(host.phaseInForce) + "\n";
+  const auto addLine = [&](const std::string& line) { text += "  " + line + "\n"; };
+
+  addLine(describeList(host, state, now));
+  if (const auto reason = listPolicy_.restrictionReason(name); !reason.empty())
+    addLine("list in doubt: " + std::string(reason));
+  if (host.lastResponseAt == Time{}) addLine("own: no answer yet");
+  else addLine("own: answered " + formatAge(now - host.lastResponseAt) + " ago");
+  if (host.avoided) addLine("own: avoided by choice");
+  if (host.streams > 0) addLine("own: streams " + std::to_string(host.streams));
+  if (state && state->load) addLine(describeLoad(hostStates_.load(name, now)));
+  if (state && state->peerPhase) addLine(describePeerPhase(*state, now));
+
   const auto key = keys_.find(name);
-  if (gossip_ && key != keys_.end() && gossip_->silentByOthers(key->second, now)) fact("peers: silent");
-  if (warm_ && key != keys_.end())
-    for (const auto& s : warm_->said(key->second, now))
-      if (s.weight > 0)
-        fact("gateway " + std::to_string(s.from) + " at our start: pace " + number(s.told.pace) + ", " +
-             ago(s.age) + " ago, weight " + number(s.weight));
-  return out;
+  if (key == keys_.end()) return text;
+  if (gossip_ && gossip_->isUnresponsiveByQuorum(key->second, now)) addLine("peers: silent");
+  if (!warmStart_) return text;
+  for (const auto& observation : warmStart_->observationsOf(key->second, now))
+    if (observation.weight > 0) addLine(describeObservation(observation));
+  return text;
 }
 
-std::optional<std::string> MembershipService::text(const std::string& host) const {
-  std::string out;
-  const auto all = gateway_.hosts();
+std::string MembershipService::describeListState(std::size_t hostCount) const {
+  const Time acceptedAt = listPolicy_.lastAcceptedAt();
+  std::string text = "list version " + std::to_string(listPolicy_.version());
+  if (acceptedAt == Time{}) text += ", as started with";
+  else text += ", taken " + formatAge(clock_.now() - acceptedAt) + " ago";
+  if (listPolicy_.isHolding()) text += ", what it leaves out in doubt";
+  return text + ", hosts " + std::to_string(hostCount) + "\n";
+}
+
+std::optional<std::string> MembershipService::describeHosts(const std::string& host) const {
+  const auto hosts = gateway_.hosts();
   if (host.empty()) {
-    const Time at = policy_.listAt();
-    out = "list version " + std::to_string(policy_.version()) +
-          (at == Time{} ? ", as started with" : ", taken " + ago(clock_.now() - at) + " ago") +
-          (policy_.doubting() ? ", what it leaves out in doubt" : "") + ", hosts " +
-          std::to_string(all.size()) + "\n";
+    std::string text = describeListState(hosts.size());
+    for (const Gateway::HostView& view : hosts) text += describeHost(view);
+    return text;
+  }
+  std::string text;
+  bool found = false;
+  for (const Gateway::HostView& view : hosts) {
+    if (view.listed.address != host) continue;
+    text += describeHost(view);
+    found = true;
   }
-  bool any = false;
-  for (const Gateway::HostView& h : all)
-    if (host.empty() || h.listed.address == host) {
-      out += line(h);
-      any = true;
-    }
-  if (!host.empty() && !any) return std::nullopt;
-  return out;
+  return found ? std::optional(text) : std::nullopt;
 }
 
 std::string MembershipService::summary() const {
-  const auto& l = policy_.counts();
-  std::string out = "membership lists=" + std::to_string(l.lists);
-  for (const Figure& f : {Figure{"older", l.older},
-                          {"doubted", l.doubted},
-                          {"confirmed", l.confirmed},
-                          {"withdrawn", l.withdrawn},
-                          {"lapsed", l.lapsed},
-                          {"twice", l.twice},
-                          {"shared", l.shared},
-                          {"flapping", l.flapping},
-                          {"lost", l.lost}})
-    out += " " + std::string(f.first) + "=" + std::to_string(f.second);
-  if (gossip_) {
-    const auto& g = gossip_->counts();
-    for (const Figure& f : {Figure{"told", g.sent},
-                            {"heard", g.received},
-                            {"convinced", g.convinced},
-                            {"contradicted", g.contradicted},
-                            {"claims", g.claims},
-                            {"lapsed_claims", g.lapsed},
-                            {"unheard", g.unheard}})
-      out += " " + std::string(f.first) + "=" + std::to_string(f.second);
-  }
-  return out;
+  const membership::ListStatistics& lists = listPolicy_.statistics();
+  std::string line = "membership";
+  appendCounters(line, {{"lists", lists.accepted},
+                        {"older", lists.older},
+                        {"doubted", lists.held},
+                        {"confirmed", lists.confirmed},
+                        {"withdrawn", lists.withdrawn},
+                        {"lapsed", lists.expired},
+                        {"twice", lists.duplicateHosts},
+                        {"shared", lists.sharedEndpoints},
+                        {"flapping", lists.flappingHosts},
+                        {"lost", lists.watchesLost}});
+  if (!gossip_) return line;
+  const membership::GossipStatistics& gossip = gossip_->statistics();
+  appendCounters(line, {{"told", gossip.sent},
+                        {"heard", gossip.received},
+                        {"convinced", gossip.convinced},
+                        {"contradicted", gossip.contradicted},
+                        {"claims", gossip.assertions},
+                        {"lapsed_claims", gossip.expired},
+                        {"unheard", gossip.withoutReputation}});
+  return line;
 }
 
 std::string MembershipService::exposition() const {
-  std::string out;
-  const auto family = [&](const char* name, const char* type, const char* label,
-                          std::initializer_list<Figure> figures) {
-    out += std::string("# TYPE lb_") + name + " " + type + "\n";
-    for (const Figure& f : figures) {
-      out += std::string("lb_") + name;
-      if (label) out += std::string("{") + label + "=\"" + f.first + "\"}";
-      out += " " + std::to_string(f.second) + "\n";
-    }
-  };
-  const auto& l = policy_.counts();
-  family("lists_total", "counter", "what",
-         {{"taken", l.lists},
-          {"older", l.older},
-          {"renumbered", l.renumbered},
-          {"doubted", l.doubted},
-          {"confirmed", l.confirmed},
-          {"withdrawn", l.withdrawn},
-          {"lapsed", l.lapsed},
-          {"lost", l.lost}});
-  family("list_hosts_total", "counter", "what",
-         {{"twice", l.twice}, {"shared", l.shared}, {"flapping", l.flapping}, {"dropped", l.dropped}});
-  const Time at = policy_.listAt();
-  family(
-      "list_age_seconds", "gauge", nullptr,
-      {{"", at == Time{} ? 0 : static_cast<std::uint64_t>((clock_.now() - at) / std::chrono::seconds(1))}});
+  std::string text;
+  const membership::ListStatistics& lists = listPolicy_.statistics();
+  appendFamily(text, "lists_total",
+               {{"taken", lists.accepted},
+                {"older", lists.older},
+                {"renumbered", lists.renumbered},
+                {"doubted", lists.held},
+                {"confirmed", lists.confirmed},
+                {"withdrawn", lists.withdrawn},
+                {"lapsed", lists.expired},
+                {"lost", lists.watchesLost}});
+  appendFamily(text, "list_hosts_total",
+               {{"twice", lists.duplicateHosts},
+                {"shared", lists.sharedEndpoints},
+                {"flapping", lists.flappingHosts},
+                {"dropped", lists.droppedHosts}});
+  const Time acceptedAt = listPolicy_.lastAcceptedAt();
+  const Duration listAge = acceptedAt == Time{} ? Duration{} : clock_.now() - acceptedAt;
+  appendGauge(text, "list_age_seconds", static_cast<std::uint64_t>(listAge / std::chrono::seconds(1)));
   if (gossip_) {
-    const auto& g = gossip_->counts();
-    family("gossip_total", "counter", "what",
-           {{"sent", g.sent},
-            {"bytes", g.bytes},
-            {"received", g.received},
-            {"malformed", g.malformed},
-            {"convinced", g.convinced},
-            {"contradicted", g.contradicted},
-            {"claims", g.claims},
-            {"borne", g.borne},
-            {"lapsed", g.lapsed},
-            {"unheard", g.unheard},
-            {"over_share", g.overShare},
-            {"dropped", g.dropped}});
-    family("gossip_silent", "gauge", nullptr, {{"", gossip_->heldSilent()}});
-    family("snapshots_total", "counter", "what",
-           {{"answered", server_.answered()}, {"refused", server_.refused()}});
+    const membership::GossipStatistics& gossip = gossip_->statistics();
+    appendFamily(text, "gossip_total",
+                 {{"sent", gossip.sent},
+                  {"bytes", gossip.bytes},
+                  {"received", gossip.received},
+                  {"malformed", gossip.malformed},
+                  {"convinced", gossip.convinced},
+                  {"contradicted", gossip.contradicted},
+                  {"claims", gossip.assertions},
+                  {"borne", gossip.confirmed},
+                  {"lapsed", gossip.expired},
+                  {"unheard", gossip.withoutReputation},
+                  {"over_share", gossip.overFraction},
+                  {"dropped", gossip.dropped}});
+    appendGauge(text, "gossip_silent", gossip_->unresponsiveHostCount());
+    appendFamily(
+        text, "snapshots_total",
+        {{"answered", snapshotServer_.answeredCount()}, {"refused", snapshotServer_.refusedCount()}});
   }
-  if (warm_) {
-    const auto& w = warm_->counts();
-    family("warm_start_total", "counter", "what",
-           {{"asked", w.asked},
-            {"chunks", w.chunks},
-            {"complete", w.complete},
-            {"silent", w.silent},
-            {"young", w.young},
-            {"malformed", w.malformed}});
+  if (warmStart_) {
+    const membership::WarmStart::Statistics& warmStart = warmStart_->statistics();
+    appendFamily(text, "warm_start_total",
+                 {{"asked", warmStart.requested},
+                  {"chunks", warmStart.chunks},
+                  {"complete", warmStart.complete},
+                  {"silent", warmStart.timedOut},
+                  {"young", warmStart.tooYoung},
+                  {"malformed", warmStart.malformed}});
   }
-  return out;
+  return text;
 }
 
 }  // namespace finchstile
--- a/src/app/peer_link.hpp
+++ b/src/app/peer_link.hpp
@@ -1,4 +1,4 @@
-// The one channel to the other gateways, for all who talk over it.
+// The program's one channel to the other gateways, shared by everything that exchanges datagrams with them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,19 +14,21 @@
 
 class PeerLink {
  public:
-  // Throws if the secret or the address can't be had.
+  // Throws peer::SecretError if the secret is not usable, boost::system::system_error if the address is not
+  // available. `io` must outlive the link.
   PeerLink(boost::asio::io_context& io, const Clock& clock, const peer::PeerSettings& settings);
 
   peer::Channel& channel() { return channel_; }
-  // Another key for each use: what one tells of the secret says nothing of the others.
-  SipKey keyFor(std::string_view use) const;
-  peer::Number own() const { return own_; }
-  peer::Number gateways() const { return gateways_; }
-  std::string summary() const;
+  // A key of its own for each purpose: what the use of one key reveals says nothing about the others.
+  SipKey deriveKey(std::string_view purpose) const;
+  peer::GatewayNumber ownNumber() const { return ownNumber_; }
+  peer::GatewayNumber gatewayCount() const { return gatewayCount_; }
+  std::string summary() const;  // the channel's statistics in one line for the log
 
  private:
   const SipKey secret_;
-  const peer::Number own_, gateways_;
+  const peer::GatewayNumber ownNumber_;
+  const peer::GatewayNumber gatewayCount_;
   peer::Channel channel_;
 };
 
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -115,7 +115,7 @@
       };
     }
     if (members_ && adminApi_)
-      adminApi_->hosts = [this](const std::string& host) { return members_->text(host); };
+      adminApi_->hosts = [this](const std::string& host) { return members_->describeHosts(host); };
     if (members_) waitToReport();
     if (built_.file.trace.enabled) {
       trace_ = std::make_unique<TraceLog>(io_, clock_, built_.file.trace, config_.name);
@@ -140,7 +140,7 @@
       c.settings.hostStreamRate = s.hostRate;
       c.settings.streamRetrySpread = s.returnWithin;
     }
-    if (built_.file.configuration.enabled) c.reservedDescriptors = configuration::kDescriptors;
+    if (built_.file.configuration.enabled) c.reservedDescriptors = configuration::kMaxClientDescriptors;
     if (const char* fd = std::getenv("LB_INHERITED_FD"); fd && *fd)
       c.inheritedListenerDescriptor = readDescriptor(fd);
     return c;
--- a/src/configuration/client.cpp
+++ b/src/configuration/client.cpp
@@ -5,247 +5,272 @@
 #include <boost/asio/strand.hpp>
 #include <utility>
 
-#include "configuration/file.hpp"
+#include "configuration/snapshot_file.hpp"
 
 namespace finchstile::configuration {
 namespace {
 
-constexpr unsigned kOk = 200, kUnavailable = 503;
-// The file is written this often at the most: the whole of it, for a change of one tenant too. What was
-// missed since is asked for at the next start.
-constexpr Duration kKeepEvery = std::chrono::seconds(30);
+constexpr unsigned kStatusOk = 200;
+constexpr unsigned kStatusUnavailable = 503;
+// The file holds the complete set, so writing it at each change would cost too much. Versions that a crash
+// loses are polled again after the start.
+constexpr Duration kMinFileWriteInterval = std::chrono::seconds(30);
 
 }  // namespace
 
-// Used by one job of the worker at a time.
-struct Client::Shared {
-  Shared(const load_balancing::Settings& start, std::string path) : store(start), file(std::move(path)) {}
-  Store store;
-  const std::string file;
+// What the worker's jobs share; they run one at a time.
+struct Client::WorkerState {
+  WorkerState(const load_balancing::Settings& start, std::string snapshotPath)
+      : store(start), path(std::move(snapshotPath)) {}
 
-  // Tells what is wrong with the file, if something is; empty: nothing.
-  std::string keep() const {
-    try {
-      writeWhole(file, store.text());
-      return {};
-    } catch (const std::exception& bad) {
-      return bad.what();
-    }
-  }
+  ConfigurationStore store;
+  const std::string path;
 };
 
-struct Client::Done {
-  std::uint64_t call = 0;  // which it answers
-  Result result;
-  Position position;
-  std::size_t tenants = 0;
-  std::string unreadable;  // why the answer is no update; empty: it is one
+struct Client::ProcessedUpdate {
+  std::uint64_t pollNumber = 0;
+  ApplyOutcome outcome;
+  VersionState versionState;
+  std::size_t tenantCount = 0;
+  std::string parseError;  // empty: the response was an update
 };
 
 Client::Client(boost::asio::io_context& io, const boost::asio::any_io_executor& worker, const Clock& clock,
-               const ConfigurationSettings& settings, const std::string& gateway, std::uint64_t seed,
-               const load_balancing::Settings& start, std::function<void(const SettingsChange&)> take,
-               std::function<void(const std::string&)> say)
+               const ConfigurationSettings& settings, const std::string& gatewayName, std::uint64_t seed,
+               const load_balancing::Settings& start, std::function<void(const SettingsChange&)> applyChange,
+               std::function<void(const std::string&)> log)
     : io_(io),
       worker_(boost::asio::make_strand(worker)),
       clock_(clock),
       settings_(settings),
-      gateway_(gateway),
-      take_(std::move(take)),
-      say_(std::move(say)),
-      engine_(seed),
-      sources_(settings.addresses, gateway, settings.sources),
-      shared_(std::make_shared<Shared>(start, settings.file)),
-      alive_(std::make_shared<Client*>(this)),
-      watch_(io, kUpdateMost, *this),
-      timer_(io),
-      keepTimer_(io),
-      keepNext_(clock.now()) {
-  figures_.tenants = shared_->store.tenants();
+      gatewayName_(gatewayName),
+      applyChange_(std::move(applyChange)),
+      log_(std::move(log)),
+      randomEngine_(seed),
+      endpoints_(settings.addresses, gatewayName, settings.backoff),
+      workerState_(std::make_shared<WorkerState>(start, settings.snapshotPath)),
+      self_(std::make_shared<Client*>(this)),
+      watch_(io, kMaxUpdateBytes, *this),
+      pollTimer_(io),
+      fileTimer_(io),
+      nextFileWriteAt_(clock.now()) {
+  statistics_.tenantCount = workerState_->store.tenantCount();
 }
 
-Client::~Client() { *alive_ = nullptr; }
+Client::~Client() { *self_ = nullptr; }
 
 void Client::start() {
   running_ = true;
-  if (!std::exchange(recovered_, true)) recover();
-  // Danger: all gateways may start in one moment.
-  schedule(clock_.now() + Duration(static_cast<std::int64_t>(
-                              draw() * static_cast<double>(settings_.sources.failover.count()))));
+  if (!std::exchange(snapshotFileLoaded_, true)) loadSnapshotFile();
+  // All gateways may start at the same moment, so the first poll is delayed at random.
+  const auto maxDelay = static_cast<double>(settings_.backoff.maxFailoverDelay.count());
+  schedulePoll(clock_.now() + Duration(static_cast<std::int64_t>(randomUnit() * maxDelay)));
 }
 
 void Client::stop() {
   running_ = false;
-  timer_.cancel();
+  pollTimer_.cancel();
   watch_.stop();
 }
 
-// Before the gateway serves: nothing waits for the loop yet.
-void Client::recover() {
-  if (settings_.file.empty()) return;
+// Runs on the loop: the gateway does not serve yet, so nothing is blocked. The log lines are part of the
+// operators' documentation.
+void Client::loadSnapshotFile() {
+  if (settings_.snapshotPath.empty()) return;
+  ConfigurationStore& store = workerState_->store;
   try {
-    const auto text = readWhole(settings_.file);
+    const auto text = readFileIfExists(settings_.snapshotPath);
     if (!text) return;
-    Done kept;
-    kept.result = shared_->store.apply(parseUpdate(*text));
-    if (kept.result.verdict != Verdict::taken)
-      return say_("configuration: " + settings_.file + " is not taken: " + describe(kept.result.problems));
-    kept.position = position_ = shared_->store.position();
-    figures_.inForce = position_.version;
-    figures_.tenants = shared_->store.tenants();
-    take_(kept.result.terms);
-    say_("configuration: " + describe(position_.version) + " in force, from " + settings_.file);
-  } catch (const std::exception& bad) {
-    say_("configuration: " + settings_.file + " is not taken: " + bad.what());
+    const ApplyOutcome outcome = store.apply(parseUpdate(*text));
+    if (outcome.result != ApplyResult::accepted) {
+      log_("configuration: " + settings_.snapshotPath + " is not taken: " + describe(outcome.errors));
+      return;
+    }
+    versionState_ = store.versionState();
+    statistics_.activeVersion = versionState_.version;
+    statistics_.tenantCount = store.tenantCount();
+    applyChange_(outcome.change);
+    log_("configuration: " + describe(versionState_.version) + " in force, from " + settings_.snapshotPath);
+  } catch (const std::exception& error) {
+    log_("configuration: " + settings_.snapshotPath + " is not taken: " + error.what());
   }
 }
 
-double Client::draw() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
+double Client::randomUnit() { return static_cast<double>(randomEngine_() >> 11) * 0x1.0p-53; }
+
+// --- Polling
 
-void Client::schedule(Time notBefore) {
-  const Sources::Choice choice = sources_.choose(clock_.now(), draw());
-  source_ = choice.source;
-  timer_.expires_at(clock_.steady(std::max(notBefore, choice.at)));
-  timer_.async_wait([alive = alive_](const boost::system::error_code& stopped) {
-    if (!stopped && *alive && (*alive)->running_) (*alive)->ask();
+void Client::schedulePoll(Time notBefore) {
+  const ControlPlaneEndpoints::Choice choice = endpoints_.choose(clock_.now(), randomUnit());
+  currentEndpoint_ = choice.endpoint;
+  pollTimer_.expires_at(clock_.steady(std::max(notBefore, choice.notBefore)));
+  pollTimer_.async_wait([self = self_](const boost::system::error_code& cancelled) {
+    if (!cancelled && *self && (*self)->running_) (*self)->poll();
   });
 }
 
-void Client::ask() {
-  askedAt_ = clock_.now();
-  sources_.asked(source_);
-  ++figures_.polls;
-  ++call_;
-  // Danger: with two machines silent at once a held call to the second would take the term of a change. What
-  // is newer is answered at once, and no news is a word too.
-  const Duration wait = afterFailure_ ? Duration{} : settings_.wait;
-  const Watch::Patience patience{wait + settings_.silence, settings_.silence, settings_.whole};
-  watch_.call(settings_.endpoints[source_], pollTarget({gateway_, position_, wait}), patience);
+void Client::poll() {
+  polledAt_ = clock_.now();
+  endpoints_.onPolled(currentEndpoint_);
+  ++statistics_.polls;
+  ++pollNumber_;
+  // After a failure the next machine may be silent too, and a held poll would delay a change by its full
+  // wait. Without a wait the machine has to answer at once, with or without news.
+  const Duration maxWait = retryingAfterFailure_ ? Duration{} : settings_.longPollWait;
+  const Watch::Patience patience{maxWait + settings_.silenceTimeout, settings_.silenceTimeout,
+                                 settings_.maxResponseTime};
+  const PollRequest request{gatewayName_, versionState_, maxWait};
+  watch_.call(settings_.endpoints[currentEndpoint_], formatPollTarget(request), patience);
 }
 
-void Client::onWatchLost() { sourceFailed(); }
+void Client::onWatchLost() { onEndpointFailure(); }
 
-void Client::sourceFailed() {
-  sources_.failed(source_, clock_.now(), draw());
-  figures_.sourceFailures = sources_.failures();
-  afterFailure_ = true;
+void Client::onEndpointFailure() {
+  endpoints_.onFailure(currentEndpoint_, clock_.now(), randomUnit());
+  statistics_.endpointFailures = endpoints_.failureCount();
+  retryingAfterFailure_ = true;
   watch_.stop();
-  schedule(clock_.now());
+  schedulePoll(clock_.now());
 }
 
-void Client::onWatchResponse(WatchResponse&& answer) {
-  if (answer.status == kUnavailable && answer.retryAfter > Duration{}) {
-    sources_.busy(source_, clock_.now(), answer.retryAfter, draw());
-    return schedule(clock_.now());
+void Client::onWatchResponse(WatchResponse&& response) {
+  if (response.status == kStatusUnavailable && response.retryAfter > Duration{}) {
+    endpoints_.onRetryAfter(currentEndpoint_, clock_.now(), response.retryAfter, randomUnit());
+    schedulePoll(clock_.now());
+  } else if (response.status != kStatusOk) {
+    onEndpointFailure();
+  } else {
+    processOnWorker(std::move(response.body));
   }
-  if (answer.status != kOk) return sourceFailed();
-  boost::asio::post(
-      worker_, [&io = io_, alive = alive_, shared = shared_, call = call_, body = std::move(answer.body)] {
-        auto made = std::make_shared<Done>();
-        made->call = call;
-        try {
-          made->result = shared->store.apply(parseUpdate(body));
-        } catch (const std::exception& bad) {
-          made->unreadable = bad.what();
-        }
-        made->position = shared->store.position();
-        made->tenants = shared->store.tenants();
-        boost::asio::post(io, [alive, made] {
-          if (*alive) (*alive)->done(*made);
-        });
-      });
 }
 
-// Between two requests: all of a change is taken over before this returns.
-void Client::done(const Done& made) {
-  position_ = made.position;
-  figures_.tenants = made.tenants;
-  if (made.unreadable.empty() && made.result.verdict == Verdict::taken) {
-    take_(made.result.terms);
-    keepSoon();
+// Parses and applies the update on the worker and returns to the loop with the result.
+void Client::processOnWorker(std::string&& body) {
+  boost::asio::post(worker_, [&io = io_, self = self_, state = workerState_, pollNumber = pollNumber_,
+                              text = std::move(body)] {
+    auto processed = std::make_shared<ProcessedUpdate>();
+    processed->pollNumber = pollNumber;
+    try {
+      processed->outcome = state->store.apply(parseUpdate(text));
+    } catch (const std::exception& error) {
+      processed->parseError = error.what();
+    }
+    processed->versionState = state->store.versionState();
+    processed->tenantCount = state->store.tenantCount();
+    boost::asio::post(io, [self, processed] {
+      if (*self) (*self)->onUpdateProcessed(*processed);
+    });
+  });
+}
+
+// Runs on the loop between two requests, so each request sees all of a change or nothing of it.
+void Client::onUpdateProcessed(const ProcessedUpdate& processed) {
+  versionState_ = processed.versionState;
+  statistics_.tenantCount = processed.tenantCount;
+  const bool parsed = processed.parseError.empty();
+  const ApplyResult result = processed.outcome.result;
+  if (parsed && result == ApplyResult::accepted) {
+    applyChange_(processed.outcome.change);
+    scheduleFileWrite();
+  }
+  recordResult(processed);
+  // A client that was stopped and started meanwhile has polled again; going on here would make two polls at
+  // once.
+  if (!running_ || processed.pollNumber != pollNumber_) return;
+  // Errors are reported with the next poll, and the machine does not send that version again.
+  const bool reportsErrors = !processed.outcome.errors.empty();
+  const bool usable = result == ApplyResult::accepted || result == ApplyResult::unchanged ||
+                      result == ApplyResult::gap || reportsErrors;
+  if (!parsed || !usable) {
+    onEndpointFailure();
+    return;
   }
-  note(made);
-  // Danger: a client that was stopped and started meanwhile has asked anew; two polls would be out at once.
-  if (!running_ || made.call != call_) return;
-  const bool told = !made.result.problems.empty();  // the next poll says so: this version is not sent again
-  const Verdict verdict = made.result.verdict;
-  const bool good =
-      verdict == Verdict::taken || verdict == Verdict::unchanged || verdict == Verdict::gap || told;
-  if (!made.unreadable.empty() || !good) return sourceFailed();
-  sources_.answered(source_);
-  afterFailure_ = false;
-  schedule(askedAt_ + settings_.pace);
+  endpoints_.onSuccess(currentEndpoint_);
+  retryingAfterFailure_ = false;
+  schedulePoll(polledAt_ + settings_.minPollInterval);
 }
 
-void Client::keepSoon() {
-  if (settings_.file.empty() || std::exchange(keepPending_, true)) return;
-  keepTimer_.expires_at(clock_.steady(keepNext_));
-  keepTimer_.async_wait([alive = alive_](const boost::system::error_code& stopped) {
-    if (!stopped && *alive) (*alive)->keep();
-  });
+// Counts and logs the result. The line of a rejected version is part of the operators' documentation.
+void Client::recordResult(const ProcessedUpdate& processed) {
+  const std::string& address = settings_.addresses[currentEndpoint_];
+  if (!processed.parseError.empty()) {
+    log_("configuration: " + address + " answers what is " + processed.parseError);
+    return;
+  }
+  const ApplyOutcome& outcome = processed.outcome;
+  switch (outcome.result) {
+    case ApplyResult::accepted:
+      ++statistics_.accepted;
+      statistics_.activeVersion = processed.versionState.version;
+      statistics_.lastRejected.reset();
+      return;
+    case ApplyResult::rejected:
+    case ApplyResult::conflict: {
+      if (outcome.errors.empty()) return;
+      ++(outcome.result == ApplyResult::rejected ? statistics_.rejected : statistics_.conflicts);
+      const RejectedVersion& rejected = *processed.versionState.rejected;
+      statistics_.lastRejected = rejected.version;
+      log_("configuration: " + describe(rejected.version) + " from " + address + " not taken, " +
+           describe(statistics_.activeVersion) + " stays in force: " + rejected.reason);
+      return;
+    }
+    case ApplyResult::gap: ++statistics_.gaps; return;
+    case ApplyResult::stale: ++statistics_.stale; return;
+    case ApplyResult::unchanged: return;
+  }
 }
 
-// Beside the loop, like all that takes as long as the set is large.
-void Client::keep() {
-  keepPending_ = false;
-  keepNext_ = clock_.now() + kKeepEvery;
-  boost::asio::post(worker_, [&io = io_, alive = alive_, shared = shared_] {
-    const std::string wrong = shared->keep();
-    if (wrong.empty()) return;
-    boost::asio::post(io, [alive, wrong] {
-      if (*alive) (*alive)->say_("configuration: " + wrong);
-    });
+// --- The file
+
+void Client::scheduleFileWrite() {
+  if (settings_.snapshotPath.empty() || std::exchange(fileWritePending_, true)) return;
+  fileTimer_.expires_at(clock_.steady(nextFileWriteAt_));
+  fileTimer_.async_wait([self = self_](const boost::system::error_code& cancelled) {
+    if (!cancelled && *self) (*self)->writeFileOnWorker();
   });
 }
 
-void Client::note(const Done& made) {
-  if (!made.unreadable.empty())
-    return say_("configuration: " + settings_.addresses[source_] + " answers what is " + made.unreadable);
-  const std::string from = " from " + settings_.addresses[source_];
-  switch (made.result.verdict) {
-    case Verdict::taken:
-      ++figures_.taken;
-      figures_.inForce = made.position.version;
-      figures_.refused.reset();
-      return;
-    case Verdict::refused:
-    case Verdict::conflict:
-      if (made.result.problems.empty()) return;
-      ++(made.result.verdict == Verdict::refused ? figures_.turnedDown : figures_.conflicts);
-      figures_.refused = made.position.turnedDown->version;
-      return say_("configuration: " + describe(*figures_.refused) + from + " not taken, " +
-                  describe(figures_.inForce) + " stays in force: " + made.position.turnedDown->reason);
-    case Verdict::gap: ++figures_.gaps; return;
-    case Verdict::behind: ++figures_.behind; return;
-    case Verdict::unchanged: return;
-  }
+void Client::writeFileOnWorker() {
+  fileWritePending_ = false;
+  nextFileWriteAt_ = clock_.now() + kMinFileWriteInterval;
+  boost::asio::post(worker_, [&io = io_, self = self_, state = workerState_] {
+    try {
+      replaceFile(state->path, state->store.serialize());
+    } catch (const std::exception& error) {
+      boost::asio::post(io, [self, message = std::string(error.what())] {
+        if (*self) (*self)->log_("configuration: " + message);
+      });
+    }
+  });
 }
 
+// --- Statistics
+
 std::string Client::exposition() const {
   std::string text;
-  const auto line = [&](const char* name, std::uint64_t value) {
+  const auto addMetric = [&](const char* name, std::uint64_t value) {
     text += std::string("lb_configuration_") + name + " " + std::to_string(value) + "\n";
   };
-  line("epoch", figures_.inForce.epoch);
-  line("revision", figures_.inForce.revision);
-  line("tenants", figures_.tenants);
-  line("taken_total", figures_.taken);
-  line("refused_total", figures_.turnedDown);
-  line("conflicts_total", figures_.conflicts);
-  line("gaps_total", figures_.gaps);
-  line("behind_total", figures_.behind);
-  line("polls_total", figures_.polls);
-  line("source_failures_total", figures_.sourceFailures);
+  addMetric("epoch", statistics_.activeVersion.epoch);
+  addMetric("revision", statistics_.activeVersion.revision);
+  addMetric("tenants", statistics_.tenantCount);
+  addMetric("taken_total", statistics_.accepted);
+  addMetric("refused_total", statistics_.rejected);
+  addMetric("conflicts_total", statistics_.conflicts);
+  addMetric("gaps_total", statistics_.gaps);
+  addMetric("behind_total", statistics_.stale);
+  addMetric("polls_total", statistics_.polls);
+  addMetric("source_failures_total", statistics_.endpointFailures);
   return text;
 }
 
 std::string Client::summary() const {
-  std::string line = "configuration in_force=" + describe(figures_.inForce) +
-                     " tenants=" + std::to_string(figures_.tenants) +
-                     " taken=" + std::to_string(figures_.taken) +
-                     " refused=" + std::to_string(figures_.turnedDown);
-  if (figures_.refused) line += " last_refused=" + describe(*figures_.refused);
-  return line + " source_failures=" + std::to_string(figures_.sourceFailures);
+  std::string line = "configuration in_force=" + describe(statistics_.activeVersion) +
+                     " tenants=" + std::to_string(statistics_.tenantCount) +
+                     " taken=" + std::to_string(statistics_.accepted) +
+                     " refused=" + std::to_string(statistics_.rejected);
+  if (statistics_.lastRejected) line += " last_refused=" + describe(*statistics_.lastRejected);
+  return line + " source_failures=" + std::to_string(statistics_.endpointFailures);
 }
 
 }  // namespace finchstile::configuration
--- a/src/configuration/client.hpp
+++ b/src/configuration/client.hpp
@@ -1,6 +1,6 @@
-// A gateway's side of the distribution of configuration: asks the control machines for what is newer, has it
-// checked beside the loop, and hands over what is to be in force. What becomes of an update is decided by
-// Store, whom to ask by Sources.
+// Polls the control machines for newer versions of the configuration and hands accepted changes to the
+// gateway. ConfigurationStore decides what becomes of an update, ControlPlaneEndpoints which machine is
+// polled and when.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,91 +13,100 @@
 #include <random>
 #include <string>
 
-#include "configuration/poll.hpp"
+#include "configuration/configuration_store.hpp"
+#include "configuration/control_plane_endpoints.hpp"
+#include "configuration/poll_request.hpp"
 #include "configuration/settings.hpp"
-#include "configuration/sources.hpp"
-#include "configuration/store.hpp"
 #include "net/clock.hpp"
 #include "net/watch.hpp"
 
 namespace finchstile::configuration {
 
-inline constexpr std::size_t kUpdateMost =
-    std::size_t{32} * 1024 * 1024;  // bytes: 131,072 tenants with long names
-
-// That a client needs at the most: its connection, one that it has just left, and the file that is written.
-inline constexpr std::size_t kDescriptors = 3;
+// File descriptors that a client holds at most: its connection, the one it has just closed, and the file that
+// is written.
+inline constexpr std::size_t kMaxClientDescriptors = 3;
 
 class Client : WatchCallbacks {
  public:
-  struct Figures {
-    Version inForce;
-    std::optional<Version> refused;  // the last one that was turned down, while nothing newer is in force
-    std::uint64_t taken = 0, turnedDown = 0, gaps = 0, conflicts = 0, behind = 0, polls = 0,
-                  sourceFailures = 0;
-    std::size_t tenants = 0;
+  struct Statistics {
+    Version activeVersion;
+    std::optional<Version> lastRejected;  // reset when a newer version is accepted
+    std::uint64_t accepted = 0;
+    std::uint64_t rejected = 0;
+    std::uint64_t gaps = 0;
+    std::uint64_t conflicts = 0;
+    std::uint64_t stale = 0;
+    std::uint64_t polls = 0;
+    std::uint64_t endpointFailures = 0;
+    std::size_t tenantCount = 0;  // of the active set
   };
 
-  // `worker`: where updates are read and checked; not the loop's thread, or long ones hold it up. `take` is
-  // called on the loop and takes all of a change over before it returns. `say` logs a line. `start` is the
-  // configuration that holds before any version.
+  // `worker` runs the parsing and checking of updates and the writing of the file; it must not be the loop's
+  // thread, which long updates would block. `applyChange` is called on the loop and has to apply all of a
+  // change before it returns. `log` writes one line. `start` is the configuration that is active before any
+  // version; `seed` is for the jitter. `io`, `clock` and what the callbacks use must outlive the client;
+  // `worker` must run or be joined.
   Client(boost::asio::io_context& io, const boost::asio::any_io_executor& worker, const Clock& clock,
-         const ConfigurationSettings& settings, const std::string& gateway, std::uint64_t seed,
-         const load_balancing::Settings& start, std::function<void(const SettingsChange&)> take,
-         std::function<void(const std::string&)> say);
+         const ConfigurationSettings& settings, const std::string& gatewayName, std::uint64_t seed,
+         const load_balancing::Settings& start, std::function<void(const SettingsChange&)> applyChange,
+         std::function<void(const std::string&)> log);
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  // Takes the last good version of the file over, if there is one that is whole, and begins to ask.
+  // Starts to poll. The first call applies the version in the file before, if there is a valid one.
   void start();
+  // Ends polling; `start` resumes it.
   void stop();
 
-  const Figures& figures() const { return figures_; }
-  std::string exposition() const;  // the figures, in the exposition format
-  std::string summary() const;     // one line
+  const Statistics& statistics() const { return statistics_; }
+  std::string exposition() const;  // the statistics in the exposition format of metrics
+  std::string summary() const;     // the statistics in one line for the log
   std::uint64_t bytesSent() const { return watch_.bytesSent(); }
   std::uint64_t bytesReceived() const { return watch_.bytesReceived(); }
 
  private:
-  struct Shared;  // what the worker has: the store, and where its version is kept
-  struct Done;    // what the worker has made of an answer
+  struct WorkerState;
+  struct ProcessedUpdate;
 
-  void recover();
-  void schedule(Time notBefore);
-  void ask();
-  void onWatchResponse(WatchResponse&& answer) override;
+  void loadSnapshotFile();
+  void schedulePoll(Time notBefore);
+  void poll();
+  void onWatchResponse(WatchResponse&& response) override;
   void onWatchLost() override;
-  void done(const Done& done);
-  void note(const Done& done);
-  void keepSoon();
-  void keep();
-  void sourceFailed();
-  double draw();
+  void processOnWorker(std::string&& body);
+  void onUpdateProcessed(const ProcessedUpdate& processed);
+  void recordResult(const ProcessedUpdate& processed);
+  void onEndpointFailure();
+  void scheduleFileWrite();
+  void writeFileOnWorker();
+  double randomUnit();
 
   boost::asio::io_context& io_;
-  boost::asio::any_io_executor worker_;  // one job at a time
+  boost::asio::any_io_executor worker_;  // a strand: one job at a time
   const Clock& clock_;
   const ConfigurationSettings settings_;
-  const std::string gateway_;
-  const std::function<void(const SettingsChange&)> take_;
-  const std::function<void(const std::string&)> say_;
-  std::mt19937_64 engine_;
-  Sources sources_;
-  std::shared_ptr<Shared> shared_;
-  std::shared_ptr<Client*>
-      alive_;  // null behind it: this client is gone, and answers of the worker are of no use
-  Position position_;
+  const std::string gatewayName_;
+  const std::function<void(const SettingsChange&)> applyChange_;
+  const std::function<void(const std::string&)> log_;
+  std::mt19937_64 randomEngine_;
+  ControlPlaneEndpoints endpoints_;
+  std::shared_ptr<WorkerState> workerState_;
+  // Points to null once this client is destroyed: results of the worker are dropped then.
+  std::shared_ptr<Client*> self_;
+  VersionState versionState_;
   Watch watch_;
-  boost::asio::steady_timer timer_, keepTimer_;
-  Time keepNext_;  // the file is not written before
-  bool keepPending_ = false;
-  std::size_t source_ = 0;  // that is asked just now
-  Time askedAt_{};
-  std::uint64_t call_ = 0;  // number of the last one
-  bool running_ = false, recovered_ = false;
-  bool afterFailure_ = false;  // nothing was answered since a call failed
-  Figures figures_;
+  boost::asio::steady_timer pollTimer_;
+  boost::asio::steady_timer fileTimer_;
+  Time nextFileWriteAt_;
+  bool fileWritePending_ = false;
+  std::size_t currentEndpoint_ = 0;  // of the poll that is out or scheduled
+  Time polledAt_{};
+  std::uint64_t pollNumber_ = 0;  // of the last poll
+  bool running_ = false;
+  bool snapshotFileLoaded_ = false;
+  bool retryingAfterFailure_ = false;  // no poll was answered since one failed
+  Statistics statistics_;
 };
 
 }  // namespace finchstile::configuration
--- a/src/configuration/document.cpp
+++ b/src/configuration/document.cpp
@@ -8,8 +8,8 @@
 namespace finchstile::configuration {
 namespace {
 
-constexpr SipKey kHashKey{};              // the same at every gateway and control machine
-constexpr std::size_t kProblemsTold = 3;  // in one line
+// A fixed key: every gateway and control machine has to compute equal hashes.
+constexpr SipKey kHashKey{};
 
 std::string bytesOf(double value) {
   std::string bytes;
@@ -19,31 +19,26 @@
 
 }  // namespace
 
-std::string describe(const Problem& problem) {
-  return problem.key + (problem.field.empty() ? "" : "." + problem.field) + ": " + problem.what;
-}
+bool isTenantKey(std::string_view key) { return key.starts_with(kTenantPrefix); }
 
-std::string describe(const std::vector<Problem>& problems) {
-  std::string line;
-  for (std::size_t i = 0; i < problems.size() && i < kProblemsTold; ++i)
-    line += (i > 0 ? "; " : "") + describe(problems[i]);
-  if (problems.size() > kProblemsTold)
-    line += "; and " + std::to_string(problems.size() - kProblemsTold) + " more";
-  return line;
-}
+std::string nameInKey(std::string_view key) { return std::string(key.substr(key.find('/') + 1)); }
 
-std::uint64_t hashOf(const TenantDocument& tenant) {
+std::uint64_t documentHash(const TenantDocument& tenant) {
   SipHasher hasher(kHashKey);
   hasher.add(kTenantPrefix).add(tenant.name).add(bytesOf(tenant.quotaPerSecond));
   return hasher.end().low;
 }
 
-std::uint64_t hashOf(const ClassDocument& cls) {
-  const double aimMs = std::chrono::duration<double, std::milli>(cls.aim).count();
+std::uint64_t documentHash(const ClassDocument& cls) {
+  const double objectiveMs = std::chrono::duration<double, std::milli>(cls.latencyObjective).count();
   SipHasher hasher(kHashKey);
-  hasher.add(kClassPrefix).add(cls.name).add(bytesOf(cls.worth));
-  hasher.add(bytesOf(aimMs)).add(bytesOf(cls.lateShare));
+  hasher.add(kClassPrefix).add(cls.name).add(bytesOf(cls.priorityWeight));
+  hasher.add(bytesOf(objectiveMs)).add(bytesOf(cls.lateValueFraction));
   return hasher.end().low;
 }
 
+std::uint64_t documentHash(const Document& document) {
+  return std::visit([](const auto& alternative) { return documentHash(alternative); }, document);
+}
+
 }  // namespace finchstile::configuration
--- a/src/configuration/document.hpp
+++ b/src/configuration/document.hpp
@@ -1,4 +1,4 @@
-// The documents that a configuration is made of: the terms of one tenant or of one class, by key. No I/O.
+// The documents of a configuration: the settings of one tenant or of one class, addressed by key. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -6,49 +6,45 @@
 #include <string>
 #include <string_view>
 #include <variant>
-#include <vector>
 
 #include "finchstile/load_balancer.hpp"
 
 namespace finchstile::configuration {
 
-// "tenant/NAME".
+inline constexpr std::string_view kTenantPrefix = "tenant/";
+inline constexpr std::string_view kClassPrefix = "class/";
+inline constexpr std::size_t kMaxNameBytes = 256;  // of a tenant's or class's name
+
+// Stored under "tenant/NAME".
 struct TenantDocument {
   std::string name;
-  double quotaPerSecond = 0;  // over all gateways; 0 = no quota
+  double quotaPerSecond = 0;  // requests per second over all gateways; 0: no quota
 };
 
-// "class/NAME": a class that the platform's configuration names.
+// Stored under "class/NAME". Overrides the settings that the gateway started with for this class.
 struct ClassDocument {
   std::string name;
-  double worth = 1;
-  load_balancing::Duration aim{};
-  double lateShare = 0;
+  double priorityWeight = 1;  // "worth" on the wire
+  load_balancing::Duration latencyObjective{};
+  double lateValueFraction = 0;  // "late_share" on the wire; 0 to 1
 };
 
 using Document = std::variant<TenantDocument, ClassDocument>;
 
-// A document that is set, or removed, under its key.
-struct Change {
+// Sets the document under a key, or removes it.
+struct DocumentChange {
   std::string key;
-  std::optional<Document> document;  // none: removed
+  std::optional<Document> document;  // empty: removes the key
 };
 
-// What is wrong with one key of an update.
-struct Problem {
-  std::string key, field;  // field: empty if the whole entry is meant
-  std::string what;        // with what is right
-};
-std::string describe(const Problem& problem);                // one line
-std::string describe(const std::vector<Problem>& problems);  // one line, the first few of them
-
-inline constexpr std::string_view kTenantPrefix = "tenant/";
-inline constexpr std::string_view kClassPrefix = "class/";
-inline constexpr std::size_t kNameLongest = 256;  // bytes of a tenant's or class's name
+bool isTenantKey(std::string_view key);
+// The part of a key after its prefix; the whole key if it has no prefix.
+std::string nameInKey(std::string_view key);
 
-// Hash of one document. The hash of a set is the sum of those of its documents, modulo 2^64, so that a change
-// costs as much as what it changes. It tells replicas that differ; it is no protection against forgery.
-std::uint64_t hashOf(const TenantDocument& tenant);
-std::uint64_t hashOf(const ClassDocument& cls);
+// The hash of one document. The hash of a set is the sum of its documents' hashes modulo 2^64, so updating it
+// costs no more than the change itself. It detects replicas that differ; it does not protect against forgery.
+std::uint64_t documentHash(const TenantDocument& tenant);
+std::uint64_t documentHash(const ClassDocument& cls);
+std::uint64_t documentHash(const Document& document);
 
 }  // namespace finchstile::configuration
--- a/src/configuration/settings.cpp
+++ b/src/configuration/settings.cpp
@@ -7,16 +7,16 @@
 
 using std::chrono::milliseconds;
 using std::chrono::minutes;
-using std::chrono::seconds;
 
-constexpr std::size_t kSourcesMost = 1024;
-constexpr std::size_t kAddressLongest = 64, kPathLongest = 4096;
+constexpr std::size_t kMaxEndpoints = 1024;
+constexpr std::size_t kMaxAddressBytes = 64;
+constexpr std::size_t kMaxPathBytes = 4096;
 
-void readSources(SettingReader& reader, ConfigurationSettings& out) {
-  if (!reader.texts("sources", out.addresses, kSourcesMost, kAddressLongest)) return;
+void readEndpoints(SettingReader& reader, ConfigurationSettings& out) {
+  if (!reader.texts("sources", out.addresses, kMaxEndpoints, kMaxAddressBytes)) return;
   for (const std::string& address : out.addresses) {
-    if (const auto at = parseListenAddress(address)) {
-      out.endpoints.emplace_back(at->first, at->second);
+    if (const auto parsed = parseListenAddress(address)) {
+      out.endpoints.emplace_back(parsed->first, parsed->second);
     } else {
       reader.error("sources", "has '" + address + "', which is no address and port, as 10.0.0.1:7000 is");
     }
@@ -26,21 +26,23 @@
 }  // namespace
 
 void readConfigurationSettings(SettingReader& root, const std::string& folder, ConfigurationSettings& out) {
-  root.table("configuration", [&](SettingReader& r) {
-    r.boolean("enabled", out.enabled);
-    readSources(r, out);
-    r.duration("wait", out.wait, milliseconds(100), minutes(1));
-    r.duration("silence", out.silence, milliseconds(50), minutes(1));
-    r.duration("whole", out.whole, milliseconds(100), minutes(10));
-    r.duration("pace", out.pace, milliseconds(0), minutes(1));
-    r.duration("failover", out.sources.failover, milliseconds(0), minutes(1));
-    r.duration("retry_least", out.sources.retryLeast, milliseconds(10), minutes(10));
-    r.duration("retry_most", out.sources.retryMost, milliseconds(10), minutes(10));
-    if (r.text("file", out.file, kPathLongest)) out.file = resolvePath(folder, out.file);
-    if (out.sources.retryMost < out.sources.retryLeast)
-      r.error("retry_most", "must be as long as configuration.retry_least at least");
-    if (out.enabled) r.require("sources", "names the control machines");
-    if (out.enabled && out.addresses.empty()) r.error("sources", "must name one control machine at least");
+  root.table("configuration", [&](SettingReader& reader) {
+    reader.boolean("enabled", out.enabled);
+    readEndpoints(reader, out);
+    reader.duration("wait", out.longPollWait, milliseconds(100), minutes(1));
+    reader.duration("silence", out.silenceTimeout, milliseconds(50), minutes(1));
+    reader.duration("whole", out.maxResponseTime, milliseconds(100), minutes(10));
+    reader.duration("pace", out.minPollInterval, milliseconds(0), minutes(1));
+    reader.duration("failover", out.backoff.maxFailoverDelay, milliseconds(0), minutes(1));
+    reader.duration("retry_least", out.backoff.minBackoff, milliseconds(10), minutes(10));
+    reader.duration("retry_most", out.backoff.maxBackoff, milliseconds(10), minutes(10));
+    if (reader.text("file", out.snapshotPath, kMaxPathBytes))
+      out.snapshotPath = resolvePath(folder, out.snapshotPath);
+    if (out.backoff.maxBackoff < out.backoff.minBackoff)
+      reader.error("retry_most", "must be as long as configuration.retry_least at least");
+    if (out.enabled) reader.require("sources", "names the control machines");
+    if (out.enabled && out.addresses.empty())
+      reader.error("sources", "must name one control machine at least");
   });
 }
 
--- a/src/configuration/settings.hpp
+++ b/src/configuration/settings.hpp
@@ -1,29 +1,28 @@
-// The part of the operator's file that is about the distribution of configuration: [configuration].
+// The [configuration] table of the operator's file: how a gateway polls the control machines.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
 #include <string>
 #include <vector>
 
-#include "configuration/sources.hpp"
+#include "configuration/control_plane_endpoints.hpp"
 #include "operator/reader.hpp"
 
 namespace finchstile::configuration {
 
 struct ConfigurationSettings {
   bool enabled = false;
-  std::vector<std::string> addresses;  // of the control machines, as the file has them
-  std::vector<boost::asio::ip::tcp::endpoint> endpoints;
-  Duration wait = std::chrono::seconds(1);            // how long a machine may hold a call that has no news,
-  Duration silence = std::chrono::milliseconds(500);  // and how much longer it may be silent
-  Duration whole = std::chrono::minutes(1);           // how long an answer that keeps coming may take in all
-  Duration pace =
-      std::chrono::milliseconds(250);  // between the beginnings of two calls: changes are coalesced
-  SourceSettings sources;
-  std::string file;  // where the last good version is kept; empty: nowhere
+  std::vector<std::string> addresses;                     // of the control machines, as the file has them
+  std::vector<boost::asio::ip::tcp::endpoint> endpoints;  // of `addresses`, in their order
+  Duration longPollWait = std::chrono::seconds(1);  // a machine may hold a poll without news for so long
+  Duration silenceTimeout = std::chrono::milliseconds(500);   // and be silent for so long beyond it
+  Duration maxResponseTime = std::chrono::minutes(1);         // from the first byte of a response to its last
+  Duration minPollInterval = std::chrono::milliseconds(250);  // between the starts of two polls
+  BackoffSettings backoff;
+  std::string snapshotPath;  // of the file that keeps the last accepted version; empty: none is kept
 };
 
-// `folder`: where paths of the file begin.
+// Reads the table into `out` and reports errors to the reader. Relative paths begin at `folder`.
 void readConfigurationSettings(SettingReader& root, const std::string& folder, ConfigurationSettings& out);
 
 }  // namespace finchstile::configuration
--- /dev/null
+++ b/src/configuration/validation_error.hpp
@@ -0,0 +1,21 @@
+// One fault of an update, as it is reported to the control machine and to the operator. No I/O.
+#pragma once
+
+#include <string>
+#include <vector>
+
+namespace finchstile::configuration {
+
+// Names the faulty place of an update and says what would be right.
+struct ValidationError {
+  std::string key;      // of the document, "entry N" for an entry without a usable key, or "hash"
+  std::string field;    // empty: the entry as a whole
+  std::string message;  // continues "KEY.FIELD: "
+};
+
+// One line: "KEY.FIELD: MESSAGE".
+std::string describe(const ValidationError& error);
+// One line with the first few errors and the number of the others.
+std::string describe(const std::vector<ValidationError>& errors);
+
+}  // namespace finchstile::configuration
--- a/src/membership/gossip.cpp
+++ b/src/membership/gossip.cpp
@@ -3,315 +3,295 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/little_endian.hpp"
-
 namespace finchstile::membership {
 namespace {
 
-constexpr Duration kAgeUnit = std::chrono::milliseconds(10);
-constexpr std::size_t kVotesOver = 3;  // kept beyond the quorum, so that one that ages leaves it standing
+using Kind = GossipUpdate::Kind;
 
-HostPhase phaseOf(Rumour::What w) {
-  return w == Rumour::What::draining ? HostPhase::draining : HostPhase::removed;
-}
+// Votes kept beyond the quorum, so that it survives the expiry of one.
+constexpr std::size_t kSpareVotes = 3;
 
-}  // namespace
+HostPhase phaseOf(Kind kind) { return kind == Kind::draining ? HostPhase::draining : HostPhase::removed; }
 
-std::optional<std::string> encodeRumours(const std::vector<Rumour>& rumours) {
-  if (rumours.empty() || rumours.size() > kRumoursMost) return std::nullopt;
-  std::string out;
-  out.reserve(2 + rumours.size() * kRumourBytes);
-  putLittleEndian(out, kRumoursForm);
-  putLittleEndian(out, static_cast<std::uint8_t>(rumours.size()));
-  for (const Rumour& r : rumours) {
-    putLittleEndian(out, r.host);
-    putLittleEndian(out, static_cast<std::uint64_t>(r.started));
-    putLittleEndian(out, static_cast<std::uint8_t>(r.what));
-    putLittleEndian(out, r.version);
-    // Rounded up: what is told on and on gets no younger by it.
-    const Duration age = std::clamp(r.age, Duration{}, kAgeMost);
-    putLittleEndian(out, static_cast<std::uint16_t>((age + kAgeUnit - Duration(1)) / kAgeUnit));
-  }
-  return out;
-}
+Kind kindOf(HostPhase phase) { return phase == HostPhase::draining ? Kind::draining : Kind::removed; }
 
-std::optional<std::vector<Rumour>> decodeRumours(std::string_view p) {
-  if (p.size() < 2 || static_cast<std::uint8_t>(p[0]) != kRumoursForm) return std::nullopt;
-  const std::size_t n = static_cast<std::uint8_t>(p[1]);
-  if (n == 0 || n > kRumoursMost || p.size() != 2 + n * kRumourBytes) return std::nullopt;
-  std::vector<Rumour> out(n);
-  for (std::size_t i = 0; i < n; ++i) {
-    const std::string_view at = p.substr(2 + i * kRumourBytes);
-    const auto what = static_cast<std::uint8_t>(at[16]);
-    Rumour& r = out[i];
-    r.host = getLittleEndian<std::uint64_t>(at);
-    r.started = static_cast<std::int64_t>(getLittleEndian<std::uint64_t>(at.substr(8)));
-    if (what < 1 || what > 3 || r.started < 0) return std::nullopt;
-    r.what = static_cast<Rumour::What>(what);
-    r.version = getLittleEndian<std::uint64_t>(at.substr(17));
-    r.age = getLittleEndian<std::uint16_t>(at.substr(25)) * kAgeUnit;
-  }
-  return out;
+std::uint32_t transmissions(const GossipSettings& settings) {
+  return static_cast<std::uint32_t>(
+      std::ceil(settings.retransmitMultiplier * std::log2(settings.gatewayCount + 1.0)));
 }
 
-Gossip::Gossip(const GossipSettings& settings, std::uint64_t seed, Time now, AnsweredAt answeredAt)
+}  // namespace
+
+Gossip::Gossip(const GossipSettings& settings, std::uint64_t seed, Time now, LastResponseLookup lastResponse)
     : settings_(settings),
-      draw_(seed),
-      answeredAt_(std::move(answeredAt)),
-      credit_(settings.gateways, Credit{settings.credit, now, 0}),
-      times_(static_cast<std::uint32_t>(std::ceil(settings.repeat * std::log2(settings.gateways + 1.0)))) {}
+      random_(seed),
+      lastResponse_(std::move(lastResponse)),
+      queue_(settings.maxQueuedUpdates, transmissions(settings)),
+      reputations_(settings.gatewayCount,
+                   PeerReputation(settings.maxReputation, settings.reputationInterval, now)) {}
 
 std::size_t Gossip::quorum() const {
-  const std::size_t others = settings_.gateways > 0 ? settings_.gateways - 1u : 0;
+  const std::size_t others = settings_.gatewayCount > 0 ? settings_.gatewayCount - 1u : 0;
   return std::max<std::size_t>(1, std::min(settings_.quorum, others));
 }
 
-// Since when it is known to be silent, as the youngest of what makes up the conviction was seen. Danger: by
-// the youngest of all votes a single liar could keep a conviction young that others have given up.
-Time Gossip::convincedSince(const Host& h, Time now) const {
-  Time since{};  // 0: it is not
-  if (h.seenSilent != Time{} && now - h.seenSilent < settings_.holds) since = h.seenSilent;
-  if (h.votes.size() >= quorum()) {
-    std::vector<Time> seen;
-    for (const Vote& v : h.votes) seen.push_back(v.seen);
-    std::nth_element(seen.begin(), seen.begin() + static_cast<std::ptrdiff_t>(quorum() - 1), seen.end(),
-                     std::greater<>());
-    const Time by = seen[quorum() - 1];
-    if (now - by < settings_.holds && by > since) since = by;
-  }
-  return since;
+// The host if our list names this process of it.
+Gossip::Host* Gossip::findProcess(HostKey key, std::int64_t startedUnixMs) {
+  const auto it = hosts_.find(key);
+  if (it == hosts_.end()) return nullptr;
+  Host& host = it->second;
+  return host.listed && host.startedUnixMs == startedUnixMs ? &host : nullptr;
 }
 
-void Gossip::tell(HostKey key, const Host& h, Rumour::What what) {
-  if (settings_.gateways < 2) return;
-  const auto it = telling_.find(key);
-  if (it == telling_.end() && telling_.size() >= settings_.rumours) {
-    ++counts_.dropped;
-    return;
-  }
-  telling_[key] = {{key, h.started, what, what == Rumour::What::silent ? 0 : h.version, {}}, times_};
-}
+// --- First-hand knowledge
 
-void Gossip::onSilent(HostKey key, std::int64_t started, Time now) {
-  const auto it = hosts_.find(key);
-  if (it == hosts_.end() || !it->second.known || it->second.started != started) return;
-  const bool before = convincedSince(it->second, now) != Time{};
-  it->second.seenSilent = now;
-  // What is known already is told again only as far as the last telling has run out.
-  if (!before || telling_.find(key) == telling_.end()) tell(key, it->second, Rumour::What::silent);
+void Gossip::onUnresponsive(HostKey key, std::int64_t startedUnixMs, Time now) {
+  Host* host = findProcess(key, startedUnixMs);
+  if (!host) return;
+  const bool wasUnresponsive = unresponsiveSince(*host, now) != Time{};
+  host->observedUnresponsiveAt = now;
+  // A known unresponsiveness is passed on again only after its earlier transmissions are over.
+  if (!wasUnresponsive || !queue_.contains(key)) enqueue(key, *host, Kind::unresponsive);
 }
 
-void Gossip::onListed(HostKey key, std::int64_t started, HostPhase phase, std::uint64_t version, Time now) {
+void Gossip::onListed(HostKey key, std::int64_t startedUnixMs, HostPhase phase, std::uint64_t version,
+                      Time now) {
   auto it = hosts_.find(key);
   if (it == hosts_.end()) {
     if (phase == HostPhase::removed) return;
     it = hosts_.emplace(key, Host{}).first;
   }
-  Host& h = it->second;
-  if (h.known && h.started != started) {  // another process: nothing of the old one holds
-    dropClaim(h, true, now);
-    h.votes.clear();
-    h.seenSilent = {};
-    telling_.erase(key);
+  Host& host = it->second;
+  if (host.listed && host.startedUnixMs != startedUnixMs) {
+    // Another process: no earlier observation applies to it.
+    closeAssertion(host, true, now);
+    host.votes.clear();
+    host.observedUnresponsiveAt = {};
+    queue_.erase(key);
   }
-  const HostPhase before = h.known ? h.phase : HostPhase::active;
-  listed_ += !h.known;
-  h.known = true;
-  h.started = started;
-  h.phase = phase;
-  h.version = version;
-  // Danger: a list that has not come as far says nothing of a claim.
-  if (h.claim && version >= h.claim->version) dropClaim(h, rank(phase) >= rank(h.claim->phase), now);
-  else if (h.claim && rank(phase) >= rank(h.claim->phase)) dropClaim(h, true, now);
-  if (phase != HostPhase::active && phase != before)
-    tell(key, h, phase == HostPhase::draining ? Rumour::What::draining : Rumour::What::out);
-  else if (phase == HostPhase::active && before != HostPhase::active) telling_.erase(key);
+  const HostPhase before = host.listed ? host.phase : HostPhase::active;
+  if (!host.listed) ++listedHosts_;
+  host.listed = true;
+  host.startedUnixMs = startedUnixMs;
+  host.phase = phase;
+  host.version = version;
+  reviewAssertion(host, now);
+  if (phase != HostPhase::active && phase != before) enqueue(key, host, kindOf(phase));
+  if (phase == HostPhase::active && before != HostPhase::active) queue_.erase(key);
 }
 
-void Gossip::onForgotten(HostKey key) {
+// Closes an assertion that our list decides. An older list than the asserted one can confirm, but not refute
+// it.
+void Gossip::reviewAssertion(Host& host, Time now) {
+  if (!host.assertion) return;
+  const bool confirmed = phaseSeverity(host.phase) >= phaseSeverity(host.assertion->phase);
+  if (host.version >= host.assertion->version || confirmed) closeAssertion(host, confirmed, now);
+}
+
+void Gossip::onHostForgotten(HostKey key) {
   const auto it = hosts_.find(key);
   if (it == hosts_.end()) return;
-  if (it->second.claim) --credit_[it->second.claim->from].keepsOut;
-  listed_ -= it->second.known;
+  const Host& host = it->second;
+  if (host.assertion) reputations_[host.assertion->from].closeAssertion();
+  if (host.listed) --listedHosts_;
   hosts_.erase(it);
-  held_.erase(key);
-  if (const auto t = telling_.find(key); t != telling_.end() && t->second.rumour.what == Rumour::What::silent)
-    telling_.erase(t);  // that it has gone is still told
+  unresponsiveUntil_.erase(key);
+  queue_.eraseIfUnresponsive(key);
 }
 
-void Gossip::renew(Credit& c, Time now) const {
-  const double back = inSeconds(now - c.at) / std::max(inSeconds(settings_.creditEach), 1e-3);
-  c.left = std::min(settings_.credit, c.left + back);
-  c.at = now;
-}
+// --- Messages of other gateways
 
-void Gossip::receive(GatewayNumber from, std::string_view payload, Time now) {
-  const auto rumours = decodeRumours(payload);
-  if (!rumours || from >= settings_.gateways || from == settings_.own) {
-    ++counts_.malformed;
+void Gossip::onMessage(GatewayNumber from, std::string_view payload, Time now) {
+  const auto updates = decodeGossipMessage(payload);
+  if (!updates || from >= settings_.gatewayCount || from == settings_.ownNumber) {
+    ++statistics_.malformed;
     return;
   }
-  ++counts_.received;
-  for (const Rumour& r : *rumours) hear(from, r, now);
+  ++statistics_.received;
+  for (const GossipUpdate& update : *updates) onUpdate(from, update, now);
 }
 
-void Gossip::hear(GatewayNumber from, const Rumour& r, Time now) {
-  if (from >= settings_.gateways || from == settings_.own) return;
-  renew(credit_[from], now);
-  const auto it = hosts_.find(r.host);
-  // Only our list names hosts; what is said of another process of one says nothing of this one.
-  if (it == hosts_.end() || !it->second.known || it->second.started != r.started) return;
-  if (r.what == Rumour::What::silent) vote(r.host, it->second, from, now - r.age, now);
-  else claimed(r.host, it->second, from, r, now);
+void Gossip::onUpdate(GatewayNumber from, const GossipUpdate& update, Time now) {
+  if (from >= settings_.gatewayCount || from == settings_.ownNumber) return;
+  reputations_[from].recover(now);
+  Host* host = findProcess(update.host, update.startedUnixMs);
+  if (!host) return;
+  if (update.kind == Kind::unresponsive)
+    onUnresponsiveUpdate(update.host, *host, from, now - update.age, now);
+  else onPhaseUpdate(update.host, *host, from, update, now);
 }
 
-void Gossip::vote(HostKey key, Host& h, GatewayNumber from, Time seen, Time now) {
-  if (now - seen >= settings_.holds) return;
-  const Time answered = answeredAt_(key);
-  if (answered >= seen && answered != Time{}) {
-    ++counts_.contradicted;
+// Since when the host is held to be unresponsive, by our own attempts or by a quorum; 0: it is not.
+Time Gossip::unresponsiveSince(const Host& host, Time now) const {
+  const auto isCurrent = [&](Time time) {
+    return time != Time{} && now - time < settings_.observationLifetime;
+  };
+  Time since{};
+  if (isCurrent(host.observedUnresponsiveAt)) since = host.observedUnresponsiveAt;
+  const Time byQuorum = host.votes.quorumSince(quorum());
+  if (isCurrent(byQuorum)) since = std::max(since, byQuorum);
+  return since;
+}
+
+void Gossip::onUnresponsiveUpdate(HostKey key, Host& host, GatewayNumber from, Time observedAt, Time now) {
+  if (now - observedAt >= settings_.observationLifetime) return;
+  const Time lastResponse = lastResponse_(key);
+  if (lastResponse != Time{} && lastResponse >= observedAt) {
+    ++statistics_.contradicted;
     return;
   }
-  const bool before = convincedSince(h, now) != Time{};
-  std::erase_if(h.votes,
-                [&](const Vote& v) { return now - v.seen >= settings_.holds || v.seen <= answered; });
-  const auto mine =
-      std::find_if(h.votes.begin(), h.votes.end(), [&](const Vote& v) { return v.from == from; });
-  if (mine != h.votes.end()) {
-    mine->seen = std::max(mine->seen, seen);
-  } else if (h.votes.size() < quorum() + kVotesOver) {
-    h.votes.push_back({from, seen});
-  } else {
-    const auto oldest = std::min_element(h.votes.begin(), h.votes.end(),
-                                         [](const Vote& a, const Vote& b) { return a.seen < b.seen; });
-    if (oldest->seen < seen) *oldest = {from, seen};
-  }
-  const Time since = convincedSince(h, now);
-  if (since == Time{}) return;
-  // Danger: in an overload every gateway may find any host silent, and a pool that is held out altogether
-  // serves nobody.
-  if (const auto held = held_.find(key); held != held_.end()) {
-    held->second = since + settings_.holds;
-  } else if (static_cast<double>(held_.size() + 1) > settings_.silentShare * static_cast<double>(listed_)) {
-    ++counts_.overShare;
-    return;
+  const bool wasUnresponsive = unresponsiveSince(host, now) != Time{};
+  host.votes.discardUntil(std::max(now - settings_.observationLifetime, lastResponse));
+  host.votes.add(from, observedAt, quorum() + kSpareVotes);
+  const Time since = unresponsiveSince(host, now);
+  if (since == Time{} || !restrictUnresponsive(key, since)) return;
+  if (wasUnresponsive) return;
+  ++statistics_.convinced;
+  enqueue(key, host, Kind::unresponsive);
+}
+
+// False if too many hosts are restricted already. In an overload every gateway may find any host
+// unresponsive, and a pool without hosts serves nobody.
+bool Gossip::restrictUnresponsive(HostKey key, Time since) {
+  const Time until = since + settings_.observationLifetime;
+  const auto restricted = unresponsiveUntil_.find(key);
+  if (restricted != unresponsiveUntil_.end()) {
+    restricted->second = until;
   } else {
-    held_.emplace(key, since + settings_.holds);
+    const double maxHosts = settings_.maxUnresponsiveFraction * static_cast<double>(listedHosts_);
+    if (static_cast<double>(unresponsiveUntil_.size() + 1) > maxHosts) {
+      ++statistics_.overFraction;
+      return false;
+    }
+    unresponsiveUntil_.emplace(key, until);
   }
-  silent_.push_back(held_[key]);
-  if (before) return;
-  ++counts_.convinced;
-  tell(key, h, Rumour::What::silent);
+  newUnresponsiveUntil_.push_back(until);
+  return true;
 }
 
-void Gossip::claimed(HostKey key, Host& h, GatewayNumber from, const Rumour& r, Time now) {
-  const HostPhase phase = phaseOf(r.what);
-  if (r.version <= h.version || rank(phase) <= rank(h.phase)) return;  // ours is as new, or as bad
-  if (h.claim) {
-    // Said again, or by another: it gets no younger, and whoever said it first answers for it.
-    if (rank(phase) > rank(h.claim->phase)) {
-      h.claim->phase = phase;
-      h.claim->version = std::max(h.claim->version, r.version);
-      accepted_.push_back({key, h.started, phase, h.claim->version, h.claim->since});
-    }
+void Gossip::onPhaseUpdate(HostKey key, Host& host, GatewayNumber from, const GossipUpdate& update,
+                           Time now) {
+  const HostPhase phase = phaseOf(update.kind);
+  const bool addsToOurList =
+      update.version > host.version && phaseSeverity(phase) > phaseSeverity(host.phase);
+  if (!addsToOurList) return;
+  if (host.assertion) {
+    // A repeated assertion gets no younger, and the gateway that made it first answers for it.
+    Assertion& assertion = *host.assertion;
+    if (phaseSeverity(phase) <= phaseSeverity(assertion.phase)) return;
+    assertion.phase = phase;
+    assertion.version = std::max(assertion.version, update.version);
+    acceptedPhases_.push_back({key, host.startedUnixMs, phase, assertion.version, assertion.since});
     return;
   }
-  Credit& c = credit_[from];
-  if (c.left < static_cast<double>(c.keepsOut) + 1) {
-    ++counts_.unheard;
-    return;
+  PeerReputation& reputation = reputations_[from];
+  if (!mayAssert(reputation)) return;
+  reputation.openAssertion();
+  ++statistics_.assertions;
+  host.assertion = Assertion{from, phase, update.version, now};
+  assertionExpiries_.push_back({now + settings_.phaseLifetime, key});
+  acceptedPhases_.push_back({key, host.startedUnixMs, phase, update.version, now});
+}
+
+// Whether one more host may be restricted by this gateway's assertions.
+bool Gossip::mayAssert(const PeerReputation& reputation) {
+  if (!reputation.coversAnotherAssertion()) {
+    ++statistics_.withoutReputation;
+    return false;
   }
-  // Of a small fleet one host at least, as long as there is another.
-  const double most = settings_.phaseShare > 0 && listed_ > 1
-                          ? std::max(1.0, settings_.phaseShare * static_cast<double>(listed_))
-                          : 0;
-  if (static_cast<double>(c.keepsOut + 1) > most) {
-    ++counts_.overShare;
-    return;
+  // In a small fleet one host at least, as long as there is another.
+  const bool enabled = settings_.maxPhaseFraction > 0 && listedHosts_ > 1;
+  const double maxHosts =
+      enabled ? std::max(1.0, settings_.maxPhaseFraction * static_cast<double>(listedHosts_)) : 0;
+  if (static_cast<double>(reputation.openAssertions() + 1) > maxHosts) {
+    ++statistics_.overFraction;
+    return false;
   }
-  ++c.keepsOut;
-  ++counts_.claims;
-  h.claim = Claim{from, phase, r.version, now};
-  due_.emplace_back(now + settings_.phaseHolds, key);
-  accepted_.push_back({key, h.started, phase, r.version, now});
+  return true;
 }
 
-void Gossip::dropClaim(Host& h, bool borne, Time now) {
-  if (!h.claim) return;
-  Credit& c = credit_[h.claim->from];
-  --c.keepsOut;
-  ++(borne ? counts_.borne : counts_.lapsed);
-  if (!borne) {
-    renew(c, now);
-    c.left = std::max(0.0, c.left - 1);
-  }
-  h.claim.reset();
+void Gossip::closeAssertion(Host& host, bool confirmed, Time now) {
+  if (!host.assertion) return;
+  PeerReputation& reputation = reputations_[host.assertion->from];
+  reputation.closeAssertion();
+  ++(confirmed ? statistics_.confirmed : statistics_.expired);
+  if (!confirmed) reputation.penalize(now);
+  host.assertion.reset();
 }
 
-std::vector<Gossip::Outgoing> Gossip::tick(Time now) {
-  while (!due_.empty() && due_.front().first <= now) {
-    const HostKey key = due_.front().second;
-    due_.pop_front();
-    const auto it = hosts_.find(key);
-    if (it != hosts_.end() && it->second.claim && now - it->second.claim->since >= settings_.phaseHolds)
-      dropClaim(it->second, false, now);
+void Gossip::expireAssertions(Time now) {
+  while (!assertionExpiries_.empty() && assertionExpiries_.front().at <= now) {
+    const auto it = hosts_.find(assertionExpiries_.front().host);
+    assertionExpiries_.pop_front();
+    if (it == hosts_.end() || !it->second.assertion) continue;
+    if (now - it->second.assertion->since >= settings_.phaseLifetime) closeAssertion(it->second, false, now);
   }
-  std::erase_if(held_, [&](const auto& h) { return h.second <= now || !silentByOthers(h.first, now); });
-  std::vector<Outgoing> out;
-  if (telling_.empty() || settings_.gateways < 2) return out;
-
-  // Those told least so far first.
-  std::vector<std::pair<std::uint32_t, HostKey>> order;
-  for (const auto& [key, t] : telling_) order.emplace_back(t.left, key);
-  const std::size_t n = std::min(order.size(), kRumoursMost);
-  std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(n), order.end(),
-                    [](const auto& a, const auto& b) {
-                      return a.first != b.first ? a.first > b.first : a.second < b.second;
-                    });
-  std::vector<Rumour> rumours;
-  std::vector<HostKey> over;
-  for (std::size_t i = 0; i < order.size() && rumours.size() < kRumoursMost; ++i) {
-    if (i >= n) break;
-    const HostKey key = order[i].second;
-    Rumour r = telling_[key].rumour;
-    if (r.what == Rumour::What::silent) {
-      const auto it = hosts_.find(key);
-      const Time since = it == hosts_.end() ? Time{} : convincedSince(it->second, now);
-      const Time answered = answeredAt_(key);
-      if (since == Time{} || (answered != Time{} && answered >= since)) {
-        over.push_back(key);
+}
+
+bool Gossip::isUnresponsiveByQuorum(HostKey key, Time now) const {
+  const auto it = unresponsiveUntil_.find(key);
+  if (it == unresponsiveUntil_.end() || it->second <= now) return false;
+  const Time since = it->second - settings_.observationLifetime;
+  const Time lastResponse = lastResponse_(key);
+  return lastResponse == Time{} || lastResponse < since;
+}
+
+// --- Messages to other gateways
+
+void Gossip::enqueue(HostKey key, const Host& host, Kind kind) {
+  if (settings_.gatewayCount < 2) return;
+  const std::uint64_t version = kind == Kind::unresponsive ? 0 : host.version;
+  if (!queue_.enqueue({key, host.startedUnixMs, kind, version, {}})) ++statistics_.dropped;
+}
+
+std::vector<OutgoingMessage> Gossip::tick(Time now) {
+  expireAssertions(now);
+  std::erase_if(unresponsiveUntil_, [&](const auto& item) {
+    return item.second <= now || !isUnresponsiveByQuorum(item.first, now);
+  });
+  if (queue_.empty() || settings_.gatewayCount < 2) return {};
+  const std::vector<GossipUpdate> batch = nextBatch(now);
+  const auto payload = encodeGossipMessage(batch);
+  if (!payload) return {};
+  std::vector<OutgoingMessage> messages;
+  for (const GatewayNumber recipient : drawRecipients()) messages.push_back({recipient, *payload});
+  statistics_.sent += messages.size();
+  statistics_.bytes += messages.size() * payload->size();
+  for (const GossipUpdate& update : batch) queue_.onTransmitted(update.host);
+  return messages;
+}
+
+// The updates of the next message, with their ages. Drops unresponsive hosts that have recovered.
+std::vector<GossipUpdate> Gossip::nextBatch(Time now) {
+  std::vector<GossipUpdate> batch;
+  for (GossipUpdate& update : queue_.nextBatch()) {
+    if (update.kind == Kind::unresponsive) {
+      const auto it = hosts_.find(update.host);
+      const Time since = it == hosts_.end() ? Time{} : unresponsiveSince(it->second, now);
+      const Time lastResponse = lastResponse_(update.host);
+      const bool hasResponded = lastResponse != Time{} && lastResponse >= since;
+      if (since == Time{} || hasResponded) {
+        queue_.erase(update.host);
         continue;
       }
-      r.age = now - since;
+      update.age = now - since;
     }
-    rumours.push_back(r);
-  }
-  for (const HostKey key : over) telling_.erase(key);
-  const auto payload = encodeRumours(rumours);
-  if (!payload) return out;
-
-  std::vector<GatewayNumber> to;
-  const std::size_t others = settings_.gateways - 1u, want = std::min(settings_.fanout, others);
-  while (to.size() < want) {
-    auto other = static_cast<GatewayNumber>(draw_() % others);
-    if (other >= settings_.own) ++other;
-    if (std::find(to.begin(), to.end(), other) == to.end()) to.push_back(other);
+    batch.push_back(update);
   }
-  for (const GatewayNumber t : to) out.push_back({t, *payload});
-  counts_.sent += out.size();
-  counts_.bytes += out.size() * payload->size();
-  for (const Rumour& r : rumours) {
-    Telling& t = telling_[r.host];
-    if (--t.left == 0) telling_.erase(r.host);
-  }
-  return out;
+  return batch;
 }
 
-bool Gossip::silentByOthers(HostKey key, Time now) const {
-  const auto it = held_.find(key);
-  if (it == held_.end() || it->second <= now) return false;
-  const Time answered = answeredAt_(key);
-  return answered == Time{} || answered < it->second - settings_.holds;
+std::vector<GatewayNumber> Gossip::drawRecipients() {
+  const std::size_t others = settings_.gatewayCount - 1u;
+  const std::size_t count = std::min(settings_.fanout, others);
+  std::vector<GatewayNumber> recipients;
+  while (recipients.size() < count) {
+    auto drawn = static_cast<GatewayNumber>(random_() % others);
+    if (drawn >= settings_.ownNumber) ++drawn;
+    if (std::find(recipients.begin(), recipients.end(), drawn) == recipients.end())
+      recipients.push_back(drawn);
+  }
+  return recipients;
 }
 
 }  // namespace finchstile::membership
--- a/src/membership/list_policy.cpp
+++ b/src/membership/list_policy.cpp
@@ -1,272 +1,289 @@
 #include "membership/list_policy.hpp"
 
 #include <algorithm>
-#include <cmath>
+#include <iterator>
+#include <set>
 
 namespace finchstile::membership {
 namespace {
 
-constexpr int kFlapHalves = 4;  // after which a host that has gone once is forgotten
+// A removed host is remembered for its departures until they have decayed to this count, checked after so
+// many half lives.
+constexpr double kForgottenFlaps = 0.2;
+constexpr int kRetentionHalfLives = 4;
+// One responding host that is omitted proves nothing.
+constexpr std::size_t kMinRespondingHosts = 2;
 
 }  // namespace
 
-void ListPolicy::start(const List& known, Time now) {
-  version_ = known.index;
-  for (const Named& n : known.hosts) take(n, now);
+void ListPolicy::start(const EndpointList& known, Time now) {
+  version_ = known.version;
+  for (const ListEntry& entry : known.hosts) applyEntry(entry, now);
 }
 
-// A host that is named twice: the worse phase and the later start hold, and the address that goes with it.
-std::vector<Named> ListPolicy::once(std::vector<Named>&& hosts) {
-  std::unordered_map<std::string_view, std::size_t> seen;
-  std::vector<std::size_t> again;
-  for (std::size_t i = 0; i < hosts.size(); ++i) {
-    const auto [it, fresh] = seen.emplace(hosts[i].entry.address, i);
-    if (fresh) continue;
-    Named& first = hosts[it->second];
-    const Named& other = hosts[i];
-    const HostPhase phase = worse(first.entry.phase, other.entry.phase);
-    if (other.entry.startedAt > first.entry.startedAt) {
-      first.at = other.at;
-      first.entry.startedAt = other.entry.startedAt;
-      first.entry.zone = other.entry.zone;
-      first.entry.machineType = other.entry.machineType;
-      first.entry.cell = other.entry.cell;
-    }
-    first.entry.phase = phase;
-    again.push_back(i);
-    ++counts_.twice;
+// --- Lists
+
+ListPolicy::Decision ListPolicy::onList(EndpointList&& list, Time now, const IsResponding& isResponding) {
+  Decision decision;
+  switch (checkVersion(list, now)) {
+    case VersionCheck::ignored: return decision;
+    case VersionCheck::needsCompleteList: decision.requestCompleteList = true; return decision;
+    case VersionCheck::accepted: break;
+  }
+  ++statistics_.accepted;
+  lastAcceptedAt_ = now;
+  version_ = std::max(version_, list.version);
+  statistics_.duplicateHosts += mergeDuplicates(list.hosts);
+  forgetRemoved(now);
+
+  EndpointList& effective = decision.list.emplace();
+  effective.version = list.version;
+  effective.isComplete = list.isComplete;
+  if (list.isComplete) {
+    for (const std::string& name : reviewOmissions(list.hosts, now, isResponding, decision))
+      removeOmitted(name, now);
+  } else {
+    cancelHold(list.hosts);
+  }
+
+  std::vector<ListEntry> displaced;
+  for (const ListEntry& entry : list.hosts) {
+    applyEntry(entry, now);
+    const auto it = hosts_.find(entry.host.address);
+    if (it != hosts_.end() && it->second.listed.phase == HostPhase::active)
+      claimEndpoint(it->first, it->second, displaced);
+  }
+  for (const ListEntry& entry : list.hosts) {
+    const auto it = hosts_.find(entry.host.address);
+    if (it != hosts_.end()) effective.hosts.push_back(effectiveEntry(it->second));
   }
-  for (auto it = again.rbegin(); it != again.rend(); ++it)
-    hosts.erase(hosts.begin() + static_cast<std::ptrdiff_t>(*it));
-  return std::move(hosts);
+  // A complete list names displaced hosts itself, or removes them.
+  if (!effective.isComplete)
+    std::move(displaced.begin(), displaced.end(), std::back_inserter(effective.hosts));
+  return decision;
 }
 
-ListPolicy::Told ListPolicy::onList(List&& list, Time now, const Answers& answers) {
-  if (list.index >= 0 && version_ >= 0 && list.index < version_) {
-    if (olderSince_ == Time{}) olderSince_ = now;
-    if (now - olderSince_ < settings_.older) {
-      ++counts_.older;
-      return {};
-    }
-    // Danger: a discovery that has lost its count would be passed over for ever.
-    ++counts_.renumbered;
-    version_ = -1;
-    if (!list.whole) {
-      olderSince_ = now;
-      return {std::nullopt, true};
-    }
+ListPolicy::VersionCheck ListPolicy::checkVersion(const EndpointList& list, Time now) {
+  const bool isOlder = list.version >= 0 && version_ >= 0 && list.version < version_;
+  if (!isOlder) {
+    olderSince_ = Time{};
+    return VersionCheck::accepted;
+  }
+  if (olderSince_ == Time{}) olderSince_ = now;
+  if (now - olderSince_ < settings_.olderVersionTolerance) {
+    ++statistics_.older;
+    return VersionCheck::ignored;
+  }
+  // A discovery that restarted with lower versions would be ignored forever otherwise.
+  ++statistics_.renumbered;
+  version_ = -1;
+  if (!list.isComplete) {
+    // The list that these changes refer to was ignored.
+    olderSince_ = now;
+    return VersionCheck::needsCompleteList;
   }
   olderSince_ = Time{};
-  ++counts_.lists;
-  listAt_ = now;
-  version_ = std::max(version_, list.index);
-  List out;
-  out.index = list.index;
-  out.whole = list.whole;
-  std::vector<Named> named = once(std::move(list.hosts));
-
-  forget(now);
+  return VersionCheck::accepted;
+}
 
-  bool ask = false;
+// Decides about the hosts that a complete list omits: returns those to remove now. Holds back all omissions
+// of a suspicious list; what it names becomes effective in any case.
+std::vector<std::string> ListPolicy::reviewOmissions(const std::vector<ListEntry>& entries, Time now,
+                                                     const IsResponding& isResponding, Decision& decision) {
+  std::set<std::string_view> named;
+  for (const ListEntry& entry : entries) named.insert(entry.host.address);
   std::vector<std::string> omitted;
-  if (!list.whole && doubting()) {  // what a change names is spoken for
-    for (const Named& n : named)
-      left_.erase(std::remove(left_.begin(), left_.end(), n.entry.address), left_.end());
-  } else if (list.whole) {
-    std::set<std::string_view> names;
-    for (const Named& n : named) names.insert(n.entry.address);
-    std::size_t alive = 0, lost = 0;
-    for (const auto& [name, h] : hosts_) {
-      if (h.listed.phase == HostPhase::removed) continue;
-      const bool left = names.count(name) == 0;
-      if (left) omitted.push_back(name);
-      if (h.listed.phase != HostPhase::active || !answers(name)) continue;
-      ++alive;
-      lost += left;
-    }
-    const bool doubtful =
-        alive >= 2 && static_cast<double>(lost) > settings_.doubtShare * static_cast<double>(alive);
-    if (doubting()) {
-      ++(doubtful ? counts_.confirmed : counts_.withdrawn);
-      endDoubt();
-    } else if (doubtful && settings_.doubt > Duration{}) {
-      // What it names holds at once, whatever that is; what it leaves out may be a mistake.
-      ++counts_.doubted;
-      doubtUntil_ = now + std::min(settings_.doubt, kDoubtMost);
-      left_ = std::move(omitted);
-      omitted.clear();
-      out.whole = false;
-      ask = true;
-    }
-  }
-  for (const std::string& name : omitted) leave(name, now);
-  std::vector<Named> changed;  // others whose standing this list has changed
-  for (const Named& n : named) {
-    take(n, now);
-    const auto it = hosts_.find(n.entry.address);
-    if (it == hosts_.end()) continue;
-    if (it->second.listed.phase == HostPhase::active) claim(it->first, it->second, changed);
+  std::size_t responding = 0;
+  std::size_t respondingOmitted = 0;
+  for (const auto& [name, host] : hosts_) {
+    if (host.listed.phase == HostPhase::removed) continue;
+    const bool isOmitted = named.count(name) == 0;
+    if (isOmitted) omitted.push_back(name);
+    if (host.listed.phase != HostPhase::active || !isResponding(name)) continue;
+    ++responding;
+    if (isOmitted) ++respondingOmitted;
   }
-  for (const Named& n : named)
-    if (const auto it = hosts_.find(n.entry.address); it != hosts_.end())
-      out.hosts.push_back(told(it->second));
-  if (!out.whole) {  // else they are named themselves, or left out
-    for (Named& n : changed) out.hosts.push_back(std::move(n));
+  const double maxOmitted = settings_.suspiciousFraction * static_cast<double>(responding);
+  const bool isSuspicious =
+      responding >= kMinRespondingHosts && static_cast<double>(respondingOmitted) > maxOmitted;
+  if (isHolding()) {
+    ++(isSuspicious ? statistics_.confirmed : statistics_.withdrawn);
+    endHold();
+    return omitted;
   }
-  return {std::move(out), ask};
+  if (!isSuspicious || settings_.holdTime <= Duration{}) return omitted;
+  ++statistics_.held;
+  holdUntil_ = now + std::min(settings_.holdTime, kMaxHoldTime);
+  heldOmissions_ = std::move(omitted);
+  decision.list->isComplete = false;
+  decision.requestCompleteList = true;
+  return {};
 }
 
-// Named by a list.
-void ListPolicy::take(const Named& n, Time now) {
-  auto it = hosts_.find(n.entry.address);
+void ListPolicy::applyEntry(const ListEntry& entry, Time now) {
+  auto it = hosts_.find(entry.host.address);
   if (it == hosts_.end()) {
-    if (hosts_.size() >= settings_.hosts) {
-      ++counts_.dropped;
+    if (hosts_.size() >= settings_.maxHosts) {
+      ++statistics_.droppedHosts;
       return;
     }
-    it = hosts_.emplace(n.entry.address, Host{}).first;
+    it = hosts_.emplace(entry.host.address, Host{}).first;
     it->second.listed.phase = HostPhase::removed;
   }
-  Host& h = it->second;
-  const bool wasIn = h.listed.phase == HostPhase::active;
-  if (wasIn && (n.entry.phase != HostPhase::active || n.at != h.at)) release(it->first, h);
-  h.listed = n.entry;
-  h.at = n.at;
-  if (wasIn && n.entry.phase != HostPhase::active) flapped(it->first, h, now);
-  if (n.entry.phase == HostPhase::removed)
-    gone_.emplace_back(now + kFlapHalves * settings_.flapHalf, it->first);
-  if (n.entry.phase != HostPhase::active) h.displaced = false;
-  else byAddress_.emplace(h.at, it->first);
+  const std::string& name = it->first;
+  Host& host = it->second;
+  const bool wasActive = host.listed.phase == HostPhase::active;
+  const bool isActive = entry.host.phase == HostPhase::active;
+  if (wasActive && (!isActive || entry.endpoint != host.endpoint)) releaseEndpoint(name, host);
+  host.listed = entry.host;
+  host.endpoint = entry.endpoint;
+  if (wasActive && !isActive) onDeparture(name, host, now);
+  if (entry.host.phase == HostPhase::removed) scheduleForgetting(name, now);
+  if (isActive) endpointOwners_.emplace(host.endpoint, name);
+  else host.displaced = false;
 }
 
-// Left out of a whole list.
-void ListPolicy::leave(const std::string& name, Time now) {
+void ListPolicy::removeOmitted(const std::string& name, Time now) {
   const auto it = hosts_.find(name);
   if (it == hosts_.end()) return;
-  Host& h = it->second;
-  if (h.listed.phase == HostPhase::active) {
-    release(name, h);
-    flapped(name, h, now);
-  }
-  h.listed.phase = HostPhase::removed;
-  h.displaced = false;
-  gone_.emplace_back(now + kFlapHalves * settings_.flapHalf, name);
-}
-
-// Of one that has gone nothing is kept but how often it did, until that is as good as forgotten.
-void ListPolicy::forget(Time now) {
-  while (!gone_.empty() && (gone_.front().first <= now || gone_.size() > 2 * settings_.hosts)) {
-    const auto it = hosts_.find(gone_.front().second);
-    if (it != hosts_.end() && it->second.listed.phase == HostPhase::removed && !it->second.held &&
-        flapsNow(it->second, now) < 0.2)
-      hosts_.erase(it);
-    gone_.pop_front();
+  Host& host = it->second;
+  if (host.listed.phase == HostPhase::active) {
+    releaseEndpoint(name, host);
+    onDeparture(name, host, now);
   }
+  host.listed.phase = HostPhase::removed;
+  host.displaced = false;
+  scheduleForgetting(name, now);
 }
 
-void ListPolicy::flapped(const std::string& name, Host& h, Time now) {
-  h.flaps = flapsNow(h, now) + 1;
-  if (h.held) heldUntil_.erase({freeAt(h), name});
-  h.flapsAt = now;
-  if (h.flaps < settings_.flapMost && !h.held) return;
-  if (!std::exchange(h.held, true)) ++counts_.flapping;
-  heldUntil_.emplace(freeAt(h), name);
+void ListPolicy::onDeparture(const std::string& name, Host& host, Time now) {
+  if (flapDamper_.onDeparture(name, host.flaps, now)) ++statistics_.flappingHosts;
 }
 
-double ListPolicy::flapsNow(const Host& h, Time now) const {
-  return h.flaps * std::exp2(-inSeconds(now - h.flapsAt) / std::max(inSeconds(settings_.flapHalf), 1e-3));
+// The phase is worse than the list's for a host that is suppressed or displaced.
+ListEntry ListPolicy::effectiveEntry(const Host& host) {
+  ListEntry entry{host.listed, host.endpoint};
+  const bool restricted = host.flaps.suppressed || host.displaced;
+  if (restricted && entry.host.phase == HostPhase::active) entry.host.phase = HostPhase::draining;
+  return entry;
 }
 
-Time ListPolicy::freeAt(const Host& h) const {
-  const double halves = std::max(0.0, std::log2(h.flaps / (settings_.flapMost / 2)));
-  return h.flapsAt +
-         std::chrono::duration_cast<Duration>(halves * std::chrono::duration<double>(settings_.flapHalf));
-}
+// --- Endpoints of hosts
 
-// Of two that are to listen at one address there is one process. The one that started later is it; the other
-// gets nothing new until a list says something else of it.
-void ListPolicy::claim(const std::string& name, Host& h, std::vector<Named>& changed) {
-  std::string& owner = byAddress_[h.at];
+// One process listens at an endpoint, so of two active hosts that are listed there the one that started later
+// has it. The other gets no new requests until a list says something else about it.
+void ListPolicy::claimEndpoint(const std::string& name, Host& host, std::vector<ListEntry>& displaced) {
+  std::string& owner = endpointOwners_[host.endpoint];
   const auto other = owner == name ? hosts_.end() : hosts_.find(owner);
-  if (other != hosts_.end() && other->second.listed.phase == HostPhase::active && other->second.at == h.at) {
-    const bool later = h.listed.startedAt >= other->second.listed.startedAt;
-    Host& loser = later ? other->second : h;
-    if (!std::exchange(loser.displaced, true)) ++counts_.shared;
-    if (!later) return;
-    changed.push_back(told(loser));
+  const bool isShared = other != hosts_.end() && other->second.listed.phase == HostPhase::active &&
+                        other->second.endpoint == host.endpoint;
+  if (isShared) {
+    const bool startedLater = host.listed.startedAt >= other->second.listed.startedAt;
+    Host& loser = startedLater ? other->second : host;
+    if (!std::exchange(loser.displaced, true)) ++statistics_.sharedEndpoints;
+    if (!startedLater) return;
+    displaced.push_back(effectiveEntry(loser));
   }
   owner = name;
-  h.displaced = false;
+  host.displaced = false;
 }
 
-void ListPolicy::release(const std::string& name, const Host& h) {
-  const auto it = byAddress_.find(h.at);
-  if (it != byAddress_.end() && it->second == name) byAddress_.erase(it);
+void ListPolicy::releaseEndpoint(const std::string& name, const Host& host) {
+  const auto it = endpointOwners_.find(host.endpoint);
+  if (it != endpointOwners_.end() && it->second == name) endpointOwners_.erase(it);
 }
 
-Named ListPolicy::told(const Host& h) const {
-  Named n{h.listed, h.at};
-  if ((h.held || h.displaced) && n.entry.phase == HostPhase::active) n.entry.phase = HostPhase::draining;
-  return n;
-}
+// --- Removed hosts
 
-void ListPolicy::endDoubt() {
-  doubtUntil_ = Time{};
-  left_.clear();
+void ListPolicy::scheduleForgetting(const std::string& name, Time now) {
+  removals_.push_back({now + kRetentionHalfLives * settings_.flapHalfLife, name});
 }
 
-ListPolicy::Told ListPolicy::onWake(Time now) {
-  forget(now);
-  List out;
-  out.index = version_;
-  // Nobody has spoken against it in time: it holds.
-  if (doubting() && now >= doubtUntil_) {
-    ++counts_.lapsed;
-    for (const std::string& name : left_) {
-      const auto it = hosts_.find(name);
-      if (it == hosts_.end() || it->second.listed.phase == HostPhase::removed) continue;
-      Named n{it->second.listed, it->second.at};
-      n.entry.phase = HostPhase::removed;
-      out.hosts.push_back(std::move(n));
-      leave(name, now);
-    }
-    endDoubt();
+// Of a removed host only its departures are still of use, until they have decayed.
+void ListPolicy::forgetRemoved(Time now) {
+  while (!removals_.empty()) {
+    const bool isDue = removals_.front().forgetAt <= now;
+    if (!isDue && removals_.size() <= 2 * settings_.maxHosts) return;
+    const auto it = hosts_.find(removals_.front().host);
+    removals_.pop_front();
+    if (it == hosts_.end()) continue;
+    const Host& host = it->second;
+    const bool isForgotten = host.listed.phase == HostPhase::removed && !host.flaps.suppressed &&
+                             flapDamper_.currentCount(host.flaps, now) < kForgottenFlaps;
+    if (isForgotten) hosts_.erase(it);
   }
-  while (!heldUntil_.empty() && heldUntil_.begin()->first <= now) {
-    const std::string name = heldUntil_.begin()->second;
-    heldUntil_.erase(heldUntil_.begin());
+}
+
+// --- Held omissions
+
+// A change during a hold decides about the hosts that it names.
+void ListPolicy::cancelHold(const std::vector<ListEntry>& entries) {
+  if (!isHolding()) return;
+  for (const ListEntry& entry : entries) std::erase(heldOmissions_, entry.host.address);
+}
+
+void ListPolicy::endHold() {
+  holdUntil_ = Time{};
+  heldOmissions_.clear();
+}
+
+// No list has contradicted the omissions in time, so they become effective.
+void ListPolicy::expireHold(Time now, EndpointList& out) {
+  if (!isHolding() || now < holdUntil_) return;
+  ++statistics_.expired;
+  for (const std::string& name : heldOmissions_) {
     const auto it = hosts_.find(name);
+    if (it == hosts_.end() || it->second.listed.phase == HostPhase::removed) continue;
+    ListEntry entry{it->second.listed, it->second.endpoint};
+    entry.host.phase = HostPhase::removed;
+    out.hosts.push_back(std::move(entry));
+    removeOmitted(name, now);
+  }
+  endHold();
+}
+
+// --- Time
+
+ListPolicy::Decision ListPolicy::onTimer(Time now) {
+  forgetRemoved(now);
+  EndpointList changes;
+  changes.version = version_;
+  expireHold(now, changes);
+  releaseSuppressed(now, changes);
+  Decision decision;
+  if (!changes.hosts.empty()) decision.list = std::move(changes);
+  return decision;
+}
+
+void ListPolicy::releaseSuppressed(Time now, EndpointList& out) {
+  while (const auto name = flapDamper_.takeReleasable(now)) {
+    const auto it = hosts_.find(*name);
     if (it == hosts_.end()) continue;
-    it->second.held = false;
-    it->second.flaps = flapsNow(it->second, now);
-    it->second.flapsAt = now;
-    if (it->second.listed.phase == HostPhase::removed)
-      gone_.emplace_back(now + kFlapHalves * settings_.flapHalf, name);
-    else out.hosts.push_back(told(it->second));
+    Host& host = it->second;
+    flapDamper_.release(host.flaps, now);
+    if (host.listed.phase == HostPhase::removed) scheduleForgetting(*name, now);
+    else out.hosts.push_back(effectiveEntry(host));
   }
-  if (out.hosts.empty()) return {};
-  return {std::move(out), false};
 }
 
-std::optional<Time> ListPolicy::wake() const {
-  std::optional<Time> at;
-  if (doubting()) at = doubtUntil_;
-  if (!heldUntil_.empty() && (!at || heldUntil_.begin()->first < *at)) at = heldUntil_.begin()->first;
-  return at;
+std::optional<Time> ListPolicy::nextTimer() const {
+  const std::optional<Time> release = flapDamper_.nextRelease();
+  if (!isHolding()) return release;
+  return release ? std::min(*release, holdUntil_) : holdUntil_;
 }
 
-void ListPolicy::onMoved() {
+void ListPolicy::onDiscoveryMoved() {
   version_ = -1;
   olderSince_ = Time{};
 }
 
-std::string_view ListPolicy::reason(std::string_view host) const {
+std::string_view ListPolicy::restrictionReason(std::string_view host) const {
   const auto it = hosts_.find(host);
   if (it == hosts_.end()) return {};
   if (it->second.displaced) return "its address is another's";
-  if (it->second.held) return "flapping";
-  if (doubting() && std::find(left_.begin(), left_.end(), host) != left_.end()) return "left out, in doubt";
-  return {};
+  if (it->second.flaps.suppressed) return "flapping";
+  const bool isHeld = std::find(heldOmissions_.begin(), heldOmissions_.end(), host) != heldOmissions_.end();
+  return isHolding() && isHeld ? "left out, in doubt" : std::string_view{};
 }
 
 }  // namespace finchstile::membership
--- a/src/membership/list_policy.hpp
+++ b/src/membership/list_policy.hpp
@@ -1,8 +1,8 @@
-// What becomes of a list before anybody goes by it. Discovery may be down, may give an empty list or half of
-// one, one that is older than what it gave before, one that names a host twice or puts two at one address, or
-// one that takes a host out and back ten times a second. For each there is one rule
-// (docs/design/membership.md), a count, and a bound in time. Never is what a list has named as draining or
-// gone held back beyond `kDoubtMost`: the rule on drains leaves 500 ms. No I/O; the clock is passed in.
+// Decides what of an endpoint list becomes effective. Discovery may be down, send an empty or truncated list,
+// an older one than before, one that names a host twice or two hosts at one endpoint, or one in which a host
+// flaps. Each case has one rule (docs/design/membership.md), one counter and a bound in time. A host that a
+// list has as draining or removed stays active for `kMaxHoldTime` at most: drains have to take effect within
+// 500 ms. No I/O; the clock is passed in.
 #pragma once
 
 #include <cstdint>
@@ -10,117 +10,117 @@
 #include <functional>
 #include <map>
 #include <optional>
-#include <set>
 #include <string>
 #include <string_view>
 #include <unordered_map>
 #include <utility>
 #include <vector>
 
-#include "membership/terms.hpp"
+#include "membership/endpoint_list.hpp"
+#include "membership/flap_damper.hpp"
 
 namespace finchstile::membership {
 
-using load_balancing::HostEntry;
-
-struct Named {
-  HostEntry entry;  // `entry.address`: its name
-  std::string at;   // where it listens
-};
-
-struct List {
-  std::int64_t index = -1;  // below 0: none was given
-  bool whole = false;
-  std::vector<Named> hosts;
-};
-
-inline constexpr Duration kDoubtMost = std::chrono::milliseconds(400);
+inline constexpr Duration kMaxHoldTime = std::chrono::milliseconds(400);
 
 struct ListPolicySettings {
-  // A whole list that leaves out more than this share of the hosts that answer is held in doubt for so long,
-  // as to what it leaves out; 0: never. At most kDoubtMost.
-  Duration doubt = std::chrono::milliseconds(300);
-  double doubtShare = 0.5;
-  // Lists older than ours are passed over; coming for so long without one that is newer, discovery has
-  // started anew, and they hold.
-  Duration older = std::chrono::seconds(10);
-  // A host that was taken out so many times, of which half are forgotten every `flapHalf`, stays out until no
-  // more than half of them are left.
-  double flapMost = 4;
-  Duration flapHalf = std::chrono::seconds(5);
-  std::size_t hosts = 65'536;  // kept at the most
+  // A complete list is suspicious if it omits more than this fraction of the responding hosts. Its omissions
+  // are held back for `holdTime`, at most kMaxHoldTime; 0: never.
+  Duration holdTime = std::chrono::milliseconds(300);
+  double suspiciousFraction = 0.5;
+  // Lists with an older version than ours are ignored for so long. If no newer one comes, discovery has
+  // restarted and they become effective.
+  Duration olderVersionTolerance = std::chrono::seconds(10);
+  // See FlapDamper.
+  double maxFlaps = 4;
+  Duration flapHalfLife = std::chrono::seconds(5);
+  std::size_t maxHosts = 65'536;
 };
 
-struct ListCounts {
-  std::uint64_t lists = 0;                                              // taken
-  std::uint64_t older = 0;                                              // passed over: older than ours
-  std::uint64_t renumbered = 0;                                         // discovery had started anew
-  std::uint64_t doubted = 0, confirmed = 0, withdrawn = 0, lapsed = 0;  // of those doubted, what came of it
-  std::uint64_t twice = 0;     // hosts that one list named more than once
-  std::uint64_t shared = 0;    // hosts whose address a list gave to another
-  std::uint64_t flapping = 0;  // hosts that were held out for flapping
-  std::uint64_t lost = 0;      // watches that ended
-  std::uint64_t dropped = 0;   // hosts that had no place
+struct ListStatistics {
+  std::uint64_t accepted = 0;         // lists
+  std::uint64_t older = 0;            // lists ignored for their version
+  std::uint64_t renumbered = 0;       // restarts of discovery
+  std::uint64_t held = 0;             // suspicious lists, of which the next three are what followed
+  std::uint64_t confirmed = 0;        // the next complete list was as suspicious
+  std::uint64_t withdrawn = 0;        // the next complete list was not
+  std::uint64_t expired = 0;          // none came in time, so the omissions became effective
+  std::uint64_t duplicateHosts = 0;   // entries for a host that its list names before
+  std::uint64_t sharedEndpoints = 0;  // hosts whose endpoint a list gave to another host
+  std::uint64_t flappingHosts = 0;    // suppressions by the flap damper
+  std::uint64_t watchesLost = 0;
+  std::uint64_t droppedHosts = 0;  // entries for which there was no room
 };
 
 class ListPolicy {
  public:
-  explicit ListPolicy(const ListPolicySettings& settings) : settings_(settings) {}
+  explicit ListPolicy(const ListPolicySettings& settings)
+      : settings_(settings), flapDamper_(settings.maxFlaps, settings.flapHalfLife) {}
 
-  struct Told {
-    std::optional<List> list;  // to go by from now on
-    bool askWhole = false;     // discovery is to be asked for its whole list once more
+  struct Decision {
+    std::optional<EndpointList> list;  // effective from now on
+    bool requestCompleteList = false;  // discovery is to be asked for a complete list
   };
-  using Answers = std::function<bool(std::string_view host)>;  // has it lately answered us?
-
-  // The list that we start with; nothing is doubted, its version counts.
-  void start(const List& known, Time now);
-  Told onList(List&& list, Time now, const Answers& answers);
-  Told onWake(Time now);  // at or after `wake`
-  std::optional<Time> wake() const;
-  void onLost() { ++counts_.lost; }  // the watch has ended: the list stands
-  void onMoved();  // another discovery: its versions have nothing to do with those of before
-
-  const ListCounts& counts() const { return counts_; }
+  // Whether a host has responded to this gateway recently.
+  using IsResponding = std::function<bool(std::string_view host)>;
+
+  // The list that the gateway starts with. It is effective as it is, and its version counts.
+  void start(const EndpointList& known, Time now);
+  Decision onList(EndpointList&& list, Time now, const IsResponding& isResponding);
+  Decision onTimer(Time now);  // to be called at or after `nextTimer`
+  std::optional<Time> nextTimer() const;
+  void onWatchLost() { ++statistics_.watchesLost; }  // the last list stays effective
+  void onDiscoveryMoved();                           // another discovery, with versions of its own
+
+  const ListStatistics& statistics() const { return statistics_; }
   std::int64_t version() const { return version_; }
-  Time listAt() const { return listAt_; }  // when the last list was taken; 0: none yet
-  bool doubting() const { return doubtUntil_ != Time{}; }
-  std::size_t size() const { return hosts_.size(); }
-  // Why a host stands worse than the list says; empty if it does not.
-  std::string_view reason(std::string_view host) const;
+  Time lastAcceptedAt() const { return lastAcceptedAt_; }  // 0: no list was accepted yet
+  bool isHolding() const { return holdUntil_ != Time{}; }  // omissions of a suspicious list
+  std::size_t hostCount() const { return hosts_.size(); }
+  // Why a host's phase is worse, or its omission is not effective; empty: the list is effective as it is.
+  std::string_view restrictionReason(std::string_view host) const;
 
  private:
   struct Host {
-    HostEntry listed;  // as the list has it
-    std::string at;
-    double flaps = 0;
-    Time flapsAt{};
-    bool held = false;       // for flapping
-    bool displaced = false;  // its address is another's
+    load_balancing::HostEntry listed;  // as the list has it
+    std::string endpoint;
+    FlapState flaps;
+    bool displaced = false;  // its endpoint belongs to another host
+  };
+  using Hosts = std::map<std::string, Host, std::less<>>;
+  enum class VersionCheck { accepted, ignored, needsCompleteList };
+  struct Removal {
+    Time forgetAt{};
+    std::string host;
   };
 
-  std::vector<Named> once(std::vector<Named>&& hosts);
-  void take(const Named& n, Time now);
-  void leave(const std::string& name, Time now);
-  void flapped(const std::string& name, Host& h, Time now);
-  void claim(const std::string& name, Host& h, std::vector<Named>& changed);
-  void release(const std::string& name, const Host& h);
-  Named told(const Host& h) const;
-  double flapsNow(const Host& h, Time now) const;
-  Time freeAt(const Host& h) const;
-  void endDoubt();
-  void forget(Time now);
+  VersionCheck checkVersion(const EndpointList& list, Time now);
+  std::vector<std::string> reviewOmissions(const std::vector<ListEntry>& entries, Time now,
+                                           const IsResponding& isResponding, Decision& decision);
+  void applyEntry(const ListEntry& entry, Time now);
+  void removeOmitted(const std::string& name, Time now);
+  void onDeparture(const std::string& name, Host& host, Time now);
+  void scheduleForgetting(const std::string& name, Time now);
+  void forgetRemoved(Time now);
+  void claimEndpoint(const std::string& name, Host& host, std::vector<ListEntry>& displaced);
+  void releaseEndpoint(const std::string& name, const Host& host);
+  void cancelHold(const std::vector<ListEntry>& entries);
+  void endHold();
+  void expireHold(Time now, EndpointList& out);
+  void releaseSuppressed(Time now, EndpointList& out);
+  static ListEntry effectiveEntry(const Host& host);
 
   const ListPolicySettings settings_;
-  std::map<std::string, Host, std::less<>> hosts_;
-  std::unordered_map<std::string, std::string> byAddress_;  // of hosts that are in
-  std::set<std::pair<Time, std::string>> heldUntil_;
-  std::deque<std::pair<Time, std::string>> gone_;  // what is to be forgotten, and from when on
+  Hosts hosts_;
+  std::unordered_map<std::string, std::string> endpointOwners_;  // active hosts by endpoint
+  FlapDamper flapDamper_;
+  std::deque<Removal> removals_;  // in the order of time
   std::int64_t version_ = -1;
-  Time olderSince_{}, listAt_{};
-  Time doubtUntil_{};
-  std::vector<std::string> left_;  // what the list in doubt leaves out
-  ListCounts counts_;
+  Time olderSince_{};  // when the first of the current run of older lists came; 0: there is none
+  Time lastAcceptedAt_{};
+  Time holdUntil_{};
+  std::vector<std::string> heldOmissions_;
+  ListStatistics statistics_;
 };
 
 }  // namespace finchstile::membership
--- a/src/membership/settings.hpp
+++ b/src/membership/settings.hpp
@@ -1,9 +1,10 @@
-// The part of the operator's file that is about what is known of hosts: [membership].
+// The [membership] table of the operator's file.
 #pragma once
 
-#include "membership/facts.hpp"
 #include "membership/gossip.hpp"
+#include "membership/host_state_table.hpp"
 #include "membership/list_policy.hpp"
+#include "membership/snapshot_server.hpp"
 #include "membership/warm_start.hpp"
 #include "operator/reader.hpp"
 
@@ -12,19 +13,20 @@
 struct MembershipSettings {
   bool enabled = false;
   ListPolicySettings list;
-  View::Limits view;
+  HostStateTable::Limits hostStates;
   struct {
     bool enabled = false;
-    GossipSettings gossip;  // `own` and `gateways` are the peers'
+    GossipSettings gossip;  // `ownNumber` and `gatewayCount` come from the [peers] table
   } gossip;
   struct {
     bool enabled = false;
-    WarmStartSettings start;  // the same
+    WarmStartSettings start;  // as for gossip
     SnapshotServer::Settings server;
   } warmStart;
   bool needsPeers() const { return enabled && (gossip.enabled || warmStart.enabled); }
 };
 
+// Reads the table into `out` and reports errors to the reader.
 void readMembershipSettings(SettingReader& root, MembershipSettings& out);
 
 }  // namespace finchstile::membership
--- /dev/null
+++ b/src/membership/snapshot_server.cpp
@@ -0,0 +1,36 @@
+#include "membership/snapshot_server.hpp"
+
+#include <utility>
+
+namespace finchstile::membership {
+
+bool SnapshotServer::onMessage(GatewayNumber from, std::string_view payload, Time now,
+                               const std::function<StateSnapshot()>& makeSnapshot) {
+  const auto nonce = decodeSnapshotRequest(payload);
+  if (!nonce) return false;
+  const auto last = answeredAt_.find(from);
+  const bool isTooSoon = last != answeredAt_.end() && now - last->second < settings_.minInterval;
+  if (pending_.size() >= settings_.maxConcurrent || isTooSoon) {
+    ++refusedCount_;
+    return true;
+  }
+  answeredAt_[from] = now;
+  ++answeredCount_;
+  const auto chunks = encodeSnapshot(makeSnapshot(), *nonce);
+  if (!chunks.empty()) pending_.push_back({from, {chunks.begin(), chunks.end()}});
+  return true;
+}
+
+std::vector<OutgoingMessage> SnapshotServer::tick() {
+  std::vector<OutgoingMessage> messages;
+  while (!pending_.empty() && messages.size() < settings_.messagesPerTick) {
+    Answer answer = std::move(pending_.front());
+    pending_.pop_front();
+    messages.push_back({answer.recipient, std::move(answer.chunks.front())});
+    answer.chunks.pop_front();
+    if (!answer.chunks.empty()) pending_.push_back(std::move(answer));
+  }
+  return messages;
+}
+
+}  // namespace finchstile::membership
--- a/src/membership/warm_start.cpp
+++ b/src/membership/warm_start.cpp
@@ -1,256 +1,320 @@
 #include "membership/warm_start.hpp"
 
 #include <algorithm>
+#include <array>
 #include <cmath>
 
-#include "membership/facts.hpp"
+#include "membership/host_state.hpp"
 
 namespace finchstile::membership {
 namespace {
 
-constexpr double kLeastWorth = 0.2;  // of all that peers say together; less is a guess too
+// Of all peers together; what has less is no better than a guess.
+constexpr double kMinTotalWeight = 0.2;
+// Bounds for the logarithm of a relative latency.
+constexpr double kMinRelativeLatency = 1e-3;
+constexpr double kMaxRelativeLatency = 1e3;
+// A host is taken as ejected if peers with more than this fraction of the weight have ejected it.
+constexpr double kEjectionMajority = 0.5;
 
 Duration durationOf(double seconds) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-// A mean of what several say, each with its weight.
-class Mean {
+class WeightedMean {
  public:
-  void add(double value, double weight) { sum_ += value * weight, weight_ += weight; }
+  void add(double value, double weight) {
+    sum_ += value * weight;
+    weight_ += weight;
+  }
   double weight() const { return weight_; }
-  double value(double none) const { return weight_ > 0 ? sum_ / weight_ : none; }
+  double valueOr(double fallback) const { return weight_ > 0 ? sum_ / weight_ : fallback; }
 
  private:
-  double sum_ = 0, weight_ = 0;
+  double sum_ = 0;
+  double weight_ = 0;
 };
 
 }  // namespace
 
+struct WarmStart::HostAverage {
+  WeightedMean logRelativeLatency;
+  WeightedMean failureRate;
+  WeightedMean answerRate;
+  WeightedMean ejected;  // of 0 and 1
+  Duration ejectedFor{};
+  int ejections = 0;
+  Duration uptime{};
+};
+
 WarmStart::WarmStart(const WarmStartSettings& settings, std::uint64_t seed, Time now)
-    : settings_(settings), draw_(seed), until_(now + settings.within) {
-  for (GatewayNumber n = 0; n < settings.gateways; ++n)
-    if (n != settings.own) order_.push_back(n);
-  for (std::size_t i = order_.size(); i > 1; --i) std::swap(order_[i - 1], order_[draw_() % i]);
-  for (std::size_t i = 0; i < settings_.ask; ++i) askAnother(now);
-  over_ = peers_.empty();
+    : settings_(settings), random_(seed), deadline_(now + settings.deadline) {
+  for (GatewayNumber number = 0; number < settings.gatewayCount; ++number)
+    if (number != settings.ownNumber) requestOrder_.push_back(number);
+  for (std::size_t i = requestOrder_.size(); i > 1; --i)
+    std::swap(requestOrder_[i - 1], requestOrder_[random_() % i]);
+  for (std::size_t i = 0; i < settings_.parallelRequests; ++i) requestNext(now);
+  finished_ = peers_.empty();
 }
 
-void WarmStart::askAnother(Time now) {
-  if (next_ >= order_.size() || next_ >= settings_.tries) return;
-  const GatewayNumber to = order_[next_++];
-  Peer p;
-  p.lastAt = now;
-  p.nonce = draw_();  // of this question alone: nobody can answer who was not asked
-  outgoing_.push_back({to, encodeAsk(p.nonce)});
-  peers_.emplace(to, std::move(p));
-  ++counts_.asked;
+// --- Requests and chunks
+
+void WarmStart::requestNext(Time now) {
+  if (nextRequest_ >= requestOrder_.size() || nextRequest_ >= settings_.maxRequests) return;
+  const GatewayNumber recipient = requestOrder_[nextRequest_++];
+  Peer peer;
+  peer.lastActivity = now;
+  peer.nonce = random_();
+  outgoing_.push_back({recipient, encodeSnapshotRequest(peer.nonce)});
+  peers_.emplace(recipient, std::move(peer));
+  ++statistics_.requested;
 }
 
-bool WarmStart::receive(GatewayNumber from, std::string_view payload, Time now) {
-  if (payload.empty() || static_cast<std::uint8_t>(payload[0]) != kChunkForm) return false;
+bool WarmStart::onMessage(GatewayNumber from, std::string_view payload, Time now) {
+  if (payload.empty() || static_cast<std::uint8_t>(payload[0]) != kSnapshotChunkType) return false;
   const auto chunk = decodeChunk(payload);
-  const auto it = peers_.find(from);
-  if (!chunk || it == peers_.end() || it->second.nonce != chunk->nonce || over_) {
-    if (!chunk) ++counts_.malformed;
+  if (!chunk) {
+    ++statistics_.malformed;
     return false;
   }
-  Peer& p = it->second;
-  if (p.of == 0) p.of = chunk->of, p.toldAt = now;
-  if (chunk->of != p.of) {
-    ++counts_.malformed;
+  const auto it = peers_.find(from);
+  if (it == peers_.end() || it->second.nonce != chunk->nonce || finished_) return false;
+  Peer& peer = it->second;
+  if (peer.totalChunks == 0) {
+    peer.totalChunks = chunk->total;
+    peer.snapshotAt = now;
+  }
+  if (chunk->total != peer.totalChunks) {
+    ++statistics_.malformed;
     return false;
   }
-  if (!p.have.insert(chunk->number).second) {
-    ++counts_.repeated;
+  if (!peer.receivedChunks.insert(chunk->number).second) {
+    ++statistics_.repeated;
     return true;
   }
-  ++counts_.chunks;
-  p.lastAt = now;
-  p.silent = false;
-  Snapshot& to = p.told;
-  const Snapshot& part = chunk->part;
-  if (part.self) to.self = part.self;
-  to.classes.insert(to.classes.end(), part.classes.begin(), part.classes.end());
-  to.kinds.insert(to.kinds.end(), part.kinds.begin(), part.kinds.end());
-  to.levels.insert(to.levels.end(), part.levels.begin(), part.levels.end());
-  for (const ToldHost& h : part.hosts) {
-    if (kept_ >= settings_.hosts) break;
-    if (!p.at.emplace(h.host, to.hosts.size()).second) continue;  // one word on each host
-    to.hosts.push_back(h);
-    ++kept_;
-  }
-  if (p.complete()) {
-    ++counts_.complete;
-    if (to.self && to.self->age < settings_.young) ++counts_.young;
+  ++statistics_.chunks;
+  peer.lastActivity = now;
+  peer.timedOut = false;
+  addRecords(peer, chunk->records);
+  if (peer.isComplete()) {
+    ++statistics_.complete;
+    const auto& gateway = peer.snapshot.gateway;
+    if (gateway && gateway->age < settings_.minUptime) ++statistics_.tooYoung;
   }
-  over_ = std::all_of(peers_.begin(), peers_.end(), [](const auto& q) { return q.second.complete(); });
+  finished_ =
+      std::all_of(peers_.begin(), peers_.end(), [](const auto& item) { return item.second.isComplete(); });
   return true;
 }
 
-void WarmStart::tick(Time now) {
-  if (over_) return;
-  std::size_t more = 0;
-  for (auto& [number, p] : peers_) {
-    if (p.complete() || p.silent || now - p.lastAt < settings_.patience) continue;
-    p.silent = true;  // what it has said stands
-    ++counts_.silent;
-    ++more;
+// Keeps one record of each host, the first.
+void WarmStart::addRecords(Peer& peer, const StateSnapshot& records) {
+  StateSnapshot& snapshot = peer.snapshot;
+  if (records.gateway) snapshot.gateway = records.gateway;
+  const auto append = [](auto& to, const auto& from) { to.insert(to.end(), from.begin(), from.end()); };
+  append(snapshot.classes, records.classes);
+  append(snapshot.machineTypes, records.machineTypes);
+  append(snapshot.priorityLevels, records.priorityLevels);
+  for (const HostRecord& host : records.hosts) {
+    if (hostRecords_ >= settings_.maxHostRecords) return;
+    const bool isFirst = peer.hostIndex.emplace(host.host, snapshot.hosts.size()).second;
+    if (!isFirst) continue;
+    snapshot.hosts.push_back(host);
+    ++hostRecords_;
   }
-  for (; more > 0; --more) askAnother(now);
-  over_ = now >= until_ || std::all_of(peers_.begin(), peers_.end(),
-                                       [](const auto& q) { return q.second.complete() || q.second.silent; });
 }
 
-std::optional<Time> WarmStart::wake() const {
-  if (over_) return std::nullopt;
-  Time at = until_;
-  for (const auto& [number, p] : peers_)
-    if (!p.complete() && !p.silent) at = std::min(at, p.lastAt + settings_.patience);
-  return at;
+void WarmStart::onTimer(Time now) {
+  if (finished_) return;
+  std::size_t timedOut = 0;
+  for (auto& [number, peer] : peers_) {
+    if (peer.isComplete() || peer.timedOut || now - peer.lastActivity < settings_.peerTimeout) continue;
+    peer.timedOut = true;  // the chunks that it has sent still count
+    ++timedOut;
+  }
+  statistics_.timedOut += timedOut;
+  for (std::size_t i = 0; i < timedOut; ++i) requestNext(now);
+  const bool allDone = std::all_of(peers_.begin(), peers_.end(), [](const auto& item) {
+    return item.second.isComplete() || item.second.timedOut;
+  });
+  finished_ = now >= deadline_ || allDone;
+}
+
+std::optional<Time> WarmStart::nextTimer() const {
+  if (finished_) return std::nullopt;
+  Time next = deadline_;
+  for (const auto& [number, peer] : peers_)
+    if (!peer.isComplete() && !peer.timedOut)
+      next = std::min(next, peer.lastActivity + settings_.peerTimeout);
+  return next;
 }
 
-// One that has just started itself knows next to nothing, and says how long it has run.
-double WarmStart::worthOf(const Peer& p) const {
-  if (!p.told.self || p.told.self->age < settings_.young) return 0;
-  return std::min(1.0, inSeconds(p.told.self->age) / inSeconds(settings_.full));
+// --- Records
+
+// By the gateway's uptime: one that has just started itself has learned next to nothing.
+double WarmStart::weightOf(const Peer& peer) const {
+  const auto& gateway = peer.snapshot.gateway;
+  if (!gateway || gateway->age < settings_.minUptime) return 0;
+  return std::min(1.0, toSeconds(gateway->age) / toSeconds(settings_.fullTrustUptime));
 }
 
-std::vector<WarmStart::Said> WarmStart::said(HostKey host, Time now) const {
-  std::vector<Said> out;
-  for (const auto& [number, p] : peers_) {
-    const auto it = p.at.find(host);
-    if (it == p.at.end()) continue;
-    const ToldHost& h = p.told.hosts[it->second];
-    const Duration age = h.age + (now - p.toldAt);
-    out.push_back({number, h, age, worthOf(p) * confidence(age, settings_.half)});
+std::vector<WarmStart::PeerObservation> WarmStart::observationsOf(HostKey host, Time now) const {
+  std::vector<PeerObservation> observations;
+  for (const auto& [number, peer] : peers_) {
+    const auto it = peer.hostIndex.find(host);
+    if (it == peer.hostIndex.end()) continue;
+    const HostRecord& record = peer.snapshot.hosts[it->second];
+    const Duration age = record.age + (now - peer.snapshotAt);
+    const double weight = weightOf(peer) * confidence(age, settings_.hostRecordHalfLife);
+    observations.push_back({number, record, age, weight});
   }
-  return out;
+  return observations;
 }
 
-std::vector<std::pair<GatewayNumber, ToldHost>> WarmStart::phases() const {
-  std::vector<std::pair<GatewayNumber, ToldHost>> out;
-  for (const auto& [number, p] : peers_)
-    for (const ToldHost& h : p.told.hosts)
-      if (h.phase != HostPhase::active) out.emplace_back(number, h);
-  return out;
+std::vector<std::pair<GatewayNumber, HostRecord>> WarmStart::nonActiveHosts() const {
+  std::vector<std::pair<GatewayNumber, HostRecord>> hosts;
+  for (const auto& [number, peer] : peers_)
+    for (const HostRecord& host : peer.snapshot.hosts)
+      if (host.phase != HostPhase::active) hosts.emplace_back(number, host);
+  return hosts;
+}
+
+// --- Merging
+
+std::optional<load_balancing::LearnedState> WarmStart::learnedState(const NameResolver& names,
+                                                                    Time now) const {
+  load_balancing::LearnedState state;
+  const double totalWeight = mergeGatewayRecords(state);
+  if (totalWeight < kMinTotalWeight) return std::nullopt;
+  mergeClasses(names, state);
+  mergeMachineTypes(names, state);
+  mergePriorityLevels(totalWeight, state);
+  mergeHosts(names, now, state);
+  return state;
 }
 
-std::optional<load_balancing::LearnedState> WarmStart::learned(const Names& names, Time now) const {
-  load_balancing::LearnedState out;
-  double worth = 0;
-  Mean age;
-  std::array<Mean, kSelfFigures.size()> figures;
-  for (const auto& [number, p] : peers_) {
-    const double w = worthOf(p);
-    if (w <= 0) continue;
-    worth += w;
-    age.add(inSeconds(p.told.self->age), w);
-    for (std::size_t i = 0; i < figures.size(); ++i) figures[i].add((*p.told.self).*kSelfFigures[i], w);
+// Returns the weight of all peers together.
+double WarmStart::mergeGatewayRecords(load_balancing::LearnedState& out) const {
+  double totalWeight = 0;
+  WeightedMean age;
+  std::array<WeightedMean, kGatewayRecordFields.size()> fields;
+  for (const auto& [number, peer] : peers_) {
+    const double weight = weightOf(peer);
+    if (weight <= 0) continue;
+    totalWeight += weight;
+    const StateSnapshot::GatewayRecord& gateway = *peer.snapshot.gateway;
+    age.add(toSeconds(gateway.age), weight);
+    for (std::size_t i = 0; i < fields.size(); ++i) fields[i].add(gateway.*kGatewayRecordFields[i], weight);
   }
-  if (worth < kLeastWorth) return std::nullopt;
-  out.age = durationOf(age.value(0));
-  for (std::size_t i = 0; i < figures.size(); ++i) out.*kLearnedFigures[i] = figures[i].value(0);
+  out.age = durationOf(age.valueOr(0));
+  for (std::size_t i = 0; i < fields.size(); ++i) out.*kLearnedStateFields[i] = fields[i].valueOr(0);
+  return totalWeight;
+}
 
+void WarmStart::mergeClasses(const NameResolver& names, load_balancing::LearnedState& out) const {
   for (const auto& [key, name] : names.classes) {
-    Mean norm, cost, late, left;
-    for (const auto& [number, p] : peers_)
-      for (const Snapshot::Class& c : p.told.classes) {
-        const double w = worthOf(p);
-        if (c.key != key || c.norm <= 0 || w <= 0) continue;  // nothing of it was answered there
-        norm.add(c.norm, w), cost.add(c.meanCost, w), late.add(c.lateSeen, w),
-            left.add(inSeconds(c.usualLeft), w);
+    WeightedMean typicalLatency;
+    WeightedMean meanExpectedWork;
+    WeightedMean lateRetryFraction;
+    WeightedMean typicalSecondsLeft;
+    for (const auto& [number, peer] : peers_) {
+      const double weight = weightOf(peer);
+      for (const StateSnapshot::ClassRecord& cls : peer.snapshot.classes) {
+        const bool hasResponses = cls.typicalLatency > 0;
+        if (cls.key != key || !hasResponses || weight <= 0) continue;
+        typicalLatency.add(cls.typicalLatency, weight);
+        meanExpectedWork.add(cls.meanExpectedWork, weight);
+        lateRetryFraction.add(cls.lateRetryFraction, weight);
+        typicalSecondsLeft.add(toSeconds(cls.typicalTimeLeft), weight);
       }
-    if (norm.weight() <= 0) continue;
-    out.classes.push_back({name, norm.value(0), cost.value(0), late.value(0), durationOf(left.value(0))});
-  }
-  for (const auto& [key, name] : names.kinds) {
-    Mean proven, pace;
-    for (const auto& [number, p] : peers_)
-      for (const Snapshot::Kind& k : p.told.kinds)
-        if (k.key == key && worthOf(p) > 0) proven.add(k.proven, worthOf(p)), pace.add(k.pace, worthOf(p));
-    if (proven.weight() > 0) out.machineTypes.push_back({name, proven.value(0), pace.value(1)});
+    }
+    if (typicalLatency.weight() <= 0) continue;
+    out.classes.push_back({name, typicalLatency.valueOr(0), meanExpectedWork.valueOr(0),
+                           lateRetryFraction.valueOr(0), durationOf(typicalSecondsLeft.valueOr(0))});
   }
-  std::map<double, double> levels;
-  for (const auto& [number, p] : peers_)
-    for (const auto& l : p.told.levels)
-      if (worthOf(p) > 0) levels[l.priorityWeight] += l.recentRequests * worthOf(p);
-  for (const auto& [w, seen] : levels) out.priorityLevels.push_back({w, seen / worth});
+}
 
-  struct HostMean {
-    Mean pace, fails, rate, ejected;
-    Duration ejectedFor{};
-    int ejections = 0;
-    Duration up{};
-  };
-  std::map<HostKey, HostMean> hosts;
-  for (const auto& [number, p] : peers_) {
-    const double general = worthOf(p);
-    if (general <= 0) continue;
-    for (const ToldHost& h : p.told.hosts) {
-      if (h.phase != HostPhase::active) continue;  // of those nothing was learned
-      const auto up = names.up(h.host, h.started);
-      if (!up) continue;  // another process, or none of ours
-      const Duration passed = now - p.toldAt;
-      const double w = general * confidence(h.age + passed, settings_.half);
-      HostMean& m = hosts[h.host];
-      m.up = *up;
-      if (w > 0)
-        m.pace.add(std::log(std::clamp(h.pace, 1e-3, 1e3)), w), m.fails.add(std::min(h.fails, 1.0), w);
-      if (w > 0) m.rate.add(h.rate, w);
-      // An ejected host answers nobody, so its silence does not age what is said of it.
-      const Duration left = h.ejectedFor - passed;
-      m.ejected.add(left > Duration{} ? 1 : 0, left > Duration{} ? general : w);
-      if (left <= Duration{}) continue;
-      m.ejectedFor = m.ejectedFor > Duration{} ? std::min(m.ejectedFor, left) : left;
-      m.ejections = std::max(m.ejections, h.ejections);
+void WarmStart::mergeMachineTypes(const NameResolver& names, load_balancing::LearnedState& out) const {
+  for (const auto& [key, name] : names.machineTypes) {
+    WeightedMean provenRate;
+    WeightedMean relativeLatency;
+    for (const auto& [number, peer] : peers_) {
+      const double weight = weightOf(peer);
+      for (const StateSnapshot::MachineTypeRecord& type : peer.snapshot.machineTypes) {
+        if (type.key != key || weight <= 0) continue;
+        provenRate.add(type.provenRate, weight);
+        relativeLatency.add(type.relativeLatency, weight);
+      }
     }
+    if (provenRate.weight() > 0)
+      out.machineTypes.push_back({name, provenRate.valueOr(0), relativeLatency.valueOr(1)});
   }
-  for (const auto& [key, m] : hosts) {
-    const auto name = names.host(key);
-    if (!name) continue;
-    load_balancing::LearnedState::Host h;
-    h.address = *name;
-    h.uptime = m.up;
-    // What is worth less than a whole word is drawn towards what is assumed of any host.
-    const double sure = std::min(1.0, m.pace.weight());
-    h.relativeLatency = std::exp(m.pace.value(0) * sure);
-    h.failureRate = m.fails.value(0) * sure;
-    h.answerRate = m.rate.value(0) * sure;
-    if (m.ejected.value(0) > 0.5) h.ejectedFor = m.ejectedFor, h.ejections = m.ejections;
-    out.hosts.push_back(std::move(h));
+}
+
+void WarmStart::mergePriorityLevels(double totalWeight, load_balancing::LearnedState& out) const {
+  std::map<double, double> weightedRequests;  // by priority weight
+  for (const auto& [number, peer] : peers_) {
+    const double weight = weightOf(peer);
+    if (weight <= 0) continue;
+    for (const auto& level : peer.snapshot.priorityLevels)
+      weightedRequests[level.priorityWeight] += level.recentRequests * weight;
   }
-  return out;
+  for (const auto& [priorityWeight, requests] : weightedRequests)
+    out.priorityLevels.push_back({priorityWeight, requests / totalWeight});
 }
 
-bool SnapshotServer::receive(GatewayNumber from, std::string_view payload, Time now,
-                             const std::function<Snapshot()>& make) {
-  const auto nonce = decodeAsk(payload);
-  if (!nonce) return false;
-  const auto last = answeredAt_.find(from);
-  if (waiting_.size() >= settings_.most ||
-      (last != answeredAt_.end() && now - last->second < settings_.again)) {
-    ++refused_;
-    return true;
+void WarmStart::mergeHosts(const NameResolver& names, Time now, load_balancing::LearnedState& out) const {
+  std::map<HostKey, HostAverage> averages;
+  for (const auto& [number, peer] : peers_) {
+    if (weightOf(peer) <= 0) continue;
+    for (const HostRecord& record : peer.snapshot.hosts) {
+      if (record.phase != HostPhase::active) continue;  // nothing was learned of it
+      const auto uptime = names.uptime(record.host, record.startedUnixMs);
+      if (!uptime) continue;
+      HostAverage& average = averages[record.host];
+      average.uptime = *uptime;
+      addHostRecord(peer, record, now, average);
+    }
+  }
+  for (const auto& [key, average] : averages) {
+    const auto name = names.hostName(key);
+    if (!name) continue;
+    // What has less than full weight is drawn towards the values of an unknown host.
+    const double trust = std::min(1.0, average.logRelativeLatency.weight());
+    load_balancing::LearnedState::Host host;
+    host.address = *name;
+    host.uptime = average.uptime;
+    host.relativeLatency = std::exp(average.logRelativeLatency.valueOr(0) * trust);
+    host.failureRate = average.failureRate.valueOr(0) * trust;
+    host.answerRate = average.answerRate.valueOr(0) * trust;
+    if (average.ejected.valueOr(0) > kEjectionMajority) {
+      host.ejectedFor = average.ejectedFor;
+      host.ejections = average.ejections;
+    }
+    out.hosts.push_back(std::move(host));
   }
-  answeredAt_[from] = now;  // one for each gateway: bounded by their number
-  ++answered_;
-  const auto chunks = encodeSnapshot(make(), *nonce);
-  if (!chunks.empty()) waiting_.emplace_back(from, std::deque<std::string>(chunks.begin(), chunks.end()));
-  return true;
 }
 
-// In turns, so that a long one does not hold up the others.
-std::vector<WarmStart::Outgoing> SnapshotServer::tick() {
-  std::vector<WarmStart::Outgoing> out;
-  while (!waiting_.empty() && out.size() < settings_.perTick) {
-    auto [to, chunks] = std::move(waiting_.front());
-    waiting_.pop_front();
-    out.push_back({to, std::move(chunks.front())});
-    chunks.pop_front();
-    if (!chunks.empty()) waiting_.emplace_back(to, std::move(chunks));
+void WarmStart::addHostRecord(const Peer& peer, const HostRecord& record, Time now,
+                              HostAverage& average) const {
+  const double peerWeight = weightOf(peer);
+  const Duration sinceSnapshot = now - peer.snapshotAt;
+  const double weight = peerWeight * confidence(record.age + sinceSnapshot, settings_.hostRecordHalfLife);
+  if (weight > 0) {
+    const double latency = std::clamp(record.relativeLatency, kMinRelativeLatency, kMaxRelativeLatency);
+    average.logRelativeLatency.add(std::log(latency), weight);
+    average.failureRate.add(std::min(record.failureRate, 1.0), weight);
+    average.answerRate.add(record.answerRate, weight);
+  }
+  const Duration ejectionLeft = record.ejectedFor - sinceSnapshot;
+  if (ejectionLeft <= Duration{}) {
+    average.ejected.add(0, weight);
+    return;
   }
-  return out;
+  // An ejected host responds to nobody, so its silence does not reduce the weight of the ejection.
+  average.ejected.add(1, peerWeight);
+  const bool isFirst = average.ejectedFor <= Duration{};
+  average.ejectedFor = isFirst ? ejectionLeft : std::min(average.ejectedFor, ejectionLeft);
+  average.ejections = std::max(average.ejections, record.ejections);
 }
 
 }  // namespace finchstile::membership
