--- a/src/membership/warm_start.hpp
+++ b/src/membership/warm_start.hpp
@@ -1,11 +1,10 @@
-// A gateway that starts asks running ones what they know, and weighs what they say: by the age of each fact,
-// and by how long the one that says it has been running. Serving never waits for it. What lists and rules
-// forbid stays forbidden; what a peer knows of a drain goes the way of any peer's word (gossip.hpp). No I/O;
-// clock and randomness are passed in.
+// A gateway that starts requests snapshots of running ones and merges them, weighted by the age of each
+// record and by the uptime of its gateway. Serving never waits for it. What lists and rules forbid stays
+// forbidden, and a peer's phases go through gossip.hpp like any other of its assertions. No I/O; clock and
+// randomness are passed in.
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <map>
 #include <optional>
@@ -17,111 +16,101 @@
 #include <vector>
 
 #include "base/splitmix64.hpp"
-#include "membership/snapshot.hpp"
+#include "membership/snapshot_message.hpp"
 
 namespace finchstile::membership {
 
 struct WarmStartSettings {
-  GatewayNumber own = 0, gateways = 1;
-  std::size_t ask = 2;                                 // peers asked at once
-  Duration patience = std::chrono::milliseconds(100);  // one that has said nothing by then: another is asked
-  std::size_t tries = 4;                               // peers asked in all
-  Duration within = std::chrono::seconds(2);           // what has not come by then is not waited for
-  Duration full = std::chrono::seconds(10);            // a peer that has run so long is believed in full,
-  Duration young = std::chrono::seconds(1);            // one that has run for less than this not at all
-  Duration half = std::chrono::seconds(5);             // after which a fact about a host counts half
-  std::size_t hosts = 65'536;                          // of which facts are kept
+  GatewayNumber ownNumber = 0;
+  GatewayNumber gatewayCount = 1;
+  std::size_t parallelRequests = 2;
+  std::size_t maxRequests = 4;                            // gateways asked in all
+  Duration peerTimeout = std::chrono::milliseconds(100);  // of silence, after which another gateway is asked
+  Duration deadline = std::chrono::seconds(2);            // after the start; later chunks are ignored
+  Duration fullTrustUptime = std::chrono::seconds(10);    // from which a gateway's records have full weight
+  Duration minUptime = std::chrono::seconds(1);           // below which they have none
+  Duration hostRecordHalfLife = std::chrono::seconds(5);  // of the weight of a record about a host
+  std::size_t maxHostRecords = 65'536;
 };
 
-// What the gateway's own names are, to find those of hashes.
-struct Names {
-  std::vector<std::pair<NameKey, std::string>> classes, kinds;
-  std::function<std::optional<std::string>(HostKey)> host;  // that the list names
-  // Since its start, of the process that the list names; 0: long ago. None: it is another process.
-  std::function<std::optional<Duration>(HostKey, std::int64_t started)> up;
+// Finds this gateway's names for the hashes in snapshots.
+struct NameResolver {
+  std::vector<std::pair<NameKey, std::string>> classes;
+  std::vector<std::pair<NameKey, std::string>> machineTypes;
+  std::function<std::optional<std::string>(HostKey)> hostName;  // empty: no list names the host
+  // Uptime of the process that the list names; 0: long ago. Empty: the list names another process.
+  std::function<std::optional<Duration>(HostKey, std::int64_t startedUnixMs)> uptime;
 };
 
 class WarmStart {
  public:
-  struct Outgoing {
-    GatewayNumber to = 0;
-    std::string payload;
-  };
   WarmStart(const WarmStartSettings& settings, std::uint64_t seed, Time now);
 
-  std::vector<Outgoing> takeOutgoing() { return std::exchange(outgoing_, {}); }
-  // True if it was an answer to what we asked.
-  bool receive(GatewayNumber from, std::string_view payload, Time now);
-  void tick(Time now);  // at or after `wake`
-  std::optional<Time> wake() const;
-  bool over() const { return over_; }
+  std::vector<OutgoingMessage> drainOutgoing() { return std::exchange(outgoing_, {}); }
+  // True if the payload was a chunk that this gateway had requested.
+  bool onMessage(GatewayNumber from, std::string_view payload, Time now);
+  void onTimer(Time now);  // to be called at or after `nextTimer`
+  std::optional<Time> nextTimer() const;
+  bool isFinished() const { return finished_; }
 
-  // What peers say of a host, each with the age of its fact now.
-  struct Said {
+  // What one peer has recorded of a host.
+  struct PeerObservation {
     GatewayNumber from = 0;
-    ToldHost told;
-    Duration age{};
-    double weight = 0;
+    HostRecord record;
+    Duration age{};     // of the record now
+    double weight = 0;  // 0 to 1
   };
-  std::vector<Said> said(HostKey host, Time now) const;
-  // All of it together, for the module; none if it is worth too little.
-  std::optional<load_balancing::LearnedState> learned(const Names& names, Time now) const;
-  // Hosts that a peer has as draining or gone, for whoever weighs a peer's word.
-  std::vector<std::pair<GatewayNumber, ToldHost>> phases() const;
+  std::vector<PeerObservation> observationsOf(HostKey host, Time now) const;
+  // All records merged for the load balancer; empty if they have too little weight.
+  std::optional<load_balancing::LearnedState> learnedState(const NameResolver& names, Time now) const;
+  // Hosts that a peer has as draining or removed, with that peer.
+  std::vector<std::pair<GatewayNumber, HostRecord>> nonActiveHosts() const;
 
-  struct Counts {
-    std::uint64_t asked = 0, chunks = 0, repeated = 0, malformed = 0, complete = 0, silent = 0, young = 0;
+  struct Statistics {
+    std::uint64_t requested = 0;  // gateways
+    std::uint64_t chunks = 0;
+    std::uint64_t repeated = 0;  // chunks received before
+    std::uint64_t malformed = 0;
+    std::uint64_t complete = 0;  // snapshots
+    std::uint64_t timedOut = 0;  // gateways
+    std::uint64_t tooYoung = 0;  // complete snapshots of gateways below `minUptime`
   };
-  const Counts& counts() const { return counts_; }
+  const Statistics& statistics() const { return statistics_; }
 
  private:
   struct Peer {
-    Time lastAt{};  // when it last said something, or was asked
-    std::uint64_t nonce = 0;
-    std::size_t of = 0;
-    std::set<std::uint16_t> have;
-    Snapshot told;
-    std::unordered_map<HostKey, std::size_t> at;  // places in `told.hosts`
-    Time toldAt{};
-    bool silent = false;
-    bool complete() const { return of > 0 && have.size() == of; }
+    Time lastActivity{};          // the request or the last chunk
+    std::uint64_t nonce = 0;      // of the request: only the gateway that was asked can answer it
+    std::size_t totalChunks = 0;  // 0: none was received
+    std::set<std::uint16_t> receivedChunks;
+    StateSnapshot snapshot;
+    std::unordered_map<HostKey, std::size_t> hostIndex;  // into `snapshot.hosts`
+    Time snapshotAt{};                                   // when the first chunk came
+    bool timedOut = false;
+    bool isComplete() const { return totalChunks > 0 && receivedChunks.size() == totalChunks; }
   };
-  double worthOf(const Peer& p) const;
-  void askAnother(Time now);
+  struct HostAverage;
+
+  void requestNext(Time now);
+  void addRecords(Peer& peer, const StateSnapshot& records);
+  double weightOf(const Peer& peer) const;
+  double mergeGatewayRecords(load_balancing::LearnedState& out) const;
+  void mergeClasses(const NameResolver& names, load_balancing::LearnedState& out) const;
+  void mergeMachineTypes(const NameResolver& names, load_balancing::LearnedState& out) const;
+  void mergePriorityLevels(double totalWeight, load_balancing::LearnedState& out) const;
+  void mergeHosts(const NameResolver& names, Time now, load_balancing::LearnedState& out) const;
+  void addHostRecord(const Peer& peer, const HostRecord& record, Time now, HostAverage& average) const;
 
   const WarmStartSettings settings_;
-  SplitMix64 draw_;
-  const Time until_;
-  std::vector<GatewayNumber> order_;  // in which peers are asked
-  std::size_t next_ = 0, kept_ = 0;
+  SplitMix64 random_;
+  const Time deadline_;
+  std::vector<GatewayNumber> requestOrder_;
+  std::size_t nextRequest_ = 0;  // into `requestOrder_`
+  std::size_t hostRecords_ = 0;  // kept of all peers
   std::map<GatewayNumber, Peer> peers_;
-  std::vector<Outgoing> outgoing_;
-  bool over_ = false;
-  Counts counts_;
-};
-
-// The other side: answers who asks, at a bounded rate, and each of them once in a while.
-class SnapshotServer {
- public:
-  struct Settings {
-    std::size_t perTick = 20;                  // datagrams sent at each call of `tick`
-    std::size_t most = 4;                      // asked for at once; others are not answered
-    Duration again = std::chrono::seconds(1);  // the same gateway is answered once in so long
-  };
-  explicit SnapshotServer(const Settings& settings) : settings_(settings) {}
-
-  // True if `payload` asks; `make` is called if it is answered.
-  bool receive(GatewayNumber from, std::string_view payload, Time now, const std::function<Snapshot()>& make);
-  std::vector<WarmStart::Outgoing> tick();
-  bool busy() const { return !waiting_.empty(); }
-  std::uint64_t answered() const { return answered_; }
-  std::uint64_t refused() const { return refused_; }
-
- private:
-  const Settings settings_;
-  std::deque<std::pair<GatewayNumber, std::deque<std::string>>> waiting_;
-  std::map<GatewayNumber, Time> answeredAt_;
-  std::uint64_t answered_ = 0, refused_ = 0;
+  std::vector<OutgoingMessage> outgoing_;
+  bool finished_ = false;
+  Statistics statistics_;
 };
 
 }  // namespace finchstile::membership
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <string_view>
 
-#include "membership/report.hpp"
+#include "membership/load_report.hpp"
 
 namespace finchstile {
 namespace {
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-#include "configuration/store.hpp"
+#include "configuration/configuration_store.hpp"
 #include "drain/plan.hpp"
 #include "finchstile/load_balancer.hpp"
 #include "net/attempt_log.hpp"
--- a/src/net/gateway_attempts.cpp
+++ b/src/net/gateway_attempts.cpp
@@ -1,7 +1,7 @@
 // The gateway's part for attempts at hosts: composed, followed, settled, and answers that are passed on.
 #include <charconv>
 
-#include "membership/report.hpp"
+#include "membership/load_report.hpp"
 #include "net/gateway.hpp"
 
 namespace finchstile {
@@ -303,7 +303,7 @@
   result.elapsed = (a.head != Time{} ? a.head : now) - a.sent;
   result.requestEnded = r->second.ended || outcome == Outcome::served;
   if (const auto told = upstream.head["X-Backend-Load"]; !told.empty()) {
-    result.report = membership::readReport(view(told));
+    result.report = membership::parseLoadReport(view(told));
     ++(result.report ? reports_ : spoiltReports_);
     if (observer_ && result.report && host != hosts_.end() && a.sent >= host->second.listed.startedAt)
       observer_->onLoadReport(host->second.listed.address, *result.report);
--- a/src/peer/channel.hpp
+++ b/src/peer/channel.hpp
@@ -1,4 +1,4 @@
-// Datagrams to and from the other gateways: one UDP socket, as much as it takes at once, nothing resent.
+// Datagrams to and from the other gateways over one UDP socket. Nothing is queued and nothing is resent.
 #pragma once
 
 #include <array>
@@ -10,54 +10,64 @@
 #include <vector>
 
 #include "peer/datagram.hpp"
+#include "peer/replay_window.hpp"
 
 namespace finchstile::peer {
 
 using boost::asio::ip::udp;
 
-struct ChannelCounts {
-  std::uint64_t sent = 0, unsent = 0, taken = 0;
-  std::array<std::uint64_t, 6> byVerdict{};  // of what came
+struct ChannelStatistics {
+  std::uint64_t sent = 0;
+  std::uint64_t sendFailures = 0;  // too long, to nobody of the list, or refused by the system
+  std::uint64_t delivered = 0;     // to a handler
+  std::array<std::uint64_t, kDatagramResultCount> byResult{};  // received, by DatagramResult
 };
 
 class Channel {
  public:
   struct Settings {
-    udp::endpoint listen;
-    std::vector<udp::endpoint> peers;  // by number; this one's own among them, where others see it
-    Number own = 0;
+    udp::endpoint listenEndpoint;
+    std::vector<udp::endpoint> peerEndpoints;  // by gateway number; this gateway's own one as others see it
+    GatewayNumber ownNumber = 0;
     SipKey key;
-    std::uint64_t epoch = 0;
+    std::uint64_t epoch = 0;  // of this start, see Datagram
   };
-  using Handler = std::function<void(Number from, std::uint64_t epoch, std::string_view payload)>;
+  using Handler = std::function<void(GatewayNumber sender, std::uint64_t epoch, std::string_view payload)>;
 
-  // Throws boost::system::system_error if the address can't be had.
+  // Opens the socket and starts to receive. Throws boost::system::system_error if the address is not
+  // available. `io` must outlive the channel.
   Channel(boost::asio::io_context& io, const Settings& settings);
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
 
-  void take(Topic topic, Handler handler);  // what comes of that topic
-  // Danger: it may not arrive, and nobody is told. What does not fit the system's buffer is dropped, as the
-  // network would.
-  void send(Topic topic, Number to, std::string_view payload);
+  // Called on the loop for each valid datagram of the topic; replaces an earlier handler.
+  void setHandler(Topic topic, Handler handler);
+
+  // May lose the datagram, like the network: if the system's buffer is full, it is dropped and counted.
+  void send(Topic topic, GatewayNumber recipient, std::string_view payload);
 
   udp::endpoint endpoint() const { return socket_.local_endpoint(); }
-  void peerMoved(Number peer, const udp::endpoint& to) { settings_.peers.at(peer) = to; }
-  const ChannelCounts& counts() const { return counts_; }
+  void setPeerEndpoint(GatewayNumber peer, const udp::endpoint& endpoint) {
+    settings_.peerEndpoints.at(peer) = endpoint;
+  }
+  const ChannelStatistics& statistics() const { return statistics_; }
 
  private:
-  void read();
-  Verdict taken(std::string_view bytes, Datagram& d);
+  static constexpr std::size_t kTopicSlots = 4;  // indexed by Topic
+
+  void receiveNext();
+  void onReceived(std::string_view bytes);
+  DatagramResult check(std::string_view bytes, Datagram& out);
 
   Settings settings_;
   udp::socket socket_;
-  std::vector<ReplayWindow> windows_;
-  std::array<Handler, 4> handlers_;  // by topic
-  // One byte more than any may have: what is longer shows.
-  std::array<char, kDatagramMost + 1> buffer_{};
-  udp::endpoint from_;
-  std::uint64_t next_ = 0;
-  ChannelCounts counts_;
+  std::vector<ReplayWindow> replayWindows_;  // by sender
+  std::array<Handler, kTopicSlots> handlers_;
+  // One byte longer than any valid datagram, so that longer ones are recognized.
+  std::array<char, kMaxDatagramBytes + 1> buffer_{};
+  udp::endpoint senderEndpoint_;  // of the datagram in `buffer_`
+  std::uint64_t lastSequenceNumber_ = 0;
+  ChannelStatistics statistics_;
 };
 
 }  // namespace finchstile::peer
--- a/src/peer/datagram.cpp
+++ b/src/peer/datagram.cpp
@@ -6,71 +6,61 @@
 namespace {
 
 constexpr std::uint16_t kMagic = 0x4650;
-constexpr std::size_t kSum = 16;
+constexpr std::size_t kVersionOffset = 2;
+constexpr std::size_t kTopicOffset = 3;
+constexpr std::size_t kSenderOffset = 4;
+constexpr std::size_t kEpochOffset = 6;
+constexpr std::size_t kSequenceNumberOffset = 14;
+constexpr std::size_t kPayloadOffset = 22;
+constexpr std::size_t kSignatureBytes = 16;
+static_assert(kPayloadOffset + kSignatureBytes == kDatagramOverheadBytes);
 
-std::string sumOf(std::string_view bytes, const SipKey& key) {
-  const SipHash128 h = SipHasher(key).add(bytes).end();
-  std::string sum;
-  putLittleEndian(sum, h.low);
-  putLittleEndian(sum, h.high);
-  return sum;
+std::string sign(std::string_view bytes, const SipKey& key) {
+  const SipHash128 hash = SipHasher(key).add(bytes).end();
+  std::string signature;
+  putLittleEndian(signature, hash.low);
+  putLittleEndian(signature, hash.high);
+  return signature;
 }
 
-// Without telling by its time how many bytes were right.
-bool alike(std::string_view a, std::string_view b) {
-  unsigned char differ = a.size() == b.size() ? 0 : 1;
+// Takes equal time for any contents, so it does not reveal how many bytes of a guess are right.
+bool equalInConstantTime(std::string_view a, std::string_view b) {
+  unsigned char difference = a.size() == b.size() ? 0 : 1;
   for (std::size_t i = 0; i < a.size() && i < b.size(); ++i)
-    differ |= static_cast<unsigned char>(a[i] ^ b[i]);
-  return differ == 0;
+    difference |= static_cast<unsigned char>(a[i] ^ b[i]);
+  return difference == 0;
 }
 
 }  // namespace
 
-std::optional<std::string> encode(const Datagram& d, const SipKey& key) {
-  if (d.payload.size() > kPayloadMost) return std::nullopt;
+std::optional<std::string> encode(const Datagram& datagram, const SipKey& key) {
+  if (datagram.payload.size() > kMaxPayloadBytes) return std::nullopt;
   std::string bytes;
   putLittleEndian(bytes, kMagic);
-  putLittleEndian(bytes, kVersion);
-  putLittleEndian(bytes, static_cast<std::uint8_t>(d.topic));
-  putLittleEndian(bytes, d.sender);
-  putLittleEndian(bytes, d.epoch);
-  putLittleEndian(bytes, d.number);
-  bytes += d.payload;
-  return bytes + sumOf(bytes, key);
+  putLittleEndian(bytes, kProtocolVersion);
+  putLittleEndian(bytes, static_cast<std::uint8_t>(datagram.topic));
+  putLittleEndian(bytes, datagram.sender);
+  putLittleEndian(bytes, datagram.epoch);
+  putLittleEndian(bytes, datagram.sequenceNumber);
+  bytes += datagram.payload;
+  return bytes + sign(bytes, key);
 }
 
-Verdict decode(std::string_view bytes, const SipKey& key, Datagram& out) {
-  if (bytes.size() < kOverhead || bytes.size() > kDatagramMost) return Verdict::malformed;
-  if (getLittleEndian<std::uint16_t>(bytes) != kMagic) return Verdict::malformed;
-  if (getLittleEndian<std::uint8_t>(bytes.substr(2)) != kVersion) return Verdict::version;
-  const std::string_view covered = bytes.substr(0, bytes.size() - kSum);
-  if (!alike(sumOf(covered, key), bytes.substr(covered.size()))) return Verdict::forged;
-  out.topic = static_cast<Topic>(getLittleEndian<std::uint8_t>(bytes.substr(3)));
-  out.sender = getLittleEndian<Number>(bytes.substr(4));
-  out.epoch = getLittleEndian<std::uint64_t>(bytes.substr(6));
-  out.number = getLittleEndian<std::uint64_t>(bytes.substr(14));
-  out.payload = covered.substr(22);
-  return Verdict::good;
-}
-
-bool ReplayWindow::take(std::uint64_t epoch, std::uint64_t number) {
-  if (any_ && epoch < epoch_) return false;
-  if (!any_ || epoch > epoch_) {
-    any_ = true;
-    epoch_ = epoch, highest_ = number, seen_ = 1;
-    return true;
-  }
-  if (number > highest_) {
-    const std::uint64_t by = number - highest_;
-    seen_ = by >= 64 ? 0 : seen_ << by;
-    seen_ |= 1;
-    highest_ = number;
-    return true;
-  }
-  const std::uint64_t behind = highest_ - number;
-  if (behind >= 64 || (seen_ >> behind & 1)) return false;
-  seen_ |= std::uint64_t{1} << behind;
-  return true;
+DatagramResult decode(std::string_view bytes, const SipKey& key, Datagram& out) {
+  if (bytes.size() < kDatagramOverheadBytes || bytes.size() > kMaxDatagramBytes)
+    return DatagramResult::malformed;
+  if (getLittleEndian<std::uint16_t>(bytes) != kMagic) return DatagramResult::malformed;
+  if (getLittleEndian<std::uint8_t>(bytes.substr(kVersionOffset)) != kProtocolVersion)
+    return DatagramResult::unsupportedVersion;
+  const std::string_view signedBytes = bytes.substr(0, bytes.size() - kSignatureBytes);
+  const std::string_view signature = bytes.substr(signedBytes.size());
+  if (!equalInConstantTime(sign(signedBytes, key), signature)) return DatagramResult::invalidSignature;
+  out.topic = static_cast<Topic>(getLittleEndian<std::uint8_t>(bytes.substr(kTopicOffset)));
+  out.sender = getLittleEndian<GatewayNumber>(bytes.substr(kSenderOffset));
+  out.epoch = getLittleEndian<std::uint64_t>(bytes.substr(kEpochOffset));
+  out.sequenceNumber = getLittleEndian<std::uint64_t>(bytes.substr(kSequenceNumberOffset));
+  out.payload = signedBytes.substr(kPayloadOffset);
+  return DatagramResult::valid;
 }
 
 }  // namespace finchstile::peer
--- a/src/peer/datagram.hpp
+++ b/src/peer/datagram.hpp
@@ -1,61 +1,52 @@
-// What gateways send one another: datagrams of 256 bytes at most, which come late, twice, in any order or not
-// at all. Each is versioned, authenticated under a key that all share, and taken once. No I/O.
+// The datagrams that gateways exchange: versioned, authenticated under a shared key, at most 256 bytes. They
+// may arrive late, twice, in any order, or not at all. No I/O.
 //
-//   u16 0x4650, u8 version, u8 topic, u16 sender, u64 epoch, u64 number, payload, 16 bytes of SipHash-2-4-128
-//   under the shared key over all before them; integers little-endian
-//
-// `epoch` is another and higher one with each start of the sender (Unix time in ms), `number` rises within
-// it.
+//   u16 0x4650, u8 version, u8 topic, u16 sender, u64 epoch, u64 sequence number, payload, then 16 bytes of
+//   SipHash-2-4-128 under the shared key over all bytes before them; integers are little-endian
 #pragma once
 
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
-#include <vector>
 
 #include "base/siphash.hpp"
 
 namespace finchstile::peer {
 
-inline constexpr std::size_t kDatagramMost = 256;  // bytes, all told
-inline constexpr std::size_t kOverhead = 2 + 1 + 1 + 2 + 8 + 8 + 16;
-inline constexpr std::size_t kPayloadMost = kDatagramMost - kOverhead;
-inline constexpr std::uint8_t kVersion = 1;
+inline constexpr std::size_t kMaxDatagramBytes = 256;
+inline constexpr std::size_t kDatagramOverheadBytes = 2 + 1 + 1 + 2 + 8 + 8 + 16;  // all but the payload
+inline constexpr std::size_t kMaxPayloadBytes = kMaxDatagramBytes - kDatagramOverheadBytes;
+inline constexpr std::uint8_t kProtocolVersion = 1;
 
-using Number = std::uint16_t;  // of a gateway: its place in the list of peers
+using GatewayNumber = std::uint16_t;  // index of a gateway in the list of peers
 
+// What a payload is about; the values are those on the wire.
 enum class Topic : std::uint8_t { keys = 1, hosts = 2 };
 
 struct Datagram {
   Topic topic{};
-  Number sender = 0;
-  std::uint64_t epoch = 0, number = 0;
+  GatewayNumber sender = 0;
+  std::uint64_t epoch = 0;           // higher with each start of the sender: Unix time in milliseconds
+  std::uint64_t sequenceNumber = 0;  // rises within an epoch
   std::string payload;
 };
 
-enum class Verdict : std::uint8_t {
-  good,
-  malformed,  // too short or long, no datagram of ours
-  version,    // of another version: a roll-out is under way, or something else sends here
-  forged,     // its sum does not hold under our key
-  stranger,   // its sender is none of the list, or not at that address
-  replayed    // taken before, too old to tell, or of an epoch before one that was heard of
+// Why a datagram was delivered or dropped.
+enum class DatagramResult : std::uint8_t {
+  valid,
+  malformed,           // too short, too long, or without the magic number
+  unsupportedVersion,  // of another release during a roll-out, or from another program
+  invalidSignature,    // the sum does not hold under our key
+  unknownSender,       // the sender is not in the list, or not at its address
+  replayed,            // received before, too old to tell, or of an earlier epoch
 };
+inline constexpr std::size_t kDatagramResultCount = 6;
 
-// A payload that is too long is the caller's fault: nothing is encoded.
-std::optional<std::string> encode(const Datagram& d, const SipKey& key);
-// Good or not by itself; `replayed` and `stranger` are for those below.
-Verdict decode(std::string_view bytes, const SipKey& key, Datagram& out);
-
-// Takes each number of a sender once: a window of 64 behind the highest, as in RFC 4303, section 3.4.3.
-class ReplayWindow {
- public:
-  bool take(std::uint64_t epoch, std::uint64_t number);
+// Empty if the payload is too long.
+std::optional<std::string> encode(const Datagram& datagram, const SipKey& key);
 
- private:
-  std::uint64_t epoch_ = 0, highest_ = 0, seen_ = 0;  // bit n: highest - n has been taken
-  bool any_ = false;
-};
+// Fills `out` if the result is `valid`. `unknownSender` and `replayed` are found by Channel.
+DatagramResult decode(std::string_view bytes, const SipKey& key, Datagram& out);
 
 }  // namespace finchstile::peer
--- a/src/peer/settings.cpp
+++ b/src/peer/settings.cpp
@@ -1,75 +1,73 @@
 #include "peer/settings.hpp"
 
-#include <fcntl.h>
-#include <sys/stat.h>
-#include <unistd.h>
-
 #include <algorithm>
-#include <charconv>
-#include <cstring>
-#include <stdexcept>
 #include <unordered_map>
 
 #include "base/address.hpp"
-#include "base/descriptor.hpp"
 
 namespace finchstile::peer {
+namespace {
+
+constexpr std::size_t kMaxPeers = 4096;
+constexpr std::size_t kMaxAddressBytes = 64;
+constexpr std::size_t kMaxPathBytes = 1024;
+
+// The list as the file has it; invalid addresses have an empty endpoint in `out`.
+std::vector<std::string> readAddresses(SettingReader& reader, PeerSettings& out) {
+  std::vector<std::string> addresses;
+  if (!reader.texts("addresses", addresses, kMaxPeers, kMaxAddressBytes)) return addresses;
+  std::unordered_map<std::string, int> occurrences;
+  for (const std::string& address : addresses) {
+    const auto endpoint = parseEndpoint(address);
+    if (!endpoint) reader.error("addresses", "must be IP:PORT, and one is \"" + address + "\"");
+    if (++occurrences[address] == 2)
+      reader.error("addresses", "must differ, and \"" + address + "\" stands there twice");
+    out.endpoints.push_back(endpoint.value_or(udp::endpoint{}));
+  }
+  return addresses;
+}
+
+void readOwn(SettingReader& reader, const std::vector<std::string>& addresses, PeerSettings& out) {
+  std::string own;
+  if (!reader.text("own", own, kMaxAddressBytes)) return;
+  const auto at = std::find(addresses.begin(), addresses.end(), own);
+  if (at == addresses.end()) {
+    reader.error("own", "must be one of addresses, and is \"" + own + "\"");
+    return;
+  }
+  out.ownNumber = static_cast<std::uint16_t>(at - addresses.begin());
+  out.listenEndpoint = out.endpoints[out.ownNumber];
+}
+
+void readListen(SettingReader& reader, PeerSettings& out) {
+  std::string listen;
+  if (!reader.text("listen", listen, kMaxAddressBytes)) return;
+  if (const auto endpoint = parseEndpoint(listen)) out.listenEndpoint = *endpoint;
+  else reader.error("listen", "must be IP:PORT, and is \"" + listen + "\"");
+}
+
+}  // namespace
 
 std::optional<udp::endpoint> parseEndpoint(const std::string& text) {
-  const auto at = parseListenAddress(text);
-  if (!at) return std::nullopt;
-  return udp::endpoint(at->first, at->second);
+  const auto address = parseListenAddress(text);
+  if (!address) return std::nullopt;
+  return udp::endpoint(address->first, address->second);
 }
 
 void readPeerSettings(SettingReader& root, const std::string& folder, PeerSettings& out) {
-  root.table("peers", [&](SettingReader& r) {
-    r.boolean("enabled", out.enabled);
-    r.require("addresses",
-              "where each gateway hears the others, as in [\"10.0.0.4:7946\", \"10.0.0.5:7946\"]");
-    r.require("own", "the one of addresses that is this gateway's");
-    r.require("secret_file", "32 hexadecimal digits that all gateways share, readable by their user alone");
-    std::vector<std::string> texts;
-    std::string own, listen;
-    std::unordered_map<std::string, int> times;
-    if (r.texts("addresses", texts, 4096, 64))
-      for (const std::string& text : texts) {
-        const auto a = parseEndpoint(text);
-        if (!a) r.error("addresses", "must be IP:PORT, and one is \"" + text + "\"");
-        if (++times[text] == 2) r.error("addresses", "must differ, and \"" + text + "\" stands there twice");
-        out.addresses.push_back(a.value_or(udp::endpoint{}));
-      }
-    if (r.text("own", own, 64)) {
-      const auto at = std::find(texts.begin(), texts.end(), own);
-      if (at == texts.end()) r.error("own", "must be one of addresses, and is \"" + own + "\"");
-      else out.own = static_cast<std::uint16_t>(at - texts.begin()), out.listen = out.addresses[out.own];
-    }
-    if (r.text("listen", listen, 64)) {
-      const auto a = parseEndpoint(listen);
-      if (a) out.listen = *a;
-      else r.error("listen", "must be IP:PORT, and is \"" + listen + "\"");
-    }
-    if (r.text("secret_file", out.secretFile, 1024)) out.secretFile = resolvePath(folder, out.secretFile);
+  root.table("peers", [&](SettingReader& reader) {
+    reader.boolean("enabled", out.enabled);
+    reader.require("addresses",
+                   "where each gateway hears the others, as in [\"10.0.0.4:7946\", \"10.0.0.5:7946\"]");
+    reader.require("own", "the one of addresses that is this gateway's");
+    reader.require("secret_file",
+                   "32 hexadecimal digits that all gateways share, readable by their user alone");
+    const std::vector<std::string> addresses = readAddresses(reader, out);
+    readOwn(reader, addresses, out);
+    readListen(reader, out);
+    if (reader.text("secret_file", out.secretFile, kMaxPathBytes))
+      out.secretFile = resolvePath(folder, out.secretFile);
   });
 }
 
-SipKey loadSecret(const std::string& path) {
-  const auto fail = [&](const std::string& what) { throw std::runtime_error(path + ": " + what); };
-  const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
-  struct stat is {};
-  if (file.get() < 0 || ::fstat(file.get(), &is) != 0) fail(std::strerror(errno));
-  if ((is.st_mode & 077) != 0) fail("others may read or write it: it must be of mode 0600 or 0400");
-  char text[34] = {};
-  const ssize_t n = ::read(file.get(), text, sizeof text);
-  std::string_view digits(text, n < 0 ? 0 : static_cast<std::size_t>(n));
-  if (digits.size() == 33 && digits.back() == '\n') digits.remove_suffix(1);
-  SipKey key;
-  const auto half = [&](std::size_t at, std::uint64_t& out) {
-    const auto [last, error] = std::from_chars(digits.data() + at, digits.data() + at + 16, out, 16);
-    return error == std::errc() && last == digits.data() + at + 16;
-  };
-  if (digits.size() != 32 || !half(0, key.a) || !half(16, key.b))
-    fail("must be 32 hexadecimal digits and nothing else");
-  return key;
-}
-
 }  // namespace finchstile::peer
--- a/src/peer/settings.hpp
+++ b/src/peer/settings.hpp
@@ -1,4 +1,4 @@
-// The part of the operator's file that is about the other gateways: [peers].
+// The [peers] table of the operator's file: the other gateways, and how they are reached.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
@@ -7,7 +7,6 @@
 #include <string>
 #include <vector>
 
-#include "base/siphash.hpp"
 #include "operator/reader.hpp"
 
 namespace finchstile::peer {
@@ -16,20 +15,16 @@
 
 struct PeerSettings {
   bool enabled = false;
-  std::vector<udp::endpoint> addresses;  // of all gateways, the same list in the same order with each
-  std::uint16_t own = 0;                 // this one's place in it
-  udp::endpoint listen;                  // where it hears; its own address if that is not set
+  std::vector<udp::endpoint> endpoints;  // of all gateways: each gateway has the same list in the same order
+  std::uint16_t ownNumber = 0;           // this gateway's index in it
+  udp::endpoint listenEndpoint;          // its own endpoint of the list unless `listen` is set
   std::string secretFile;
 };
 
-// `folder`: of the file, at which relative paths begin.
+// Reads the table into `out` and reports errors to the reader. Relative paths begin at `folder`.
 void readPeerSettings(SettingReader& root, const std::string& folder, PeerSettings& out);
 
-// "10.0.0.4:7946" or "[::1]:7946", and not port 0; nothing for anything else.
+// "10.0.0.4:7946" or "[::1]:7946", without port 0; empty for anything else.
 std::optional<udp::endpoint> parseEndpoint(const std::string& text);
 
-// 32 hexadecimal digits. Throws std::runtime_error that says what is wrong: it can't be read, others may read
-// it, or there is something else in it.
-SipKey loadSecret(const std::string& path);
-
 }  // namespace finchstile::peer
--- a/tests/app/configuration_test.cpp
+++ b/tests/app/configuration_test.cpp
@@ -1,4 +1,4 @@
-// The program with [configuration] in the operator's file: signals and restarts in the midst of a change.
+// The program with [configuration] in the operator's file: signals and restarts during a change.
 #include <csignal>
 
 #include "control_machine.hpp"
@@ -8,7 +8,7 @@
 namespace finchstile::testing {
 namespace {
 
-using configuration::Change;
+using configuration::DocumentChange;
 using configuration::TenantDocument;
 using std::chrono::milliseconds;
 
@@ -38,13 +38,13 @@
         folder / "log");
   }
   bool until(const std::function<bool()>& reached) { return runUntil(io, reached); }
-  // The process that was launched last tells that it has this revision.
-  bool told(std::uint64_t revision) {
+  // The process that was launched last reports that it has this revision.
+  bool reports(std::uint64_t revision) {
     const auto has = [&] { return machine.polls() > pollsBefore && machine.log.have({1, revision}) == 1; };
     return until([&] { return has() || program->ended(); }) && !program->ended();
   }
-  static std::vector<Change> manyTenants(double quota) {
-    std::vector<Change> all;
+  static std::vector<DocumentChange> manyTenants(double quota) {
+    std::vector<DocumentChange> all;
     for (int i = 0; i < 27000; ++i) {
       const std::string name = "tenant-" + std::to_string(i);
       all.push_back({"tenant/" + name, TenantDocument{name, quota}});
@@ -53,16 +53,16 @@
   }
 };
 
-// Hard case: SIGHUP and SIGTERM in the midst of taking over, and a restart. The process ends in order, the
-// next one has the last good version from its start on, and asks for no whole.
-TEST_F(ConfiguredProgram, SignalsAndARestartInTheMidstOfAChange) {
+// The process exits in order. The next one has the last accepted version from its start on and requests no
+// snapshot.
+TEST_F(ConfiguredProgram, SignalsAndRestartDuringAChangeKeepTheLastVersion) {
   configure();
   machine.publish(manyTenants(1));
   launch();
-  ASSERT_TRUE(told(1)) << program->logged();
+  ASSERT_TRUE(reports(1)) << program->logged();
   machine.publish(manyTenants(2));
   program->signal(SIGHUP);
-  ASSERT_TRUE(told(2)) << program->logged();
+  ASSERT_TRUE(reports(2)) << program->logged();
   machine.publish(manyTenants(3));
   program->signal(SIGHUP);
   program->signal(SIGTERM);
@@ -70,7 +70,7 @@
   EXPECT_EQ(program->wait(), 0) << program->logged();
   const std::uint64_t wholes = machine.log.wholes();
   launch();
-  ASSERT_TRUE(told(3)) << program->logged();
+  ASSERT_TRUE(reports(3)) << program->logged();
   EXPECT_NE(program->logged().find("in force, from "), std::string::npos) << program->logged();
   EXPECT_EQ(machine.log.wholes(), wholes);
   program->signal(SIGTERM);
@@ -78,15 +78,15 @@
   EXPECT_EQ(program->wait(), 0);
 }
 
-// Hard case: killed at any moment, the file is one whole version or another.
-TEST_F(ConfiguredProgram, KilledWhileItWritesTheFileIsOneVersionOrTheOther) {
+// The file is one complete version or the other at any moment.
+TEST_F(ConfiguredProgram, KillDuringAFileWriteLeavesACompleteVersion) {
   configure();
   machine.publish(manyTenants(1));
   std::uint64_t last = 0;
   for (int i = 0; i < 6; ++i) {
     launch();
     const std::uint64_t revision = machine.log.version().revision;
-    ASSERT_TRUE(told(revision)) << program->logged();
+    ASSERT_TRUE(reports(revision)) << program->logged();
     ASSERT_TRUE(until([&] { return std::filesystem::exists(folder / "kept.json"); }));
     machine.publish(manyTenants(2 + i));
     const auto end = std::chrono::steady_clock::now() + milliseconds(5 + 17 * i);
@@ -95,13 +95,13 @@
     ASSERT_TRUE(until([&] { return program->ended(); }));
     const configuration::Update kept = configuration::parseUpdate(readFile(folder / "kept.json"));
     EXPECT_EQ(kept.changes.size(), 27000u);
-    EXPECT_TRUE(kept.problems.empty());
+    EXPECT_TRUE(kept.errors.empty());
     EXPECT_GE(kept.version.revision, last);  // it never goes back
     last = kept.version.revision;
   }
 }
 
-TEST_F(ConfiguredProgram, WrongSettingsAreNamedWithTheirLine) {
+TEST_F(ConfiguredProgram, ReportsInvalidSettingsWithTheirLine) {
   configure();
   folder.write(
       "operator.toml",
--- a/tests/app/membership_service_test.cpp
+++ b/tests/app/membership_service_test.cpp
@@ -1,5 +1,5 @@
-// What is known of hosts, with gateways, stand-in hosts and discoveries on loopback: lists that lie, drains
-// and silent workers that others have seen, a gateway that starts beside running ones.
+// The membership service with gateways, fake upstreams and discoveries on loopback: faulty lists, drains and
+// unresponsive hosts that other gateways report, and the warm start.
 #include "app/membership_service.hpp"
 
 #include <cmath>
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// One gateway with a discovery of its own, which holds each call until the test answers it.
+// One gateway with a discovery of its own, which holds each poll until the test answers it.
 struct Node {
   std::vector<std::shared_ptr<Peer>> calls;
   Server discovery;
@@ -23,7 +23,7 @@
   GatewayConfig config;
   Gateway gateway;
   std::unique_ptr<PeerLink> link;
-  std::unique_ptr<MembershipService> members;
+  std::unique_ptr<MembershipService> service;
 
   Node(asio::io_context& io, const json& known, const std::function<void(json&)>& change)
       : discovery(io, [this](const auto& peer, const Received&) { calls.push_back(peer); }),
@@ -42,15 +42,15 @@
   }
 };
 
-struct MembersTest : ::testing::Test {
+struct MembershipServiceTest : ::testing::Test {
   asio::io_context io;
   Folder folder;
   std::vector<std::unique_ptr<Server>> hosts;
   std::vector<std::unique_ptr<Node>> nodes;
   MembershipSettings settings;
-  std::size_t gateways = 0;  // that there may be
+  std::size_t gateways = 0;  // of the [peers] table; 0: there is none
 
-  MembersTest() {
+  MembershipServiceTest() {
     settings.enabled = true;
     settings.gossip.enabled = true;
     settings.gossip.gossip.period = milliseconds(20);
@@ -67,7 +67,7 @@
     }
     return list;
   }
-  // The next gateway, with peers where the test said how many there may be.
+  // Starts the next gateway.
   Node& node(
       const json& known, const std::function<void(json&)>& change = [](json&) {}) {
     const std::size_t number = nodes.size();
@@ -75,19 +75,21 @@
     Node& n = *nodes.back();
     if (gateways > 0) {
       peer::PeerSettings p;
-      for (std::size_t i = 0; i < gateways; ++i)  // nobody is there until it has started
-        p.addresses.emplace_back(asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(1 + i));
-      p.own = static_cast<std::uint16_t>(number);
-      p.listen = {asio::ip::make_address("127.0.0.1"), 0};
+      for (std::size_t i = 0; i < gateways; ++i)  // replaced when that gateway has started
+        p.endpoints.emplace_back(asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(1 + i));
+      p.ownNumber = static_cast<std::uint16_t>(number);
+      p.listenEndpoint = {asio::ip::make_address("127.0.0.1"), 0};
       p.secretFile = folder / "secret";
       n.link = std::make_unique<PeerLink>(io, n.clock, p);
       for (std::size_t i = 0; i < number; ++i) {
         if (!nodes[i]->link) continue;
-        nodes[i]->link->channel().peerMoved(static_cast<peer::Number>(number), n.link->channel().endpoint());
-        n.link->channel().peerMoved(static_cast<peer::Number>(i), nodes[i]->link->channel().endpoint());
+        nodes[i]->link->channel().setPeerEndpoint(static_cast<peer::GatewayNumber>(number),
+                                                  n.link->channel().endpoint());
+        n.link->channel().setPeerEndpoint(static_cast<peer::GatewayNumber>(i),
+                                          nodes[i]->link->channel().endpoint());
       }
     }
-    n.members = std::make_unique<MembershipService>(io, n.clock, settings, n.config, n.gateway, n.link.get());
+    n.service = std::make_unique<MembershipService>(io, n.clock, settings, n.config, n.gateway, n.link.get());
     n.gateway.start();
     EXPECT_TRUE(until([&] { return !n.calls.empty(); }));
     return n;
@@ -98,10 +100,11 @@
     until([&] { return std::chrono::steady_clock::now() >= end; });
   }
   bool drains(Node& n, const std::string& host) {
-    return until(
-        [&] { return n.members->text(host).value_or("").find("now=draining") != std::string::npos; });
+    return until([&] {
+      return n.service->describeHosts(host).value_or("").find("now=draining") != std::string::npos;
+    });
   }
-  // So many requests one after the other; the number that was served.
+  // Sends requests one after the other and returns how many were served.
   std::size_t ask(Node& n, std::size_t times, int leftMs = 2500) {
     const auto c = Client::connect(io, n.gateway.endpoint());
     std::size_t served = 0;
@@ -122,38 +125,38 @@
 
 const auto ok = [](const std::shared_ptr<Peer>& peer, const Received&) { peer->reply(200, "ok"); };
 
-// Hard case: an empty whole list while the hosts answer. Nobody is turned away for it, and discovery is asked
-// again.
-TEST_F(MembersTest, AnEmptyListLosesNoRequest) {
+// An empty complete list while the hosts respond: no request is rejected, and a complete list is requested.
+TEST_F(MembershipServiceTest, EmptyListLosesNoRequest) {
   for (int i = 0; i < 3; ++i) host(ok);
   Node& n = node(listed());
   EXPECT_EQ(ask(n, 10), 10u);
   n.list(2, true, json::array());
-  ASSERT_TRUE(until([&] {  // the whole is asked for at once
-    return n.members->lists().doubting() && n.discovery.received.back().target() == "/registry/instances";
+  ASSERT_TRUE(until([&] {  // a complete list is requested at once
+    return n.service->listPolicy().isHolding() &&
+           n.discovery.received.back().target() == "/registry/instances";
   }));
   EXPECT_EQ(ask(n, 10), 10u);
   n.list(3, true, listed());
-  ASSERT_TRUE(until([&] { return !n.members->lists().doubting(); }));
+  ASSERT_TRUE(until([&] { return !n.service->listPolicy().isHolding(); }));
   EXPECT_EQ(ask(n, 10), 10u);
-  EXPECT_EQ(n.members->lists().counts().withdrawn, 1u);
+  EXPECT_EQ(n.service->listPolicy().statistics().withdrawn, 1u);
 }
 
-// And the rule on drains is kept: without a word against it the list holds within the grace.
-TEST_F(MembersTest, AnEmptyListThatNobodySpeaksAgainstHolds) {
+// Without another list the empty one becomes effective in time.
+TEST_F(MembershipServiceTest, UncontradictedEmptyListBecomesEffective) {
   for (int i = 0; i < 2; ++i) host(ok);
   Node& n = node(listed());
   EXPECT_EQ(ask(n, 4), 4u);
-  const auto told = std::chrono::steady_clock::now();
+  const auto sentAt = std::chrono::steady_clock::now();
   n.list(2, true, json::array());
-  ASSERT_TRUE(until([&] { return n.members->lists().counts().lapsed == 1; }));
-  EXPECT_LT(std::chrono::steady_clock::now() - told, seconds(5));  // 300 ms, and what a busy machine adds
+  ASSERT_TRUE(until([&] { return n.service->listPolicy().statistics().expired == 1; }));
+  EXPECT_LT(std::chrono::steady_clock::now() - sentAt, seconds(5));  // 300 ms, and what a busy machine adds
   const auto before = received();
   EXPECT_EQ(ask(n, 4), 0u);
   EXPECT_EQ(received(), before);
 }
 
-TEST_F(MembersTest, AnOlderListPutsNoDrainedHostBack) {
+TEST_F(MembershipServiceTest, OlderListDoesNotReactivateADrainingHost) {
   for (int i = 0; i < 2; ++i) host(ok);
   Node& n = node(listed());
   n.list(8, true, listed([](json& h, std::size_t i) {
@@ -161,25 +164,24 @@
          }));
   ASSERT_TRUE(until([&] { return !n.calls.empty(); }));
   n.list(7, true, listed());
-  ASSERT_TRUE(until([&] { return n.members->lists().counts().older == 1; }));
+  ASSERT_TRUE(until([&] { return n.service->listPolicy().statistics().older == 1; }));
   EXPECT_EQ(ask(n, 20), 20u);
   EXPECT_EQ(received()[0], 0u);
 }
 
-// A drain that another gateway's list has, while our own discovery says nothing; and our list, when it comes,
-// holds against it.
-TEST_F(MembersTest, ADrainIsHeardOfFromAnotherGateway) {
+// Another gateway's list has a drain that our discovery does not report. Our own newer list overrides it.
+TEST_F(MembershipServiceTest, AppliesDrainReportedByAnotherGateway) {
   gateways = 2;
   for (int i = 0; i < 2; ++i) host(ok);
   Node& a = node(listed());
   Node& b = node(listed());
   a.list(5, false, json::array({hostJson("s-0", hosts[0]->endpoint(), "leaving")}));
   ASSERT_TRUE(drains(b, "s-0"));
-  EXPECT_EQ(b.members->gossip()->counts().claims, 1u);
+  EXPECT_EQ(b.service->gossip()->statistics().assertions, 1u);
   auto before = received();
   EXPECT_EQ(ask(b, 20), 20u);
   EXPECT_EQ(received()[0], before[0]);
-  const std::string text = b.members->text("s-0").value_or("");
+  const std::string text = b.service->describeHosts("s-0").value_or("");
   EXPECT_NE(text.find("now=draining"), std::string::npos) << text;
   EXPECT_NE(text.find("list: in version 1"), std::string::npos) << text;
   EXPECT_NE(text.find("peer: draining version 5"), std::string::npos) << text;
@@ -188,13 +190,13 @@
   before = received();
   EXPECT_EQ(ask(b, 40), 40u);
   EXPECT_GT(received()[0], before[0]);
-  EXPECT_FALSE(b.members->text("s-9"));
+  EXPECT_FALSE(b.service->describeHosts("s-9"));
 }
 
-// A worker that says nothing: three gateways have met it, the fourth is told and never sends there.
-TEST_F(MembersTest, ASilentWorkerIsKnownToAGatewayThatNeverMetIt) {
+// Three gateways find a host unresponsive; the fourth learns of it and sends nothing there.
+TEST_F(MembershipServiceTest, AvoidsUnresponsiveHostReportedByOtherGateways) {
   gateways = 4;
-  settings.gossip.gossip.holds = seconds(20);  // longer than any pause of a busy machine
+  settings.gossip.gossip.observationLifetime = seconds(20);  // longer than any pause of a busy machine
   host([](const auto&, const Received&) {});
   host(ok);
   host(ok);
@@ -204,19 +206,19 @@
   for (int i = 0; i < 4; ++i) node(listed(), quick);
   for (int i = 0; i < 3; ++i)
     for (int tries = 0;
-         tries < 60 && nodes[static_cast<std::size_t>(i)]->members->gossip()->counts().sent == 0; ++tries)
+         tries < 60 && nodes[static_cast<std::size_t>(i)]->service->gossip()->statistics().sent == 0; ++tries)
       ask(*nodes[static_cast<std::size_t>(i)], 1, 200);
   Node& fourth = *nodes[3];
   ASSERT_TRUE(drains(fourth, "s-0"));
-  EXPECT_EQ(fourth.members->gossip()->heldSilent(), 1u);
+  EXPECT_EQ(fourth.service->gossip()->unresponsiveHostCount(), 1u);
   const auto before = received();
   EXPECT_EQ(ask(fourth, 30, 200), 30u);
   EXPECT_EQ(received()[0], before[0]);
-  EXPECT_NE(fourth.members->text("s-0")->find("peers: silent"), std::string::npos);
+  EXPECT_NE(fourth.service->describeHosts("s-0")->find("peers: silent"), std::string::npos);
 }
 
-// Hard case: datagrams that are forged say nothing, and are counted.
-TEST_F(MembersTest, AGatewayWithAnotherSecretIsNotHeard) {
+// Datagrams with an invalid signature are counted and ignored.
+TEST_F(MembershipServiceTest, IgnoresGatewayWithAnotherSecret) {
   gateways = 2;
   host(ok);
   host(ok);
@@ -225,16 +227,18 @@
   folder.write("secret", "ffffffffffffffffffffffffffffffff\n");
   Node& b = node(listed());
   b.list(5, false, json::array({hostJson("s-0", hosts[0]->endpoint(), "leaving")}));
-  const auto forged = [&] {
-    return a.link->channel().counts().byVerdict[static_cast<std::size_t>(peer::Verdict::forged)];
+  const auto invalidSignatures = [&] {
+    return a.link->channel()
+        .statistics()
+        .byResult[static_cast<std::size_t>(peer::DatagramResult::invalidSignature)];
   };
-  ASSERT_TRUE(until([&] { return forged() > 0; }));
-  EXPECT_EQ(a.members->gossip()->counts().received, 0u);
+  ASSERT_TRUE(until([&] { return invalidSignatures() > 0; }));
+  EXPECT_EQ(a.service->gossip()->statistics().received, 0u);
 }
 
 // --- Warm start
 
-// How unevenly requests went: the largest share to the mean, of the hosts that may be used, and chi-squared.
+// How unevenly requests are spread: the largest number in relation to the mean, and chi-squared.
 struct Spread {
   double largest = 0, chi = 0;
 };
@@ -249,17 +253,17 @@
   return s;
 }
 
-struct WarmStartTest : MembersTest {
+struct WarmStartTest : MembershipServiceTest {
   std::vector<std::unique_ptr<asio::steady_timer>> timers;
   std::int64_t now =
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 
-  // Six usual hosts; one that drains, as the old gateway's list has it and the new one's old list has not;
-  // one that started two seconds ago and is cold for nine.
+  // Six warm hosts; one that drains in the running gateway's list and not in the older list of the new one;
+  // one that started two seconds ago and warms up for nine more.
   WarmStartTest() {
     gateways = 3;
     settings.warmStart.enabled = true;
-    settings.warmStart.start.full = seconds(1);
+    settings.warmStart.start.fullTrustUptime = seconds(1);
     for (int i = 0; i < 8; ++i) host(ok);
   }
   json known(bool drains) {
@@ -268,7 +272,7 @@
       if (i == 7) h["since_ms"] = now - 2000;
     });
   }
-  // What went to each host of so many requests, from eight clients in closed loops.
+  // Sends requests from eight clients in closed loops and returns how many each host got.
   std::vector<std::size_t> load(Node& n, std::size_t requests) {
     const auto before = received();
     std::vector<std::shared_ptr<Client>> clients;
@@ -292,17 +296,17 @@
   }
 };
 
-// The proof of the warm start: the new gateway's first 1,000 requests spread as evenly as the old one's, none
-// to the worker that drains, and the cold one within what the old gateway gives it.
-TEST_F(WarmStartTest, TheFirstThousandSpreadAsThoseOfAnOldGateway) {
+// The new gateway's first 1,000 requests are spread as evenly as those of the running one, none to the
+// draining host.
+TEST_F(WarmStartTest, SpreadsTheFirstRequestsLikeARunningGateway) {
   Node& old = node(known(false));
   old.list(5, true, known(true));
   ASSERT_TRUE(until([&] { return !old.calls.empty(); }));
   load(old, 1000);
-  pass(milliseconds(1300));  // a gateway that has run for less than a second is not believed
+  pass(milliseconds(1300));  // a gateway with an uptime below a second has no weight
   const auto usual = load(old, 1000);
   Node& fresh = node(known(false));
-  ASSERT_TRUE(until([&] { return fresh.members->warmStart()->over(); }));
+  ASSERT_TRUE(until([&] { return fresh.service->warmStart()->isFinished(); }));
   ASSERT_TRUE(drains(fresh, "s-6"));
   const auto first = load(fresh, 1000);
   settings.warmStart.enabled = false;
@@ -319,38 +323,37 @@
       o.largest, o.chi, f.largest, f.chi, a.largest, a.chi, usual[6], first[6], without[6], usual[7],
       first[7], without[7]);
   EXPECT_EQ(first[6], 0u);
-  EXPECT_GT(without[6], 0u);  // what a peer's word is for
+  EXPECT_GT(without[6], 0u);  // the difference that peers make
   EXPECT_LT(f.largest, std::max(1.5, 1.3 * o.largest));
-  EXPECT_EQ(fresh.members->warmStart()->counts().complete, 1u);
+  EXPECT_EQ(fresh.service->warmStart()->statistics().complete, 1u);
 }
 
-// Hard case: the snapshot arrives after the list has drained a worker that it praises.
-TEST_F(WarmStartTest, WhatOurListHasDrainedStaysDrained) {
+// The snapshot has the host as active.
+TEST_F(WarmStartTest, HostThatOurListDrainsStaysDraining) {
   Node& old = node(known(false));
   load(old, 200);
   pass(milliseconds(1300));
   Node& fresh = node(known(true), [](json& c) { c["known"]["index"] = 9; });
-  ASSERT_TRUE(until([&] { return fresh.members->warmStart()->over(); }));
+  ASSERT_TRUE(until([&] { return fresh.service->warmStart()->isFinished(); }));
   EXPECT_EQ(load(fresh, 300)[6], 0u);
 }
 
-// Hard case: the peer is itself freshly started; and all gateways restart at once.
-TEST_F(WarmStartTest, YoungPeersAreNotGoneBy) {
+TEST_F(WarmStartTest, IgnoresYoungPeers) {
   node(known(false));
   Node& second = node(known(false));
-  ASSERT_TRUE(until([&] { return second.members->warmStart()->over(); }));
-  EXPECT_GE(second.members->warmStart()->counts().young, 1u);
+  ASSERT_TRUE(until([&] { return second.service->warmStart()->isFinished(); }));
+  EXPECT_GE(second.service->warmStart()->statistics().tooYoung, 1u);
   const auto counts = load(second, 300);
   EXPECT_EQ(std::accumulate(counts.begin(), counts.end(), std::size_t{0}), 300u);
 }
 
-// Serving never waits: with nobody there the first request is answered while the peers are still asked.
-TEST_F(WarmStartTest, NobodyWaitsForPeersThatSayNothing) {
-  settings.warmStart.start.patience = seconds(5);
-  settings.warmStart.start.within = seconds(10);
+// The first request is served while the peers have not responded.
+TEST_F(WarmStartTest, ServesWithoutWaitingForPeers) {
+  settings.warmStart.start.peerTimeout = seconds(5);
+  settings.warmStart.start.deadline = seconds(10);
   Node& n = node(known(false));
   EXPECT_EQ(ask(n, 5), 5u);
-  EXPECT_FALSE(n.members->warmStart()->over());
+  EXPECT_FALSE(n.service->warmStart()->isFinished());
 }
 
 }  // namespace
--- a/tests/configuration/documents.hpp
+++ b/tests/configuration/documents.hpp
@@ -1,4 +1,4 @@
-// Short forms of what the tests of the configuration are about.
+// Documents, settings and updates for the tests of the configuration.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -6,21 +6,23 @@
 #include <string>
 #include <vector>
 
-#include "configuration/store.hpp"
+#include "configuration/configuration_store.hpp"
 #include "control_log.hpp"
 
 namespace finchstile::configuration::testing {
 
-inline Change tenant(const std::string& name, double quota) {
+inline DocumentChange tenant(const std::string& name, double quota) {
   return {std::string(kTenantPrefix) + name, TenantDocument{name, quota}};
 }
-inline Change noTenant(const std::string& name) { return {std::string(kTenantPrefix) + name, std::nullopt}; }
-inline Change classOf(const std::string& name, double worth, int aimMs, double lateShare = 0) {
+inline DocumentChange noTenant(const std::string& name) {
+  return {std::string(kTenantPrefix) + name, std::nullopt};
+}
+inline DocumentChange classOf(const std::string& name, double worth, int aimMs, double lateShare = 0) {
   return {std::string(kClassPrefix) + name,
           ClassDocument{name, worth, std::chrono::milliseconds(aimMs), lateShare}};
 }
 
-// One class "read", aim 400 ms, given up after a second, and two tenants.
+// One class "read" with a latency objective of 400 ms and a client timeout of a second, and two tenants.
 inline load_balancing::Settings startSettings() {
   load_balancing::Settings s;
   load_balancing::ClassSettings read;
@@ -33,13 +35,13 @@
   return s;
 }
 
-// The answer that a log gives to a store, as an update.
-inline std::optional<Update> answerTo(fake_upstream::ControlLog& log, const Store& store) {
-  const auto reply = log.answer({"n0", store.position(), {}}, 0);
+// The update that a log answers to a poll of the store; empty: there is nothing newer.
+inline std::optional<Update> nextUpdate(fake_upstream::ControlLog& log, const ConfigurationStore& store) {
+  const auto reply = log.answer({"n0", store.versionState(), {}}, 0);
   return reply ? std::optional(parseUpdate(reply->body)) : std::nullopt;
 }
-inline Result sync(fake_upstream::ControlLog& log, Store& store) {
-  const auto update = answerTo(log, store);
+inline ApplyOutcome sync(fake_upstream::ControlLog& log, ConfigurationStore& store) {
+  const auto update = nextUpdate(log, store);
   if (!update) return {};
   return store.apply(*update);
 }
--- a/tests/configuration/gateway_test.cpp
+++ b/tests/configuration/gateway_test.cpp
@@ -1,4 +1,4 @@
-// Changes of the configuration at a gateway that serves, over loopback sockets.
+// Configuration changes at a gateway that serves, over loopback sockets.
 #include <boost/asio/thread_pool.hpp>
 
 #include "configuration/client.hpp"
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using TestClient = finchstile::testing::Client;
 
-// Notes the tenant of each request, as it comes and as it ends.
+// Records the tenant of each request at its arrival and at its end.
 struct TenantLog : RequestFilter {
   std::vector<std::string> arrived, ended;
   std::uint8_t phases() const override {
@@ -35,7 +35,7 @@
   fake_upstream::ControlMachine machine{io, fake_upstream::ControlLog::Settings{}};
   TenantLog tenants;
   std::unique_ptr<configuration::Client> client;
-  std::vector<SettingsChange> taken;
+  std::vector<SettingsChange> changes;
 
   void TearDown() override {
     client.reset();
@@ -52,27 +52,27 @@
     ConfigurationSettings s;
     s.addresses = {machine.address()};
     s.endpoints = {machine.endpoint()};
-    s.wait = milliseconds(300);
-    s.pace = milliseconds(0);
+    s.longPollWait = milliseconds(300);
+    s.minPollInterval = milliseconds(0);
     client = std::make_unique<configuration::Client>(
         io, worker.get_executor(), clock, s, "n0", 7, settings,
         [this](const SettingsChange& change) {
           gateway->applyDynamicSettings(change);
-          taken.push_back(change);
+          changes.push_back(change);
         },
         [](const std::string&) {});
     client->start();
   }
   bool inForce(const Version& version) {
-    return until([&] { return client->figures().inForce == version; });
+    return until([&] { return client->statistics().activeVersion == version; });
   }
   void ask(TestClient& c, const std::string& tenant) {
     c.ask("GET", "/read", 2500, "", "X-Account: " + tenant + "\r\n");
   }
 };
 
-// Hard case: a change in the midst of a burst of requests. Each is answered once, and none is lost.
-TEST_F(ConfiguredGateway, ChangesInABurstLoseNoRequest) {
+// Each request is answered once.
+TEST_F(ConfiguredGateway, ChangesDuringABurstLoseNoRequest) {
   host(serveOk);
   host(serveOk);
   startConfigured();
@@ -81,7 +81,7 @@
   std::vector<std::shared_ptr<TestClient>> clients;
   for (int i = 0; i < kClients; ++i) clients.push_back(TestClient::connect(io, gateway->endpoint()));
   int round = 0;
-  for (; taken.size() < kChanges; ++round) {
+  for (; changes.size() < kChanges; ++round) {
     ASSERT_LT(round, 5000);
     const std::string name = "tenant-" + std::to_string(round % 7);
     for (auto& c : clients) ask(*c, name);
@@ -101,14 +101,13 @@
   EXPECT_EQ(received(), static_cast<std::size_t>(kClients * round));
 }
 
-// Hard case: a tenant is removed while a request of it is open, and added again.
-TEST_F(ConfiguredGateway, ATenantThatIsRemovedKeepsItsOpenRequests) {
+TEST_F(ConfiguredGateway, RemovedTenantKeepsItsActiveRequests) {
   auto& held = host(hold);
   startConfigured();
   const auto c = TestClient::connect(io, gateway->endpoint());
   ask(*c, "acme");
   ASSERT_TRUE(until([&] { return held.received.size() == 1; }));
-  machine.publish({tenant("other", 1)});  // the first version is the whole truth: acme is not in it
+  machine.publish({tenant("other", 1)});  // a snapshot without acme
   ASSERT_TRUE(inForce({1, 1}));
   held.peers[0]->reply(200, "ok");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
@@ -125,9 +124,9 @@
   EXPECT_EQ(tenants.ended, tenants.arrived);
 }
 
-// A quota that falls shows in who is refused, with no restart: hosts that fail two fifths of what they are
-// sent keep the cutoff above the scores of what goes beyond a share.
-TEST_F(ConfiguredGateway, ANewQuotaShowsInWhoIsRefused) {
+// Without a restart. Hosts that fail two fifths of their requests keep the admission cutoff above the scores
+// of requests beyond a quota.
+TEST_F(ConfiguredGateway, LowerQuotaRejectsMoreRequestsOfItsTenant) {
   int answers = 0;
   const auto failsOften = [&](const std::shared_ptr<Peer>& peer, const Received&) {
     peer->reply(++answers % 5 < 2 ? 500 : 200, "ok");
@@ -157,15 +156,14 @@
   EXPECT_GT(refused["heavy"], 5 * refused["light"]);
 }
 
-// Hard case: 27,000 tenants at once, by a gateway that serves.
-TEST_F(ConfiguredGateway, TwentySevenThousandTenantsAreTakenWhileItServes) {
+TEST_F(ConfiguredGateway, Applies27000TenantsWhileServing) {
   host(serveOk);
   startConfigured();
-  std::vector<Change> all;
+  std::vector<DocumentChange> all;
   for (int i = 0; i < 27000; ++i) all.push_back(tenant("tenant-" + std::to_string(i), 50));
   machine.publish(all);
   const auto c = TestClient::connect(io, gateway->endpoint());
-  while (client->figures().inForce != Version{1, 1}) {
+  while (client->statistics().activeVersion != Version{1, 1}) {
     const std::size_t before = c->answers.size();
     ask(*c, "tenant-26999");
     ASSERT_TRUE(until([&] { return c->answers.size() > before; }));
@@ -173,16 +171,16 @@
   }
   ask(*c, "tenant-26999");
   ASSERT_TRUE(until([&] { return tenants.ended.size() == c->answers.size() && tenants.ended.back() != ""; }));
-  EXPECT_EQ(client->figures().tenants, 27000u);
+  EXPECT_EQ(client->statistics().tenantCount, 27000u);
 }
 
-TEST_F(ConfiguredGateway, ABadRevisionLeavesTheLastGoodOneInForce) {
+TEST_F(ConfiguredGateway, RejectedRevisionLeavesTheLastAcceptedOneActive) {
   host(serveOk);
   startConfigured();
   machine.publish({tenant("good", 1)});
   ASSERT_TRUE(inForce({1, 1}));
   machine.publish({tenant("later", 1), classOf("read", 1, 600000)});
-  ASSERT_TRUE(until([&] { return client->figures().turnedDown == 1; }));
+  ASSERT_TRUE(until([&] { return client->statistics().rejected == 1; }));
   const auto c = TestClient::connect(io, gateway->endpoint());
   for (const char* name : {"good", "later"}) {
     const std::size_t before = c->answers.size();
--- a/tests/fuzz/configuration_update.cpp
+++ b/tests/fuzz/configuration_update.cpp
@@ -1,22 +1,21 @@
-// Answers of control machines and calls of gateways: whatever comes, what is taken is whole and reads back
-// the same.
+// Responses of control machines and polls of gateways: an accepted update is complete and reads back equal.
 #include <cstdlib>
 #include <stdexcept>
 
-#include "configuration/poll.hpp"
-#include "configuration/store.hpp"
+#include "configuration/configuration_store.hpp"
+#include "configuration/poll_request.hpp"
 #include "fuzz/target.hpp"
 
 namespace {
 
-finchstile::configuration::Store freshStore() {
+finchstile::configuration::ConfigurationStore freshStore() {
   finchstile::load_balancing::Settings start;
   finchstile::load_balancing::ClassSettings read;
   read.name = "read";
   read.latencyObjective = std::chrono::milliseconds(400);
   read.clientTimeout = std::chrono::seconds(1);
   start.classes = {read};
-  return finchstile::configuration::Store(start);
+  return finchstile::configuration::ConfigurationStore(start);
 }
 
 }  // namespace
@@ -25,18 +24,18 @@
   using namespace finchstile::configuration;
   const std::string_view text = asText(data, size);
   try {
-    Store store = freshStore();
+    ConfigurationStore store = freshStore();
     const Update update = parseUpdate(text);
-    if (store.apply(update).verdict == Verdict::taken) {
-      Store again = freshStore();
-      if (again.apply(parseUpdate(store.text())).verdict != Verdict::taken) std::abort();
-      if (again.position().hash != store.position().hash) std::abort();
+    if (store.apply(update).result == ApplyResult::accepted) {
+      ConfigurationStore again = freshStore();
+      if (again.apply(parseUpdate(store.serialize())).result != ApplyResult::accepted) std::abort();
+      if (again.versionState().hash != store.versionState().hash) std::abort();
     }
   } catch (const std::runtime_error&) {
-    // No update.
+    // The text is no update.
   }
   if (const auto poll = parsePollTarget(text)) {
-    if (!parsePollTarget(pollTarget(*poll))) std::abort();
+    if (!parsePollTarget(formatPollTarget(*poll))) std::abort();
   }
   return 0;
 }
--- a/tests/fuzz/load_report.cpp
+++ b/tests/fuzz/load_report.cpp
@@ -1,12 +1,13 @@
-// Any bytes as a load report: numbers of 0 or more, or none.
+// Any bytes as a load report: its numbers are within the bounds, or there is no report.
+#include "membership/load_report.hpp"
+
 #include <cmath>
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
-#include "membership/report.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  const auto r = finchstile::membership::readReport(asText(data, size));
+  const auto r = finchstile::membership::parseLoadReport(asText(data, size));
   if (!r) return 0;
   for (const double v : {r->inflight, r->queue, r->latencyMs})
     if (!std::isnan(v) && !(v >= 0 && v <= 1e6)) std::abort();
--- a/tests/membership/list_policy_test.cpp
+++ b/tests/membership/list_policy_test.cpp
@@ -1,4 +1,4 @@
-// Lists that lie or fail: for each one rule, one count and a bound in time.
+// Faulty lists: for each case one rule, one counter and a bound in time.
 #include "membership/list_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -12,372 +12,372 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-Named named(const std::string& name, HostPhase phase = HostPhase::active, const std::string& at = "",
-            Time since = {}) {
-  Named n;
-  n.entry.address = name;
-  n.entry.phase = phase;
-  n.entry.startedAt = since;
-  n.at = at.empty() ? "at-" + name : at;
+ListEntry named(const std::string& name, HostPhase phase = HostPhase::active, const std::string& at = "",
+                Time since = {}) {
+  ListEntry n;
+  n.host.address = name;
+  n.host.phase = phase;
+  n.host.startedAt = since;
+  n.endpoint = at.empty() ? "at-" + name : at;
   return n;
 }
 
-List whole(std::int64_t index, std::vector<Named> hosts) { return {index, true, std::move(hosts)}; }
-List change(std::int64_t index, std::vector<Named> hosts) { return {index, false, std::move(hosts)}; }
+EndpointList complete(std::int64_t index, std::vector<ListEntry> hosts) {
+  return {index, true, std::move(hosts)};
+}
+EndpointList change(std::int64_t index, std::vector<ListEntry> hosts) {
+  return {index, false, std::move(hosts)};
+}
 
-// What the module would make of all that was told, which is what the rules are about.
+// The phases that result from all effective lists.
 struct Follower {
   ListPolicy policy;
   Time now = seconds(100);
   std::map<std::string, HostPhase> phases;
-  std::set<std::string> silent;
-  bool asked = false;
+  std::set<std::string> unresponsive;
+  bool requestedCompleteList = false;
 
   explicit Follower(const ListPolicySettings& s = {}) : policy(s) {}
-  void follow(ListPolicy::Told&& t) {
-    asked = t.askWhole;
-    if (!t.list) return;
-    if (t.list->whole)
+  void apply(ListPolicy::Decision&& decision) {
+    requestedCompleteList = decision.requestCompleteList;
+    if (!decision.list) return;
+    if (decision.list->isComplete)
       for (auto& [name, phase] : phases) phase = HostPhase::removed;
-    for (const Named& n : t.list->hosts) phases[n.entry.address] = n.entry.phase;
+    for (const ListEntry& n : decision.list->hosts) phases[n.host.address] = n.host.phase;
   }
-  void list(List l) {
-    follow(policy.onList(std::move(l), now,
-                         [&](std::string_view h) { return silent.count(std::string(h)) == 0; }));
+  void receive(EndpointList list) {
+    apply(policy.onList(std::move(list), now,
+                        [&](std::string_view h) { return unresponsive.count(std::string(h)) == 0; }));
   }
-  void pass(Duration d) {
-    for (const Time end = now + d; now < end;) {
+  void advance(Duration duration) {
+    for (const Time end = now + duration; now < end;) {
       now = std::min(end, now + milliseconds(10));
-      if (const auto at = policy.wake(); at && *at <= now) follow(policy.onWake(now));
+      if (const auto at = policy.nextTimer(); at && *at <= now) apply(policy.onTimer(now));
     }
   }
-  HostPhase of(const std::string& name) const {
+  HostPhase phaseOf(const std::string& name) const {
     const auto it = phases.find(name);
     return it == phases.end() ? HostPhase::removed : it->second;
   }
 };
 
-std::vector<Named> many(int n, int from = 0) {
-  std::vector<Named> out;
-  for (int i = from; i < n; ++i) out.push_back(named("h" + std::to_string(i)));
+std::vector<ListEntry> hostsUpTo(int end, int from = 0) {
+  std::vector<ListEntry> out;
+  for (int i = from; i < end; ++i) out.push_back(named("h" + std::to_string(i)));
   return out;
 }
 
-TEST(ListPolicy, APlainListPassesAsItIs) {
-  Follower f;
-  f.list(whole(1, many(4)));
-  f.list(change(2, {named("h1", HostPhase::draining), named("new")}));
-  EXPECT_EQ(f.of("h0"), HostPhase::active);
-  EXPECT_EQ(f.of("h1"), HostPhase::draining);
-  EXPECT_EQ(f.of("new"), HostPhase::active);
-  f.list(whole(3, many(4, 1)));  // one of five left out: nothing to doubt
-  EXPECT_EQ(f.of("h0"), HostPhase::removed);
-  EXPECT_FALSE(f.policy.doubting());
-  EXPECT_EQ(f.policy.counts().lists, 3u);
+TEST(ListPolicy, ValidListsAreEffectiveUnchanged) {
+  Follower follower;
+  follower.receive(complete(1, hostsUpTo(4)));
+  follower.receive(change(2, {named("h1", HostPhase::draining), named("new")}));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::active);
+  EXPECT_EQ(follower.phaseOf("h1"), HostPhase::draining);
+  EXPECT_EQ(follower.phaseOf("new"), HostPhase::active);
+  follower.receive(complete(3, hostsUpTo(4, 1)));  // omits one of five, which is not suspicious
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::removed);
+  EXPECT_FALSE(follower.policy.isHolding());
+  EXPECT_EQ(follower.policy.statistics().accepted, 3u);
 }
 
-// Hard case: an empty whole list while the hosts answer.
-TEST(ListPolicy, AnEmptyListIsHeldInDoubtAndAskedForAgain) {
-  Follower f;
-  f.list(whole(1, many(4)));
-  f.list(whole(2, {}));
-  EXPECT_TRUE(f.asked);
-  EXPECT_EQ(f.of("h0"), HostPhase::active);
-  f.pass(milliseconds(100));
-  f.list(whole(2, many(4)));  // it was a mistake
-  EXPECT_EQ(f.of("h0"), HostPhase::active);
-  f.pass(seconds(5));
-  EXPECT_EQ(f.of("h0"), HostPhase::active);
-  EXPECT_EQ(f.policy.counts().doubted, 1u);
-  EXPECT_EQ(f.policy.counts().withdrawn, 1u);
+// All hosts still respond.
+TEST(ListPolicy, HoldsAnEmptyListAndRequestsACompleteOne) {
+  Follower follower;
+  follower.receive(complete(1, hostsUpTo(4)));
+  follower.receive(complete(2, {}));
+  EXPECT_TRUE(follower.requestedCompleteList);
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::active);
+  follower.advance(milliseconds(100));
+  follower.receive(complete(2, hostsUpTo(4)));  // withdrawn
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::active);
+  follower.advance(seconds(5));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::active);
+  EXPECT_EQ(follower.policy.statistics().held, 1u);
+  EXPECT_EQ(follower.policy.statistics().withdrawn, 1u);
 }
 
-TEST(ListPolicy, AnEmptyListThatIsConfirmedHoldsAtOnce) {
-  Follower f;
-  f.list(whole(1, many(4)));
-  f.list(whole(2, {}));
-  f.pass(milliseconds(50));
-  f.list(whole(2, {}));
-  EXPECT_EQ(f.of("h0"), HostPhase::removed);
-  EXPECT_EQ(f.policy.counts().confirmed, 1u);
+TEST(ListPolicy, ConfirmedEmptyListIsEffectiveAtOnce) {
+  Follower follower;
+  follower.receive(complete(1, hostsUpTo(4)));
+  follower.receive(complete(2, {}));
+  follower.advance(milliseconds(50));
+  follower.receive(complete(2, {}));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::removed);
+  EXPECT_EQ(follower.policy.statistics().confirmed, 1u);
 }
 
-// The rule on drains is kept: nobody's silence holds a host in for longer than the doubt, whatever is set.
-TEST(ListPolicy, ADoubtEndsBeforeTheRuleOnDrains) {
-  ListPolicySettings s;
-  s.doubt = seconds(60);
-  Follower f(s);
-  f.list(whole(1, many(4)));
-  f.list(whole(2, {}));
-  f.pass(milliseconds(390));
-  EXPECT_EQ(f.of("h0"), HostPhase::active);
-  f.pass(milliseconds(20));
-  EXPECT_EQ(f.of("h0"), HostPhase::removed);
-  EXPECT_EQ(f.policy.counts().lapsed, 1u);
+// Drains take effect in time, whatever hold time is set.
+TEST(ListPolicy, HoldEndsAfterTheMaximumHoldTime) {
+  ListPolicySettings settings;
+  settings.holdTime = seconds(60);
+  Follower follower(settings);
+  follower.receive(complete(1, hostsUpTo(4)));
+  follower.receive(complete(2, {}));
+  follower.advance(milliseconds(390));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::active);
+  follower.advance(milliseconds(20));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::removed);
+  EXPECT_EQ(follower.policy.statistics().expired, 1u);
 }
 
-TEST(ListPolicy, WhatADoubtfulListNamesAsDrainingHoldsAtOnce) {
-  Follower f;
-  f.list(whole(1, many(6)));
-  f.list(whole(2, {named("h0", HostPhase::draining)}));
-  EXPECT_EQ(f.of("h0"), HostPhase::draining);
-  EXPECT_EQ(f.of("h1"), HostPhase::active);
-  f.pass(seconds(1));
-  EXPECT_EQ(f.of("h0"), HostPhase::draining);
-  EXPECT_EQ(f.of("h1"), HostPhase::removed);
+TEST(ListPolicy, DrainsInASuspiciousListAreEffectiveAtOnce) {
+  Follower follower;
+  follower.receive(complete(1, hostsUpTo(6)));
+  follower.receive(complete(2, {named("h0", HostPhase::draining)}));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::draining);
+  EXPECT_EQ(follower.phaseOf("h1"), HostPhase::active);
+  follower.advance(seconds(1));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::draining);
+  EXPECT_EQ(follower.phaseOf("h1"), HostPhase::removed);
 }
 
-// Hard case: half a list.
-TEST(ListPolicy, HalfAListIsDoubtedOnlyIfTheRestAnswers) {
-  Follower f;
-  f.list(whole(1, many(10)));
-  f.list(whole(2, many(10, 6)));
-  EXPECT_TRUE(f.policy.doubting());
-  EXPECT_EQ(f.policy.reason("h1"), "left out, in doubt");
-  Follower dead;
-  dead.list(whole(1, many(10)));
-  for (int i = 0; i < 6; ++i) dead.silent.insert("h" + std::to_string(i));
-  dead.list(whole(2, many(10, 6)));  // a zone is lost: the list tells what we see
-  EXPECT_FALSE(dead.policy.doubting());
-  EXPECT_EQ(dead.of("h1"), HostPhase::removed);
+TEST(ListPolicy, HoldsATruncatedListOnlyIfTheOmittedHostsRespond) {
+  Follower follower;
+  follower.receive(complete(1, hostsUpTo(10)));
+  follower.receive(complete(2, hostsUpTo(10, 6)));
+  EXPECT_TRUE(follower.policy.isHolding());
+  EXPECT_EQ(follower.policy.restrictionReason("h1"), "left out, in doubt");
+  Follower zoneLost;
+  zoneLost.receive(complete(1, hostsUpTo(10)));
+  for (int i = 0; i < 6; ++i) zoneLost.unresponsive.insert("h" + std::to_string(i));
+  zoneLost.receive(complete(2, hostsUpTo(10, 6)));  // a lost zone: the list agrees with our observations
+  EXPECT_FALSE(zoneLost.policy.isHolding());
+  EXPECT_EQ(zoneLost.phaseOf("h1"), HostPhase::removed);
 }
 
-TEST(ListPolicy, AChangeDuringADoubtSpeaksForWhomItNames) {
-  Follower f;
-  f.list(whole(1, many(4)));
-  f.list(whole(2, {}));
-  f.list(change(3, {named("h2")}));
-  f.pass(seconds(1));
-  EXPECT_EQ(f.of("h1"), HostPhase::removed);
-  EXPECT_EQ(f.of("h2"), HostPhase::active);
+TEST(ListPolicy, ChangeDuringAHoldDecidesAboutItsHosts) {
+  Follower follower;
+  follower.receive(complete(1, hostsUpTo(4)));
+  follower.receive(complete(2, {}));
+  follower.receive(change(3, {named("h2")}));
+  follower.advance(seconds(1));
+  EXPECT_EQ(follower.phaseOf("h1"), HostPhase::removed);
+  EXPECT_EQ(follower.phaseOf("h2"), HostPhase::active);
 }
 
-TEST(ListPolicy, DoubtCanBeSwitchedOff) {
-  ListPolicySettings s;
-  s.doubt = {};
-  Follower f(s);
-  f.list(whole(1, many(4)));
-  f.list(whole(2, {}));
-  EXPECT_EQ(f.of("h0"), HostPhase::removed);
+TEST(ListPolicy, HoldTimeOfZeroDisablesHolding) {
+  ListPolicySettings settings;
+  settings.holdTime = {};
+  Follower follower(settings);
+  follower.receive(complete(1, hostsUpTo(4)));
+  follower.receive(complete(2, {}));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::removed);
 }
 
-// Hard case: a list that is older than ours.
-TEST(ListPolicy, AnOlderListUndoesNothing) {
-  Follower f;
-  f.list(whole(7, many(4)));
-  f.list(change(8, {named("h0", HostPhase::draining)}));
-  f.list(whole(7, many(4)));
-  f.list(change(6, {named("h0")}));
-  EXPECT_EQ(f.of("h0"), HostPhase::draining);
-  EXPECT_EQ(f.policy.counts().older, 2u);
-  f.list(change(9, {named("h0")}));
-  EXPECT_EQ(f.of("h0"), HostPhase::active);
+TEST(ListPolicy, IgnoresOlderLists) {
+  Follower follower;
+  follower.receive(complete(7, hostsUpTo(4)));
+  follower.receive(change(8, {named("h0", HostPhase::draining)}));
+  follower.receive(complete(7, hostsUpTo(4)));
+  follower.receive(change(6, {named("h0")}));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::draining);
+  EXPECT_EQ(follower.policy.statistics().older, 2u);
+  follower.receive(change(9, {named("h0")}));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::active);
 }
 
-// A discovery that was set up anew counts from the beginning; for ever passed over, it could tell no drain.
-TEST(ListPolicy, ADiscoveryThatStartedAnewIsHeardAfterAWhile) {
-  Follower f;
-  f.list(whole(700, many(4)));
-  f.list(whole(1, many(4)));
-  f.pass(seconds(9));
-  f.list(change(2, {named("h0", HostPhase::draining)}));
-  EXPECT_EQ(f.of("h0"), HostPhase::active);
-  f.pass(seconds(2));
-  f.list(change(
-      3, {named("h0", HostPhase::draining)}));  // what it refers to was passed over: the whole is asked for
-  EXPECT_TRUE(f.asked);
-  f.list(whole(3, many(4, 1)));
-  EXPECT_EQ(f.of("h0"), HostPhase::removed);
-  EXPECT_EQ(f.policy.counts().renumbered, 1u);
-  EXPECT_EQ(f.policy.version(), 3);
+// A discovery that restarted with lower versions must not be ignored forever.
+TEST(ListPolicy, AcceptsLowerVersionsAfterTheTolerance) {
+  Follower follower;
+  follower.receive(complete(700, hostsUpTo(4)));
+  follower.receive(complete(1, hostsUpTo(4)));
+  follower.advance(seconds(9));
+  follower.receive(change(2, {named("h0", HostPhase::draining)}));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::active);
+  follower.advance(seconds(2));
+  follower.receive(change(3, {named("h0", HostPhase::draining)}));  // the list that it refers to was ignored
+  EXPECT_TRUE(follower.requestedCompleteList);
+  follower.receive(complete(3, hostsUpTo(4, 1)));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::removed);
+  EXPECT_EQ(follower.policy.statistics().renumbered, 1u);
+  EXPECT_EQ(follower.policy.version(), 3);
 }
 
-TEST(ListPolicy, OfAnotherDiscoveryTheVersionsBeginAnew) {
-  Follower f;
-  f.list(whole(700, many(4)));
-  f.policy.onMoved();
-  f.list(whole(1, many(4, 1)));
-  EXPECT_EQ(f.of("h0"), HostPhase::removed);
-  EXPECT_EQ(f.policy.counts().older, 0u);
+TEST(ListPolicy, AcceptsLowerVersionsOfAnotherDiscovery) {
+  Follower follower;
+  follower.receive(complete(700, hostsUpTo(4)));
+  follower.policy.onDiscoveryMoved();
+  follower.receive(complete(1, hostsUpTo(4, 1)));
+  EXPECT_EQ(follower.phaseOf("h0"), HostPhase::removed);
+  EXPECT_EQ(follower.policy.statistics().older, 0u);
 }
 
-// Hard case: a list that names a host twice.
-TEST(ListPolicy, OfAHostThatIsNamedTwiceTheWorseHolds) {
-  Follower f;
+TEST(ListPolicy, MergesDuplicateEntriesToTheWorsePhase) {
+  Follower follower;
   for (const bool worseFirst : {true, false}) {
-    std::vector<Named> hosts = many(3);
+    std::vector<ListEntry> hosts = hostsUpTo(3);
     hosts.push_back(named("x", worseFirst ? HostPhase::draining : HostPhase::active));
     hosts.push_back(named("x", worseFirst ? HostPhase::active : HostPhase::draining));
-    f.list(whole(worseFirst ? 1 : 2, hosts));
-    EXPECT_EQ(f.of("x"), HostPhase::draining);
+    follower.receive(complete(worseFirst ? 1 : 2, hosts));
+    EXPECT_EQ(follower.phaseOf("x"), HostPhase::draining);
   }
-  EXPECT_EQ(f.policy.counts().twice, 2u);
-  const auto t = f.policy.onList(change(3, {named("y", HostPhase::active, "a:1", seconds(5)),
-                                            named("y", HostPhase::active, "a:2", seconds(6))}),
-                                 f.now, [](std::string_view) { return true; });
+  EXPECT_EQ(follower.policy.statistics().duplicateHosts, 2u);
+  const auto t = follower.policy.onList(change(3, {named("y", HostPhase::active, "a:1", seconds(5)),
+                                                   named("y", HostPhase::active, "a:2", seconds(6))}),
+                                        follower.now, [](std::string_view) { return true; });
   ASSERT_EQ(t.list->hosts.size(), 1u);
-  EXPECT_EQ(t.list->hosts[0].at, "a:2");  // the later start, and the address that goes with it
-  EXPECT_EQ(t.list->hosts[0].entry.startedAt, Time(seconds(6)));
+  EXPECT_EQ(t.list->hosts[0].endpoint, "a:2");  // that of the later start
+  EXPECT_EQ(t.list->hosts[0].host.startedAt, Time(seconds(6)));
 }
 
-// Hard case: an address that moves to another name, the old one still listed.
-TEST(ListPolicy, OfTwoAtOneAddressTheLaterStartIsThere) {
-  Follower f;
-  f.list(whole(1, {named("old", HostPhase::active, "a:1", seconds(5)), named("b")}));
-  f.list(change(2, {named("new", HostPhase::active, "a:1", seconds(50))}));
-  EXPECT_EQ(f.of("new"), HostPhase::active);
-  EXPECT_EQ(f.of("old"), HostPhase::draining);
-  EXPECT_EQ(f.policy.reason("old"), "its address is another's");
-  f.list(change(3, {named("old", HostPhase::removed, "a:1")}));
-  EXPECT_EQ(f.of("old"), HostPhase::removed);
-  f.list(change(
-      4, {named("late", HostPhase::active, "a:1", seconds(20))}));  // started before the one that is there
-  EXPECT_EQ(f.of("late"), HostPhase::draining);
-  EXPECT_EQ(f.of("new"), HostPhase::active);
-  EXPECT_EQ(f.policy.counts().shared, 2u);
-  f.list(change(5, {named("new", HostPhase::draining, "a:1", seconds(50))}));
-  f.list(change(6, {named("late", HostPhase::active, "a:1", seconds(20))}));
-  EXPECT_EQ(f.of("late"), HostPhase::active);
+// An endpoint moves to another host while the old one is still listed.
+TEST(ListPolicy, LaterStartWinsASharedEndpoint) {
+  Follower follower;
+  follower.receive(complete(1, {named("old", HostPhase::active, "a:1", seconds(5)), named("b")}));
+  follower.receive(change(2, {named("new", HostPhase::active, "a:1", seconds(50))}));
+  EXPECT_EQ(follower.phaseOf("new"), HostPhase::active);
+  EXPECT_EQ(follower.phaseOf("old"), HostPhase::draining);
+  EXPECT_EQ(follower.policy.restrictionReason("old"), "its address is another's");
+  follower.receive(change(3, {named("old", HostPhase::removed, "a:1")}));
+  EXPECT_EQ(follower.phaseOf("old"), HostPhase::removed);
+  follower.receive(
+      change(4, {named("late", HostPhase::active, "a:1", seconds(20))}));  // started before the owner
+  EXPECT_EQ(follower.phaseOf("late"), HostPhase::draining);
+  EXPECT_EQ(follower.phaseOf("new"), HostPhase::active);
+  EXPECT_EQ(follower.policy.statistics().sharedEndpoints, 2u);
+  follower.receive(change(5, {named("new", HostPhase::draining, "a:1", seconds(50))}));
+  follower.receive(change(6, {named("late", HostPhase::active, "a:1", seconds(20))}));
+  EXPECT_EQ(follower.phaseOf("late"), HostPhase::active);
 }
 
-TEST(ListPolicy, TwoAtOneAddressInOneWholeList) {
-  Follower f;
-  f.list(whole(1, {named("b", HostPhase::active, "a:1", seconds(9)),
-                   named("a", HostPhase::active, "a:1", seconds(5))}));
-  EXPECT_EQ(f.of("a"), HostPhase::draining);
-  EXPECT_EQ(f.of("b"), HostPhase::active);
-  f.list(whole(2, {named("a", HostPhase::active, "a:1", seconds(5)),
-                   named("b", HostPhase::active, "a:1", seconds(9))}));
-  EXPECT_EQ(f.of("a"), HostPhase::draining);
-  EXPECT_EQ(f.of("b"), HostPhase::active);
+TEST(ListPolicy, LaterStartWinsASharedEndpointInOneList) {
+  Follower follower;
+  follower.receive(complete(1, {named("b", HostPhase::active, "a:1", seconds(9)),
+                                named("a", HostPhase::active, "a:1", seconds(5))}));
+  EXPECT_EQ(follower.phaseOf("a"), HostPhase::draining);
+  EXPECT_EQ(follower.phaseOf("b"), HostPhase::active);
+  follower.receive(complete(2, {named("a", HostPhase::active, "a:1", seconds(5)),
+                                named("b", HostPhase::active, "a:1", seconds(9))}));
+  EXPECT_EQ(follower.phaseOf("a"), HostPhase::draining);
+  EXPECT_EQ(follower.phaseOf("b"), HostPhase::active);
 }
 
-// A host whose address the list moves is the same host.
-TEST(ListPolicy, AHostThatMovesGivesItsAddressBack) {
-  Follower f;
-  f.list(whole(1, {named("a", HostPhase::active, "p:1"), named("b", HostPhase::active, "p:2")}));
-  f.list(change(2, {named("a", HostPhase::active, "p:3")}));
-  f.list(change(3, {named("c", HostPhase::active, "p:1")}));
-  EXPECT_EQ(f.of("c"), HostPhase::active);
-  EXPECT_EQ(f.of("a"), HostPhase::active);
-  EXPECT_EQ(f.policy.counts().shared, 0u);
+TEST(ListPolicy, HostThatMovesReleasesItsEndpoint) {
+  Follower follower;
+  follower.receive(complete(1, {named("a", HostPhase::active, "p:1"), named("b", HostPhase::active, "p:2")}));
+  follower.receive(change(2, {named("a", HostPhase::active, "p:3")}));
+  follower.receive(change(3, {named("c", HostPhase::active, "p:1")}));
+  EXPECT_EQ(follower.phaseOf("c"), HostPhase::active);
+  EXPECT_EQ(follower.phaseOf("a"), HostPhase::active);
+  EXPECT_EQ(follower.policy.statistics().sharedEndpoints, 0u);
 }
 
-// Hard case: a host that is taken out and back ten times a second.
-TEST(ListPolicy, AFlappingHostStaysOutUntilItHasCalmedDown) {
-  for (const bool byWhole : {false, true}) {
-    Follower f;
-    f.list(whole(1, many(5)));
+// A host that leaves and returns ten times per second.
+TEST(ListPolicy, SuppressesAFlappingHostUntilItIsStable) {
+  for (const bool byCompleteList : {false, true}) {
+    Follower follower;
+    follower.receive(complete(1, hostsUpTo(5)));
     std::int64_t index = 1;
     for (int i = 0; i < 20; ++i) {
       ++index;
-      if (byWhole) f.list(whole(index, many(5, 1)));
-      else f.list(change(index, {named("h0", HostPhase::draining)}));
-      f.pass(milliseconds(50));
+      if (byCompleteList) follower.receive(complete(index, hostsUpTo(5, 1)));
+      else follower.receive(change(index, {named("h0", HostPhase::draining)}));
+      follower.advance(milliseconds(50));
       ++index;
-      if (byWhole) f.list(whole(index, many(5)));
-      else f.list(change(index, {named("h0")}));
-      if (i >= 6) EXPECT_EQ(f.of("h0"), HostPhase::draining) << i;
-      f.pass(milliseconds(50));
+      if (byCompleteList) follower.receive(complete(index, hostsUpTo(5)));
+      else follower.receive(change(index, {named("h0")}));
+      if (i >= 6) EXPECT_EQ(follower.phaseOf("h0"), HostPhase::draining) << i;
+      follower.advance(milliseconds(50));
     }
-    EXPECT_EQ(f.policy.counts().flapping, 1u);
-    EXPECT_EQ(f.policy.reason("h0"), "flapping");
-    EXPECT_EQ(f.of("h1"), HostPhase::active);
-    f.pass(seconds(60));
-    EXPECT_EQ(f.of("h0"), HostPhase::active);
-    EXPECT_EQ(f.policy.reason("h0"), "");
+    EXPECT_EQ(follower.policy.statistics().flappingHosts, 1u);
+    EXPECT_EQ(follower.policy.restrictionReason("h0"), "flapping");
+    EXPECT_EQ(follower.phaseOf("h1"), HostPhase::active);
+    follower.advance(seconds(60));
+    EXPECT_EQ(follower.phaseOf("h0"), HostPhase::active);
+    EXPECT_EQ(follower.policy.restrictionReason("h0"), "");
   }
 }
 
-TEST(ListPolicy, ADeployIsNoFlap) {
-  Follower f;
-  f.list(whole(1, many(5)));
+TEST(ListPolicy, RollingDeployIsNoFlapping) {
+  Follower follower;
+  follower.receive(complete(1, hostsUpTo(5)));
   std::int64_t index = 1;
   for (int i = 0; i < 5; ++i) {
     const std::string name = "h" + std::to_string(i);
-    f.list(change(++index, {named(name, HostPhase::draining)}));
-    f.pass(seconds(1));
-    f.list(change(++index, {named(name, HostPhase::removed)}));
-    f.pass(seconds(1));
-    f.list(change(++index, {named(name, HostPhase::active, "", f.now)}));
-    EXPECT_EQ(f.of(name), HostPhase::active);
+    follower.receive(change(++index, {named(name, HostPhase::draining)}));
+    follower.advance(seconds(1));
+    follower.receive(change(++index, {named(name, HostPhase::removed)}));
+    follower.advance(seconds(1));
+    follower.receive(change(++index, {named(name, HostPhase::active, "", follower.now)}));
+    EXPECT_EQ(follower.phaseOf(name), HostPhase::active);
   }
-  EXPECT_EQ(f.policy.counts().flapping, 0u);
+  EXPECT_EQ(follower.policy.statistics().flappingHosts, 0u);
 }
 
-TEST(ListPolicy, WhatHasGoneIsForgottenAndTheTableIsBounded) {
-  ListPolicySettings s;
-  s.hosts = 50;
-  Follower f(s);
-  for (int i = 0; i < 500; ++i) {  // a fleet that is replaced all the time
-    f.list(whole(i + 1, many(i + 10, i)));
-    f.pass(seconds(2));
+TEST(ListPolicy, ForgetsRemovedHostsAndBoundsTheTable) {
+  ListPolicySettings settings;
+  settings.maxHosts = 50;
+  Follower follower(settings);
+  for (int i = 0; i < 500; ++i) {  // a fleet that is replaced continuously
+    follower.receive(complete(i + 1, hostsUpTo(i + 10, i)));
+    follower.advance(seconds(2));
   }
-  EXPECT_LT(f.policy.size(), 50u);
-  EXPECT_EQ(f.policy.counts().dropped, 0u);
-  f.list(whole(1000, many(200)));
-  EXPECT_LE(f.policy.size(), 50u);
-  EXPECT_GT(f.policy.counts().dropped, 0u);
+  EXPECT_LT(follower.policy.hostCount(), 50u);
+  EXPECT_EQ(follower.policy.statistics().droppedHosts, 0u);
+  follower.receive(complete(1000, hostsUpTo(200)));
+  EXPECT_LE(follower.policy.hostCount(), 50u);
+  EXPECT_GT(follower.policy.statistics().droppedHosts, 0u);
 }
 
-// Hard case: discovery is gone for an hour.
-TEST(ListPolicy, ALostDiscoveryLeavesTheListAsItIs) {
-  Follower f;
-  f.list(whole(1, many(3)));
+// Discovery is down for an hour.
+TEST(ListPolicy, LostWatchLeavesTheListEffective) {
+  Follower follower;
+  follower.receive(complete(1, hostsUpTo(3)));
   for (int i = 0; i < 3600; ++i) {
-    f.policy.onLost();
-    f.pass(seconds(1));
+    follower.policy.onWatchLost();
+    follower.advance(seconds(1));
   }
-  EXPECT_EQ(f.of("h2"), HostPhase::active);
-  EXPECT_EQ(f.policy.counts().lost, 3600u);
-  EXPECT_EQ(f.policy.listAt(), Time(seconds(100)));
+  EXPECT_EQ(follower.phaseOf("h2"), HostPhase::active);
+  EXPECT_EQ(follower.policy.statistics().watchesLost, 3600u);
+  EXPECT_EQ(follower.policy.lastAcceptedAt(), Time(seconds(100)));
 }
 
-// Whatever lists come: what one newer than ours names as draining or gone is never in force as `in`; what a
-// whole list leaves out is out after the doubt at the latest; once lists are plain for long enough, what is
-// in force is what they say.
-TEST(ListPolicy, AnyListsKeepTheRuleOnDrains) {
+// For random lists: a host that a current list has as draining or removed is never active; one that a
+// complete list omits is inactive after the hold time at the latest; and valid lists are effective in the
+// end.
+TEST(ListPolicy, AnyListsKeepDrainsInTime) {
   for (unsigned seed = 1; seed <= 300; ++seed) {
-    std::mt19937 dice(seed);
-    Follower f;
-    f.list(whole(1, many(6)));
+    std::mt19937 random(seed);
+    Follower follower;
+    follower.receive(complete(1, hostsUpTo(6)));
     std::int64_t index = 1;
-    std::map<std::string, Time> outSince;  // by the lists that count
-    for (int i = 0; i < 6; ++i) f.silent.clear();
+    std::map<std::string, Time> outSince;  // by accepted lists
+    for (int i = 0; i < 6; ++i) follower.unresponsive.clear();
     for (int step = 0; step < 120; ++step) {
-      List l;
-      l.whole = dice() % 3 == 0;
-      l.index = dice() % 5 == 0 ? index - 1 : ++index;
+      EndpointList l;
+      l.isComplete = random() % 3 == 0;
+      l.version = random() % 5 == 0 ? index - 1 : ++index;
       for (int i = 0; i < 6; ++i)
-        if (dice() % 2)
-          l.hosts.push_back(named("h" + std::to_string(i), static_cast<HostPhase>(dice() % 3),
-                                  "p:" + std::to_string(dice() % 8), seconds(dice() % 4)));
-      const bool counts = l.index >= index;
+        if (random() % 2)
+          l.hosts.push_back(named("h" + std::to_string(i), static_cast<HostPhase>(random() % 3),
+                                  "p:" + std::to_string(random() % 8), seconds(random() % 4)));
+      const bool counts = l.version >= index;
       std::map<std::string, HostPhase> worst;
-      for (const Named& n : l.hosts) {
-        const auto [it, fresh] = worst.emplace(n.entry.address, n.entry.phase);
-        if (!fresh && n.entry.phase != HostPhase::active) it->second = n.entry.phase;
+      for (const ListEntry& n : l.hosts) {
+        const auto [it, fresh] = worst.emplace(n.host.address, n.host.phase);
+        if (!fresh && n.host.phase != HostPhase::active) it->second = n.host.phase;
       }
       if (counts) {
         for (int i = 0; i < 6; ++i) {
           const std::string name = "h" + std::to_string(i);
           const auto it = worst.find(name);
           if (it != worst.end() && it->second == HostPhase::active) outSince.erase(name);
-          else if (it != worst.end()) outSince[name] = f.now - seconds(1);  // named: at once
-          else if (l.whole) outSince.emplace(name, f.now);
+          else if (it != worst.end()) outSince[name] = follower.now - seconds(1);  // named: effective at once
+          else if (l.isComplete) outSince.emplace(name, follower.now);
         }
       }
-      f.list(std::move(l));
-      const Duration pause = milliseconds(dice() % 300);
-      f.pass(pause);
+      follower.receive(std::move(l));
+      const Duration pause = milliseconds(random() % 300);
+      follower.advance(pause);
       for (const auto& [name, since] : outSince)
-        if (f.now - since > kDoubtMost)
-          ASSERT_NE(f.of(name), HostPhase::active) << "seed " << seed << " step " << step;
+        if (follower.now - since > kMaxHoldTime)
+          ASSERT_NE(follower.phaseOf(name), HostPhase::active) << "seed " << seed << " step " << step;
     }
-    f.pass(seconds(120));
-    f.list(whole(++index, many(6)));
-    f.pass(seconds(1));
-    for (int i = 0; i < 6; ++i) ASSERT_EQ(f.of("h" + std::to_string(i)), HostPhase::active) << seed;
+    follower.advance(seconds(120));
+    follower.receive(complete(++index, hostsUpTo(6)));
+    follower.advance(seconds(1));
+    for (int i = 0; i < 6; ++i)
+      ASSERT_EQ(follower.phaseOf("h" + std::to_string(i)), HostPhase::active) << seed;
   }
 }
 
--- a/tests/membership/wire_format_test.cpp
+++ b/tests/membership/wire_format_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "membership/gossip.hpp"
-#include "membership/snapshot.hpp"
+#include "membership/snapshot_message.hpp"
 
 namespace finchstile::membership {
 namespace {
@@ -24,44 +24,45 @@
 }
 
 TEST(MembershipWireFormat, GossipMessageHasTheseBytes) {
-  const std::vector<Rumour> updates = {
-      {0x0102030405060708, 0, Rumour::What::silent, 0, milliseconds(125)},
-      {0x1112131415161718, 1'700'000'000'000, Rumour::What::draining, 77, {}},
-      {0x2122232425262728, 1'700'000'000'001, Rumour::What::out, 0x0102030405060708, std::chrono::hours(1)}};
-  EXPECT_EQ(hex(encodeRumours(updates).value()),
+  const std::vector<GossipUpdate> updates = {
+      {0x0102030405060708, 0, GossipUpdate::Kind::unresponsive, 0, milliseconds(125)},
+      {0x1112131415161718, 1'700'000'000'000, GossipUpdate::Kind::draining, 77, {}},
+      {0x2122232425262728, 1'700'000'000'001, GossipUpdate::Kind::removed, 0x0102030405060708,
+       std::chrono::hours(1)}};
+  EXPECT_EQ(hex(encodeGossipMessage(updates).value()),
             "0103080706050403020100000000000000000100000000000000000d0018171615141312110068e5"
             "cf8b010000024d00000000000000000028272625242322210168e5cf8b0100000308070605040302"
             "01ffff");
 }
 
 TEST(MembershipWireFormat, SnapshotRequestHasTheseBytes) {
-  EXPECT_EQ(hex(encodeAsk(0x0102030405060708)), "020807060504030201");
+  EXPECT_EQ(hex(encodeSnapshotRequest(0x0102030405060708)), "020807060504030201");
 }
 
 TEST(MembershipWireFormat, SnapshotChunkHasTheseBytes) {
-  Snapshot snapshot;
-  Snapshot::Self& self = snapshot.self.emplace();
+  StateSnapshot snapshot;
+  StateSnapshot::GatewayRecord& self = snapshot.gateway.emplace();
   self.age = seconds(90);
   self.arrivalRate = 1;
-  self.arrivalSweeps = 2;
+  self.arrivalSamples = 2;
   self.answers = 3;
-  self.fastRate = 4;
-  self.meanAim = 5;
-  self.meanWork = 6;
-  self.calmHeld = 7;
-  self.servedShare = 8;
+  self.inTimeRate = 4;
+  self.meanLatencyObjective = 5;
+  self.meanTypicalLatency = 6;
+  self.unloadedConcurrency = 7;
+  self.servedFraction = 8;
   snapshot.classes = {{0x0102030405060708, 1.5, 2.5, 0.25, milliseconds(900)}};
-  snapshot.kinds = {{0x1112131415161718, 70, 1.25}};
-  snapshot.levels = {{12, 5}};
-  ToldHost active;
+  snapshot.machineTypes = {{0x1112131415161718, 70, 1.25}};
+  snapshot.priorityLevels = {{12, 5}};
+  HostRecord active;
   active.host = 0x2122232425262728;
-  active.started = 1'700'000'000'000;
+  active.startedUnixMs = 1'700'000'000'000;
   active.version = 77;
   active.age = milliseconds(1500);
-  active.pace = 0.5;
-  active.fails = 0.125;
-  active.rate = 40;
-  ToldHost ejected = active;
+  active.relativeLatency = 0.5;
+  active.failureRate = 0.125;
+  active.answerRate = 40;
+  HostRecord ejected = active;
   ejected.host = 0x3132333435363738;
   ejected.phase = HostPhase::draining;
   ejected.ejectedFor = seconds(2);
--- a/tools/control_log.hpp
+++ b/tools/control_log.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "configuration/document.hpp"
-#include "configuration/poll.hpp"
+#include "configuration/poll_request.hpp"
 #include "configuration/update.hpp"
 
 namespace finchstile::fake_upstream {
@@ -32,17 +32,17 @@
   // What a gateway has told with its last poll.
   struct Report {
     configuration::Version inForce;
-    std::optional<configuration::Position::TurnedDown> turnedDown;
+    std::optional<configuration::RejectedVersion> turnedDown;
   };
 
   ControlLog() = default;
   explicit ControlLog(const Settings& settings) : settings_(settings), version_{settings.epoch, 0} {}
 
   // A new revision; a key that stands twice in `changes` has its last document.
-  configuration::Version publish(const std::vector<configuration::Change>& changes) {
+  configuration::Version publish(const std::vector<configuration::DocumentChange>& changes) {
     ++version_.revision;
     std::vector<std::string>& keys = changed_[version_.revision];
-    for (const configuration::Change& change : changes) {
+    for (const configuration::DocumentChange& change : changes) {
       set(change);
       keys.push_back(change.key);
     }
@@ -68,37 +68,36 @@
         reports_.begin(), reports_.end(), [&](const auto& r) { return r.second.inForce >= version; }));
   }
 
-  void note(const configuration::Poll& poll) {
-    reports_[poll.gateway] = {poll.position.version, poll.position.turnedDown};
+  void note(const configuration::PollRequest& poll) {
+    reports_[poll.gatewayName] = {poll.state.version, poll.state.rejected};
   }
   // None: there is nothing newer; the poll may be held. `now` in seconds.
-  std::optional<ControlReply> answer(const configuration::Poll& poll, double now) {
-    const configuration::Position& at = poll.position;
-    if (at.turnedDown && at.turnedDown->version == version_ && at.turnedDown->hash == hash_)
-      return std::nullopt;
+  std::optional<ControlReply> answer(const configuration::PollRequest& poll, double now) {
+    const configuration::VersionState& at = poll.state;
+    if (at.rejected && at.rejected->version == version_ && at.rejected->hash == hash_) return std::nullopt;
     if (version_.revision == 0 || at.version > version_) return std::nullopt;
-    if (at.version == version_ && at.hash == hash_ && !at.wantsWhole) return std::nullopt;
+    if (at.version == version_ && at.hash == hash_ && !at.wantsSnapshot) return std::nullopt;
     const auto known = history_.find(at.version.revision);
     const bool ancestor = known != history_.end() && known->second.epoch == at.version.epoch &&
                           known->second.hash == at.hash && at.version.revision < version_.revision;
-    if (ancestor && !at.wantsWhole) return ControlReply{200, changesSince(at.version.revision), 0};
+    if (ancestor && !at.wantsSnapshot) return ControlReply{200, changesSince(at.version.revision), 0};
     return whole(now);
   }
-  ControlReply noNews() const { return {200, configuration::updateText(version_, hash_, false, {}), 0}; }
+  ControlReply noNews() const { return {200, configuration::serializeUpdate(version_, hash_, false, {}), 0}; }
 
  private:
   struct Point {
     std::uint64_t epoch = 0, hash = 0;
   };
 
-  void set(const configuration::Change& change) {
+  void set(const configuration::DocumentChange& change) {
     auto& entry = documents_[change.key];
     if (entry.document) hash_ -= hashOf(*entry.document);
     if (change.document) hash_ += hashOf(*change.document);
     entry = change;
   }
   static std::uint64_t hashOf(const configuration::Document& document) {
-    return std::visit([](const auto& d) { return configuration::hashOf(d); }, document);
+    return std::visit([](const auto& d) { return configuration::documentHash(d); }, document);
   }
   const std::string& changesSince(std::uint64_t revision) {
     std::string& text = cached_[revision];
@@ -108,16 +107,16 @@
       keys.insert(it->second.begin(), it->second.end());
     std::vector<std::string> entries;
     entries.reserve(keys.size());
-    for (const std::string& key : keys) entries.push_back(configuration::entryText(documents_.at(key)));
-    return text = configuration::updateText(version_, hash_, false, entries);
+    for (const std::string& key : keys) entries.push_back(configuration::serializeEntry(documents_.at(key)));
+    return text = configuration::serializeUpdate(version_, hash_, false, entries);
   }
   ControlReply whole(double now) {
     std::string& text = cached_[kWhole];
     if (text.empty()) {
       std::vector<std::string> entries;
       for (const auto& [key, change] : documents_)
-        if (change.document) entries.push_back(configuration::entryText(change));
-      text = configuration::updateText(version_, hash_, true, entries);
+        if (change.document) entries.push_back(configuration::serializeEntry(change));
+      text = configuration::serializeUpdate(version_, hash_, true, entries);
     }
     if (settings_.wholeBytesPerSecond > 0) {
       if (freeAt_ > now) return {503, "", freeAt_ - now};
@@ -132,7 +131,7 @@
   Settings settings_;
   configuration::Version version_{1, 0};
   std::uint64_t hash_ = 0;
-  std::map<std::string, configuration::Change> documents_;
+  std::map<std::string, configuration::DocumentChange> documents_;
   std::map<std::uint64_t, std::vector<std::string>> changed_;  // keys by revision
   std::map<std::uint64_t, Point> history_;
   std::map<std::uint64_t, std::string> cached_;  // texts of this revision, by the revision that is asked from
--- a/tools/control_machine.hpp
+++ b/tools/control_machine.hpp
@@ -45,7 +45,7 @@
   std::uint64_t polls() const { return polls_; }
   std::uint64_t bytesSent() const { return bytes_; }
 
-  configuration::Version publish(const std::vector<configuration::Change>& changes) {
+  configuration::Version publish(const std::vector<configuration::DocumentChange>& changes) {
     const configuration::Version version = log.publish(changes);
     answerHeld();
     return version;
@@ -89,7 +89,7 @@
       machine.log.note(*poll);
       if (machine.fault == ControlFault::silent) return;
       machine.held_.insert(shared_from_this());
-      timer.expires_after(std::min<std::chrono::nanoseconds>(poll->wait, std::chrono::minutes(1)));
+      timer.expires_after(std::min<std::chrono::nanoseconds>(poll->maxWait, std::chrono::minutes(1)));
       timer.async_wait([self = shared_from_this()](error_code stopped) {
         if (!stopped && self->letGo()) self->reply(self->machine.log.noNews());
       });
@@ -131,7 +131,7 @@
     boost::asio::steady_timer timer;
     boost::beast::flat_buffer buffer;
     boost::beast::http::request<boost::beast::http::empty_body> request;
-    std::optional<configuration::Poll> poll;
+    std::optional<configuration::PollRequest> poll;
     std::string out;
   };
 
--- a/tools/simulated_gateways.cpp
+++ b/tools/simulated_gateways.cpp
@@ -41,7 +41,7 @@
 
 namespace asio = boost::asio;
 using bench::Samples;
-using configuration::Change;
+using configuration::DocumentChange;
 using configuration::TenantDocument;
 using fake_upstream::tenantName;
 using nlohmann::json;
@@ -130,7 +130,7 @@
                               (byMemory < byDescriptors ? "half of the memory" : "descriptors"));
 }
 
-Change tenant(std::size_t i, double quota) {
+DocumentChange tenant(std::size_t i, double quota) {
   return {"tenant/" + tenantName(i), TenantDocument{tenantName(i), quota}};
 }
 
@@ -142,7 +142,7 @@
     for (std::size_t i = 0; i < o.machines; ++i)
       machines_.push_back(std::make_unique<fake_upstream::ControlMachine>(
           io_, fake_upstream::ControlLog::Settings{1, kKept, kWholeBytesPerSecond}));
-    std::vector<Change> all;
+    std::vector<DocumentChange> all;
     for (std::size_t i = 0; i < o.tenants; ++i) all.push_back(tenant(i, 50));
     for (auto& machine : machines_) machine->log.publish(all);
     thread_ = std::thread([this] { io_.run(); });
@@ -160,7 +160,7 @@
     return done.get_future().get();
   }
   // One revision at all machines at once: what replicates it between them is none of this program's.
-  configuration::Version publish(const std::vector<Change>& changes) {
+  configuration::Version publish(const std::vector<DocumentChange>& changes) {
     return on([&] {
       configuration::Version version;
       for (auto& machine : machines_) version = machine->publish(changes);
