--- a/tests/configuration/poll_request_test.cpp
+++ b/tests/configuration/poll_request_test.cpp
@@ -1,4 +1,4 @@
-// Targets of polls: written, read back, and told from other targets.
+// Targets of polls: written, read back, and distinguished from other targets.
 #include "configuration/poll_request.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/membership/gossip_message_test.cpp
+++ b/tests/membership/gossip_message_test.cpp
@@ -1,4 +1,4 @@
-// Gossip messages: written, read back, and told from other payloads.
+// Gossip messages: written, read back, and distinguished from other payloads.
 #include "membership/gossip_message.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/membership/gossip_test.cpp
+++ b/tests/membership/gossip_test.cpp
@@ -23,7 +23,7 @@
 }
 std::string bytes(std::vector<GossipUpdate> r) { return encodeGossipMessage(r).value(); }
 
-// TestGateway gatewayateway of five, with ten listed hosts.
+// One gateway of five, with ten listed hosts.
 struct TestGateway {
   GossipSettings settings;
   std::map<HostKey, Time> lastResponses;
--- a/tests/membership/snapshot_message_test.cpp
+++ b/tests/membership/snapshot_message_test.cpp
@@ -1,4 +1,4 @@
-// Snapshot requests and chunks: written, read back, and told from invalid ones.
+// Snapshot requests and chunks: written, read back, and distinguished from invalid ones.
 #include "membership/snapshot_message.hpp"
 
 #include <gtest/gtest.h>
