--- a/src/membership/state_snapshot.cpp
+++ b/src/membership/state_snapshot.cpp
@@ -6,10 +6,11 @@
                            const std::function<NameKey(std::string_view)>& key,
                            const std::function<std::optional<ListedHostState>(const std::string&)>& listed) {
   StateSnapshot snapshot;
-  StateSnapshot::GatewayRecord& gateway = snapshot.gateway.emplace();
+  StateSnapshot::GatewayRecord gateway;
   gateway.age = learned.age;
   for (std::size_t i = 0; i < kGatewayRecordFields.size(); ++i)
     gateway.*kGatewayRecordFields[i] = learned.*kLearnedStateFields[i];
+  snapshot.gateway = gateway;
   for (const auto& cls : learned.classes)
     snapshot.classes.push_back({key(cls.name), cls.typicalLatency, cls.meanExpectedWork,
                                 cls.lateRetryFraction, cls.typicalTimeLeft});
