--- a/tests/handover/channel_test.cpp
+++ b/tests/handover/channel_test.cpp
@@ -47,6 +47,16 @@
   EXPECT_FALSE(decode(good + std::string(kNameMost, 'x'), 0));
 }
 
+// The two processes may be of different versions: the form is pinned by literal bytes of each kind.
+TEST(HandoverMessage, BytesOfEachKindAreFixed) {
+  using namespace std::string_literals;
+  EXPECT_EQ(encode({Kind::hello, "n3"}), "fsho\x01\x01\0\0n3"s);
+  EXPECT_EQ(encode({Kind::welcome, "n3"}), "fsho\x01\x02\0\0n3"s);
+  EXPECT_EQ(encode({Kind::client, ""}), "fsho\x01\x03\0\0"s);
+  EXPECT_EQ(encode({Kind::bye, ""}), "fsho\x01\x04\0\0"s);
+  EXPECT_EQ(encode({Kind::learned, "{}"}), "fsho\x01\x05\0\0{}"s);
+}
+
 struct ChannelTest : ::testing::Test {
   boost::asio::io_context io;
   Folder folder;
--- a/tests/handover/learned_test.cpp
+++ b/tests/handover/learned_test.cpp
@@ -37,6 +37,16 @@
   EXPECT_EQ(back->hosts[0].ejectedFor, std::chrono::seconds(2));
 }
 
+// The two processes may be of different versions: the form is pinned by a literal text.
+TEST(LearnedText, TextIsFixed) {
+  const std::string fixed =
+      R"({"age":40000000000,"classes":[["cut-plan",0.08,0.0,0.01,1200000000]],)"
+      R"("hosts":[["s-1",9000000000,1.5,0.1,22.0,2000000000,1]],"kinds":[["std-4c",31.0,0.9]],)"
+      R"("levels":[[1.0,20.0],[12.0,5.0]],"pool":[20.5,0.0,900.0,210.0,0.0,0.0,0.0,0.97],"v":1})";
+  EXPECT_EQ(encodeLearnedState(some()).text, fixed);
+  EXPECT_TRUE(decodeLearnedState(fixed));
+}
+
 TEST(LearnedText, WhatIsNotWholeIsNothing) {
   const std::string whole = encodeLearnedState(some()).text;
   for (std::size_t cut = 0; cut < whole.size(); ++cut)
--- a/tests/idempotency/journal_test.cpp
+++ b/tests/idempotency/journal_test.cpp
@@ -10,6 +10,7 @@
 
 #include "support/faulty_folder.hpp"
 #include "support/later_runner.hpp"
+#include "support/process.hpp"
 
 namespace finchstile::idempotency {
 namespace {
@@ -282,6 +283,45 @@
   EXPECT_NE(recovery.log.what.find("damaged"), std::string::npos);
 }
 
+// Two segments that processes of the first form wrote, the last 15 s into its life: the first answered one
+// key, left one uncertain and one unsent, and ended while one ran; the second answered another.
+TEST_F(JournalTest, RecoversSegmentsOfTheFirstForm) {
+  for (const char* const name : {"log-00000001", "log-00000002"})
+    folder.create(name)->append(testing::readFile(std::string(FINCHSTILE_LOG_OF_FIRST_FORM) + "/" + name));
+  // The second process' clock began 2,000 s into the machine's steady time; this one reads `now` at 2,020 s.
+  base.zeroSteady = Duration(seconds(2020) - now).count();
+  start(Duration{});
+  EXPECT_FALSE(recovery.log.damaged);
+  EXPECT_EQ(recovery.log.cutBytes, 0u);
+  EXPECT_EQ(recovery.log.segments, 2u);
+  EXPECT_EQ(recovery.recalled.answered, 2u);
+  EXPECT_EQ(recovery.recalled.uncertain, 2u);
+  EXPECT_EQ(recovery.recalled.running, 0u);
+  EXPECT_EQ(recovery.recalled.foreign, 0u);
+  const auto replayed = arrive("answered-key");
+  ASSERT_EQ(replayed.admission, Admission::replay);
+  EXPECT_EQ(replayed.answer->status, 201u);
+  EXPECT_EQ(replayed.answer->contentType, "text/x");
+  EXPECT_EQ(replayed.answer->body, "kept");
+  const auto later = arrive("later-key");
+  ASSERT_EQ(later.admission, Admission::replay);
+  EXPECT_EQ(later.answer->status, 200u);
+  EXPECT_EQ(later.answer->body, "later");
+  const auto uncertain = arrive("uncertain-key");
+  ASSERT_EQ(uncertain.admission, Admission::again);
+  EXPECT_EQ(uncertain.earlier->zone, "west");
+  EXPECT_EQ(uncertain.earlier->cell, 2);
+  EXPECT_EQ(uncertain.earlier->sentAt, now - seconds(10));
+  const auto ran = arrive("running-key");
+  ASSERT_EQ(ran.admission, Admission::again);
+  EXPECT_EQ(ran.earlier->zone, "east");
+  EXPECT_EQ(ran.earlier->cell, 3);
+  EXPECT_EQ(arrive("unsent-key").admission, Admission::fresh);
+  now += seconds(51);  // 61 s after the first answer, 56 s after the second
+  EXPECT_EQ(arrive("answered-key").admission, Admission::fresh);
+  EXPECT_EQ(arrive("later-key").admission, Admission::replay);
+}
+
 TEST_F(JournalTest, RecordsOfALaterVersionAreDamage) {
   start();
   serve("k");
--- a/tests/ops/host_cordon_test.cpp
+++ b/tests/ops/host_cordon_test.cpp
@@ -97,6 +97,15 @@
   EXPECT_EQ(e.startedAt, seconds(7));
 }
 
+// The file is shared by processes of different versions: its form is pinned by a literal text.
+TEST(HandOut, TextOfTheStateFileIsFixed) {
+  HostCordon out;
+  EXPECT_EQ(out.encode(), "finchstile-out 1\nend 0\n");
+  out.cordon("s-2");
+  out.cordon("a b%");
+  EXPECT_EQ(out.encode(), "finchstile-out 1\nout a%20b%25\nout s-2\nend 2\n");
+}
+
 TEST(HandOut, ATextThatIsNotWholeChangesNothing) {
   HostCordon out;
   out.cordon("a");
