--- a/bench/idempotency.cpp
+++ b/bench/idempotency.cpp
@@ -17,8 +17,8 @@
 using namespace finchstile::idempotency;
 using SteadyClock = std::chrono::steady_clock;
 
-Store::Arrival arrival(const std::string& key, std::uint64_t waiter) {
-  Store::Arrival a;
+Store::KeyedRequest arrival(const std::string& key, std::uint64_t waiter) {
+  Store::KeyedRequest a;
   a.key = key;
   a.fingerprint = {1, 2};
   a.waiter = waiter;
@@ -32,10 +32,10 @@
 
 void size(std::size_t entries) {
   StoreLimits limits;
-  limits.entries = entries;
-  limits.bytes = std::size_t{8} * 1024 * 1024 * 1024;
-  limits.tenantShare = 1;
-  limits.keep = std::chrono::hours(1);
+  limits.maxEntries = entries;
+  limits.maxBytes = std::size_t{8} * 1024 * 1024 * 1024;
+  limits.maxTenantFraction = 1;
+  limits.retention = std::chrono::hours(1);
   const std::size_t before = mallinfo2().uordblks + mallinfo2().hblkhd;
   Store store(limits, 1, Seed{1, 2});
   finchstile::load_balancing::Time now = std::chrono::hours(1);
@@ -46,8 +46,8 @@
   auto begin = SteadyClock::now();
   for (std::size_t i = 0; i < entries; ++i) {
     const auto one = SteadyClock::now();
-    const auto r = store.arrive(now, arrival(key(i), i + 1));
-    store.end(now, r.entry, Store::End::served, {200, "text/plain", std::string(100, 'x')});
+    const auto r = store.admit(now, arrival(key(i), i + 1));
+    store.finishRun(now, r.entry, Store::RunOutcome::responded, {200, "text/plain", std::string(100, 'x')});
     slowest = std::max(slowest, ns(one, 1));
     now += std::chrono::microseconds(10);
   }
@@ -59,7 +59,8 @@
     for (std::size_t i = 0; i < 100'000; ++i) asked.push_back(key((i * 7919 + 13) % entries));
     begin = SteadyClock::now();
     std::size_t found = 0;
-    for (const auto& k : asked) found += store.arrive(now, arrival(k, 1)).admission == Admission::replay;
+    for (const auto& k : asked)
+      found += store.admit(now, arrival(k, 1)).admission == Admission::replayResponse;
     runs.push_back(ns(begin, asked.size()));
     if (found != asked.size()) std::printf("only %zu of %zu found\n", found, asked.size());
   }
--- a/bench/idempotency_log.cpp
+++ b/bench/idempotency_log.cpp
@@ -52,8 +52,8 @@
 
 struct Bench {
   Calls calls;
-  Names names{{"acme"}, {"put"}};
-  std::unique_ptr<wal::Env> folder;
+  TenantAndClassNames names{{"acme"}, {"put"}};
+  std::unique_ptr<wal::LogDirectory> folder;
   std::unique_ptr<wal::Log> log;
   std::unique_ptr<wal::SyncThread> thread;
   std::unique_ptr<Store> store;
@@ -62,23 +62,26 @@
   double recovered = 0;  // s
 
   Bench(const std::string& path, SyncPolicy policy) {
-    std::string why;
-    folder = wal::openFolder(path, why);
-    if (!folder) std::fprintf(stderr, "%s\n", why.c_str()), std::exit(1);
-    wal::Options files;
-    files.totalBytes = std::size_t{8} << 30;
+    try {
+      folder = wal::openLogDirectory(path);
+    } catch (const wal::LogDirectoryError& error) {
+      std::fprintf(stderr, "%s\n", error.what());
+      std::exit(1);
+    }
+    wal::LogOptions files;
+    files.maxTotalBytes = std::size_t{8} << 30;
     log = std::make_unique<wal::Log>(*folder, files);
     thread = std::make_unique<wal::SyncThread>([this](auto call) { calls.post(std::move(call)); });
     StoreLimits limits;
-    limits.entries = 5'000'000;
-    limits.bytes = std::size_t{8} << 30;
-    limits.tenantShare = 1;
-    limits.keep = std::chrono::hours(1);
+    limits.maxEntries = 5'000'000;
+    limits.maxBytes = std::size_t{8} << 30;
+    limits.maxTenantFraction = 1;
+    limits.retention = std::chrono::hours(1);
     store = std::make_unique<Store>(limits, 2, Seed{1, 2});
     JournalSettings settings;
     settings.sync = policy;
-    settings.keep = limits.keep;
-    settings.longest = std::chrono::seconds(3);
+    settings.retention = limits.retention;
+    settings.maxRequestDuration = std::chrono::seconds(3);
     journal = std::make_unique<Journal>(*log, settings, names, TimeBase{"boot", 0, 0}, *thread);
     const auto begin = SteadyClock::now();
     recovery = journal->recover(now(), *store);
@@ -105,25 +108,27 @@
       const bool more = begun < requests && open.size() < atOnce;
       if (more) {
         const std::string key = "5c0f6e1a2b3d4c59a8b7c6d5e4f" + std::to_string(10'000'000 + first_ + begun++);
-        Store::Arrival a;
+        Store::KeyedRequest a;
         a.key = key;
         a.fingerprint = {1, 2};
         a.waiter = begun;
         const auto began = SteadyClock::now();
-        const auto r = store->arrive(now(), a);
-        open.push_back({r.entry, journal->position(), began});
-        if (journal->mustWait()) journal->wait(now());
+        const auto r = store->admit(now(), a);
+        open.push_back({r.entry, journal->appendedRecords(), began});
+        if (journal->requiresSyncBeforeSend()) journal->awaitSync(now());
       }
-      calls.takeAll(!more && journal->mustWait() && journal->durable() < open.front().position);
-      while (!open.empty() && (!journal->mustWait() || journal->durable() >= open.front().position)) {
+      calls.takeAll(!more && journal->requiresSyncBeforeSend() &&
+                    journal->syncedRecords() < open.front().position);
+      while (!open.empty() &&
+             (!journal->requiresSyncBeforeSend() || journal->syncedRecords() >= open.front().position)) {
         waited.push_back(seconds(open.front().began) * 1e6);
         const auto id = open.front().entry;
         open.pop_front();
-        store->sent(id, {"east", 1, now()});
-        store->settled(id, true);
-        store->end(now(), id, Store::End::served, {200, "text/plain", std::string(100, 'x')});
+        store->onAttemptSent(id, {"east", 1, now()});
+        store->onAttemptSettled(id, true);
+        store->finishRun(now(), id, Store::RunOutcome::responded, {200, "text/plain", std::string(100, 'x')});
       }
-      if (journal->broken()) std::fprintf(stderr, "the log is broken\n"), std::exit(1);
+      if (journal->logFailed()) std::fprintf(stderr, "the log is broken\n"), std::exit(1);
     }
     first_ += requests;
     std::sort(waited.begin(), waited.end());
@@ -154,7 +159,7 @@
   const Bench b(path, SyncPolicy::never);
   std::printf("start with %7.1f MB: %8.1f ms for %zu records, %zu keys\n",
               static_cast<double>(b.journal->bytes()) / 1e6, b.recovered * 1e3, b.recovery.log.records,
-              b.recovery.recalled.answered);
+              b.recovery.replay.completed);
 }
 
 }  // namespace
--- a/bench/idempotency_owners.cpp
+++ b/bench/idempotency_owners.cpp
@@ -3,8 +3,6 @@
 //
 //   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target
 //   bench_idempotency_owners && build-bench/bench_idempotency_owners FOLDER   (for the secret; left empty)
-#include "app/idempotency_owners.hpp"
-
 #include <sys/stat.h>
 
 #include <algorithm>
@@ -18,6 +16,7 @@
 #include <thread>
 #include <vector>
 
+#include "app/idempotency_ownership.hpp"
 #include "host.hpp"
 #include "idempotency/filter.hpp"
 #include "net/gateway.hpp"
@@ -114,8 +113,8 @@
   bench::Host host;
   const nlohmann::json config = bench::configFor(host, fake_upstream::gradeJson({"put", "dedup", "zone"}));
   IdempotencySettings settings;
-  settings.owners.enabled = true;
-  settings.limits.entries = 1'000'000;
+  settings.peerOwnership.enabled = true;
+  settings.limits.maxEntries = 1'000'000;
   std::vector<std::unique_ptr<One>> all;
   for (std::size_t g = 0; g < kGateways; ++g) {
     peers.own = static_cast<std::uint16_t>(g);
--- a/bench/idempotency_request.cpp
+++ b/bench/idempotency_request.cpp
@@ -42,9 +42,8 @@
   const json config = bench::configFor(host, fake_upstream::gradeJson({"put", "dedup", "zone"}));
   // In the order in which they have to outlive one another.
   std::filesystem::remove_all(path);
-  std::string why;
-  const Names names{{}, {"put"}};
-  std::unique_ptr<wal::Env> folder;
+  const TenantAndClassNames names{{}, {"put"}};
+  std::unique_ptr<wal::LogDirectory> folder;
   std::unique_ptr<wal::Log> log;
   std::unique_ptr<wal::SyncThread> thread;
   std::unique_ptr<Journal> journal;
@@ -54,13 +53,17 @@
   if (mode.store)
     stage = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{1, 2}, gateway.filterCallbacks());
   if (mode.log) {
-    folder = wal::openFolder(path, why);
-    if (!folder) std::fprintf(stderr, "%s\n", why.c_str()), std::exit(1);
-    log = std::make_unique<wal::Log>(*folder, settings.log.files);
+    try {
+      folder = wal::openLogDirectory(path);
+    } catch (const wal::LogDirectoryError& error) {
+      std::fprintf(stderr, "%s\n", error.what());
+      std::exit(1);
+    }
+    log = std::make_unique<wal::Log>(*folder, settings.log.segments);
     thread = std::make_unique<wal::SyncThread>([&io](auto call) { asio::post(io, std::move(call)); });
     JournalSettings j;
     j.sync = *mode.log;
-    j.keep = settings.limits.keep;
+    j.retention = settings.limits.retention;
     journal = std::make_unique<Journal>(*log, j, names, TimeBase{}, *thread);
     stage->recover(*journal);
   }
--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -4,110 +4,132 @@
 #include <cstdlib>
 
 #include "base/file_name.hpp"
-#include "ops/call.hpp"
+#include "ops/admin_call.hpp"
 
 namespace finchstile {
 namespace {
 
 using std::chrono::milliseconds;
 
-// What another process of this gateway was told takes effect within this and a look at a small file.
-constexpr milliseconds kLook(100);
+// A host that is cordoned at another process is cordoned here within this time.
+constexpr milliseconds kRefreshInterval(100);
+
+constexpr unsigned kOk = 200;
+constexpr unsigned kNotFound = 404;
+constexpr unsigned kServerError = 500;
+constexpr unsigned kUnavailable = 503;
+constexpr unsigned kInsufficientStorage = 507;
+
+ops::Reply noSuchHost() { return {kNotFound, "no such host in the list\n"}; }
 
 }  // namespace
 
-AdminApi::AdminApi(boost::asio::io_context& io, const Clock& clock, const GatewayConfig& c,
-                   const std::string& file, Gateway& gateway)
+AdminApi::AdminApi(boost::asio::io_context& io, const Clock& clock, const GatewayConfig& config,
+                   const std::string& cordonFile, Gateway& gateway)
     : clock_(clock),
-      keep_(c.settings.warmUpTime),
+      cordonMemory_(config.settings.warmUpTime),
       gateway_(gateway),
-      file_(file),
+      stateFile_(cordonFile),
       timer_(io),
-      server_(io, c.adminEndpoint.value(), *this, {}) {
-  refresh();
+      server_(io, config.adminEndpoint.value(), *this, {}) {
+  readSharedState();
   gateway_.addHostEntryFilter(*this);
-  waitToLook();
+  scheduleRefresh();
 }
 
-// True if another process has said something else than stands here.
-bool AdminApi::refresh() {
-  if (file_.path().empty()) return false;
-  const auto text = file_.readIfChanged();
+// Returns whether another process has changed the cordoned hosts.
+bool AdminApi::readSharedState() {
+  if (stateFile_.path().empty()) return false;
+  const auto text = stateFile_.readIfChanged();
   if (!text) return false;
-  if (out_.decode(*text, clock_.now())) return true;
-  std::fprintf(stderr, "ops: %s is not whole or not ours; what is out by hand stays as it was\n",
-               file_.path().c_str());
+  if (cordon_.decode(*text, clock_.now())) return true;
+  std::fprintf(stderr, "finchstile: invalid cordon file, cordoned hosts stay as they were: file=%s\n",
+               stateFile_.path().c_str());
   return false;
 }
 
-void AdminApi::waitToLook() {
-  timer_.expires_after(kLook);
-  timer_.async_wait([this](const boost::system::error_code& stopped) {
-    if (stopped) return;
-    if (refresh()) gateway_.reapplyHostFilters();
-    out_.expire(clock_.now(), keep_);
-    waitToLook();
+void AdminApi::scheduleRefresh() {
+  timer_.expires_after(kRefreshInterval);
+  timer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (cancelled) return;
+    if (readSharedState()) gateway_.reapplyHostFilters();
+    cordon_.expire(clock_.now(), cordonMemory_);
+    scheduleRefresh();
   });
 }
 
-ops::Reply AdminApi::onCall(const ops::Call& call) {
+ops::Reply AdminApi::onCall(const ops::AdminCall& call) {
   switch (call.kind) {
-    case ops::CallKind::ready:
-      if (gateway_.ready()) return {200, "ready\n"};
-      return {503, "not ready\n"};
-    case ops::CallKind::telemetry:
-      return {200, ops::exposition(gateway_.metrics(), config) + (more ? more() : std::string())};
-    case ops::CallKind::exclude: return takeOut(call.host);
-    case ops::CallKind::include: return putBack(call.host);
-    case ops::CallKind::evacuate:
-      gateway_.enterLameDuck();
-      std::fprintf(stderr, "ops: clients are sent away\n");
-      return {200, "done\n"};
-    case ops::CallKind::rejoin:
-      gateway_.leaveLameDuck();
-      std::fprintf(stderr, "ops: clients are taken again\n");
-      return {200, "done\n"};
-    case ops::CallKind::hosts: {
-      if (!hosts) return {404, "needs [membership] in the operator's file\n"};
-      const auto text = hosts(call.host);
-      return text ? ops::Reply{200, *text} : ops::Reply{404, "no such host in the list\n"};
+    case ops::AdminCallKind::ready:
+      if (gateway_.ready()) return {kOk, "ready\n"};
+      return {kUnavailable, "not ready\n"};
+    case ops::AdminCallKind::telemetry: {
+      const std::string more = additionalMetrics ? additionalMetrics() : std::string();
+      return {kOk, ops::renderMetrics(gateway_.metrics(), configMetrics) + more};
     }
+    case ops::AdminCallKind::exclude: return cordonHost(call.host);
+    case ops::AdminCallKind::include: return uncordonHost(call.host);
+    case ops::AdminCallKind::evacuate: return setLameDuck(true);
+    case ops::AdminCallKind::rejoin: return setLameDuck(false);
+    case ops::AdminCallKind::hosts: return describeHosts(call.host);
   }
-  return {500, ""};
+  return {kServerError, ""};
+}
+
+ops::Reply AdminApi::setLameDuck(bool enabled) {
+  if (enabled) {
+    gateway_.enterLameDuck();
+    std::fprintf(stderr, "finchstile: lame duck mode entered, clients are asked to leave\n");
+  } else {
+    gateway_.leaveLameDuck();
+    std::fprintf(stderr, "finchstile: lame duck mode left, clients are served again\n");
+  }
+  return {kOk, "done\n"};
+}
+
+ops::Reply AdminApi::describeHosts(const std::string& host) {
+  if (!hostsText) return {kNotFound, "needs [membership] in the operator's file\n"};
+  const auto text = hostsText(host);
+  return text ? ops::Reply{kOk, *text} : noSuchHost();
 }
 
-ops::Reply AdminApi::takeOut(const std::string& host) {
-  if (!known(host)) return {404, "no such host in the list\n"};
-  if (!out_.cordon(host)) return {507, "too many hosts are out by hand\n"};
-  return changed(host, "out by hand");
+ops::Reply AdminApi::cordonHost(const std::string& host) {
+  if (!isKnownHost(host)) return noSuchHost();
+  if (!cordon_.cordon(host)) return {kInsufficientStorage, "too many hosts are out by hand\n"};
+  return onCordonChanged(host, "out by hand");
 }
 
-ops::Reply AdminApi::putBack(const std::string& host) {
-  if (!known(host)) return {404, "no such host in the list\n"};
-  if (!out_.isCordoned(host)) return {200, "was not out\n"};
-  out_.uncordon(host, clock_.now());
-  return changed(host, "put back");
+ops::Reply AdminApi::uncordonHost(const std::string& host) {
+  if (!isKnownHost(host)) return noSuchHost();
+  if (!cordon_.isCordoned(host)) return {kOk, "was not out\n"};
+  cordon_.uncordon(host, clock_.now());
+  return onCordonChanged(host, "put back");
 }
 
-// Danger: what another process was told is read once; whatever becomes of this call, it takes effect here.
-bool AdminApi::known(const std::string& host) {
-  if (refresh()) gateway_.reapplyHostFilters();
-  return gateway_.isListed(host) || out_.knows(host);
+// A change by another process is returned by the file only once, so it is applied here whatever becomes of
+// the call.
+bool AdminApi::isKnownHost(const std::string& host) {
+  if (readSharedState()) gateway_.reapplyHostFilters();
+  return gateway_.isListed(host) || cordon_.isRemembered(host);
 }
 
-// Danger: a yes that the next process does not know of would be broken by it.
-ops::Reply AdminApi::changed(const std::string& host, const char* how) {
+// The call fails if the next process of the gateway would not know of the change.
+ops::Reply AdminApi::onCordonChanged(const std::string& host, const char* change) {
   gateway_.reapplyHostFilters();
-  std::fprintf(stderr, "ops: host %s is %s\n", host.c_str(), how);
-  if (file_.path().empty() || file_.write(out_.encode())) return {200, "done\n"};
-  std::fprintf(stderr, "ops: %s can not be written\n", file_.path().c_str());
-  return {500, std::string(how) + " in this process; the next would not know: the file can not be written\n"};
+  std::fprintf(stderr, "finchstile: host changed by an operator: host=%s change=\"%s\"\n", host.c_str(),
+               change);
+  if (stateFile_.path().empty() || stateFile_.write(cordon_.encode())) return {kOk, "done\n"};
+  std::fprintf(stderr,
+               "finchstile: cannot write the cordon file, the change holds in this process: file=%s\n",
+               stateFile_.path().c_str());
+  return {kServerError,
+          std::string(change) + " in this process; the next would not know: the file can not be written\n"};
 }
 
-std::string opsFile(const std::string& name) {
-  const char* folder = std::getenv("TMPDIR");
-  if (!folder || !*folder) return {};
-  return std::string(folder) + "/finchstile-" + fileNameOf(name) + ".out";
+std::string cordonFilePath(const std::string& name) {
+  const char* const directory = std::getenv("TMPDIR");
+  if (!directory || !*directory) return {};
+  return std::string(directory) + "/finchstile-" + fileNameOf(name) + ".out";
 }
 
 }  // namespace finchstile
--- a/src/app/idempotency_log.cpp
+++ b/src/app/idempotency_log.cpp
@@ -2,21 +2,25 @@
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
+#include <chrono>
 #include <cstdio>
 #include <fstream>
-#include <stdexcept>
 #include <string>
 
 namespace finchstile {
 namespace {
 
-std::unique_ptr<wal::Env> opened(const std::string& path) {
-  std::string why;
-  auto folder = wal::openFolder(path, why);
-  if (!folder) throw std::runtime_error("idempotency.log.folder: " + why);
-  return folder;
+constexpr Duration kMaxTickInterval = std::chrono::seconds(1);
+
+std::unique_ptr<wal::LogDirectory> openDirectory(const std::string& path) {
+  try {
+    return wal::openLogDirectory(path);
+  } catch (const wal::LogDirectoryError& error) {
+    throw wal::LogDirectoryError(error.code(), std::string("idempotency.log.folder: ") + error.what());
+  }
 }
 
+// Empty if the system does not say.
 std::string bootId() {
   std::string id;
   std::ifstream("/proc/sys/kernel/random/boot_id") >> id;
@@ -24,51 +28,61 @@
 }
 
 idempotency::JournalSettings journalSettings(const idempotency::IdempotencySettings& settings,
-                                             const load_balancing::Settings& known) {
-  idempotency::JournalSettings j;
-  j.sync = settings.log.sync;
-  j.syncInterval = settings.log.syncInterval;
-  j.keep = settings.limits.keep;
-  j.longest = idempotency::longestRun(known);
-  return j;
+                                             const load_balancing::Settings& balancerSettings) {
+  idempotency::JournalSettings journal;
+  journal.sync = settings.log.sync;
+  journal.syncInterval = settings.log.syncInterval;
+  journal.retention = settings.limits.retention;
+  journal.maxRequestDuration = idempotency::maxRequestDuration(balancerSettings);
+  return journal;
 }
 
 }  // namespace
 
 IdempotencyLog::IdempotencyLog(boost::asio::io_context& io, const Clock& clock,
                                const idempotency::IdempotencySettings& settings,
-                               const load_balancing::Settings& known, idempotency::IdempotencyFilter& stage)
+                               const load_balancing::Settings& balancerSettings,
+                               idempotency::IdempotencyFilter& filter)
     : clock_(clock),
-      folder_(opened(settings.log.folder)),
-      names_(idempotency::Names::of(known)),
-      log_(*folder_, settings.log.files),
-      thread_([&io](std::function<void()> call) { boost::asio::post(io, std::move(call)); }),
-      journal_(log_, journalSettings(settings, known), names_, idempotency::timeBase(clock, bootId()),
-               thread_),
+      directory_(openDirectory(settings.log.directory)),
+      names_(idempotency::TenantAndClassNames::of(balancerSettings)),
+      log_(*directory_, settings.log.segments),
+      syncThread_([&io](std::function<void()> call) { boost::asio::post(io, std::move(call)); }),
+      journal_(log_, journalSettings(settings, balancerSettings), names_,
+               idempotency::clockTimeBase(clock, bootId()), syncThread_),
       timer_(io),
-      every_(std::min<Duration>(settings.log.syncInterval, std::chrono::seconds(1))) {
-  const auto r = stage.recover(journal_);
+      tickInterval_(std::min<Duration>(settings.log.syncInterval, kMaxTickInterval)) {
+  const auto recovery = filter.recover(journal_);
+  printRecovery(recovery, settings.log.directory, settings.limits.retention);
+  scheduleTick();
+}
+
+// docs/operators/idempotency.md promises the names in these lines, so they keep their form.
+void IdempotencyLog::printRecovery(const idempotency::JournalRecovery& recovery, const std::string& directory,
+                                   Duration retention) const {
+  const char* const path = directory.c_str();
+  const wal::RecoveryReport& log = recovery.log;
+  const idempotency::ReplaySummary& replay = recovery.replay;
   std::fprintf(stderr,
                "idempotency log=%s records=%zu segments=%zu answered=%zu uncertain=%zu running=%zu past=%zu "
                "no_room=%zu foreign=%zu cut_bytes=%zu%s%s\n",
-               settings.log.folder.c_str(), r.log.records, r.log.segments, r.recalled.answered,
-               r.recalled.uncertain, r.recalled.running, r.recalled.past, r.recalled.noRoom,
-               r.recalled.foreign, r.log.cutBytes, r.log.what.empty() ? "" : ": ", r.log.what.c_str());
-  if (r.uncertainUntil != Time{})
-    std::fprintf(
-        stderr, "idempotency log=%s damaged: keys that it does not know are uncertain for %lld s\n",
-        settings.log.folder.c_str(),
-        static_cast<long long>(std::chrono::ceil<std::chrono::seconds>(settings.limits.keep).count()));
-  if (!r.usable) std::fprintf(stderr, "idempotency log=%s can not be written\n", settings.log.folder.c_str());
-  waitToTick();
+               path, log.records, log.segments, replay.completed, replay.uncertain, replay.running,
+               replay.expired, replay.evicted, replay.unreadable, log.truncatedBytes,
+               log.description.empty() ? "" : ": ", log.description.c_str());
+  if (recovery.uncertainUntil != Time{}) {
+    const auto seconds = std::chrono::ceil<std::chrono::seconds>(retention).count();
+    std::fprintf(stderr, "idempotency log=%s damaged: keys that it does not know are uncertain for %lld s\n",
+                 path, static_cast<long long>(seconds));
+  }
+  if (!recovery.writable) std::fprintf(stderr, "idempotency log=%s can not be written\n", path);
 }
 
-void IdempotencyLog::waitToTick() {
-  timer_.expires_after(every_);
-  timer_.async_wait([this](const boost::system::error_code& stopped) {
-    if (stopped) return;
+void IdempotencyLog::scheduleTick() {
+  timer_.expires_after(tickInterval_);
+  timer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (cancelled) return;
     journal_.tick(clock_.now());
-    waitToTick();
+    scheduleTick();
   });
 }
 
--- a/src/app/idempotency_log.hpp
+++ b/src/app/idempotency_log.hpp
@@ -1,38 +1,42 @@
-// The log of keyed requests in the program: its folder, its thread for syncs, its timer.
+// The idempotency log within the program: its directory, its sync thread and its timer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
+#include <string>
 
 #include "idempotency/filter.hpp"
 #include "net/clock.hpp"
-#include "wal/env.hpp"
 #include "wal/log.hpp"
+#include "wal/log_directory.hpp"
 #include "wal/sync_thread.hpp"
 
 namespace finchstile {
 
 class IdempotencyLog {
  public:
-  // Puts what the log holds into the stage's store, before it is attached; reads the whole log. Says on
-  // standard error what it found. Throws std::runtime_error if the folder can't be used at all: the operator
-  // asked for what this process can't give. What has ended since shows in the stage's summary.
+  // Reads the whole log into the store of `filter`, which must not be attached yet, and prints what it found.
+  // `filter` and `clock` must outlive this object. Throws wal::LogDirectoryError if the directory cannot be
+  // used, since the operator asked for what this process cannot give. Later failures show in the filter's
+  // summary.
   IdempotencyLog(boost::asio::io_context& io, const Clock& clock,
-                 const idempotency::IdempotencySettings& settings, const load_balancing::Settings& known,
-                 idempotency::IdempotencyFilter& stage);
+                 const idempotency::IdempotencySettings& settings,
+                 const load_balancing::Settings& balancerSettings, idempotency::IdempotencyFilter& filter);
 
  private:
-  void waitToTick();
+  void printRecovery(const idempotency::JournalRecovery& recovery, const std::string& directory,
+                     Duration retention) const;
+  void scheduleTick();
 
   const Clock& clock_;
-  std::unique_ptr<wal::Env> folder_;
-  const idempotency::Names names_;
+  std::unique_ptr<wal::LogDirectory> directory_;
+  const idempotency::TenantAndClassNames names_;
   wal::Log log_;
-  wal::SyncThread thread_;  // ends before the log does
+  wal::SyncThread syncThread_;  // destroyed before the log that it syncs
   idempotency::Journal journal_;
   boost::asio::steady_timer timer_;
-  const Duration every_;
+  const Duration tickInterval_;
 };
 
 }  // namespace finchstile
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -69,7 +69,7 @@
       root.error("configuration",
                  "can't be enabled together with [idempotency] yet, whose tenants are those of "
                  "the start");
-    if (out.idempotency.owners.enabled && !out.peers.enabled)
+    if (out.idempotency.peerOwnership.enabled && !out.peers.enabled)
       root.error("idempotency", "owners need [peers], enabled, for the other gateways");
     if (out.membership.needsPeers() && !out.peers.enabled)
       root.error("membership", "gossip and warm_start need [peers], enabled, for the other gateways");
--- a/src/app/process_handover.cpp
+++ b/src/app/process_handover.cpp
@@ -1,119 +1,145 @@
 #include "app/process_handover.hpp"
 
-#include <unistd.h>
-
 #include <cstdio>
-#include <exception>
+#include <string_view>
 #include <utility>
 
 #include "app/admin_api.hpp"
-#include "handover/learned_text.hpp"
+#include "handover/learned_state_text.hpp"
 
 namespace finchstile {
+namespace {
+
+constexpr std::string_view kCordonFileSuffix = ".out";
+constexpr std::string_view kSocketSuffix = ".next";
+
+}  // namespace
 
 using handover::Channel;
-using handover::Kind;
 using handover::Message;
+using handover::MessageKind;
 
 ProcessHandover::ProcessHandover(boost::asio::io_context& io, std::string path, std::string name,
                                  Gateway& gateway)
     : io_(io), path_(std::move(path)), name_(std::move(name)), gateway_(gateway) {
-  predecessor_ = handover::connectTo(io_, path_);
-  if (!predecessor_) {
-    openDoor();
-    return;
-  }
-  predecessor_->onMessage = [this](const Message& m, std::unique_ptr<Descriptor> client) {
-    if (m.kind == Kind::learned) {
-      if (const auto learned = handover::decodeLearnedState(m.text)) gateway_.restoreLearnedState(*learned);
-    }
-    if (m.kind != Kind::client) return;
-    ++taken_;
-    gateway_.adoptClient(client->release());
+  predecessor_ = handover::connectToPredecessor(io_, path_);
+  if (predecessor_) connectPredecessor();
+  else listenForSuccessor();
+}
+
+ProcessHandover::~ProcessHandover() {
+  for (const auto& channel : {predecessor_, candidate_, successor_})
+    if (channel) channel->close();
+}
+
+void ProcessHandover::connectPredecessor() {
+  predecessor_->onMessage = [this](const Message& message, std::unique_ptr<Descriptor> connection) {
+    onPredecessorMessage(message, std::move(connection));
   };
-  predecessor_->onEnd = [this] {
-    std::fprintf(stderr, "handover: took over %zu connections at rest\n", taken_);
+  // While the predecessor serves, the socket stays its own: a successor that fails at its start must not take
+  // it away.
+  predecessor_->onClosed = [this] {
+    // docs/operators/operations.md promises this line, so it keeps its form.
+    std::fprintf(stderr, "handover: took over %zu connections at rest\n", connectionsAdopted_);
     predecessor_.reset();
-    openDoor();
+    listenForSuccessor();
   };
   predecessor_->start();
-  predecessor_->send({Kind::hello, name_});
+  predecessor_->send({MessageKind::hello, name_});
 }
 
-ProcessHandover::~ProcessHandover() {
-  for (const auto& channel : {predecessor_, knocking_, successor_})
-    if (channel) channel->close();
+void ProcessHandover::onPredecessorMessage(const Message& message, std::unique_ptr<Descriptor> connection) {
+  if (message.kind == MessageKind::learnedState) {
+    const auto learned = handover::decodeLearnedState(message.text);
+    if (learned) gateway_.restoreLearnedState(*learned);
+  } else if (message.kind == MessageKind::connection) {
+    ++connectionsAdopted_;
+    gateway_.adoptClient(connection->release());
+  }
 }
 
-// Danger: while the last process serves the name is its own; a next one that dies at its start must not take
-// it along.
-void ProcessHandover::openDoor() {
+void ProcessHandover::listenForSuccessor() {
+  const auto onConnect = [this](const std::shared_ptr<Channel>& channel) { onCandidate(channel); };
   try {
-    door_ = std::make_unique<handover::Door>(
-        io_, path_, [this](std::shared_ptr<Channel> channel) { onSuccessor(channel); });
-  } catch (const std::exception& bad) {
-    std::fprintf(stderr, "handover: no next process can be found: %s\n", bad.what());
+    listener_ = std::make_unique<handover::HandoverListener>(io_, path_, onConnect);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr,
+                 "finchstile: cannot listen for a successor, so a drain will close client connections: "
+                 "error=\"%s\"\n",
+                 error.what());
   }
 }
 
-void ProcessHandover::onSuccessor(const std::shared_ptr<Channel>& channel) {
-  if (knocking_) knocking_->close();
-  knocking_ = channel;
-  channel->onMessage = [this](const Message& m, std::unique_ptr<Descriptor>) {
-    if (m.kind != Kind::hello || !knocking_) return;
-    const auto who = std::exchange(knocking_, nullptr);
-    if (m.text != name_) return who->close();
-    if (successor_) successor_->close();  // the latest one it is
-    successor_ = who;
-    who->send({Kind::welcome, name_});
-    handover::LearnedStateText learned = handover::encodeLearnedState(gateway_.learnedState());
-    if (learned.leftOut > 0)
-      std::fprintf(stderr,
-                   "handover: what was learned of %zu hosts has no room in %zu bytes; the next process "
-                   "learns it anew\n",
-                   learned.leftOut, handover::kMaxLearnedStateBytes);
-    who->send({Kind::learned, std::move(learned.text)});
-    if (giving_) begin();
+void ProcessHandover::onCandidate(const std::shared_ptr<Channel>& channel) {
+  if (candidate_) candidate_->close();
+  candidate_ = channel;
+  channel->onMessage = [this](const Message& message, std::unique_ptr<Descriptor>) {
+    if (message.kind == MessageKind::hello && candidate_) onHello(message);
   };
-  channel->onEnd = [this, gone = std::weak_ptr<Channel>(channel)] {
-    const auto who = gone.lock();
-    if (who == knocking_) knocking_.reset();
-    if (who == successor_) lostSuccessor();
+  channel->onClosed = [this, weak = std::weak_ptr<Channel>(channel)] {
+    const auto closed = weak.lock();
+    if (closed == candidate_) candidate_.reset();
+    if (closed == successor_) onSuccessorLost();
   };
   channel->start();
 }
 
-void ProcessHandover::begin() {
-  giving_ = true;
+void ProcessHandover::onHello(const Message& message) {
+  const auto channel = std::exchange(candidate_, nullptr);
+  if (message.text != name_) return channel->close();
+  // The latest successor counts.
+  if (successor_) successor_->close();
+  successor_ = channel;
+  welcomeSuccessor();
+}
+
+void ProcessHandover::welcomeSuccessor() {
+  successor_->send({MessageKind::welcome, name_});
+  handover::LearnedStateText learned = handover::encodeLearnedState(gateway_.learnedState());
+  if (learned.omittedHosts > 0)
+    std::fprintf(stderr,
+                 "finchstile: learned state of some hosts does not fit into the handover message, and the "
+                 "successor learns it anew: omitted_hosts=%zu max_bytes=%zu\n",
+                 learned.omittedHosts, handover::kMaxLearnedStateBytes);
+  successor_->send({MessageKind::learnedState, std::move(learned.text)});
+  if (handingOver_) startHandingOver();
+}
+
+void ProcessHandover::startHandingOver() {
+  handingOver_ = true;
   if (!successor_) return;
-  gateway_.handOverClients([this](int fd) {
-    if (!successor_) return false;
-    switch (successor_->send({Kind::client, {}}, fd)) {
-      case Channel::Sent::done: ++given_; return true;
-      case Channel::Sent::full: return false;
-      case Channel::Sent::broken: break;
-    }
-    return false;  // its end is told soon
-  });
+  gateway_.handOverClients([this](int fd) { return handOver(fd); });
+}
+
+// Returns whether the connection now belongs to the successor. A failed channel is reported as closed soon.
+bool ProcessHandover::handOver(int fd) {
+  if (!successor_) return false;
+  if (successor_->send({MessageKind::connection, {}}, fd) != Channel::SendResult::sent) return false;
+  ++connectionsGiven_;
+  return true;
 }
 
-void ProcessHandover::lostSuccessor() {
+void ProcessHandover::onSuccessorLost() {
   successor_.reset();
-  if (!giving_) return;
+  if (!handingOver_) return;
+  // docs/operators/operations.md promises this line, so it keeps its form.
   std::fprintf(stderr, "handover: the next process is lost after %zu connections; the others are closed\n",
-               given_);
+               connectionsGiven_);
   gateway_.handOverClients({});
 }
 
-void ProcessHandover::over() {
+void ProcessHandover::finish() {
   if (!successor_) return;
-  successor_->send({Kind::bye, {}});
-  std::fprintf(stderr, "handover: gave %zu connections to the next process\n", given_);
+  successor_->send({MessageKind::finished, {}});
+  // docs/operators/operations.md promises this line, so it keeps its form.
+  std::fprintf(stderr, "handover: gave %zu connections to the next process\n", connectionsGiven_);
 }
 
 std::string handoverSocketPath(const std::string& name) {
-  const std::string beside = opsFile(name);
-  return beside.empty() ? beside : beside.substr(0, beside.size() - 4) + ".next";
+  std::string path = cordonFilePath(name);
+  if (path.empty()) return path;
+  path.resize(path.size() - kCordonFileSuffix.size());
+  return path.append(kSocketSuffix);
 }
 
 }  // namespace finchstile
--- a/src/app/process_handover.hpp
+++ b/src/app/process_handover.hpp
@@ -1,7 +1,7 @@
-// One process of a gateway takes over from another while clients go on. The next finds the last by a name in
-// the folder that they share; once the last is told to end, it hands over each client's connection as it
-// comes to rest, so that none is closed under a client. Without a next process, or once it is lost,
-// connections are closed as ever.
+// Lets one process of a gateway take over from another without closing client connections. The successor
+// finds its predecessor by a socket in the directory that they share. Once the predecessor drains, it hands
+// over each client connection as soon as no request runs on it. Without a successor, or once it is lost,
+// connections are closed as in any drain.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,36 +10,50 @@
 #include <string>
 
 #include "handover/channel.hpp"
+#include "handover/listener.hpp"
 #include "net/gateway.hpp"
 
 namespace finchstile {
 
 class ProcessHandover {
  public:
-  // `path`: the name, the same for all processes of this gateway.
+  // Connects to the predecessor if there is one, and otherwise listens for a successor. `path`: of the
+  // socket, the same for all processes of this gateway; `name`: the gateway's. `io` and `gateway` must
+  // outlive this object.
   ProcessHandover(boost::asio::io_context& io, std::string path, std::string name, Gateway& gateway);
   ~ProcessHandover();
+  ProcessHandover(const ProcessHandover&) = delete;
+  ProcessHandover& operator=(const ProcessHandover&) = delete;
 
-  bool tookOver() const { return predecessor_ != nullptr; }  // another process serves beside this one
-  // To be called when the gateway begins to drain, and when it is through.
-  void begin();
-  void over();
+  // Whether the predecessor still serves beside this process.
+  bool hasPredecessor() const { return predecessor_ != nullptr; }
+
+  // To be called when the gateway begins to drain, and when it has finished.
+  void startHandingOver();
+  void finish();
 
  private:
-  void openDoor();
-  void onSuccessor(const std::shared_ptr<handover::Channel>& channel);
-  void lostSuccessor();
+  void connectPredecessor();
+  void onPredecessorMessage(const handover::Message& message, std::unique_ptr<Descriptor> connection);
+  void listenForSuccessor();
+  void onCandidate(const std::shared_ptr<handover::Channel>& channel);
+  void onHello(const handover::Message& message);
+  void welcomeSuccessor();
+  bool handOver(int fd);
+  void onSuccessorLost();
 
   boost::asio::io_context& io_;
   const std::string path_, name_;
   Gateway& gateway_;
-  std::unique_ptr<handover::Door> door_;
-  std::shared_ptr<handover::Channel> predecessor_, knocking_, successor_;
-  std::size_t given_ = 0, taken_ = 0;
-  bool giving_ = false;
+  std::unique_ptr<handover::HandoverListener> listener_;
+  std::shared_ptr<handover::Channel> predecessor_;
+  std::shared_ptr<handover::Channel> candidate_;  // has connected and has not sent its hello
+  std::shared_ptr<handover::Channel> successor_;
+  std::size_t connectionsGiven_ = 0, connectionsAdopted_ = 0;
+  bool handingOver_ = false;
 };
 
-// The name in the folder that processes share; empty if there is none.
+// The path of the socket in the directory that the processes share; empty if there is no such directory.
 std::string handoverSocketPath(const std::string& name);
 
 }  // namespace finchstile
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -21,7 +21,7 @@
 
 #include "app/admin_api.hpp"
 #include "app/idempotency_log.hpp"
-#include "app/idempotency_owners.hpp"
+#include "app/idempotency_ownership.hpp"
 #include "app/membership_service.hpp"
 #include "app/operator_file.hpp"
 #include "app/peer_link.hpp"
@@ -104,8 +104,8 @@
       members_ = std::make_unique<MembershipService>(io_, clock_, built_.file.membership, config_, gateway_,
                                                      peers_.get());
     if (config_.adminEndpoint) {
-      adminApi_ = std::make_unique<AdminApi>(io_, clock_, config_, opsFile(config_.name), gateway_);
-      adminApi_->more = [this] {
+      adminApi_ = std::make_unique<AdminApi>(io_, clock_, config_, cordonFilePath(config_.name), gateway_);
+      adminApi_->additionalMetrics = [this] {
         std::string more;
         if (crossing_) more += crossing_->account().exposition();
         if (streams_) more += streams_->exposition();
@@ -115,7 +115,7 @@
       };
     }
     if (members_ && adminApi_)
-      adminApi_->hosts = [this](const std::string& host) { return members_->text(host); };
+      adminApi_->hostsText = [this](const std::string& host) { return members_->text(host); };
     if (members_) waitToReport();
     if (built_.file.trace.enabled) {
       trace_ = std::make_unique<TraceLog>(io_, clock_, built_.file.trace, config_.name);
@@ -162,11 +162,11 @@
     gateway_.drain([this] {
       std::fprintf(stderr, "finchstile: drained, %zu connections and %zu requests left\n",
                    gateway_.clientConnections(), gateway_.openRequests());
-      if (succession_) succession_->over();
+      if (succession_) succession_->finish();
       if (trace_) trace_->stop(gateway_.openRequests());
       io_.stop();
     });
-    if (succession_) succession_->begin();
+    if (succession_) succession_->startHandingOver();
   }
 
   // Danger: a file that is half written or wrong must not end a gateway that serves; the old one stays in
@@ -174,9 +174,9 @@
   void reload() {
     try {
       gateway_.reload(loadConfig(options_.config, clock_));
-      if (adminApi_) ++adminApi_->config.loaded;
+      if (adminApi_) ++adminApi_->configMetrics.loaded;
     } catch (const std::exception& bad) {
-      if (adminApi_) ++adminApi_->config.invalid;
+      if (adminApi_) ++adminApi_->configMetrics.invalid;
       std::fprintf(stderr, "finchstile: not reloaded: %s\n", bad.what());
     }
     if (!options_.operatorFile.empty()) reloadOperator();
@@ -244,9 +244,9 @@
     idempotency_ = std::make_unique<idempotency::IdempotencyFilter>(
         clock_, settings, config_.settings.tenants.size(), idempotency::Seed{word(), word()},
         gateway_.filterCallbacks());
-    if (!settings.log.folder.empty())
+    if (!settings.log.directory.empty())
       keyLog_ = std::make_unique<IdempotencyLog>(io_, clock_, settings, config_.settings, *idempotency_);
-    if (settings.owners.enabled)
+    if (settings.peerOwnership.enabled)
       keyOwners_ = std::make_unique<IdempotencyOwnership>(io_, clock_, settings, *peers_, config_.settings,
                                                           *idempotency_);
     gateway_.attach(*idempotency_);
--- a/src/drain/plan.cpp
+++ b/src/drain/plan.cpp
@@ -8,41 +8,50 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// By the protocol: SIGKILL comes no sooner than the longest deadline, of which so much counts at most, and so
-// much more after SIGTERM. Danger: a drain by the whole of a longer deadline is cut off with requests
-// unanswered.
-constexpr Duration kLongestCounted = seconds(3);
-constexpr Duration kKillAfterLongest = milliseconds(700);
-// Fronts go on connecting for 0.2 to 0.4 s after SIGTERM.
-constexpr Duration kAccept = milliseconds(600), kAcceptLeast = milliseconds(400);
-// A process that gets the core after a fifth of a second is nothing unusual on a machine that many share.
-constexpr Duration kMargin = milliseconds(200), kLagMost = milliseconds(200);
-constexpr Duration kLastCall = milliseconds(60);   // for the last answers to be written before the end
-constexpr Duration kLastWork = milliseconds(540);  // who asks at the end of serving has so long at the least
+// The platform counts at most this much of the longest deadline, and kills the process this long after it. A
+// drain that used the whole of a longer deadline would be killed with requests unanswered.
+constexpr Duration kMaxCountedDeadline = seconds(3);
+constexpr Duration kKillAfterDeadline = milliseconds(700);
+
+// Load balancers in front go on connecting for 0.2 to 0.4 s after the signal.
+constexpr Duration kAcceptTime = milliseconds(600);
+constexpr Duration kMinAcceptTime = milliseconds(400);
+
+// On a shared machine a process may wait for a core for a fifth of a second.
+constexpr Duration kExitMargin = milliseconds(200);
+constexpr Duration kMaxLag = milliseconds(200);
+
+constexpr Duration kFinalWriteTime = milliseconds(60);       // to write the last responses
+constexpr Duration kMinLastRequestTime = milliseconds(540);  // for a request that comes at the end of serving
 
 }  // namespace
 
-Plan::Plan(Time told, const Terms& terms)
-    : told_(told),
-      kill_(told + std::clamp(terms.longest, Duration{}, kLongestCounted) + kKillAfterLongest),
-      serveFor_(std::max(terms.serveFor, Duration{})),
-      sharedListener_(terms.sharedListener) {}
+DrainPlan::DrainPlan(Time signalledAt, const DrainSettings& settings)
+    : signalledAt_(signalledAt),
+      killAt_(signalledAt + std::clamp(settings.longestDeadline, Duration{}, kMaxCountedDeadline) +
+              kKillAfterDeadline),
+      maxServeTime_(std::max(settings.maxServeTime, Duration{})),
+      sharedListener_(settings.sharedListener) {}
+
+void DrainPlan::onLag(Duration lag) { worstLag_ = std::max(worstLag_, std::min(lag, kMaxLag)); }
 
-void Plan::onLag(Duration lag) { lag_ = std::max(lag_, std::min(lag, kLagMost)); }
+Time DrainPlan::exitTime() const { return killAt_ - kExitMargin - worstLag_; }
 
-Time Plan::exit() const { return kill_ - kMargin - lag_; }
-Time Plan::lastCall() const { return exit() - kLastCall; }
+Time DrainPlan::finalResponseTime() const { return exitTime() - kFinalWriteTime; }
 
-Time Plan::serveUntil() const {
-  if (sharedListener_) return told_;
-  return std::max(told_, std::min(told_ + serveFor_, lastCall() - kLastWork));
+Time DrainPlan::serveDeadline() const {
+  if (sharedListener_) return signalledAt_;
+  const Time latest = finalResponseTime() - kMinLastRequestTime;
+  return std::max(signalledAt_, std::min(signalledAt_ + maxServeTime_, latest));
 }
 
-// Danger: with deadlines of next to nothing it would reach past the end.
-Time Plan::acceptUntil() const {
-  return std::max(std::min(told_ + kAccept, lastCall() - kLastCall), told_ + kAcceptLeast - lag_);
+// With very short deadlines the minimum would reach beyond the exit, so it shrinks with the lag.
+Time DrainPlan::acceptDeadline() const {
+  const Time latest = finalResponseTime() - kFinalWriteTime;
+  const Time wanted = std::min(signalledAt_ + kAcceptTime, latest);
+  return std::max(wanted, signalledAt_ + kMinAcceptTime - worstLag_);
 }
 
-Time Plan::closeListener() const { return std::max(acceptUntil(), serveUntil()); }
+Time DrainPlan::listenerCloseTime() const { return std::max(acceptDeadline(), serveDeadline()); }
 
 }  // namespace finchstile::drain
--- a/src/drain/plan.hpp
+++ b/src/drain/plan.hpp
@@ -1,19 +1,19 @@
-// When a gateway that was told to end stops taking clients, serving them on, and waiting for hosts. No I/O.
+// When a gateway that has received the signal to end stops accepting clients, serving them, and waiting for
+// hosts. No I/O.
 //
-// The platform ends the process by force at the earliest 0.7 s after the longest deadline, counted from the
-// signal; of a longer deadline it counts 3 s. What is unanswered then is lost. So every instant is counted
-// back from there:
+// The platform kills the process no sooner than 0.7 s after the longest deadline of a request, counted from
+// the signal; of a longer deadline it counts 3 s. Requests that are unanswered then are lost, so every time
+// is counted back from there:
 //
-//   told            the signal, as early as it may have come
-//   acceptUntil     fronts go on connecting until then; behind it the process may end once nobody is left
-//   serveUntil      connections are served on and stay open; from here on answers close them
-//   closeListener   what waits in the accept queue is taken, then nobody comes any more
-//   lastCall        whatever is open gets its final answer at once, also a request that is half here
-//   exit            the process ends
-//   kill            the earliest end by force
+//   signalledAt        the signal, as early as it may have come
+//   acceptDeadline     load balancers in front connect until then; after it the process may end once no
+//   client is left serveDeadline      connections stay open until then; from then on a response closes its
+//   connection listenerCloseTime  the connections in the accept queue are accepted, and no others
+//   finalResponseTime  every open request gets its final response at once, even if only a part of it has
+//   arrived exitTime           the process ends killTime           the earliest time at which it is killed
 //
-// The time between exit and kill is the margin: for a loop that comes late. It grows with the lag that is
-// seen while draining, and everything from serveUntil on moves ahead with it.
+// The time between exit and kill is a margin for an event loop that is late. It grows with the lag seen while
+// draining, which moves all times from serveDeadline on forward.
 #pragma once
 
 #include "finchstile/load_balancer.hpp"
@@ -23,32 +23,33 @@
 using load_balancing::Duration;
 using load_balancing::Time;
 
-struct Terms {
-  Duration longest{};   // the longest deadline of any request; 0 or more
-  Duration serveFor{};  // connections are served on for so long at the most; 0: answers close them at once
-  bool sharedListener = false;  // other processes take what comes to the listener: nobody is served on
+struct DrainSettings {
+  Duration longestDeadline{};  // of any request
+  Duration
+      maxServeTime{};  // for how long connections stay open at most; 0: each response closes its connection
+  bool sharedListener = false;  // other processes accept from the listener, so no connection stays open
 };
 
-class Plan {
+class DrainPlan {
  public:
-  // `told`: when the signal came, or the earliest time at which it may have.
-  Plan(Time told, const Terms& terms);
+  // `signalledAt`: the time of the signal, or the earliest time at which it may have come.
+  DrainPlan(Time signalledAt, const DrainSettings& settings);
 
-  // The loop came so late to something since. What makes no sense (below 0) counts as 0.
+  // The event loop was so late. Negative lags are ignored.
   void onLag(Duration lag);
 
-  Time acceptUntil() const;
-  Time serveUntil() const;
-  Time closeListener() const;
-  Time lastCall() const;
-  Time exit() const;
-  Time kill() const { return kill_; }
+  Time acceptDeadline() const;
+  Time serveDeadline() const;
+  Time listenerCloseTime() const;
+  Time finalResponseTime() const;
+  Time exitTime() const;
+  Time killTime() const { return killAt_; }
 
  private:
-  Time told_, kill_;
-  Duration serveFor_;
+  Time signalledAt_, killAt_;
+  Duration maxServeTime_;
   bool sharedListener_;
-  Duration lag_{};  // the worst
+  Duration worstLag_{};
 };
 
 }  // namespace finchstile::drain
--- a/src/handover/message.cpp
+++ b/src/handover/message.cpp
@@ -4,37 +4,49 @@
 namespace {
 
 constexpr std::string_view kMagic = "fsho";
-constexpr std::size_t kHead = 8;
+constexpr std::size_t kVersionOffset = 4;
+constexpr std::size_t kKindOffset = 5;
+constexpr std::size_t kReservedOffset = 6;
+constexpr std::size_t kHeaderBytes = 8;
 
-std::size_t textMost(Kind kind) {
-  if (kind == Kind::hello || kind == Kind::welcome) return kNameMost;
-  return kind == Kind::learned ? kMessageMost - kHead : 0;
+std::size_t maxPayloadBytes(MessageKind kind) {
+  switch (kind) {
+    case MessageKind::hello:
+    case MessageKind::welcome: return kMaxNameBytes;
+    case MessageKind::learnedState: return kMaxMessageBytes - kHeaderBytes;
+    case MessageKind::connection:
+    case MessageKind::finished: return 0;
+  }
+  return 0;
+}
+
+bool hasValidHeader(std::string_view bytes) {
+  return bytes.size() >= kHeaderBytes && bytes.substr(0, kMagic.size()) == kMagic &&
+         static_cast<std::uint8_t>(bytes[kVersionOffset]) == kProtocolVersion &&
+         bytes[kReservedOffset] == 0 && bytes[kReservedOffset + 1] == 0;
 }
 
 }  // namespace
 
-std::string encode(const Message& m) {
-  std::string out(kMagic);
-  out += static_cast<char>(kVersion);
-  out += static_cast<char>(m.kind);
-  out.append(2, '\0');
-  out += m.text.substr(0, textMost(m.kind));
-  return out;
+std::string encode(const Message& message) {
+  std::string bytes(kMagic);
+  bytes += static_cast<char>(kProtocolVersion);
+  bytes += static_cast<char>(message.kind);
+  bytes.append(kHeaderBytes - kReservedOffset, '\0');
+  bytes += message.text.substr(0, maxPayloadBytes(message.kind));
+  return bytes;
 }
 
 std::optional<Message> decode(std::string_view bytes, std::size_t descriptors) {
-  if (bytes.size() < kHead || bytes.size() > kMessageMost || bytes.substr(0, 4) != kMagic ||
-      static_cast<std::uint8_t>(bytes[4]) != kVersion || bytes[6] != 0 || bytes[7] != 0)
-    return std::nullopt;
-  const auto kind = static_cast<std::uint8_t>(bytes[5]);
-  if (kind < static_cast<std::uint8_t>(Kind::hello) || kind > static_cast<std::uint8_t>(Kind::learned))
-    return std::nullopt;
-  Message m;
-  m.kind = static_cast<Kind>(kind);
-  if (bytes.size() > kHead + textMost(m.kind)) return std::nullopt;
-  if (descriptors != (m.kind == Kind::client ? 1u : 0u)) return std::nullopt;
-  m.text = bytes.substr(kHead);
-  return m;
+  if (bytes.size() > kMaxMessageBytes || !hasValidHeader(bytes)) return std::nullopt;
+  Message message;
+  message.kind = static_cast<MessageKind>(bytes[kKindOffset]);
+  if (message.kind < MessageKind::hello || message.kind > MessageKind::learnedState) return std::nullopt;
+  if (bytes.size() > kHeaderBytes + maxPayloadBytes(message.kind)) return std::nullopt;
+  const std::size_t expectedDescriptors = message.kind == MessageKind::connection ? 1 : 0;
+  if (descriptors != expectedDescriptors) return std::nullopt;
+  message.text = bytes.substr(kHeaderBytes);
+  return message;
 }
 
 }  // namespace finchstile::handover
--- a/src/handover/message.hpp
+++ b/src/handover/message.hpp
@@ -1,6 +1,8 @@
-// What two processes of one gateway say to each other while the next takes over from the last. No I/O.
+// The messages between two processes of one gateway while the successor takes over from the predecessor. No
+// I/O.
 //
-// One message is one datagram of a SOCK_SEQPACKET socket, so that descriptors that go with it stay with it:
+// One message is one datagram of a SOCK_SEQPACKET socket, so that a descriptor sent along arrives with its
+// message:
 //
 //   offset  bytes
 //        0  4      "fsho"
@@ -9,14 +11,15 @@
 //        6  2      0
 //        8  ...    payload
 //
-//   kind 1  hello    the next process, to the last: payload is the gateway's name
-//   kind 2  welcome  the last, in answer: payload is the gateway's name
-//   kind 3  client   the last: a client's connection, at rest, goes with it as one descriptor; no payload
-//   kind 4  bye      the last: nothing more comes
-//   kind 5  learned  the last, behind its welcome: what its decision module has learned (learned_text.hpp)
+//   kind 1  hello         from the successor: the payload is the gateway's name
+//   kind 2  welcome       the predecessor's answer: the payload is the gateway's name
+//   kind 3  connection    from the predecessor: an idle client connection, whose descriptor is sent along; no
+//   payload kind 4  finished      from the predecessor: no more connections follow; no payload kind 5
+//   learnedState  from the predecessor, after its welcome: what its load balancer has learned
+//                         (learned_state_text.hpp)
 //
-// Whatever is not exactly so is turned down, and whoever sent it is not spoken to any more: between two
-// versions that do not know each other, connections are closed instead, as without a next process.
+// A process closes its channel when anything else arrives. Two versions with different formats thus close
+// client connections at the end of the predecessor, as if there were no successor.
 #pragma once
 
 #include <cstdint>
@@ -26,20 +29,29 @@
 
 namespace finchstile::handover {
 
-inline constexpr std::uint8_t kVersion = 1;
-inline constexpr std::size_t kMessageMost = 64 * 1024;  // bytes of a message
-inline constexpr std::size_t kNameMost = 256;           // of a gateway's name
+inline constexpr std::uint8_t kProtocolVersion = 1;
+inline constexpr std::size_t kMaxMessageBytes = std::size_t{64} * 1024;
+inline constexpr std::size_t kMaxNameBytes = 256;  // of a gateway's name
 
-enum class Kind : std::uint8_t { hello = 1, welcome = 2, client = 3, bye = 4, learned = 5 };
+// The values are sent.
+enum class MessageKind : std::uint8_t {
+  hello = 1,
+  welcome = 2,
+  connection = 3,
+  finished = 4,
+  learnedState = 5
+};
 
 struct Message {
-  Kind kind = Kind::hello;
-  std::string text;  // hello, welcome: the name. learned: what is learned
+  MessageKind kind = MessageKind::hello;
+  std::string text;  // the payload
 };
 
-// Names over kNameMost are cut, at both ends alike. What is learned has kMessageMost - 8 bytes at the most.
+// Longer payloads are truncated: names to kMaxNameBytes, learned state to what a message holds.
 std::string encode(const Message& message);
-// `descriptors`: how many came with it; a client has one, all others none.
+
+// `descriptors`: how many arrived with the message. Returns nothing unless it is valid, with one descriptor
+// for a connection and none for all others.
 std::optional<Message> decode(std::string_view bytes, std::size_t descriptors);
 
 }  // namespace finchstile::handover
--- a/src/idempotency/filter.cpp
+++ b/src/idempotency/filter.cpp
@@ -1,6 +1,10 @@
 #include "idempotency/filter.hpp"
 
-#include "net/config.hpp"
+#include <algorithm>
+#include <memory>
+#include <utility>
+
+#include "idempotency/relative_time.hpp"
 #include "net/request.hpp"
 
 namespace finchstile::idempotency {
@@ -8,32 +12,27 @@
 
 namespace http = boost::beast::http;
 
-Response answerOf(const KeptAnswer& kept) {
-  Response a;
-  a.status = static_cast<http::status>(kept.status);
-  a.contentType = kept.contentType;
-  a.body = kept.body;
-  return a;
-}
+constexpr const char* kKeyHeader = "Idempotency-Key";
+constexpr const char* kRepeatHeader = "X-Repeat";
+constexpr const char* kIsRepeat = "1";
 
-}  // namespace
-
-TimeBase timeBase(const Clock& clock, std::string boot) {
-  const std::chrono::nanoseconds steady = clock.steady(Time{}).time_since_epoch();
-  return {std::move(boot), steady.count(), clock.unixAt(Time{}).count()};
+Response toResponse(const CachedResponse& cached) {
+  Response response;
+  response.status = static_cast<http::status>(cached.status);
+  response.contentType = cached.contentType;
+  response.body = cached.body;
+  return response;
 }
 
-Duration longestRun(const load_balancing::Settings& settings) {
-  return longestClientTimeout(settings) + std::chrono::seconds(1);
-}
+}  // namespace
 
 IdempotencyFilter::IdempotencyFilter(const Clock& clock, const IdempotencySettings& settings,
-                                     std::size_t tenants, const Seed& seed, RequestFilterCallbacks& host)
+                                     std::size_t tenants, const Seed& seed, RequestFilterCallbacks& callbacks)
     : clock_(clock),
       settings_(settings),
-      tenants_(static_cast<std::uint32_t>(tenants)),
-      host_(host),
-      store_(settings.limits, tenants_ + 1, seed) {}
+      namedTenants_(static_cast<std::uint32_t>(tenants)),
+      callbacks_(callbacks),
+      store_(settings.limits, namedTenants_ + 1, seed) {}
 
 std::uint8_t IdempotencyFilter::phases() const {
   return phaseBit(RequestPhase::received) | phaseBit(RequestPhase::attemptSending) |
@@ -41,343 +40,365 @@
          phaseBit(RequestPhase::completed);
 }
 
-// Those that the settings do not name are one.
-std::uint32_t IdempotencyFilter::tenantOf(const RequestContext& x) const {
-  return std::min(x.tenantIndex, tenants_);
+JournalRecovery IdempotencyFilter::recover(Journal& journal) {
+  JournalRecovery recovery = journal.recover(clock_.now(), store_);
+  journal_ = &journal;
+  uncertainUntil_ = recovery.uncertainUntil;
+  journal.onSynced = [this] { onSynced(); };
+  return recovery;
 }
 
-Store::Arrival IdempotencyFilter::arrivalOf(const RequestContext& x) const {
-  const ClientRequest& m = *x.message;
-  Store::Arrival a;
-  a.tenant = tenantOf(x);
-  a.classIndex = x.classIndex;
-  a.key = view(m["Idempotency-Key"]);
-  a.fingerprint =
-      Hasher(store_.seed()).add(view(m.method_string())).add(view(m.target())).add(m.body()).end();
-  a.waiter = x.id;
-  return a;
+void IdempotencyFilter::enableOwnership(KeyOwnership& ownership, GatewayLink& link,
+                                        const TenantAndClassNames& names, bool askForEveryKey) {
+  ownership_ = &ownership;
+  link_ = &link;
+  names_ = &names;
+  askForEveryKey_ = askForEveryKey;
+  store_.addObserver(*this);
 }
 
-JournalRecovery IdempotencyFilter::recover(Journal& journal) {
-  const JournalRecovery r = journal.recover(clock_.now(), store_);
-  journal_ = &journal;
-  uncertainUntil_ = r.uncertainUntil;
-  journal.onSynced = [this] { onSynced(); };
-  return r;
-}
-
-// One that has begun in the store: it runs now, or when its record is synced, or not at all.
-IdempotencyFilter::Start IdempotencyFilter::start(RequestContext& x, const Store::Result& r) {
-  State& s = static_cast<State&>(*state(x));
-  s.entry = r.entry;
-  s.waits = false;
-  s.again = r.admission == Admission::again;
-  if (s.again) x.earlierAttempt = *r.earlier;
-  s.run = lastRun_;
-  const bool recorded = !journal_ || journal_->recorded();
-  if (journal_ && !s.again && clock_.now() < uncertainUntil_) {
-    // Danger: the log lost something, and that may have been of this key.
-    ++counts_.unknown;
-    s.again = true;
-    x.earlierAttempt = Earlier{};
-    store_.bind(r.entry, Earlier{}, uncertainUntil_);
+IdempotencyFilter::RequestState& IdempotencyFilter::stateOf(RequestContext& request) const {
+  return static_cast<RequestState&>(*request.filterStates[place()]);
+}
+
+const IdempotencyFilter::RequestState& IdempotencyFilter::stateOf(const RequestContext& request) const {
+  return static_cast<const RequestState&>(*request.filterStates[place()]);
+}
+
+// Tenants that the settings do not name share one index.
+std::uint32_t IdempotencyFilter::tenantOf(const RequestContext& request) const {
+  return std::min(request.tenantIndex, namedTenants_);
+}
+
+Store::KeyedRequest IdempotencyFilter::keyedRequest(const RequestContext& request) const {
+  const ClientRequest& message = *request.message;
+  Store::KeyedRequest keyed;
+  keyed.tenant = tenantOf(request);
+  keyed.classIndex = request.classIndex;
+  keyed.key = view(message[kKeyHeader]);
+  keyed.fingerprint = Hasher(store_.seed())
+                          .add(view(message.method_string()))
+                          .add(view(message.target()))
+                          .add(message.body())
+                          .end();
+  keyed.waiter = request.id;
+  return keyed;
+}
+
+FilterDecision IdempotencyFilter::onRequestReceived(RequestContext& request) {
+  if (request.idempotency != load_balancing::Idempotency::idempotentWithKey) return {};
+  // A body that is not complete cannot be compared, so the request is forwarded without the store.
+  if (!request.bodyComplete) {
+    ++counts_.bodyTooLarge;
+    return {};
+  }
+  return admissionDecision(request, store_.admit(clock_.now(), keyedRequest(request)));
+}
+
+FilterDecision IdempotencyFilter::admissionDecision(RequestContext& request,
+                                                    const Store::AdmissionResult& result) {
+  FilterDecision decision;
+  switch (result.admission) {
+    case Admission::firstRun: ++counts_.firstRuns; break;
+    case Admission::retryUncertain: ++counts_.retriedUncertain; break;
+    case Admission::joinRunning: ++counts_.joinedRunning; break;
+    case Admission::replayResponse:
+      ++counts_.replayedResponses;
+      decision.response = toResponse(*result.response);
+      return decision;
+    case Admission::fingerprintMismatch:
+      ++counts_.fingerprintMismatches;
+      decision.response = plainResponse(http::status::unprocessable_entity);
+      return decision;
+    case Admission::tooManyWaiters:
+      // Not a rejection, since the request that runs may have been executed.
+      ++counts_.tooManyWaiters;
+      decision.response = plainResponse(http::status::bad_gateway);
+      return decision;
+    case Admission::storeFull:
+      ++counts_.storeFull;
+      if (settings_.rejectWhenFull) decision.response = plainResponse(http::status::service_unavailable);
+      return decision;
   }
+  auto newState = std::make_unique<RequestState>();
+  newState->entry = result.entry;
+  newState->awaitsRun = result.admission == Admission::joinRunning;
+  state(request) = std::move(newState);
+  if (result.admission == Admission::joinRunning) {
+    waiters_[request.id] = &request;
+    decision.hold = true;
+    return decision;
+  }
+  switch (startRun(request, result)) {
+    case StartResult::admitted: break;
+    case StartResult::held: decision.hold = true; break;
+    case StartResult::rejected: decision.response = unrecordedResponse(stateOf(request)); break;
+  }
+  return decision;
+}
+
+// Continues a run that has started in the store: it is sent now, or once its record is synced and the owners
+// of its key have decided, or not at all.
+IdempotencyFilter::StartResult IdempotencyFilter::startRun(RequestContext& request,
+                                                           const Store::AdmissionResult& result) {
+  RequestState& state = stateOf(request);
+  state.entry = result.entry;
+  state.awaitsRun = false;
+  state.isRetry = result.admission == Admission::retryUncertain;
+  if (state.isRetry) request.earlierAttempt = *result.earlierAttempt;
+  state.run = lastRun_;
+  const bool recorded = !journal_ || journal_->lastRunRecorded();
+  // The records that the log has lost may have been of this key.
+  if (journal_ && !state.isRetry && clock_.now() < uncertainUntil_) assumeUncertain(request, state);
   if (!recorded) {
     ++counts_.unrecorded;
-    if (settings_.log.refuseUnrecorded) return Start::refused;
+    if (settings_.log.rejectUnrecorded) return StartResult::rejected;
   }
-  if (recorded && journal_ && journal_->mustWait()) {
-    s.recording = true;
-    recording_.push_back({journal_->position(), x.id});
-    recordingOf_[x.id] = &x;
+  if (recorded && journal_ && journal_->requiresSyncBeforeSend()) {
+    state.awaitsSync = true;
+    syncWaiters_.add(journal_->appendedRecords(), request);
   }
-  s.asking = ask(x, s);
-  // While others are asked, one of theirs may run.
-  x.heldBeforeExecution = s.recording && !s.asking && !s.again;
-  // Danger: what it waits for may be there at once, and then asks for its answer; it is held all the same.
-  const bool held = s.recording || s.asking;
-  if (s.recording) journal_->wait(clock_.now());
-  pump();
-  return held ? Start::held : Start::now;
-}
-
-// What others know of its key is asked, or they are only told that it runs. True: it waits for a decision.
-bool IdempotencyFilter::ask(RequestContext& x, State& s) {
-  if (!owners_) return false;
-  const ClientRequest& m = *x.message;
-  // Danger: one that is uncertain here waits too. Another gateway may have it run again just now.
-  const bool wait = askAll_ || view(m["X-Repeat"]) == "1";
-  if (wait) askingOf_[s.run] = &x;
-  owners_->claim(
-      clock_.now(), s.run,
-      owners_->keyOf(names_->tenant(tenantOf(x)), names_->classes[x.classIndex], view(m["Idempotency-Key"]),
-                     view(m.method_string()), view(m.target()), m.body()),
-      wait);
-  return wait;
-}
-
-void IdempotencyFilter::join(Owners& owners, OwnerLink& link, const Names& names, bool all) {
-  owners_ = &owners;
-  link_ = &link;
-  names_ = &names;
-  askAll_ = all;
-  store_.observe(*this);
+  state.awaitsDecision = askOwners(request, state);
+  // While the owners are asked, a run of another gateway may be executed.
+  request.heldBeforeExecution = state.awaitsSync && !state.awaitsDecision && !state.isRetry;
+  // The calls below may end the waiting at once, through onSynced() or onDecision(). The request is held even
+  // so, and admitted by a callback.
+  const bool held = state.awaitsSync || state.awaitsDecision;
+  if (state.awaitsSync) journal_->awaitSync(clock_.now());
+  exchangeWithOwners();
+  return held ? StartResult::held : StartResult::admitted;
 }
 
-void IdempotencyFilter::onBegan(std::uint64_t run, Time, const Store::Arrival&, const Earlier*) {
-  lastRun_ = run;
+void IdempotencyFilter::assumeUncertain(RequestContext& request, RequestState& state) {
+  ++counts_.assumedUncertain;
+  state.isRetry = true;
+  request.earlierAttempt = EarlierAttempt{};
+  store_.bindToEarlierAttempt(state.entry, EarlierAttempt{}, uncertainUntil_);
+}
+
+// Claims the key at its owners. Returns whether the request has to wait for their decision.
+bool IdempotencyFilter::askOwners(RequestContext& request, RequestState& state) {
+  if (!ownership_) return false;
+  const ClientRequest& message = *request.message;
+  // A repeat that is uncertain here waits as well, since another gateway may be running it again.
+  const bool awaitDecision = askForEveryKey_ || view(message[kRepeatHeader]) == kIsRepeat;
+  if (awaitDecision) decisionWaiters_[state.run] = &request;
+  const SharedKey key = ownership_->keyOf(
+      names_->tenant(tenantOf(request)), names_->classes[request.classIndex], view(message[kKeyHeader]),
+      view(message.method_string()), view(message.target()), message.body());
+  ownership_->claimKey(clock_.now(), state.run, key, awaitDecision);
+  return awaitDecision;
 }
 
-void IdempotencyFilter::onEnded(std::uint64_t run, Time at, idempotency::State to, const KeptAnswer& answer,
-                                const Earlier* ran) {
-  owners_->over(clock_.now(), run, ran ? to : idempotency::State::free, ran ? *ran : Earlier{},
-                at + settings_.limits.keep, &answer);
+void IdempotencyFilter::admitIfReady(const RequestContext& request) {
+  const RequestState& state = stateOf(request);
+  if (!state.awaitsDecision && !state.awaitsSync) callbacks_.admitHeld(request.id);
 }
 
-void IdempotencyFilter::fromGateway(GatewayNumber from, std::uint64_t epoch, std::string_view payload) {
-  owners_->receive(clock_.now(), from, epoch, payload);
-  pump();
+// For a run that must not be sent without a record. It is a failure if an earlier run may have been executed,
+// and a rejection otherwise.
+Response IdempotencyFilter::unrecordedResponse(const RequestState& state) const {
+  return plainResponse(state.isRetry ? http::status::bad_gateway : http::status::service_unavailable);
 }
 
-void IdempotencyFilter::onWake() {
-  owners_->tick(clock_.now());
-  pump();
+void IdempotencyFilter::onSynced() {
+  while (const auto ready = syncWaiters_.next(journal_->syncedRecords(), journal_->logFailed())) {
+    RequestContext& request = *ready->request;
+    RequestState& state = stateOf(request);
+    state.awaitsSync = false;
+    if (!ready->synced) ++counts_.unrecorded;
+    if (ready->synced || !settings_.log.rejectUnrecorded) admitIfReady(request);
+    else callbacks_.respondToHeld(request.id, unrecordedResponse(state));
+  }
 }
 
-void IdempotencyFilter::pump() {
-  if (!owners_) return;
-  for (const Owners::Outgoing& out : owners_->takeOutgoing()) link_->send(out.to, out.payload);
-  for (const Owners::Decision& d : owners_->takeDecisions()) decided(d);
-  link_->wakeAt(owners_->wake());
+void IdempotencyFilter::onRunStarted(std::uint64_t run, Time, const Store::KeyedRequest&,
+                                     const EarlierAttempt*) {
+  lastRun_ = run;
 }
 
-void IdempotencyFilter::admitIfReady(const RequestContext& x) {
-  const State& s = static_cast<const State&>(*x.filterStates[place()]);
-  if (!s.asking && !s.recording) host_.admitHeld(x.id);
+void IdempotencyFilter::onRunFinished(std::uint64_t run, Time at, KeyState state,
+                                      const CachedResponse& response, const EarlierAttempt* executed) {
+  const Time until = at + settings_.limits.retention;
+  if (executed) ownership_->finishRun(clock_.now(), run, state, *executed, until, &response);
+  else ownership_->finishRun(clock_.now(), run, KeyState::unused, EarlierAttempt{}, until, &response);
 }
 
-void IdempotencyFilter::decided(const Owners::Decision& d) {
-  const auto it = askingOf_.find(d.run);
-  if (it == askingOf_.end()) return;  // over since
-  RequestContext& x = *it->second;
-  askingOf_.erase(it);
-  State& s = static_cast<State&>(*state(x));
-  s.asking = false;
-  switch (d.kind) {
-    case Owners::Decision::Kind::run: x.heldBeforeExecution = s.recording && !s.again; return admitIfReady(x);
-    case Owners::Decision::Kind::uncertain:
-      x.earlierAttempt = s.again ? agreed(*x.earlierAttempt, d.earlier) : d.earlier;
-      s.again = true;
-      store_.bind(s.entry, d.earlier, d.until);
-      return admitIfReady(x);
-    case Owners::Decision::Kind::answer:
-      store_.bind(s.entry, d.earlier, d.until);
-      s.had = true;
-      s.answer = d.answer;
-      return host_.respondToHeld(x.id, answerOf(d.answer));
-    case Owners::Decision::Kind::mismatch:
-      return host_.respondToHeld(x.id, plainResponse(http::status::unprocessable_entity));
-  }
+void IdempotencyFilter::onGatewayMessage(GatewayNumber from, std::uint64_t epoch, std::string_view payload) {
+  ownership_->onMessage(clock_.now(), from, epoch, payload);
+  exchangeWithOwners();
 }
 
-// Of one that must not run without a record: unsent, but what came before it may have run.
-Response IdempotencyFilter::withoutRecord(const State& s) const {
-  return plainResponse(s.again ? http::status::bad_gateway : http::status::service_unavailable);
+void IdempotencyFilter::onTimer() {
+  ownership_->onTimer(clock_.now());
+  exchangeWithOwners();
 }
 
-FilterDecision IdempotencyFilter::onRequestReceived(RequestContext& x) {
-  if (x.idempotency != load_balancing::Idempotency::idempotentWithKey) return {};
-  if (!x.bodyComplete) {  // what is not here can't be compared: it goes on as if there were no store
-    ++counts_.large;
-    return {};
-  }
-  const Store::Result r = store_.arrive(clock_.now(), arrivalOf(x));
-  FilterDecision out;
-  switch (r.admission) {
-    case Admission::fresh: ++counts_.fresh; break;
-    case Admission::again: ++counts_.again; break;
-    case Admission::join: ++counts_.joined; break;
-    case Admission::replay:
-      ++counts_.replayed;
-      out.response = answerOf(*r.answer);
-      return out;
-    case Admission::mismatch:
-      ++counts_.mismatched;
-      out.response = plainResponse(http::status::unprocessable_entity);
-      return out;
-    case Admission::crowded:  // the first may run: no refusal
-      ++counts_.crowded;
-      out.response = plainResponse(http::status::bad_gateway);
-      return out;
-    case Admission::full:
-      ++counts_.full;
-      if (settings_.refuseWhenFull) out.response = plainResponse(http::status::service_unavailable);
-      return out;
-  }
-  auto own = std::make_unique<State>();
-  own->entry = r.entry;
-  own->waits = r.admission == Admission::join;
-  state(x) = std::move(own);
-  if (r.admission == Admission::join) {
-    waiting_[x.id] = &x;
-    out.hold = true;
-    return out;
-  }
-  switch (start(x, r)) {
-    case Start::now: break;
-    case Start::held: out.hold = true; break;
-    case Start::refused: out.response = withoutRecord(static_cast<State&>(*state(x))); break;
-  }
-  return out;
+void IdempotencyFilter::exchangeWithOwners() {
+  if (!ownership_) return;
+  for (const KeyOwnership::Outgoing& outgoing : ownership_->takeOutgoing())
+    link_->send(outgoing.to, outgoing.payload);
+  for (const KeyOwnership::Decision& decision : ownership_->takeDecisions()) onDecision(decision);
+  link_->scheduleTimer(ownership_->nextTimer());
 }
 
-// Those whose records are safe now run. Behind a sync that failed nothing is safe any more.
-void IdempotencyFilter::onSynced() {
-  while (!recording_.empty() && (journal_->broken() || recording_.front().position <= journal_->durable())) {
-    const Recording one = recording_.front();
-    const bool safe = one.position <= journal_->durable();
-    recording_.pop_front();
-    const auto it = recordingOf_.find(one.request);
-    if (it == recordingOf_.end()) continue;  // over since
-    RequestContext& x = *it->second;
-    State& s = static_cast<State&>(*state(x));
-    recordingOf_.erase(it);
-    s.recording = false;
-    if (!safe) ++counts_.unrecorded;
-    if (safe || !settings_.log.refuseUnrecorded) admitIfReady(x);
-    else host_.respondToHeld(one.request, withoutRecord(s));
+void IdempotencyFilter::onDecision(const KeyOwnership::Decision& decision) {
+  const auto it = decisionWaiters_.find(decision.run);
+  if (it == decisionWaiters_.end()) return;  // the request has completed meanwhile
+  RequestContext& request = *it->second;
+  decisionWaiters_.erase(it);
+  RequestState& state = stateOf(request);
+  state.awaitsDecision = false;
+  switch (decision.kind) {
+    case KeyOwnership::Decision::Kind::run:
+      request.heldBeforeExecution = state.awaitsSync && !state.isRetry;
+      return admitIfReady(request);
+    case KeyOwnership::Decision::Kind::uncertain:
+      request.earlierAttempt = state.isRetry
+                                   ? mergeEarlierAttempts(*request.earlierAttempt, decision.earlierAttempt)
+                                   : decision.earlierAttempt;
+      state.isRetry = true;
+      store_.bindToEarlierAttempt(state.entry, decision.earlierAttempt, decision.validUntil);
+      return admitIfReady(request);
+    case KeyOwnership::Decision::Kind::response:
+      store_.bindToEarlierAttempt(state.entry, decision.earlierAttempt, decision.validUntil);
+      state.hasPeerResponse = true;
+      state.response = decision.response;
+      return callbacks_.respondToHeld(request.id, toResponse(decision.response));
+    case KeyOwnership::Decision::Kind::fingerprintMismatch:
+      return callbacks_.respondToHeld(request.id, plainResponse(http::status::unprocessable_entity));
   }
 }
 
-void IdempotencyFilter::onAttemptSending(RequestContext& x, UpstreamRequest&) {
-  if (!state(x)) return;
-  store_.sent(static_cast<State&>(*state(x)).entry, {std::string(x.zone), x.cell, clock_.now()});
+void IdempotencyFilter::onAttemptSending(RequestContext& request, UpstreamRequest&) {
+  if (!state(request)) return;
+  const EarlierAttempt attempt{std::string(request.zone), request.cell, clock_.now()};
+  store_.onAttemptSent(stateOf(request).entry, attempt);
 }
 
-void IdempotencyFilter::onAttemptEnded(RequestContext& x, bool mayHaveRun) {
-  if (state(x)) store_.settled(static_cast<State&>(*state(x)).entry, mayHaveRun);
+void IdempotencyFilter::onAttemptEnded(RequestContext& request, bool mayHaveRun) {
+  if (state(request)) store_.onAttemptSettled(stateOf(request).entry, mayHaveRun);
 }
 
-// Written down before its client has it: what was answered is known after a kill, or nobody has heard of it.
-void IdempotencyFilter::onResponseHeaders(RequestContext& x, const ResponseHead& head,
+// The response is recorded before the client gets it: no client knows of a response that the next process
+// does not.
+void IdempotencyFilter::onResponseHeaders(RequestContext& request, const ResponseHead& head,
                                           std::vector<HeaderLine>&) {
-  if (!state(x)) return;
-  State& s = static_cast<State&>(*state(x));
-  if (s.waits) return;
-  if (!head.bodyComplete) {  // it ran, and what it answered can't be kept: a repeat is bound by it
-    const Store::EntryId entry = s.entry;
-    if (s.recording) recordingOf_.erase(x.id);
-    if (s.asking) askingOf_.erase(s.run);
-    orphans_.erase(entry);
-    state(x).reset();
-    over(store_.end(clock_.now(), entry, Store::End::mayHaveRun), nullptr);
-    return pump();
+  if (!state(request)) return;
+  RequestState& known = stateOf(request);
+  if (known.awaitsRun) return;
+  if (!head.bodyComplete) return finishWithoutResponse(request);
+  if (head.fromUpstream) {
+    CachedResponse response{head.status, std::string(head.contentType), std::string(head.body)};
+    return finishWithResponse(request, std::move(response));
   }
-  if (head.fromUpstream) s.answer = {head.status, std::string(head.contentType), std::string(head.body)};
-  else if (!s.had) return;
-  if (s.recording) recordingOf_.erase(x.id);  // another gateway's answer came before its own record was safe
-  orphans_.erase(s.entry);
-  const Store::EntryId entry = s.entry;
-  KeptAnswer kept = std::move(s.answer);
-  state(x).reset();  // its part here is over
-  KeptAnswer answer;
-  if (store_.awaited(entry)) answer = kept;
-  over(store_.end(clock_.now(), entry, Store::End::served, std::move(kept)), &answer);
-  pump();
-}
-
-// Others wait for it: what runs goes on without its own client.
-bool IdempotencyFilter::continuesWithoutClient(RequestContext& x) {
-  if (!state(x)) return false;
-  const State& s = static_cast<const State&>(*state(x));
-  if (s.waits || !store_.awaited(s.entry)) return false;
-  orphans_[s.entry] = x.id;
+  if (known.hasPeerResponse) finishWithResponse(request, std::move(known.response));
+}
+
+// The run was executed, and its response is too long to be cached: repeats are bound to the attempt.
+void IdempotencyFilter::finishWithoutResponse(RequestContext& request) {
+  const RequestState& known = stateOf(request);
+  const Store::EntryId entry = known.entry;
+  stopWaiting(request, known);
+  runsWithoutClient_.erase(entry);
+  state(request).reset();
+  onRunEnded(store_.finishRun(clock_.now(), entry, Store::RunOutcome::mayHaveExecuted), nullptr);
+  exchangeWithOwners();
+}
+
+void IdempotencyFilter::finishWithResponse(RequestContext& request, CachedResponse&& response) {
+  const RequestState& known = stateOf(request);
+  const Store::EntryId entry = known.entry;
+  // Another gateway's response may arrive before the record of this run is synced.
+  if (known.awaitsSync) syncWaiters_.remove(request.id);
+  runsWithoutClient_.erase(entry);
+  CachedResponse cached = std::move(response);
+  state(request).reset();
+  CachedResponse forWaiters;
+  if (store_.hasWaiters(entry)) forWaiters = cached;
+  const auto outcome = Store::RunOutcome::responded;
+  onRunEnded(store_.finishRun(clock_.now(), entry, outcome, std::move(cached)), &forWaiters);
+  exchangeWithOwners();
+}
+
+bool IdempotencyFilter::continuesWithoutClient(RequestContext& request) {
+  if (!state(request)) return false;
+  const RequestState& known = stateOf(request);
+  if (known.awaitsRun || !store_.hasWaiters(known.entry)) return false;
+  runsWithoutClient_[known.entry] = request.id;
   ++counts_.keptWithoutClient;
   return true;
 }
 
-void IdempotencyFilter::onRequestCompleted(RequestContext& x, RequestResult) {
-  if (!state(x)) return;
-  State& s = static_cast<State&>(*state(x));
-  if (s.recording) recordingOf_.erase(x.id);
-  if (s.asking) askingOf_.erase(s.run);
-  if (s.waits) {
-    waiting_.erase(x.id);
-    store_.leave(s.entry, x.id);
-    const auto orphan = orphans_.find(s.entry);
-    if (orphan == orphans_.end() || store_.awaited(s.entry)) return;
-    host_.abandonContinued(orphan->second);
-    orphans_.erase(orphan);
-    return;
-  }
-  orphans_.erase(s.entry);
-  over(store_.end(clock_.now(), s.entry, x.mayHaveRun ? Store::End::mayHaveRun : Store::End::neverRan),
-       nullptr);
-  pump();
-}
-
-// Those that waited: answered from the first, or one of them runs in its place and the rest wait for that
-// one. Each has its own worth and time there: the module refuses or sends it like any other.
-void IdempotencyFilter::over(const std::vector<Store::Waiter>& waiting, const KeptAnswer* answer) {
-  for (const Store::Waiter w : waiting) {
-    const auto it = waiting_.find(w);
-    if (it == waiting_.end()) continue;
-    RequestContext& x = *it->second;
-    if (answer) {
-      ++counts_.answeredFromFirst;
-      waiting_.erase(it);
-      state(x).reset();  // its part here is over
-      host_.respondToHeld(w, answerOf(*answer));
-      continue;
-    }
-    const Store::Result r = store_.arrive(clock_.now(), arrivalOf(x));
-    if (r.admission == Admission::join) {
-      static_cast<State&>(*state(x)).entry = r.entry;
-      continue;
-    }
-    waiting_.erase(it);
-    ++counts_.promoted;
-    if (r.entry == Store::kNone) {  // no room for it any more: it goes on unremembered
-      state(x).reset();
-      host_.admitHeld(w);
+void IdempotencyFilter::stopWaiting(RequestContext& request, const RequestState& state) {
+  if (state.awaitsSync) syncWaiters_.remove(request.id);
+  if (state.awaitsDecision) decisionWaiters_.erase(state.run);
+}
+
+void IdempotencyFilter::onRequestCompleted(RequestContext& request, RequestResult) {
+  if (!state(request)) return;
+  const RequestState& known = stateOf(request);
+  stopWaiting(request, known);
+  if (known.awaitsRun) return onWaiterCompleted(request, known);
+  runsWithoutClient_.erase(known.entry);
+  const auto outcome =
+      request.mayHaveRun ? Store::RunOutcome::mayHaveExecuted : Store::RunOutcome::notExecuted;
+  onRunEnded(store_.finishRun(clock_.now(), known.entry, outcome), nullptr);
+  exchangeWithOwners();
+}
+
+// A run whose own client has disconnected is abandoned with its last waiter.
+void IdempotencyFilter::onWaiterCompleted(RequestContext& request, const RequestState& state) {
+  waiters_.erase(request.id);
+  store_.removeWaiter(state.entry, request.id);
+  const auto run = runsWithoutClient_.find(state.entry);
+  if (run == runsWithoutClient_.end() || store_.hasWaiters(state.entry)) return;
+  callbacks_.abandonContinued(run->second);
+  runsWithoutClient_.erase(run);
+}
+
+// The waiters get the response, or one of them runs and the others wait for that one. `response`: null if
+// there is none.
+void IdempotencyFilter::onRunEnded(const std::vector<Store::Waiter>& waiters,
+                                   const CachedResponse* response) {
+  for (const Store::Waiter waiter : waiters) {
+    const auto it = waiters_.find(waiter);
+    if (it == waiters_.end()) continue;
+    RequestContext& request = *it->second;
+    if (!response) {
+      promoteWaiter(request);
       continue;
     }
-    switch (start(x, r)) {
-      case Start::now: host_.admitHeld(w); break;
-      case Start::held: break;  // still
-      case Start::refused: host_.respondToHeld(w, withoutRecord(static_cast<State&>(*state(x)))); break;
-    }
+    ++counts_.answeredFromRunning;
+    waiters_.erase(it);
+    state(request).reset();
+    callbacks_.respondToHeld(waiter, toResponse(*response));
   }
 }
 
-std::string IdempotencyFilter::summary() const {
-  const auto n = [](const char* name, std::uint64_t value) {
-    return std::string(" ") + name + "=" + std::to_string(value);
-  };
-  using S = idempotency::State;
-  const std::string log =
-      !journal_ ? ""
-                : n("log_bytes", journal_->bytes()) + n("log_broken", journal_->broken() ? 1 : 0) +
-                      n("unrecorded", counts_.unrecorded) + n("unknown", counts_.unknown) +
-                      n("unwritten", journal_->unrecorded()) + n("unanswered", journal_->unanswered()) +
-                      n("syncs", journal_->syncs());
-  std::string owners;
-  if (owners_) {
-    const OwnerCounts& c = owners_->counts();
-    owners = n("claims", c.claims) + n("waited", c.waited) + n("ran", c.ran) + n("had", c.answered) +
-             n("bound", c.uncertain) + n("differed", c.mismatched) + n("polls", c.polls) +
-             n("untold", c.untold) + n("late", c.late) + n("resent", c.again) + n("silent", c.silent) +
-             n("dropped", c.dropped) + n("asked", c.asked) + n("held", owners_->held()) +
-             n("owner_full", c.full) + n("other_view", c.otherView) + n("malformed", c.malformed);
+// The waiter is admitted to the store anew. It keeps its own deadline and priority, by which the load
+// balancer admits or rejects it like any other request.
+void IdempotencyFilter::promoteWaiter(RequestContext& request) {
+  const Store::AdmissionResult result = store_.admit(clock_.now(), keyedRequest(request));
+  if (result.admission == Admission::joinRunning) {
+    stateOf(request).entry = result.entry;
+    return;
+  }
+  waiters_.erase(request.id);
+  ++counts_.promoted;
+  // There is no room for the key any more, and the request runs unremembered.
+  if (result.entry == Store::kNone) {
+    state(request).reset();
+    callbacks_.admitHeld(request.id);
+    return;
+  }
+  switch (startRun(request, result)) {
+    case StartResult::admitted: callbacks_.admitHeld(request.id); break;
+    case StartResult::held: break;
+    case StartResult::rejected:
+      callbacks_.respondToHeld(request.id, unrecordedResponse(stateOf(request)));
+      break;
   }
-  return "idempotency" + n("entries", store_.entries()) + n("bytes", store_.bytes()) +
-         n("running", store_.count(S::running)) + n("answered", store_.count(S::answered)) +
-         n("uncertain", store_.count(S::uncertain)) + n("evicted", store_.evicted()) +
-         n("fresh", counts_.fresh) + n("joined", counts_.joined) + n("replayed", counts_.replayed) +
-         n("again", counts_.again) + n("mismatched", counts_.mismatched) + n("crowded", counts_.crowded) +
-         n("full", counts_.full) + n("large", counts_.large) +
-         n("answered_from_first", counts_.answeredFromFirst) + n("promoted", counts_.promoted) +
-         n("kept_without_client", counts_.keptWithoutClient) + log + owners;
 }
 
 }  // namespace finchstile::idempotency
--- a/src/idempotency/filter.hpp
+++ b/src/idempotency/filter.hpp
@@ -1,123 +1,121 @@
-// Keyed requests in the gateway: a repeat joins the one that runs, or is answered from the one that was.
+// Requests with an idempotency key in the phases of the gateway. A repeat waits for the request that runs, or
+// is answered with its cached response, and the key of a run that may have been executed binds where repeats
+// are sent.
 #pragma once
 
-#include <deque>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
+#include "idempotency/filter_summary.hpp"
+#include "idempotency/gateway_link.hpp"
 #include "idempotency/journal.hpp"
-#include "idempotency/owners.hpp"
+#include "idempotency/key_ownership.hpp"
+#include "idempotency/process_clock.hpp"
 #include "idempotency/settings.hpp"
 #include "idempotency/store.hpp"
+#include "idempotency/store_observer.hpp"
+#include "idempotency/sync_waiters.hpp"
 #include "net/clock.hpp"
 #include "net/request_filter.hpp"
 
 namespace finchstile::idempotency {
 
-struct Counts {
-  std::uint64_t fresh = 0, joined = 0, replayed = 0, again = 0, mismatched = 0, crowded = 0, full = 0;
-  std::uint64_t large = 0;  // longer than is held, passed by the store
-  std::uint64_t answeredFromFirst = 0, promoted = 0, keptWithoutClient = 0;
-  std::uint64_t unknown = 0;     // new ones that count as uncertain, since the log was damaged
-  std::uint64_t unrecorded = 0;  // that went on, or were turned away, without a record
-};
-
-// What this gateway's clock says of itself in the log. `boot`: see TimeBase.
-TimeBase timeBase(const Clock& clock, std::string boot);
-// No request runs for longer: what is sent right before its client's time is up is not over at once.
-Duration longestRun(const load_balancing::Settings& settings);
-
-// The way to the other gateways.
-class OwnerLink {
- public:
-  virtual ~OwnerLink() = default;
-  virtual void send(GatewayNumber to, std::string_view payload) = 0;
-  virtual void wakeAt(
-      std::optional<Time> at) = 0;  // IdempotencyStage::onWake is to be called then, if at all
-};
-
 class IdempotencyFilter : public RequestFilter, StoreObserver {
  public:
-  // `host` carries out what is to become of requests that wait; it must outlive this. `tenants`: how many the
-  // settings name.
+  // `tenants`: the number of tenants that the settings name. `callbacks` answers and admits held requests.
+  // All references must outlive the filter.
   IdempotencyFilter(const Clock& clock, const IdempotencySettings& settings, std::size_t tenants,
-                    const Seed& seed, RequestFilterCallbacks& host);
+                    const Seed& seed, RequestFilterCallbacks& callbacks);
 
-  // Before the first request. What outlived the last process is put into the store, and each step written
-  // down from now on. Both must outlive this.
+  // Restores what earlier processes recorded, and records every run from then on. To be called before the
+  // first request. `journal` must outlive the filter.
   JournalRecovery recover(Journal& journal);
 
-  // Before the first request. `all`: each keyed request is asked for, else those that clients mark as
-  // repeats.
-  void join(Owners& owners, OwnerLink& link, const Names& names, bool all);
-  void fromGateway(GatewayNumber from, std::uint64_t epoch, std::string_view payload);
-  void onWake();
+  // Has the owners of a key asked before its repeats run. To be called before the first request. All
+  // references must outlive the filter. `askForEveryKey`: every request waits for the owners; otherwise only
+  // those that clients mark as repeats do, and the owners are merely notified of the others.
+  void enableOwnership(KeyOwnership& ownership, GatewayLink& link, const TenantAndClassNames& names,
+                       bool askForEveryKey);
+  void onGatewayMessage(GatewayNumber from, std::uint64_t epoch, std::string_view payload);
+  void onTimer();
 
   const Store& store() const { return store_; }
-  const Counts& counts() const { return counts_; }
-  std::string summary() const;
+  const FilterCounts& counts() const { return counts_; }
+  std::string summary() const { return summarize(store_, counts_, journal_, ownership_); }
 
   std::uint8_t phases() const override;
-  FilterDecision onRequestReceived(RequestContext& x) override;
-  void onAttemptSending(RequestContext& x, UpstreamRequest& to) override;
-  void onAttemptEnded(RequestContext& x, bool mayHaveRun) override;
-  void onResponseHeaders(RequestContext& x, const ResponseHead& head,
+  FilterDecision onRequestReceived(RequestContext& request) override;
+  void onAttemptSending(RequestContext& request, UpstreamRequest& to) override;
+  void onAttemptEnded(RequestContext& request, bool mayHaveRun) override;
+  void onResponseHeaders(RequestContext& request, const ResponseHead& head,
                          std::vector<HeaderLine>& toClient) override;
-  void onRequestCompleted(RequestContext& x, RequestResult end) override;
-  bool continuesWithoutClient(RequestContext& x) override;
+  void onRequestCompleted(RequestContext& request, RequestResult result) override;
+  bool continuesWithoutClient(RequestContext& request) override;
 
  private:
-  struct State : RequestFilterState {
+  struct RequestState : RequestFilterState {
     Store::EntryId entry = Store::kNone;
-    bool waits = false;      // for the one that runs
-    bool recording = false;  // waits for its record to be synced
-    bool asking = false;     // waits for what other gateways know
-    bool again = false;      // an earlier one may have run
-    std::uint64_t run = 0;
-    bool had = false;  // another gateway's answer, to be handed over
-    KeptAnswer answer;
+    bool awaitsRun = false;        // it is a waiter of the request that runs
+    bool awaitsSync = false;       // of its record
+    bool awaitsDecision = false;   // of the owners of its key
+    bool isRetry = false;          // an earlier run may have been executed
+    std::uint64_t run = 0;         // unless it awaits another run
+    bool hasPeerResponse = false;  // `response` is another gateway's
+    CachedResponse response;
   };
-  enum class Start : std::uint8_t { now, held, refused };
-  Store::Arrival arrivalOf(const RequestContext& x) const;
-  std::uint32_t tenantOf(const RequestContext& x) const;
-  Start start(RequestContext& x, const Store::Result& r);
-  Response withoutRecord(const State& s) const;
+  enum class StartResult : std::uint8_t { admitted, held, rejected };
+
+  void onRunStarted(std::uint64_t run, Time at, const Store::KeyedRequest& request,
+                    const EarlierAttempt* earlierAttempt) override;
+  void onAttemptSent(std::uint64_t, const EarlierAttempt&) override {}
+  void onAttemptNotExecuted(std::uint64_t) override {}
+  void onRunFinished(std::uint64_t run, Time at, KeyState state, const CachedResponse& response,
+                     const EarlierAttempt* executed) override;
+
+  RequestState& stateOf(RequestContext& request) const;
+  const RequestState& stateOf(const RequestContext& request) const;
+  std::uint32_t tenantOf(const RequestContext& request) const;
+  Store::KeyedRequest keyedRequest(const RequestContext& request) const;
+
+  FilterDecision admissionDecision(RequestContext& request, const Store::AdmissionResult& result);
+  StartResult startRun(RequestContext& request, const Store::AdmissionResult& result);
+  void assumeUncertain(RequestContext& request, RequestState& state);
+  bool askOwners(RequestContext& request, RequestState& state);
+  void admitIfReady(const RequestContext& request);
+  Response unrecordedResponse(const RequestState& state) const;
   void onSynced();
-  void onBegan(std::uint64_t run, Time at, const Store::Arrival& request, const Earlier* earlier) override;
-  void onSent(std::uint64_t, const Earlier&) override {}
-  void onNeverRan(std::uint64_t) override {}
-  void onEnded(std::uint64_t run, Time at, idempotency::State to, const KeptAnswer& answer,
-               const Earlier* ran) override;
-  bool ask(RequestContext& x, State& s);
-  void decided(const Owners::Decision& d);
-  void pump();
-  void admitIfReady(const RequestContext& x);
-  void over(const std::vector<Store::Waiter>& waiting, const KeptAnswer* answer);
+  void onDecision(const KeyOwnership::Decision& decision);
+  void exchangeWithOwners();
+
+  void stopWaiting(RequestContext& request, const RequestState& state);
+  void onWaiterCompleted(RequestContext& request, const RequestState& state);
+  void finishWithoutResponse(RequestContext& request);
+  void finishWithResponse(RequestContext& request, CachedResponse&& response);
+  void onRunEnded(const std::vector<Store::Waiter>& waiters, const CachedResponse* response);
+  void promoteWaiter(RequestContext& request);
 
   const Clock& clock_;
   IdempotencySettings settings_;
-  std::uint32_t tenants_;
-  RequestFilterCallbacks& host_;
+  std::uint32_t namedTenants_;
+  RequestFilterCallbacks& callbacks_;
   Store store_;
-  Counts counts_;
-  std::unordered_map<Store::Waiter, RequestContext*> waiting_;  // by request; each until its `ended`
+  FilterCounts counts_;
+  std::uint64_t lastRun_ = 0;  // the number of the run that started last
+
+  std::unordered_map<Store::Waiter, RequestContext*> waiters_;  // until their onRequestCompleted()
+  // Runs whose own client has disconnected, by entry. They are abandoned with their last waiter.
+  std::unordered_map<Store::EntryId, load_balancing::RequestId> runsWithoutClient_;
+
   Journal* journal_ = nullptr;
-  Time uncertainUntil_{};
-  struct Recording {
-    std::uint64_t position;  // of the log
-    load_balancing::RequestId request;
-  };
-  std::deque<Recording> recording_;  // in the order of their records; some may be over already
-  std::unordered_map<load_balancing::RequestId, RequestContext*> recordingOf_;
-  Owners* owners_ = nullptr;
-  OwnerLink* link_ = nullptr;
-  const Names* names_ = nullptr;
-  bool askAll_ = false;
-  std::uint64_t lastRun_ = 0;                                    // that began
-  std::unordered_map<std::uint64_t, RequestContext*> askingOf_;  // by run
-  // Running ones whose own client has gone, by entry. The last that waits for one takes it along.
-  std::unordered_map<Store::EntryId, load_balancing::RequestId> orphans_;
+  Time uncertainUntil_{};  // until then unknown keys count as uncertain, since the log has lost records
+  SyncWaiters syncWaiters_;
+
+  KeyOwnership* ownership_ = nullptr;
+  GatewayLink* link_ = nullptr;
+  const TenantAndClassNames* names_ = nullptr;
+  bool askForEveryKey_ = false;
+  std::unordered_map<std::uint64_t, RequestContext*> decisionWaiters_;  // by run
 };
 
 }  // namespace finchstile::idempotency
--- a/src/idempotency/journal.cpp
+++ b/src/idempotency/journal.cpp
@@ -4,98 +4,124 @@
 #include <utility>
 
 namespace finchstile::idempotency {
+namespace {
 
-Journal::Journal(wal::Log& log, const JournalSettings& settings, const Names& names, const TimeBase& base,
-                 wal::SyncRunner& runner)
-    : log_(log), settings_(settings), names_(names), base_(base), runner_(runner) {}
+// A response is recorded only if it takes at most this part of the space that is left in the log.
+constexpr std::size_t kMaxResponseDivisor = 32;
+
+}  // namespace
+
+Journal::Journal(wal::Log& log, const JournalSettings& settings, const TenantAndClassNames& names,
+                 const TimeBase& timeBase, wal::SyncRunner& runner)
+    : log_(log), settings_(settings), names_(names), timeBase_(timeBase), runner_(runner) {}
 
 JournalRecovery Journal::recover(Time now, Store& store) {
-  JournalRecovery out;
-  Recall recall(store, names_, base_, now, settings_.keep);
-  // Danger: the seed must be the log's before the first segment of this process is begun, or kept answers and
-  // new arrivals would have fingerprints of different seeds.
-  log_.preamble([&] { return encode(Session{store.seed(), base_}); });
-  out.usable = log_.recover([&](std::string_view record) { recall.take(record); }, out.log);
-  const auto over = recall.finish(out.log.cutBytes == 0 && !out.log.damaged);
-  out.recalled = recall.result();
-  if (out.log.damaged || out.recalled.foreign > 0) out.uncertainUntil = now + settings_.keep;
-  segment_ = log_.segment();
-  closed_.push_back({segment_ - 1, now});  // and all before it
-  syncedAt_ = now;
-  // Written as over, so that one more start does not find them running once more, and their time begin anew.
-  for (const std::uint64_t run : over) write(Ended{run, now, State::uncertain, {}}, now);
-  store.observe(*this);
-  return out;
+  JournalRecovery recovery;
+  LogReplay replay(store, names_, timeBase_, now, settings_.retention);
+  // The first segment of this process begins after the replay has set the store's seed to the log's. With
+  // different seeds no fingerprint of a new request would match that of a recorded one.
+  log_.setPreamble([&] { return encode(Session{store.seed(), timeBase_}); });
+  const auto onRecord = [&](std::string_view record) { replay.onRecord(record); };
+  recovery.writable = log_.recover(onRecord, recovery.log);
+  const bool logComplete = recovery.log.truncatedBytes == 0 && !recovery.log.damaged;
+  const std::vector<std::uint64_t> interrupted = replay.finish(logComplete);
+  recovery.replay = replay.summary();
+  if (recovery.log.damaged || recovery.replay.unreadable > 0)
+    recovery.uncertainUntil = now + settings_.retention;
+  currentSegment_ = log_.currentSegment();
+  closedSegments_.push_back({currentSegment_ - 1, now});  // stands for all segments of earlier processes
+  lastSyncAt_ = now;
+  // Without an end in the log the next process would find these runs unfinished again and renew their
+  // retention.
+  for (const std::uint64_t run : interrupted) append(RunFinished{run, now, KeyState::uncertain, {}}, now);
+  store.addObserver(*this);
+  return recovery;
 }
 
-bool Journal::write(const Record& record, Time at) {
-  lastAt_ = std::max(lastAt_, at);
+bool Journal::append(const LogRecord& record, Time at) {
+  lastRecordAt_ = std::max(lastRecordAt_, at);
   if (!log_.append(encode(record))) {
-    ++unrecorded_;
+    ++writeFailures_;
     return false;
   }
-  if (log_.segment() != segment_) {
-    closed_.push_back({segment_, lastAt_});
-    segment_ = log_.segment();
+  if (log_.currentSegment() != currentSegment_) {
+    closedSegments_.push_back({currentSegment_, lastRecordAt_});
+    currentSegment_ = log_.currentSegment();
   }
   return true;
 }
 
-void Journal::onBegan(std::uint64_t run, Time at, const Store::Arrival& request, const Earlier* earlier) {
-  Began b;
-  b.run = run;
-  b.at = at;
-  b.fingerprint = request.fingerprint;
-  b.tenant = names_.tenant(request.tenant);
-  b.className = names_.classes[request.classIndex];
-  b.key = std::string(request.key);
-  if (earlier) b.earlier = *earlier;
-  // Danger: what begins must leave room for the ends of what runs: an end that is missing makes an answered
-  // key an uncertain one at the next start.
-  recorded_ = !log_.nearlyFull() && write(b, at);
-  if (!recorded_ && log_.nearlyFull()) ++unrecorded_;
+void Journal::onRunStarted(std::uint64_t run, Time at, const Store::KeyedRequest& request,
+                           const EarlierAttempt* earlierAttempt) {
+  RunStarted started;
+  started.run = run;
+  started.startedAt = at;
+  started.fingerprint = request.fingerprint;
+  started.tenant = names_.tenant(request.tenant);
+  started.className = names_.classes[request.classIndex];
+  started.key = std::string(request.key);
+  if (earlierAttempt) started.earlierAttempt = *earlierAttempt;
+  // New runs leave room for the ends of those that run. Without its end in the log an answered key would be
+  // uncertain for the next process.
+  lastRunRecorded_ = !log_.nearlyFull() && append(started, at);
+  if (!lastRunRecorded_ && log_.nearlyFull()) ++writeFailures_;
 }
 
-void Journal::onSent(std::uint64_t run, const Earlier& where) { write(Sent{run, where}, where.sentAt); }
-void Journal::onNeverRan(std::uint64_t run) { write(NeverRan{run}, lastAt_); }
-void Journal::onEnded(std::uint64_t run, Time at, State to, const KeptAnswer& answer, const Earlier*) {
-  // Danger: answers must not take what is left from the ends of others. Without its answer it is uncertain.
-  const bool kept = to == State::answered && answer.body.size() <= log_.room() / 32;
-  const State written = to == State::answered && !kept ? State::uncertain : to;
-  unanswered_ += written != to;
-  write(Ended{run, at, written, kept ? answer : KeptAnswer{}}, at);
+void Journal::onAttemptSent(std::uint64_t run, const EarlierAttempt& attempt) {
+  append(AttemptSent{run, attempt}, attempt.sentAt);
 }
 
-void Journal::wait(Time now) {
-  awaited_ = log_.appended();
-  sync(now);
-  // It broke behind that record: no sync will come that could end the waiting.
-  if (log_.broken() && !syncing_ && onSynced) onSynced();
+void Journal::onAttemptNotExecuted(std::uint64_t run) { append(AttemptNotExecuted{run}, lastRecordAt_); }
+
+void Journal::onRunFinished(std::uint64_t run, Time at, KeyState state, const CachedResponse& response,
+                            const EarlierAttempt* /*executed*/) {
+  // Large responses would take the room that the ends of other runs need. Without its response the key is
+  // recorded as uncertain.
+  const bool completed = state == KeyState::completed;
+  const bool withResponse = completed && response.body.size() <= log_.remainingBytes() / kMaxResponseDivisor;
+  if (withResponse) {
+    append(RunFinished{run, at, state, response}, at);
+    return;
+  }
+  if (completed) ++responsesOmitted_;
+  append(RunFinished{run, at, completed ? KeyState::uncertain : state, {}}, at);
 }
 
-void Journal::tick(Time now) {
-  const bool due = settings_.sync != SyncPolicy::never && now - syncedAt_ >= settings_.syncInterval;
-  // Danger: all that a segment holds is forgotten only when what began last in it has ended, and been kept.
-  while (!closed_.empty() && closed_.front().last + settings_.longest + settings_.keep <= now) {
-    log_.dropThrough(closed_.front().segment);
-    closed_.pop_front();
+void Journal::awaitSync(Time now) {
+  awaitedRecords_ = log_.appendedRecords();
+  startSync(now);
+  // If the log has failed, no sync will come that could end the waiting.
+  if (log_.failed() && !syncing_ && onSynced) onSynced();
+}
+
+void Journal::removeExpiredSegments(Time now) {
+  // A run that started last in a segment may take as long as any request, and its key is retained after that.
+  const Duration lifetime = settings_.maxRequestDuration + settings_.retention;
+  while (!closedSegments_.empty() && closedSegments_.front().lastRecordAt + lifetime <= now) {
+    log_.removeSegmentsThrough(closedSegments_.front().number);
+    closedSegments_.pop_front();
   }
-  if (due || log_.wantsSync()) sync(now);
 }
 
-void Journal::sync(Time now) {
+void Journal::tick(Time now) {
+  const bool due = settings_.sync != SyncPolicy::never && now - lastSyncAt_ >= settings_.syncInterval;
+  removeExpiredSegments(now);
+  if (due || log_.needsSync()) startSync(now);
+}
+
+void Journal::startSync(Time now) {
   if (syncing_) return;
-  const auto begun = log_.beginSync();
-  if (!begun) return;
+  const auto task = log_.beginSync();
+  if (!task) return;
   syncing_ = true;
-  syncedAt_ = now;
+  lastSyncAt_ = now;
   ++syncs_;
-  runner_.run(*begun, [this, now, s = *begun](bool good) {
+  runner_.run(*task, [this, now, task = *task](bool succeeded) {
     syncing_ = false;
-    log_.endSync(s, good);
+    log_.endSync(task, succeeded);
     if (onSynced) onSynced();
-    // Those that came while it ran are the next one's.
-    if (awaited_ > log_.synced()) sync(now);
+    // Records appended during this sync belong to the next one.
+    if (awaitedRecords_ > log_.syncedRecords()) startSync(now);
   });
 }
 
--- a/src/idempotency/journal.hpp
+++ b/src/idempotency/journal.hpp
@@ -1,6 +1,6 @@
-// The store of keyed requests on a log: each step written down before what it is about goes on, syncs by
-// policy, old segments dropped when all in them is forgotten. Decides on writes and syncs; does neither
-// itself but through the log's file layer and a wal::SyncRunner.
+// Records the runs of a store in a log, so that the next process knows them. Each step is appended before it
+// takes effect, syncs follow a policy, and segments are removed once every key in them has expired. Decides
+// when to write and to sync; the I/O is done by the log's directory and a wal::SyncRunner.
 #pragma once
 
 #include <cstdint>
@@ -8,88 +8,102 @@
 #include <functional>
 #include <string>
 
-#include "idempotency/recall.hpp"
+#include "idempotency/log_replay.hpp"
 #include "idempotency/store.hpp"
+#include "idempotency/store_observer.hpp"
 #include "wal/log.hpp"
 #include "wal/sync_runner.hpp"
 
 namespace finchstile::idempotency {
 
-// What outlives what. All outlive the end of the process.
+// What a crash of the machine may lose. Under every policy all records outlive the end of the process.
 enum class SyncPolicy : std::uint8_t {
-  never,      // a crash of the machine: what the system happened to have written
-  interval,   // the same: all but the last interval
-  beforeSend  // the same: nothing runs that it would forget
+  never,      // whatever the operating system has not written yet
+  interval,   // the records of the last interval
+  beforeSend  // no record of a request that was sent
 };
 
 struct JournalSettings {
   SyncPolicy sync = SyncPolicy::interval;
   Duration syncInterval = std::chrono::seconds(1);
-  Duration keep{};     // as the store has it
-  Duration longest{};  // that a request may run
+  Duration retention{};  // as in the store
+  Duration maxRequestDuration{};
 };
 
 struct JournalRecovery {
-  wal::Recovery log;
-  Recalled recalled;
-  bool usable = false;    // the log takes records
-  Time uncertainUntil{};  // 0, or: what was lost may be of any key, which is uncertain until then
+  wal::RecoveryReport log;
+  ReplaySummary replay;
+  bool writable = false;  // the log accepts records
+  // If records were lost, any unknown key may have run, and counts as uncertain until then; zero otherwise.
+  Time uncertainUntil{};
 };
 
 class Journal : public StoreObserver {
  public:
-  // All must outlive it.
-  Journal(wal::Log& log, const JournalSettings& settings, const Names& names, const TimeBase& base,
-          wal::SyncRunner& runner);
+  // All references must outlive the journal.
+  Journal(wal::Log& log, const JournalSettings& settings, const TenantAndClassNames& names,
+          const TimeBase& timeBase, wal::SyncRunner& runner);
 
-  // Once, first, into a store that is empty: it gets what the log holds, its seed from there if there is one,
-  // and is observed from then on.
+  // To be called once, before anything else, with an empty store: replays the log into it, takes the log's
+  // seed for it, and observes it from then on.
   JournalRecovery recover(Time now, Store& store);
 
-  // The request that began last is in the log.
-  bool recorded() const { return recorded_; }
-  // It has to wait for a sync before it may run: until durable() has come to position().
-  bool mustWait() const { return settings_.sync == SyncPolicy::beforeSend; }
-  std::uint64_t position() const { return log_.appended(); }
-  std::uint64_t durable() const { return log_.synced(); }
-  bool broken() const { return log_.broken(); }
+  // Whether the run that started last is in the log.
+  bool lastRunRecorded() const { return lastRunRecorded_; }
+
+  // Whether a run must not be sent before syncedRecords() reaches the value that appendedRecords() had at its
+  // start.
+  bool requiresSyncBeforeSend() const { return settings_.sync == SyncPolicy::beforeSend; }
+  std::uint64_t appendedRecords() const { return log_.appendedRecords(); }
+  std::uint64_t syncedRecords() const { return log_.syncedRecords(); }
+
+  bool logFailed() const { return log_.failed(); }
   std::size_t bytes() const { return log_.bytes(); }
-  std::uint64_t unrecorded() const { return unrecorded_; }  // steps that could not be written
-  std::uint64_t unanswered() const { return unanswered_; }  // ends written without their answers
+  std::uint64_t writeFailures() const { return writeFailures_; }  // steps that are not in the log
+  std::uint64_t responsesOmitted() const {
+    return responsesOmitted_;
+  }  // finished runs recorded without response
   std::uint64_t syncs() const { return syncs_; }
-  // Called when a sync has ended, well or not.
+
+  // Called when a sync has ended, whether it succeeded or not.
   std::function<void()> onSynced;
 
-  // A request waits for position(). Right after it has begun.
-  void wait(Time now);
-  // Every so often: the interval's sync, and segments that can go.
+  // A run waits until all records appended so far are synced. To be called right after its start.
+  void awaitSync(Time now);
+
+  // To be called regularly: syncs by interval and removes old segments.
   void tick(Time now);
 
-  void onBegan(std::uint64_t run, Time at, const Store::Arrival& request, const Earlier* earlier) override;
-  void onSent(std::uint64_t run, const Earlier& where) override;
-  void onNeverRan(std::uint64_t run) override;
-  void onEnded(std::uint64_t run, Time at, State to, const KeptAnswer& answer, const Earlier* ran) override;
+  void onRunStarted(std::uint64_t run, Time at, const Store::KeyedRequest& request,
+                    const EarlierAttempt* earlierAttempt) override;
+  void onAttemptSent(std::uint64_t run, const EarlierAttempt& attempt) override;
+  void onAttemptNotExecuted(std::uint64_t run) override;
+  void onRunFinished(std::uint64_t run, Time at, KeyState state, const CachedResponse& response,
+                     const EarlierAttempt* executed) override;
 
  private:
-  bool write(const Record& record, Time at);
-  void sync(Time now);
+  struct ClosedSegment {
+    std::uint64_t number = 0;
+    Time lastRecordAt{};
+  };
+
+  bool append(const LogRecord& record, Time at);
+  void startSync(Time now);
+  void removeExpiredSegments(Time now);
 
   wal::Log& log_;
   const JournalSettings settings_;
-  const Names& names_;
-  const TimeBase base_;
+  const TenantAndClassNames& names_;
+  const TimeBase timeBase_;
   wal::SyncRunner& runner_;
-  struct Closed {
-    std::uint64_t segment = 0;
-    Time last{};  // of its records
-  };
-  std::deque<Closed> closed_;
-  std::uint64_t segment_ = 0;  // that is written
-  Time lastAt_{};              // of the records written
-  Time syncedAt_{};
-  std::uint64_t awaited_ = 0;
-  bool recorded_ = false, syncing_ = false;
-  std::uint64_t unrecorded_ = 0, unanswered_ = 0, syncs_ = 0;
+  std::deque<ClosedSegment> closedSegments_;  // oldest first
+  std::uint64_t currentSegment_ = 0;
+  Time lastRecordAt_{};
+  Time lastSyncAt_{};
+  std::uint64_t awaitedRecords_ = 0;  // a run waits until so many are synced
+  bool lastRunRecorded_ = false;
+  bool syncing_ = false;
+  std::uint64_t writeFailures_ = 0, responsesOmitted_ = 0, syncs_ = 0;
 };
 
 }  // namespace finchstile::idempotency
--- /dev/null
+++ b/src/idempotency/key_ownership.hpp
@@ -0,0 +1,147 @@
+// The agreement of several gateways on who runs an idempotency key. Each key has a few owners
+// (OwnershipRing). A gateway claims a key at its owners before a repeat runs, and notifies them when the run
+// has finished. Messages may be lost, delayed or duplicated; gateways restart and may be configured
+// differently. docs/design/owners.md lists what each of these leads to. No I/O.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <set>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <utility>
+#include <vector>
+
+#include "idempotency/owned_keys.hpp"
+#include "idempotency/ownership_ring.hpp"
+#include "idempotency/ownership_settings.hpp"
+#include "idempotency/pending_messages.hpp"
+#include "idempotency/shared_responses.hpp"
+#include "idempotency/store.hpp"
+
+namespace finchstile::idempotency {
+
+class KeyOwnership {
+ public:
+  // A message for the caller to send.
+  struct Outgoing {
+    GatewayNumber to = 0;
+    std::string payload;
+  };
+
+  // What becomes of a claimed run that waited.
+  struct Decision {
+    enum class Kind : std::uint8_t {
+      run,                 // as the first of its key
+      uncertain,           // as a retry: an earlier run may have been executed
+      response,            // it is answered with another gateway's response
+      fingerprintMismatch  // the key belongs to another request
+    } kind = Kind::run;
+    std::uint64_t run = 0;
+    EarlierAttempt earlierAttempt;  // for uncertain; an unknown attempt if no owner can tell
+    Time validUntil{};              // for uncertain and response: until when that counts
+    CachedResponse response;        // for response
+  };
+
+  // `secret`: the same in all gateways. An owner that has just started counts as new for the retention.
+  KeyOwnership(const OwnershipSettings& settings, const SipKey& secret, Time now);
+  KeyOwnership(const KeyOwnership&) = delete;
+  KeyOwnership& operator=(const KeyOwnership&) = delete;
+
+  SharedKey keyOf(std::string_view tenant, std::string_view className, std::string_view key,
+                  std::string_view method, std::string_view target, std::string_view body) const;
+  std::vector<GatewayNumber> ownersOf(const SipHash128& id) const;
+
+  // A run of this gateway begins. `awaitDecision`: it must not be sent before there is a Decision for it.
+  void claimKey(Time now, std::uint64_t run, const SharedKey& key, bool awaitDecision);
+
+  // The run has finished. If it waits for its decision, there will be none. `state`: what the run itself did;
+  // `unused` if it was answered by another gateway's response or was not sent. `until`: how long that counts.
+  // `response`: may be null; read for `completed` only.
+  void finishRun(Time now, std::uint64_t run, KeyState state, const EarlierAttempt& attempt, Time until,
+                 const CachedResponse* response);
+
+  // `epoch`: increases with each start of the gateway `from`.
+  void onMessage(Time now, GatewayNumber from, std::uint64_t epoch, std::string_view payload);
+
+  // To be called at or after nextTimer().
+  void onTimer(Time now);
+  std::optional<Time> nextTimer() const;
+
+  // What has accumulated since the last call.
+  std::vector<Outgoing> takeOutgoing() { return std::exchange(outgoing_, {}); }
+  std::vector<Decision> takeDecisions() { return std::exchange(decisions_, {}); }
+
+  const OwnershipCounts& counts() const { return counts_; }
+  std::size_t ownedKeys() const { return ownedKeys_.size(); }
+  std::size_t pendingMessages() const { return pending_.size(); }
+
+ private:
+  // The answer of one owner to a claim.
+  struct Vote {
+    GatewayNumber owner = 0;
+    bool settled = false;     // it has answered, or is given up
+    bool unanswered = false;  // it is given up
+    ClaimResponse response;
+  };
+
+  struct ClaimedRun {
+    SharedKey key;
+    std::uint64_t claimNumber = 0;  // ascending over all claims of this gateway
+    bool awaitsDecision = false;
+    std::vector<Vote> votes;
+    std::vector<RequestId> requests;  // pending messages about this run
+    std::optional<Time> pollAt;       // another gateway runs the key; when the owners are asked again
+    GatewayNumber runner = 0;         // from whom the response is fetched; this gateway if none is
+    std::string fetched;              // of the response
+    bool responseUnavailable = false;
+    EarlierAttempt attempt;  // what may have been executed
+    Time validUntil{};
+  };
+
+  // Claims and decisions.
+  void sendClaims(Time now, std::uint64_t run, ClaimedRun& claimed);
+  void onVote(Time now, std::uint64_t run, GatewayNumber from, const ClaimResponse& response,
+              bool unanswered);
+  void evaluateVotes(Time now, std::uint64_t run, ClaimedRun& claimed);
+  void pollLater(Time now, std::uint64_t run, ClaimedRun& claimed, GatewayNumber runner);
+  void mergeUncertainVotes(Time now, ClaimedRun& claimed) const;
+  void decideWithoutMajority(Time now, std::uint64_t run, ClaimedRun& claimed);
+  void decide(std::uint64_t run, ClaimedRun& claimed, Decision::Kind kind, CachedResponse&& response = {});
+  void cancelRequests(ClaimedRun& claimed);
+  void notifyOwners(Time now, const ClaimedRun& claimed, KeyState state, const EarlierAttempt& attempt,
+                    Time until);
+
+  // The response of another gateway.
+  void requestChunk(Time now, std::uint64_t run, ClaimedRun& claimed);
+  void onChunk(Time now, std::uint64_t run, const ResponseChunk& chunk);
+  void onResponseUnavailable(Time now, std::uint64_t run, ClaimedRun& claimed);
+
+  // Messages.
+  void send(Time now, PendingMessage::Kind kind, std::uint64_t run, GatewayNumber to, OwnerMessage&& message);
+  void reply(GatewayNumber to, const OwnerMessage& message);
+  void onUnanswered(Time now, const PendingMessage& message);
+  void handle(Time now, GatewayNumber from, std::uint64_t epoch, const Claim& claim);
+  void handle(Time now, GatewayNumber from, std::uint64_t epoch, const ClaimResponse& response);
+  void handle(Time now, GatewayNumber from, std::uint64_t epoch, const RunFinishedNotice& notice);
+  void handle(Time now, GatewayNumber from, std::uint64_t epoch,
+              const FinishedAcknowledgement& acknowledgement);
+  void handle(Time now, GatewayNumber from, std::uint64_t epoch, const ResponseRequest& request);
+  void handle(Time now, GatewayNumber from, std::uint64_t epoch, const ResponseChunk& chunk);
+
+  const OwnershipSettings settings_;
+  const OwnershipRing ring_;
+  OwnershipCounts counts_;
+  OwnedKeys ownedKeys_;
+  SharedResponses sharedResponses_;
+  PendingMessages pending_;
+  std::unordered_map<std::uint64_t, ClaimedRun> runs_;
+  std::set<std::pair<Time, std::uint64_t>> polls_;  // runs by their `pollAt`
+  RequestId lastRequestId_ = 0;
+  std::uint64_t lastClaimNumber_ = 0;
+  std::vector<Outgoing> outgoing_;
+  std::vector<Decision> decisions_;
+};
+
+}  // namespace finchstile::idempotency
--- /dev/null
+++ b/src/idempotency/log_record.cpp
@@ -0,0 +1,154 @@
+#include "idempotency/log_record.hpp"
+
+#include "base/fields.hpp"
+
+namespace finchstile::idempotency {
+namespace {
+
+enum class RecordKind : std::uint8_t {
+  session = 1,
+  runStarted = 2,
+  attemptSent = 3,
+  attemptNotExecuted = 4,
+  runFinished = 5
+};
+
+constexpr unsigned kMinStatus = 100;
+constexpr unsigned kMaxStatus = 999;
+
+FieldWriter writerFor(RecordKind kind) { return FieldWriter(static_cast<std::uint8_t>(kind)); }
+
+std::int64_t nanoseconds(Time time) { return time.count(); }
+
+FieldWriter& writeAttempt(FieldWriter& writer, const EarlierAttempt& attempt) {
+  return writer.text(attempt.zone).number(attempt.cell).number(nanoseconds(attempt.sentAt));
+}
+
+Time readTime(FieldReader& reader) { return Time(reader.number<std::int64_t>()); }
+
+EarlierAttempt readAttempt(FieldReader& reader) {
+  EarlierAttempt attempt;
+  attempt.zone = reader.text();
+  attempt.cell = reader.number<std::int64_t>();
+  attempt.sentAt = readTime(reader);
+  return attempt;
+}
+
+struct Encoder {
+  std::string operator()(const Session& session) const {
+    return writerFor(RecordKind::session)
+        .number(Session::kVersion)
+        .number(session.seed.a)
+        .number(session.seed.b)
+        .text(session.timeBase.bootId)
+        .number(session.timeBase.steadyEpochNs)
+        .number(session.timeBase.unixEpochNs)
+        .take();
+  }
+
+  std::string operator()(const RunStarted& started) const {
+    FieldWriter writer = writerFor(RecordKind::runStarted);
+    writer.number(started.run).number(nanoseconds(started.startedAt));
+    writer.number(started.fingerprint.high).number(started.fingerprint.low);
+    writer.text(started.tenant).text(started.className).text(started.key);
+    writer.number(static_cast<std::uint8_t>(started.earlierAttempt ? 1 : 0));
+    if (started.earlierAttempt) writeAttempt(writer, *started.earlierAttempt);
+    return writer.take();
+  }
+
+  std::string operator()(const AttemptSent& sent) const {
+    FieldWriter writer = writerFor(RecordKind::attemptSent);
+    writer.number(sent.run);
+    return writeAttempt(writer, sent.attempt).take();
+  }
+
+  std::string operator()(const AttemptNotExecuted& notExecuted) const {
+    return writerFor(RecordKind::attemptNotExecuted).number(notExecuted.run).take();
+  }
+
+  std::string operator()(const RunFinished& finished) const {
+    FieldWriter writer = writerFor(RecordKind::runFinished);
+    writer.number(finished.run).number(nanoseconds(finished.finishedAt));
+    writer.number(static_cast<std::uint8_t>(finished.state));
+    if (finished.state == KeyState::completed) {
+      writer.number(static_cast<std::uint16_t>(finished.response.status))
+          .text(finished.response.contentType)
+          .text<std::uint32_t>(finished.response.body);
+    }
+    return writer.take();
+  }
+};
+
+Session readSession(FieldReader& reader) {
+  Session session;
+  reader.within(reader.number<std::uint8_t>() == Session::kVersion);
+  session.seed.a = reader.number<std::uint64_t>();
+  session.seed.b = reader.number<std::uint64_t>();
+  session.timeBase.bootId = reader.text();
+  session.timeBase.steadyEpochNs = reader.number<std::int64_t>();
+  session.timeBase.unixEpochNs = reader.number<std::int64_t>();
+  return session;
+}
+
+RunStarted readRunStarted(FieldReader& reader) {
+  RunStarted started;
+  started.run = reader.number<std::uint64_t>();
+  started.startedAt = readTime(reader);
+  started.fingerprint.high = reader.number<std::uint64_t>();
+  started.fingerprint.low = reader.number<std::uint64_t>();
+  started.tenant = reader.text();
+  started.className = reader.text();
+  started.key = reader.text();
+  const auto hasAttempt = reader.number<std::uint8_t>();
+  reader.within(hasAttempt <= 1);
+  if (hasAttempt == 1) started.earlierAttempt = readAttempt(reader);
+  return started;
+}
+
+AttemptSent readAttemptSent(FieldReader& reader) {
+  AttemptSent sent;
+  sent.run = reader.number<std::uint64_t>();
+  sent.attempt = readAttempt(reader);
+  return sent;
+}
+
+RunFinished readRunFinished(FieldReader& reader) {
+  RunFinished finished;
+  finished.run = reader.number<std::uint64_t>();
+  finished.finishedAt = readTime(reader);
+  const auto state = reader.number<std::uint8_t>();
+  finished.state = static_cast<KeyState>(state);
+  reader.within(state <= static_cast<std::uint8_t>(KeyState::uncertain) &&
+                finished.state != KeyState::running);
+  if (finished.state == KeyState::completed) {
+    finished.response.status = reader.number<std::uint16_t>();
+    reader.within(finished.response.status >= kMinStatus && finished.response.status <= kMaxStatus);
+    finished.response.contentType = reader.text();
+    finished.response.body = reader.text<std::uint32_t>();
+  }
+  return finished;
+}
+
+std::optional<LogRecord> readRecord(FieldReader& reader) {
+  switch (static_cast<RecordKind>(reader.number<std::uint8_t>())) {
+    case RecordKind::session: return readSession(reader);
+    case RecordKind::runStarted: return readRunStarted(reader);
+    case RecordKind::attemptSent: return readAttemptSent(reader);
+    case RecordKind::attemptNotExecuted: return AttemptNotExecuted{reader.number<std::uint64_t>()};
+    case RecordKind::runFinished: return readRunFinished(reader);
+  }
+  return std::nullopt;
+}
+
+}  // namespace
+
+std::string encode(const LogRecord& record) { return std::visit(Encoder{}, record); }
+
+std::optional<LogRecord> decode(std::string_view bytes) {
+  FieldReader reader(bytes);
+  auto record = readRecord(reader);
+  if (!reader.whole()) return std::nullopt;
+  return record;
+}
+
+}  // namespace finchstile::idempotency
--- a/src/idempotency/owner_message.cpp
+++ b/src/idempotency/owner_message.cpp
@@ -5,163 +5,207 @@
 namespace finchstile::idempotency {
 namespace {
 
-enum Kind : std::uint8_t { claim = 1, ruling, over, noted, fetch, piece };
+enum class MessageKind : std::uint8_t {
+  claim = 1,
+  claimResponse = 2,
+  runFinishedNotice = 3,
+  finishedAcknowledgement = 4,
+  responseRequest = 5,
+  responseChunk = 6
+};
+
+// The flags of a ClaimResponse.
+constexpr std::uint8_t kSenderIsOwner = 1;
+constexpr std::uint8_t kSenderIsNew = 2;
+
+constexpr std::size_t kMaxContentTypeBytes = 255;  // its length is a u8
+constexpr unsigned kMinStatus = 100;
+constexpr unsigned kMaxStatus = 999;
+
+FieldWriter writerFor(MessageKind kind) { return FieldWriter(static_cast<std::uint8_t>(kind)); }
 
-FieldWriter& put(FieldWriter& w, const SharedKey& k) {
-  return w.number(k.id.high).number(k.id.low).number(k.fingerprint);
+FieldWriter& writeKey(FieldWriter& writer, const SharedKey& key) {
+  return writer.number(key.id.high).number(key.id.low).number(key.fingerprint);
 }
-FieldWriter& put(FieldWriter& w, const Whereabouts& at) {
-  // Danger: a zone cut short could be another's name. Not said, no repeat is sent anywhere.
-  const bool fits = at.zone.size() <= kZoneMost;
-  return w.text<std::uint8_t>(fits ? at.zone : "")
-      .number(at.cell)
-      .number(fits ? at.agoMs : Whereabouts::kLongAgo);
+
+FieldWriter& writeLocation(FieldWriter& writer, const AttemptLocation& location) {
+  // A truncated zone name could be the name of another zone. Without a zone and an age no repeat is sent.
+  const bool fits = location.zone.size() <= kMaxZoneNameBytes;
+  return writer.text<std::uint8_t>(fits ? location.zone : "")
+      .number(location.cell)
+      .number(fits ? location.ageMs : AttemptLocation::kUnknownAge);
 }
-SharedKey readKey(FieldReader& r) {
-  SharedKey k;
-  k.id.high = r.number<std::uint64_t>();
-  k.id.low = r.number<std::uint64_t>();
-  k.fingerprint = r.number<std::uint64_t>();
-  return k;
+
+SharedKey readKey(FieldReader& reader) {
+  SharedKey key;
+  key.id.high = reader.number<std::uint64_t>();
+  key.id.low = reader.number<std::uint64_t>();
+  key.fingerprint = reader.number<std::uint64_t>();
+  return key;
 }
-Whereabouts readWhere(FieldReader& r) {
-  Whereabouts at;
-  at.zone = r.text<std::uint8_t>();
-  r.within(at.zone.size() <= kZoneMost);
-  at.cell = r.number<std::int64_t>();
-  at.agoMs = r.number<std::uint32_t>();
-  return at;
+
+AttemptLocation readLocation(FieldReader& reader) {
+  AttemptLocation location;
+  location.zone = reader.text<std::uint8_t>();
+  reader.within(location.zone.size() <= kMaxZoneNameBytes);
+  location.cell = reader.number<std::int64_t>();
+  location.ageMs = reader.number<std::uint32_t>();
+  return location;
+}
+
+std::uint8_t flagsOf(const ClaimResponse& response) {
+  const int owner = response.senderIsOwner ? kSenderIsOwner : 0;
+  const int isNew = response.senderIsNew ? kSenderIsNew : 0;
+  return static_cast<std::uint8_t>(owner | isNew);
 }
 
 struct Encoder {
-  std::string operator()(const Claim& c) const {
-    FieldWriter w(claim);
-    w.number(c.ask);
-    return put(w, c.key)
-        .number(c.run)
-        .number(c.view)
-        .number(static_cast<std::uint8_t>(c.unhad ? 1 : 0))
+  std::string operator()(const Claim& claim) const {
+    FieldWriter writer = writerFor(MessageKind::claim);
+    writer.number(claim.requestId);
+    return writeKey(writer, claim.key)
+        .number(claim.run)
+        .number(claim.membershipHash)
+        .number(static_cast<std::uint8_t>(claim.responseUnavailable ? 1 : 0))
         .take();
   }
-  std::string operator()(const Ruling& m) const {
-    FieldWriter w(ruling);
-    w.number(m.ask).number(static_cast<std::uint8_t>(m.known)).number(m.runner);
-    w.number(static_cast<std::uint8_t>((m.mine ? 1 : 0) | (m.young ? 2 : 0)));
-    return put(w, m.where).number(m.keepMs).take();
+
+  std::string operator()(const ClaimResponse& response) const {
+    FieldWriter writer = writerFor(MessageKind::claimResponse);
+    writer.number(response.requestId)
+        .number(static_cast<std::uint8_t>(response.knowledge))
+        .number(response.runner)
+        .number(flagsOf(response));
+    return writeLocation(writer, response.attempt).number(response.remainingMs).take();
   }
-  std::string operator()(const Over& o) const {
-    FieldWriter w(over);
-    w.number(o.ask);
-    put(w, o.key).number(o.run).number(static_cast<std::uint8_t>(o.to));
-    return put(w, o.where).number(o.keepMs).take();
+
+  std::string operator()(const RunFinishedNotice& notice) const {
+    FieldWriter writer = writerFor(MessageKind::runFinishedNotice);
+    writer.number(notice.requestId);
+    writeKey(writer, notice.key).number(notice.run).number(static_cast<std::uint8_t>(notice.state));
+    return writeLocation(writer, notice.attempt).number(notice.remainingMs).take();
   }
-  std::string operator()(const Noted& n) const { return FieldWriter(noted).number(n.ask).take(); }
-  std::string operator()(const Fetch& f) const {
-    FieldWriter w(fetch);
-    w.number(f.ask);
-    return put(w, f.key).number(f.offset).take();
+
+  std::string operator()(const FinishedAcknowledgement& acknowledgement) const {
+    return writerFor(MessageKind::finishedAcknowledgement).number(acknowledgement.requestId).take();
   }
-  std::string operator()(const Piece& p) const {
-    return FieldWriter(piece)
-        .number(p.ask)
-        .number(p.total)
-        .number(p.offset)
-        .text<std::uint8_t>(std::string_view(p.bytes).substr(0, kPieceMost))
+
+  std::string operator()(const ResponseRequest& request) const {
+    FieldWriter writer = writerFor(MessageKind::responseRequest);
+    writer.number(request.requestId);
+    return writeKey(writer, request.key).number(request.offset).take();
+  }
+
+  std::string operator()(const ResponseChunk& chunk) const {
+    return writerFor(MessageKind::responseChunk)
+        .number(chunk.requestId)
+        .number(chunk.totalBytes)
+        .number(chunk.offset)
+        .text<std::uint8_t>(std::string_view(chunk.bytes).substr(0, kMaxChunkBytes))
         .take();
   }
 };
 
+Claim readClaim(FieldReader& reader) {
+  Claim claim;
+  claim.requestId = reader.number<std::uint64_t>();
+  claim.key = readKey(reader);
+  claim.run = reader.number<std::uint64_t>();
+  claim.membershipHash = reader.number<std::uint32_t>();
+  const auto unavailable = reader.number<std::uint8_t>();
+  reader.within(unavailable <= 1);
+  claim.responseUnavailable = unavailable == 1;
+  return claim;
+}
+
+ClaimResponse readClaimResponse(FieldReader& reader) {
+  ClaimResponse response;
+  response.requestId = reader.number<std::uint64_t>();
+  const auto knowledge = reader.number<std::uint8_t>();
+  reader.within(knowledge <= static_cast<std::uint8_t>(KeyKnowledge::ownerFull));
+  response.knowledge = static_cast<KeyKnowledge>(knowledge);
+  response.runner = reader.number<std::uint16_t>();
+  const auto flags = reader.number<std::uint8_t>();
+  reader.within(flags <= (kSenderIsOwner | kSenderIsNew));
+  response.senderIsOwner = (flags & kSenderIsOwner) != 0;
+  response.senderIsNew = (flags & kSenderIsNew) != 0;
+  response.attempt = readLocation(reader);
+  response.remainingMs = reader.number<std::uint32_t>();
+  return response;
+}
+
+RunFinishedNotice readRunFinishedNotice(FieldReader& reader) {
+  RunFinishedNotice notice;
+  notice.requestId = reader.number<std::uint64_t>();
+  notice.key = readKey(reader);
+  notice.run = reader.number<std::uint64_t>();
+  const auto state = reader.number<std::uint8_t>();
+  notice.state = static_cast<KeyState>(state);
+  reader.within(state <= static_cast<std::uint8_t>(KeyState::uncertain) && notice.state != KeyState::running);
+  notice.attempt = readLocation(reader);
+  notice.remainingMs = reader.number<std::uint32_t>();
+  return notice;
+}
+
+ResponseRequest readResponseRequest(FieldReader& reader) {
+  ResponseRequest request;
+  request.requestId = reader.number<std::uint64_t>();
+  request.key = readKey(reader);
+  request.offset = reader.number<std::uint16_t>();
+  return request;
+}
+
+ResponseChunk readResponseChunk(FieldReader& reader) {
+  ResponseChunk chunk;
+  chunk.requestId = reader.number<std::uint64_t>();
+  chunk.totalBytes = reader.number<std::uint16_t>();
+  chunk.offset = reader.number<std::uint16_t>();
+  chunk.bytes = reader.text<std::uint8_t>();
+  reader.within(chunk.bytes.size() <= kMaxChunkBytes &&
+                chunk.offset + chunk.bytes.size() <= chunk.totalBytes);
+  return chunk;
+}
+
+std::optional<OwnerMessage> readMessage(FieldReader& reader) {
+  switch (static_cast<MessageKind>(reader.number<std::uint8_t>())) {
+    case MessageKind::claim: return readClaim(reader);
+    case MessageKind::claimResponse: return readClaimResponse(reader);
+    case MessageKind::runFinishedNotice: return readRunFinishedNotice(reader);
+    case MessageKind::finishedAcknowledgement: return FinishedAcknowledgement{reader.number<std::uint64_t>()};
+    case MessageKind::responseRequest: return readResponseRequest(reader);
+    case MessageKind::responseChunk: return readResponseChunk(reader);
+  }
+  return std::nullopt;
+}
+
 }  // namespace
 
-std::string encode(const OwnerMessage& m) { return std::visit(Encoder{}, m); }
+std::string encode(const OwnerMessage& message) { return std::visit(Encoder{}, message); }
 
 std::optional<OwnerMessage> decodeOwnerMessage(std::string_view bytes) {
-  FieldReader r(bytes);
-  OwnerMessage out;
-  switch (r.number<std::uint8_t>()) {
-    case claim: {
-      Claim c;
-      c.ask = r.number<std::uint64_t>();
-      c.key = readKey(r);
-      c.run = r.number<std::uint64_t>();
-      c.view = r.number<std::uint32_t>();
-      const auto unhad = r.number<std::uint8_t>();
-      r.within(unhad <= 1);
-      c.unhad = unhad == 1;
-      out = c;
-      break;
-    }
-    case ruling: {
-      Ruling m;
-      m.ask = r.number<std::uint64_t>();
-      const auto known = r.number<std::uint8_t>();
-      r.within(known <= static_cast<std::uint8_t>(Known::full));
-      m.known = static_cast<Known>(known);
-      m.runner = r.number<std::uint16_t>();
-      const auto flags = r.number<std::uint8_t>();
-      r.within(flags <= 3);
-      m.mine = (flags & 1) != 0;
-      m.young = (flags & 2) != 0;
-      m.where = readWhere(r);
-      m.keepMs = r.number<std::uint32_t>();
-      out = std::move(m);
-      break;
-    }
-    case over: {
-      Over o;
-      o.ask = r.number<std::uint64_t>();
-      o.key = readKey(r);
-      o.run = r.number<std::uint64_t>();
-      const auto to = r.number<std::uint8_t>();
-      o.to = static_cast<State>(to);
-      r.within(to <= static_cast<std::uint8_t>(State::uncertain) && o.to != State::running);
-      o.where = readWhere(r);
-      o.keepMs = r.number<std::uint32_t>();
-      out = std::move(o);
-      break;
-    }
-    case noted: out = Noted{r.number<std::uint64_t>()}; break;
-    case fetch: {
-      Fetch f;
-      f.ask = r.number<std::uint64_t>();
-      f.key = readKey(r);
-      f.offset = r.number<std::uint16_t>();
-      out = f;
-      break;
-    }
-    case piece: {
-      Piece p;
-      p.ask = r.number<std::uint64_t>();
-      p.total = r.number<std::uint16_t>();
-      p.offset = r.number<std::uint16_t>();
-      p.bytes = r.text<std::uint8_t>();
-      r.within(p.bytes.size() <= kPieceMost && p.offset + p.bytes.size() <= p.total);
-      out = std::move(p);
-      break;
-    }
-    default: return std::nullopt;
-  }
-  if (!r.whole()) return std::nullopt;
-  return out;
+  FieldReader reader(bytes);
+  auto message = readMessage(reader);
+  if (!reader.whole()) return std::nullopt;
+  return message;
 }
 
-std::string packAnswer(const KeptAnswer& answer) {
+std::string serializeResponse(const CachedResponse& response) {
   std::string bytes;
-  putLittleEndian(bytes, static_cast<std::uint16_t>(answer.status));
-  const std::string_view type = std::string_view(answer.contentType).substr(0, 255);
+  putLittleEndian(bytes, static_cast<std::uint16_t>(response.status));
+  const std::string_view type = std::string_view(response.contentType).substr(0, kMaxContentTypeBytes);
   putLittleEndian(bytes, static_cast<std::uint8_t>(type.size()));
   bytes += type;
-  return bytes + answer.body;
+  return bytes + response.body;
 }
 
-std::optional<KeptAnswer> unpackAnswer(std::string_view bytes) {
-  FieldReader r(bytes);
-  KeptAnswer a;
-  a.status = r.number<std::uint16_t>();
-  a.contentType = r.text<std::uint8_t>();
-  if (!r.within(a.status >= 100 && a.status <= 999)) return std::nullopt;
-  a.body = r.rest();
-  return a;
+std::optional<CachedResponse> parseResponse(std::string_view bytes) {
+  FieldReader reader(bytes);
+  CachedResponse response;
+  response.status = reader.number<std::uint16_t>();
+  response.contentType = reader.text<std::uint8_t>();
+  if (!reader.within(response.status >= kMinStatus && response.status <= kMaxStatus)) return std::nullopt;
+  response.body = reader.rest();
+  return response;
 }
 
 }  // namespace finchstile::idempotency
--- a/src/idempotency/owner_message.hpp
+++ b/src/idempotency/owner_message.hpp
@@ -1,6 +1,6 @@
-// What gateways say to one another about keys, as payloads of datagrams (peer/datagram.hpp). Fixed by this
-// file: a u8 kind and the fields in the order in which they stand, integers little-endian, text as u8 length
-// and bytes. No I/O.
+// The messages in which gateways agree on idempotency keys, as payloads of peer datagrams
+// (peer/datagram.hpp). The encoding is fixed by this file: a u8 kind followed by the fields in the order in
+// which they are declared, integers little-endian, a string as a u8 length and its bytes. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,82 +14,87 @@
 
 namespace finchstile::idempotency {
 
-// A key with its tenant and class, and a request's fingerprint, under the key that all gateways share: what
-// the key says is not told.
+// An idempotency key with its tenant and class, and the fingerprint of its request. Both are hashed under the
+// secret that all gateways share, so the key's text is not sent.
 struct SharedKey {
   SipHash128 id;
   std::uint64_t fingerprint = 0;
 };
 
-// Where and how long ago an attempt went out, in ms: gateways share no clock. kLongAgo: not known, or longer
-// ago than this can say.
-struct Whereabouts {
-  static constexpr std::uint32_t kLongAgo = 0xffffffff;
+// Where an attempt was sent, and how long ago: gateways share no clock.
+struct AttemptLocation {
+  // The age is not known, or too long for the field.
+  static constexpr std::uint32_t kUnknownAge = 0xffffffff;
   std::string zone;
   std::int64_t cell = 0;
-  std::uint32_t agoMs = kLongAgo;
+  std::uint32_t ageMs = kUnknownAge;
 };
 
-// Kind 1: one of the sender's requests has the key; `run` is another one for each of them. Answered by a
-// Ruling; comes again until then.
+// Kind 1: a request of the sender has the key. Answered by a ClaimResponse and retransmitted until then.
 struct Claim {
-  std::uint64_t ask = 0;
+  std::uint64_t requestId = 0;
   SharedKey key;
-  std::uint64_t run = 0;
-  std::uint32_t view = 0;  // a hash of the sender's list of gateways
-  bool unhad = false;      // the kept answer can't be had: it counts as one that may have run
+  std::uint64_t run = 0;             // unique for each claim of the sender
+  std::uint32_t membershipHash = 0;  // of the number of gateways and owners that the sender is configured for
+  bool responseUnavailable = false;  // the cached response could not be fetched: the run counts as uncertain
 };
 
-enum class Known : std::uint8_t { free, running, answered, uncertain, mismatch, full };
-
-// Kind 2: what the owner knows of the key. `free`: the claimer holds it from now on.
-struct Ruling {
-  std::uint64_t ask = 0;
-  Known known = Known::free;
-  std::uint16_t runner = 0;  // who has it, of running and answered
-  bool mine = true;          // by its own list the sender owns the key
-  bool young = false;        // it has not been there for as long as keys are kept: it may have missed some
-  Whereabouts where;         // of uncertain
-  std::uint32_t keepMs = 0;  // of uncertain and answered: for so long it counts
+enum class KeyKnowledge : std::uint8_t { unused, running, completed, uncertain, mismatch, ownerFull };
+
+// Kind 2: what the owner knows of the key. After `unused` and `uncertain` the claimer holds the key.
+struct ClaimResponse {
+  std::uint64_t requestId = 0;
+  KeyKnowledge knowledge = KeyKnowledge::unused;
+  std::uint16_t runner = 0;       // the gateway that has the key; for running and completed
+  bool senderIsOwner = true;      // by its own configuration the sender owns the key
+  bool senderIsNew = false;       // the sender has run for less than the retention and may have missed runs
+  AttemptLocation attempt;        // for uncertain
+  std::uint32_t remainingMs = 0;  // for uncertain and completed: how much longer that holds
 };
 
-// Kind 3: a run is over. Acknowledged by a Noted; comes again until then.
-struct Over {
-  std::uint64_t ask = 0;
+// Kind 3: a run has finished. Answered by a FinishedAcknowledgement and retransmitted until then.
+struct RunFinishedNotice {
+  std::uint64_t requestId = 0;
   SharedKey key;
   std::uint64_t run = 0;
-  State to = State::free;  // or answered, or uncertain
-  Whereabouts where;
-  std::uint32_t keepMs = 0;  // for so long that counts
+  KeyState state = KeyState::unused;  // or completed, or uncertain
+  AttemptLocation attempt;
+  std::uint32_t remainingMs = 0;  // how long the state holds
 };
-// Kind 4
-struct Noted {
-  std::uint64_t ask = 0;
+
+// Kind 4.
+struct FinishedAcknowledgement {
+  std::uint64_t requestId = 0;
 };
 
-// Kind 5: a piece of a kept answer is wanted, from the one who has it. Answered by a Piece.
-struct Fetch {
-  std::uint64_t ask = 0;
+// Kind 5: asks the gateway that has the cached response for a part of it. Answered by a ResponseChunk.
+struct ResponseRequest {
+  std::uint64_t requestId = 0;
   SharedKey key;
   std::uint16_t offset = 0;
 };
-// Kind 6: `total` 0: it has none any more, or one that is too large to be sent.
-struct Piece {
-  std::uint64_t ask = 0;
-  std::uint16_t total = 0, offset = 0;
-  std::string bytes;  // u8 length
+
+// Kind 6.
+struct ResponseChunk {
+  std::uint64_t requestId = 0;
+  std::uint16_t totalBytes = 0;  // 0: the sender has no response, or one too large to be sent
+  std::uint16_t offset = 0;
+  std::string bytes;
 };
 
-using OwnerMessage = std::variant<Claim, Ruling, Over, Noted, Fetch, Piece>;
+using OwnerMessage = std::variant<Claim, ClaimResponse, RunFinishedNotice, FinishedAcknowledgement,
+                                  ResponseRequest, ResponseChunk>;
+
+inline constexpr std::size_t kMaxChunkBytes = 190;
+inline constexpr std::size_t kMaxZoneNameBytes = 64;  // longer zone names are left out
 
-inline constexpr std::size_t kPieceMost = 190;  // bytes
-inline constexpr std::size_t kZoneMost = 64;    // of a zone's name; a longer one is not said
+std::string encode(const OwnerMessage& message);
 
-std::string encode(const OwnerMessage& m);
+// Returns nothing unless `bytes` is exactly one valid message.
 std::optional<OwnerMessage> decodeOwnerMessage(std::string_view bytes);
 
-// A kept answer as one text, for pieces: u16 status, u8 length and type, body.
-std::string packAnswer(const KeptAnswer& answer);
-std::optional<KeptAnswer> unpackAnswer(std::string_view bytes);
+// A response as one string that is sent in chunks: u16 status, u8 length and content type, body.
+std::string serializeResponse(const CachedResponse& response);
+std::optional<CachedResponse> parseResponse(std::string_view bytes);
 
 }  // namespace finchstile::idempotency
--- /dev/null
+++ b/src/idempotency/process_clock.cpp
@@ -0,0 +1,24 @@
+#include "idempotency/process_clock.hpp"
+
+#include <chrono>
+#include <utility>
+
+#include "net/config.hpp"
+
+namespace finchstile::idempotency {
+namespace {
+
+constexpr Duration kEndAfterTimeout = std::chrono::seconds(1);
+
+}  // namespace
+
+TimeBase clockTimeBase(const Clock& clock, std::string bootId) {
+  const std::chrono::nanoseconds steadyEpoch = clock.steady(Time{}).time_since_epoch();
+  return {std::move(bootId), steadyEpoch.count(), clock.unixAt(Time{}).count()};
+}
+
+Duration maxRequestDuration(const load_balancing::Settings& settings) {
+  return longestClientTimeout(settings) + kEndAfterTimeout;
+}
+
+}  // namespace finchstile::idempotency
--- a/src/idempotency/settings.cpp
+++ b/src/idempotency/settings.cpp
@@ -3,59 +3,76 @@
 namespace finchstile::idempotency {
 namespace {
 
-void readLog(SettingReader& r, const std::string& folder, LogSettings& out) {
-  r.require("folder", "where the log is kept, on a disk that lasts, as in \"/var/lib/finchstile/keys\"");
-  if (r.text("folder", out.folder, 1024)) out.folder = resolvePath(folder, out.folder);
+using std::chrono::hours;
+using std::chrono::milliseconds;
+using std::chrono::minutes;
+using std::chrono::seconds;
+
+constexpr std::size_t kKibibyte = 1024;
+constexpr std::size_t kMebibyte = 1024 * kKibibyte;
+constexpr std::size_t kGibibyte = 1024 * kMebibyte;
+constexpr std::size_t kMaxPathBytes = 1024;
+constexpr std::size_t kMaxStoreEntries = 5'000'000;
+constexpr std::size_t kMinSegments = 4;  // that the log has to hold
+
+SyncPolicy syncPolicy(const std::string& name) {
+  if (name == "never") return SyncPolicy::never;
+  if (name == "interval") return SyncPolicy::interval;
+  return SyncPolicy::beforeSend;
+}
+
+void readLog(SettingReader& reader, const std::string& directory, LogSettings& out) {
+  reader.require("folder", "where the log is kept, on a disk that lasts, as in \"/var/lib/finchstile/keys\"");
+  if (reader.text("folder", out.directory, kMaxPathBytes))
+    out.directory = resolvePath(directory, out.directory);
   std::string sync = "interval";
-  r.choice("sync", sync, {"never", "interval", "before_send"});
-  out.sync = sync == "never"      ? SyncPolicy::never
-             : sync == "interval" ? SyncPolicy::interval
-                                  : SyncPolicy::beforeSend;
-  r.duration("sync_interval", out.syncInterval, std::chrono::milliseconds(10), std::chrono::minutes(1));
-  constexpr std::size_t kMega = 1024 * 1024;
-  r.size("segment_bytes", out.files.segmentBytes, 64 * 1024, 1024 * kMega);
-  r.size("total_bytes", out.files.totalBytes, kMega, 65'536 * kMega);
-  if (out.files.totalBytes / 4 < out.files.segmentBytes)
-    r.error("total_bytes", "must hold four segments at least, which are " +
-                               std::to_string(4 * out.files.segmentBytes) + " bytes");
-  std::string failure = "pass";
-  r.choice("on_failure", failure, {"pass", "refuse"});
-  out.refuseUnrecorded = failure == "refuse";
+  reader.choice("sync", sync, {"never", "interval", "before_send"});
+  out.sync = syncPolicy(sync);
+  reader.duration("sync_interval", out.syncInterval, milliseconds(10), minutes(1));
+  reader.size("segment_bytes", out.segments.maxSegmentBytes, 64 * kKibibyte, kGibibyte);
+  reader.size("total_bytes", out.segments.maxTotalBytes, kMebibyte, 64 * kGibibyte);
+  if (out.segments.maxTotalBytes / kMinSegments < out.segments.maxSegmentBytes)
+    reader.error("total_bytes", "must hold four segments at least, which are " +
+                                    std::to_string(kMinSegments * out.segments.maxSegmentBytes) + " bytes");
+  std::string onFailure = "pass";
+  reader.choice("on_failure", onFailure, {"pass", "refuse"});
+  out.rejectUnrecorded = onFailure == "refuse";
 }
 
-void readOwners(SettingReader& r, OwnersSettings& out) {
-  r.boolean("enabled", out.enabled);
-  std::string ask = "repeats", silence = "fail";
-  r.choice("ask", ask, {"repeats", "all"});
-  out.all = ask == "all";
-  OwnerSettings& o = out.owners;
-  r.size("copies", o.copies, 1, 5);
-  r.duration("patience", o.patience, std::chrono::milliseconds(1), std::chrono::milliseconds(30));
-  r.duration("poll", o.poll, std::chrono::milliseconds(5), std::chrono::seconds(1));
-  r.size("entries", o.entries, 16, 5'000'000);
-  r.size("answer_most", o.answerMost, 0, 16 * 1024);
-  r.size("answer_bytes", o.answerBytes, 0, std::size_t{1024} * 1024 * 1024);
-  r.choice("on_silence", silence, {"fail", "run"});
-  o.runWhenSilent = silence == "run";
+void readOwners(SettingReader& reader, PeerOwnershipSettings& out) {
+  reader.boolean("enabled", out.enabled);
+  std::string ask = "repeats";
+  reader.choice("ask", ask, {"repeats", "all"});
+  out.askForEveryKey = ask == "all";
+  OwnershipSettings& ownership = out.ownership;
+  reader.size("copies", ownership.ownersPerKey, 1, 5);
+  reader.duration("patience", ownership.retransmitAfter, milliseconds(1), milliseconds(30));
+  reader.duration("poll", ownership.pollInterval, milliseconds(5), seconds(1));
+  reader.size("entries", ownership.maxEntries, 16, kMaxStoreEntries);
+  reader.size("answer_most", ownership.maxResponseBytes, 0, 16 * kKibibyte);
+  reader.size("answer_bytes", ownership.maxCacheBytes, 0, kGibibyte);
+  std::string onSilence = "fail";
+  reader.choice("on_silence", onSilence, {"fail", "run"});
+  ownership.runWhenOwnersSilent = onSilence == "run";
 }
 
 }  // namespace
 
-void readIdempotencySettings(SettingReader& root, const std::string& folder, IdempotencySettings& out) {
-  root.table("idempotency", [&](SettingReader& r) {
-    r.boolean("enabled", out.enabled);
-    r.size("entries", out.limits.entries, 16, 5'000'000);
-    r.size("bytes", out.limits.bytes, 64 * 1024, std::size_t{4} * 1024 * 1024 * 1024);
-    r.size("answer_most", out.limits.answerMost, 0, 64 * 1024);
-    r.number("tenant_share", out.limits.tenantShare, 0.01, 1);
-    r.size("joined_most", out.limits.joinedMost, 1, 1024);
-    r.duration("keep", out.limits.keep, std::chrono::seconds(1), std::chrono::hours(24));
-    std::string full = "pass";
-    r.choice("on_full", full, {"pass", "refuse"});
-    out.refuseWhenFull = full == "refuse";
-    out.limits.evict = !out.refuseWhenFull;
-    r.table("owners", [&](SettingReader& owners) { readOwners(owners, out.owners); });
-    r.table("log", [&](SettingReader& log) { readLog(log, folder, out.log); });
+void readIdempotencySettings(SettingReader& root, const std::string& directory, IdempotencySettings& out) {
+  root.table("idempotency", [&](SettingReader& reader) {
+    reader.boolean("enabled", out.enabled);
+    reader.size("entries", out.limits.maxEntries, 16, kMaxStoreEntries);
+    reader.size("bytes", out.limits.maxBytes, 64 * kKibibyte, 4 * kGibibyte);
+    reader.size("answer_most", out.limits.maxResponseBytes, 0, 64 * kKibibyte);
+    reader.number("tenant_share", out.limits.maxTenantFraction, 0.01, 1);
+    reader.size("joined_most", out.limits.maxWaiters, 1, 1024);
+    reader.duration("keep", out.limits.retention, seconds(1), hours(24));
+    std::string onFull = "pass";
+    reader.choice("on_full", onFull, {"pass", "refuse"});
+    out.rejectWhenFull = onFull == "refuse";
+    out.limits.evictCompleted = !out.rejectWhenFull;
+    reader.table("owners", [&](SettingReader& owners) { readOwners(owners, out.peerOwnership); });
+    reader.table("log", [&](SettingReader& log) { readLog(log, directory, out.log); });
   });
 }
 
--- a/src/idempotency/settings.hpp
+++ b/src/idempotency/settings.hpp
@@ -1,38 +1,39 @@
-// The part of the operator's file that is about keyed requests: [idempotency].
+// The table [idempotency] of the operator's file.
 #pragma once
 
 #include <string>
 
 #include "idempotency/journal.hpp"
-#include "idempotency/owners.hpp"
+#include "idempotency/ownership_settings.hpp"
 #include "idempotency/store.hpp"
 #include "operator/reader.hpp"
 
 namespace finchstile::idempotency {
 
 struct LogSettings {
-  std::string folder;  // empty: no log, nothing outlives the process
+  std::string directory;  // empty: there is no log, and no key outlives the process
   SyncPolicy sync = SyncPolicy::interval;
   Duration syncInterval = std::chrono::seconds(1);
-  wal::Options files;
-  bool refuseUnrecorded = false;  // else what can't be written down goes on as if there were no log
+  wal::LogOptions segments;
+  bool rejectUnrecorded = false;  // whether requests that cannot be recorded are rejected, or run unrecorded
 };
 
-struct OwnersSettings {
+struct PeerOwnershipSettings {
   bool enabled = false;
-  bool all = false;  // each keyed request is asked for, else those marked as repeats
-  OwnerSettings owners;
+  bool askForEveryKey = false;  // whether the owners are asked before every run, or only for marked repeats
+  OwnershipSettings ownership;
 };
 
 struct IdempotencySettings {
   bool enabled = false;
   StoreLimits limits;
-  bool refuseWhenFull = false;  // else such a request goes on as if there were no store
+  bool rejectWhenFull = false;  // whether keys that find no room are rejected, or run unremembered
   LogSettings log;
-  OwnersSettings owners;
+  PeerOwnershipSettings peerOwnership;
 };
 
-// `folder`: of the file, at which relative paths begin.
-void readIdempotencySettings(SettingReader& root, const std::string& folder, IdempotencySettings& out);
+// Reads the table into `out`; `root` collects the errors. Relative paths begin at `directory`, which is that
+// of the operator's file.
+void readIdempotencySettings(SettingReader& root, const std::string& directory, IdempotencySettings& out);
 
 }  // namespace finchstile::idempotency
--- a/src/idempotency/store.cpp
+++ b/src/idempotency/store.cpp
@@ -2,347 +2,401 @@
 
 #include <algorithm>
 
+#include "idempotency/store_observer.hpp"
+
 namespace finchstile::idempotency {
 
+// The size of an entry is part of what StoreLimits::maxBytes counts.
 struct Store::Entry {
-  State state = State::free;
+  KeyState state = KeyState::unused;
   std::uint32_t tenant = 0, classIndex = 0;
   std::uint64_t hash = 0;
   Fingerprint fingerprint;
   std::string key;
-  KeptAnswer answer;
-  std::optional<Earlier> earlier;
-  std::uint64_t run = 0;  // its number while it runs
-  bool again = false;     // it was uncertain before; until when stands in `due`
-  bool bound = false;     // by what others know
-  bool tried = false;     // an attempt of this run went out
-  bool open = false;      // `earlier` is of the attempt that is out: it may still prove that it never ran
-  Time due{};
+  CachedResponse response;
+  std::optional<EarlierAttempt> earlierAttempt;
+  std::uint64_t run = 0;     // its number while it runs
+  bool isRetry = false;      // it was uncertain before, until `expiresAt`
+  bool isBound = false;      // other gateways know of an earlier attempt
+  bool attemptSent = false;  // by this run
+  bool attemptOpen = false;  // `earlierAttempt` is under way and may prove not to have been executed
+  Time expiresAt{};
   std::size_t bytes = 0;
   std::vector<Waiter> waiters;
-  EntryId chain = Store::kNone;                         // the next of its bucket, or of the free ones
-  EntryId older = Store::kNone, newer = Store::kNone;   // among its tenant's answered ones
-  EntryId before = Store::kNone, after = Store::kNone;  // in its slot of the wheel
-  std::int32_t slot = -1;
+  EntryId nextInBucket = Store::kNone;                                   // or the next free entry
+  EntryId olderCompleted = Store::kNone, newerCompleted = Store::kNone;  // of its tenant
+  EntryId previousInSlot = Store::kNone, nextInSlot = Store::kNone;      // of the timer wheel
+  std::int32_t slot = -1;                                                // below 0: it has no expiry
 };
 
 Store::Store(const StoreLimits& limits, std::uint32_t tenants, const Seed& seed, std::uint64_t hashMask)
     : limits_(limits), seed_(seed), hashMask_(hashMask), tenants_(tenants) {
-  // All that ends is due within `keep`: one turn of the wheel holds it.
-  tick_ = std::max<Duration>(limits_.keep / static_cast<std::int64_t>(kWheel - 2), Duration(1));
+  // Every entry expires within the retention, so one turn of the wheel holds them all.
+  tick_ = std::max<Duration>(limits_.retention / static_cast<std::int64_t>(kWheelSlots - 2), Duration(1));
   std::size_t buckets = 16;
-  while (buckets < limits_.entries) buckets *= 2;
+  while (buckets < limits_.maxEntries) buckets *= 2;
   buckets_.assign(buckets, kNone);
 }
+
 Store::~Store() = default;
 
-Store::Entry& Store::at(EntryId id) const { return chunks_[id / kChunk][id % kChunk]; }
+Store::Entry& Store::at(EntryId id) const { return chunks_[id / kEntriesPerChunk][id % kEntriesPerChunk]; }
 
-Store::EntryId Store::find(std::uint64_t hash, const Arrival& a) const {
-  for (EntryId id = buckets_[hash & (buckets_.size() - 1)]; id != kNone; id = at(id).chain) {
-    const Entry& e = at(id);
-    // Danger: hashes may be alike; what is looked for is the key itself.
-    if (e.hash == hash && e.tenant == a.tenant && e.classIndex == a.classIndex && e.key == a.key) return id;
-  }
-  return kNone;
+std::uint64_t Store::hashOf(const KeyedRequest& request) const {
+  const Fingerprint hash = Hasher(seed_)
+                               .add(std::to_string(request.tenant))
+                               .add(std::to_string(request.classIndex))
+                               .add(request.key)
+                               .end();
+  return hash.low & hashMask_;
 }
 
-void Store::charge(Entry& e, std::ptrdiff_t bytes) {
-  e.bytes = static_cast<std::size_t>(static_cast<std::ptrdiff_t>(e.bytes) + bytes);
-  bytes_ = static_cast<std::size_t>(static_cast<std::ptrdiff_t>(bytes_) + bytes);
-  auto& t = tenants_[e.tenant].bytes;
-  t = static_cast<std::size_t>(static_cast<std::ptrdiff_t>(t) + bytes);
-}
+Store::EntryId& Store::bucketOf(std::uint64_t hash) { return buckets_[hash & (buckets_.size() - 1)]; }
 
-void Store::enter(EntryId id, State to) {
-  Entry& e = at(id);
-  Tenant& t = tenants_[e.tenant];
-  if (e.state == State::answered) {
-    (e.older == kNone ? t.answered.first : at(e.older).newer) = e.newer;
-    (e.newer == kNone ? t.answered.last : at(e.newer).older) = e.older;
-    e.older = e.newer = kNone;
+Store::EntryId Store::find(std::uint64_t hash, const KeyedRequest& request) const {
+  EntryId id = buckets_[hash & (buckets_.size() - 1)];
+  for (; id != kNone; id = at(id).nextInBucket) {
+    const Entry& entry = at(id);
+    // Hashes of different keys may collide, so the keys themselves are compared.
+    if (entry.hash == hash && entry.tenant == request.tenant && entry.classIndex == request.classIndex &&
+        entry.key == request.key)
+      return id;
   }
-  --byState_[static_cast<std::size_t>(e.state)];
-  e.state = to;
-  ++byState_[static_cast<std::size_t>(to)];
-  if (to != State::answered) return;
-  e.older = t.answered.last;
-  (t.answered.last == kNone ? t.answered.first : at(t.answered.last).newer) = id;
-  t.answered.last = id;
+  return kNone;
 }
 
-void Store::schedule(EntryId id, Time due) {
-  unschedule(id);
-  Entry& e = at(id);
-  e.due = due;
-  // One tick on, so that what is met there is due.
-  e.slot = static_cast<std::int32_t>((due / tick_ + 1) % static_cast<std::int64_t>(kWheel));
-  List& l = wheel_[static_cast<std::size_t>(e.slot)];
-  e.before = l.last;
-  (l.last == kNone ? l.first : at(l.last).after) = id;
-  l.last = id;
+Store::EntryId Store::allocate() {
+  if (firstFree_ == kNone) {
+    if (allocated_ == chunks_.size() * kEntriesPerChunk)
+      chunks_.push_back(std::make_unique<Entry[]>(kEntriesPerChunk));
+    firstFree_ = static_cast<EntryId>(allocated_++);
+    at(firstFree_).nextInBucket = kNone;
+  }
+  const EntryId id = firstFree_;
+  firstFree_ = at(id).nextInBucket;
+  return id;
 }
 
-void Store::unschedule(EntryId id) {
-  Entry& e = at(id);
-  if (e.slot < 0) return;
-  List& l = wheel_[static_cast<std::size_t>(e.slot)];
-  (e.before == kNone ? l.first : at(e.before).after) = e.after;
-  (e.after == kNone ? l.last : at(e.after).before) = e.before;
-  e.before = e.after = kNone;
-  e.slot = -1;
+std::optional<Store::EntryId> Store::insert(std::uint64_t hash, const KeyedRequest& request, KeyState state) {
+  const std::size_t bytes = sizeof(Entry) + request.key.size();
+  if (!makeRoom(request.tenant, 1, bytes)) return std::nullopt;
+  const EntryId id = allocate();
+  Entry& entry = at(id);
+  entry.tenant = request.tenant;
+  entry.classIndex = request.classIndex;
+  entry.hash = hash;
+  entry.fingerprint = request.fingerprint;
+  entry.key = std::string(request.key);
+  EntryId& bucket = bucketOf(hash);
+  entry.nextInBucket = bucket;
+  bucket = id;
+  ++byState_[static_cast<std::size_t>(KeyState::unused)];
+  setState(id, state);
+  ++tenants_[request.tenant].entries;
+  ++used_;
+  charge(entry, static_cast<std::ptrdiff_t>(bytes));
+  return id;
 }
 
-void Store::drop(EntryId id) {
+void Store::remove(EntryId id) {
   unschedule(id);
-  enter(id, State::free);
-  --byState_[static_cast<std::size_t>(State::free)];
-  Entry& e = at(id);
-  EntryId* link = &buckets_[e.hash & (buckets_.size() - 1)];
-  while (*link != id) link = &at(*link).chain;
-  *link = e.chain;
-  charge(e, -static_cast<std::ptrdiff_t>(e.bytes));
-  --tenants_[e.tenant].entries;
+  setState(id, KeyState::unused);
+  --byState_[static_cast<std::size_t>(KeyState::unused)];
+  Entry& entry = at(id);
+  EntryId* link = &bucketOf(entry.hash);
+  while (*link != id) link = &at(*link).nextInBucket;
+  *link = entry.nextInBucket;
+  charge(entry, -static_cast<std::ptrdiff_t>(entry.bytes));
+  --tenants_[entry.tenant].entries;
   --used_;
-  e = Entry{};
-  e.chain = free_;
-  free_ = id;
+  entry = Entry{};
+  entry.nextInBucket = firstFree_;
+  firstFree_ = id;
 }
 
-bool Store::evictOf(std::uint32_t tenant) {
-  const EntryId oldest = tenants_[tenant].answered.first;
-  if (!limits_.evict || oldest == kNone) return false;
-  drop(oldest);
-  ++evicted_;
+void Store::charge(Entry& entry, std::ptrdiff_t bytes) {
+  const auto add = [bytes](std::size_t& total) {
+    total = static_cast<std::size_t>(static_cast<std::ptrdiff_t>(total) + bytes);
+  };
+  add(entry.bytes);
+  add(bytes_);
+  add(tenants_[entry.tenant].bytes);
+}
+
+bool Store::evictOldest(std::uint32_t tenant) {
+  const EntryId oldest = tenants_[tenant].completed.first;
+  if (!limits_.evictCompleted || oldest == kNone) return false;
+  remove(oldest);
+  ++evictions_;
   return true;
 }
 
-// For more entries and bytes of that tenant. Danger: without a share for each, one tenant's flood would push
-// out what the others' repeats are answered from; so a tenant makes room within its own first, then the
-// largest one does.
-bool Store::room(std::uint32_t tenant, std::size_t entries, std::size_t bytes) {
-  const auto share = [&](std::size_t of) {
-    return static_cast<std::size_t>(static_cast<double>(of) * limits_.tenantShare);
+bool Store::makeRoomWithinTenant(std::uint32_t tenant, std::size_t entries, std::size_t bytes) {
+  const auto fractionOf = [this](std::size_t total) {
+    return static_cast<std::size_t>(static_cast<double>(total) * limits_.maxTenantFraction);
   };
-  Tenant& own = tenants_[tenant];
-  while (own.entries + entries > std::max<std::size_t>(1, share(limits_.entries)) ||
-         own.bytes + bytes > share(limits_.bytes))
-    if (!evictOf(tenant)) return false;
-  while (used_ + entries > limits_.entries || bytes_ + bytes > limits_.bytes) {
-    std::uint32_t largest = tenant;
-    for (std::uint32_t t = 0; t < tenants_.size(); ++t)
-      if (tenants_[t].answered.first != kNone &&
-          (tenants_[largest].answered.first == kNone || tenants_[t].bytes > tenants_[largest].bytes))
-        largest = t;
-    if (!evictOf(largest)) return false;
-  }
+  const TenantUsage& usage = tenants_[tenant];
+  const std::size_t maxEntries = std::max<std::size_t>(1, fractionOf(limits_.maxEntries));
+  const std::size_t maxBytes = fractionOf(limits_.maxBytes);
+  while (usage.entries + entries > maxEntries || usage.bytes + bytes > maxBytes)
+    if (!evictOldest(tenant)) return false;
   return true;
 }
 
-std::optional<Store::EntryId> Store::make(std::uint64_t hash, const Arrival& a, State state) {
-  const std::size_t bytes = sizeof(Entry) + a.key.size();
-  if (!room(a.tenant, 1, bytes)) return std::nullopt;
-  if (free_ == kNone) {
-    if (made_ == chunks_.size() * kChunk) chunks_.push_back(std::make_unique<Entry[]>(kChunk));
-    at(static_cast<EntryId>(made_)).chain = kNone;
-    free_ = static_cast<EntryId>(made_++);
+// The tenant with the most bytes among those that have an entry to evict; `preferred` if there is none.
+std::uint32_t Store::largestEvictableTenant(std::uint32_t preferred) const {
+  std::uint32_t largest = preferred;
+  for (std::uint32_t tenant = 0; tenant < tenants_.size(); ++tenant) {
+    if (tenants_[tenant].completed.first == kNone) continue;
+    if (tenants_[largest].completed.first == kNone || tenants_[tenant].bytes > tenants_[largest].bytes)
+      largest = tenant;
   }
-  const EntryId id = free_;
-  Entry& e = at(id);
-  free_ = e.chain;
-  e.tenant = a.tenant;
-  e.classIndex = a.classIndex;
-  e.hash = hash;
-  e.fingerprint = a.fingerprint;
-  e.key = std::string(a.key);
-  EntryId& bucket = buckets_[hash & (buckets_.size() - 1)];
-  e.chain = bucket;
-  bucket = id;
-  ++byState_[static_cast<std::size_t>(State::free)];
-  enter(id, state);
-  ++tenants_[a.tenant].entries;
-  ++used_;
-  charge(e, static_cast<std::ptrdiff_t>(bytes));
-  return id;
+  return largest;
 }
 
-std::uint64_t Store::hashOf(const Arrival& a) const {
-  return Hasher(seed_).add(std::to_string(a.tenant)).add(std::to_string(a.classIndex)).add(a.key).end().low &
-         hashMask_;
+// A tenant evicts its own entries before those of others. Without a limit for each tenant the requests of one
+// could evict the responses that the repeats of all others need.
+bool Store::makeRoom(std::uint32_t tenant, std::size_t entries, std::size_t bytes) {
+  if (!makeRoomWithinTenant(tenant, entries, bytes)) return false;
+  while (used_ + entries > limits_.maxEntries || bytes_ + bytes > limits_.maxBytes)
+    if (!evictOldest(largestEvictableTenant(tenant))) return false;
+  return true;
 }
 
-void Store::begin(Time now, EntryId id, const Arrival& a) {
-  Entry& e = at(id);
-  e.run = nextRun_++;
-  e.again = e.earlier.has_value();
-  e.bound = e.tried = false;
-  for (StoreObserver* o : observers_) o->onBegan(e.run, now, a, e.earlier ? &*e.earlier : nullptr);
+void Store::unlinkCompleted(EntryId id) {
+  Entry& entry = at(id);
+  EntryList& list = tenants_[entry.tenant].completed;
+  EntryId& fromOlder = entry.olderCompleted == kNone ? list.first : at(entry.olderCompleted).newerCompleted;
+  EntryId& fromNewer = entry.newerCompleted == kNone ? list.last : at(entry.newerCompleted).olderCompleted;
+  fromOlder = entry.newerCompleted;
+  fromNewer = entry.olderCompleted;
+  entry.olderCompleted = kNone;
+  entry.newerCompleted = kNone;
 }
 
-Store::Result Store::arrive(Time now, const Arrival& a) {
-  expire(now);
-  const std::uint64_t hash = hashOf(a);
-  EntryId id = find(hash, a);
-  if (id != kNone && at(id).slot >= 0 && now >= at(id).due) {  // due, and not met by the wheel yet
-    drop(id);
-    id = kNone;
-  }
-  Result r;
-  if (id == kNone) {
-    const auto made = make(hash, a, State::running);
-    if (!made) return r;
-    r.admission = Admission::fresh;
-    r.entry = *made;
-    begin(now, *made, a);
-    return r;
-  }
-  Entry& e = at(id);
-  if (!(e.fingerprint == a.fingerprint)) {
-    r.admission = Admission::mismatch;
-    return r;
+void Store::appendCompleted(EntryId id) {
+  Entry& entry = at(id);
+  EntryList& list = tenants_[entry.tenant].completed;
+  entry.olderCompleted = list.last;
+  EntryId& fromOlder = list.last == kNone ? list.first : at(list.last).newerCompleted;
+  fromOlder = id;
+  list.last = id;
+}
+
+void Store::setState(EntryId id, KeyState state) {
+  Entry& entry = at(id);
+  if (entry.state == KeyState::completed) unlinkCompleted(id);
+  --byState_[static_cast<std::size_t>(entry.state)];
+  entry.state = state;
+  ++byState_[static_cast<std::size_t>(state)];
+  if (state == KeyState::completed) appendCompleted(id);
+}
+
+void Store::schedule(EntryId id, Time expiresAt) {
+  unschedule(id);
+  Entry& entry = at(id);
+  entry.expiresAt = expiresAt;
+  // The slot after the expiry: an entry has expired by the time its slot is processed.
+  entry.slot = static_cast<std::int32_t>((expiresAt / tick_ + 1) % static_cast<std::int64_t>(kWheelSlots));
+  EntryList& list = wheel_[static_cast<std::size_t>(entry.slot)];
+  entry.previousInSlot = list.last;
+  EntryId& fromPrevious = list.last == kNone ? list.first : at(list.last).nextInSlot;
+  fromPrevious = id;
+  list.last = id;
+}
+
+void Store::unschedule(EntryId id) {
+  Entry& entry = at(id);
+  if (entry.slot < 0) return;
+  EntryList& list = wheel_[static_cast<std::size_t>(entry.slot)];
+  EntryId& fromPrevious = entry.previousInSlot == kNone ? list.first : at(entry.previousInSlot).nextInSlot;
+  EntryId& fromNext = entry.nextInSlot == kNone ? list.last : at(entry.nextInSlot).previousInSlot;
+  fromPrevious = entry.nextInSlot;
+  fromNext = entry.previousInSlot;
+  entry.previousInSlot = kNone;
+  entry.nextInSlot = kNone;
+  entry.slot = -1;
+}
+
+void Store::expire(Time now) {
+  const auto slots = static_cast<std::int64_t>(kWheelSlots);
+  const std::int64_t currentTick = now / tick_;
+  // After a clock step of more than one turn, one turn processes every slot.
+  std::int64_t tick = std::max(processedTicks_, currentTick - slots);
+  for (; tick < currentTick; ++tick) {
+    EntryId id = wheel_[static_cast<std::size_t>((tick + 1) % slots)].first;
+    while (id != kNone) {
+      const EntryId next = at(id).nextInSlot;
+      if (now >= at(id).expiresAt) remove(id);
+      id = next;
+    }
   }
-  r.entry = id;
-  switch (e.state) {
-    case State::free: break;
-    case State::running:
-      if (e.waiters.size() >= limits_.joinedMost) {
-        r.admission = Admission::crowded;
-        r.entry = kNone;
-        return r;
-      }
-      e.waiters.push_back(a.waiter);
-      charge(e, sizeof(Waiter));
-      r.admission = Admission::join;
-      return r;
-    case State::answered:
-      r.admission = Admission::replay;
-      r.answer = &e.answer;
-      return r;
-    case State::uncertain:
+  processedTicks_ = std::max(processedTicks_, currentTick);
+}
+
+void Store::startRun(Time now, EntryId id, const KeyedRequest& request) {
+  Entry& entry = at(id);
+  entry.run = nextRun_++;
+  entry.isRetry = entry.earlierAttempt.has_value();
+  entry.isBound = false;
+  entry.attemptSent = false;
+  const EarlierAttempt* const earlier = entry.earlierAttempt ? &*entry.earlierAttempt : nullptr;
+  for (StoreObserver* observer : observers_) observer->onRunStarted(entry.run, now, request, earlier);
+}
+
+Store::AdmissionResult Store::joinRun(EntryId id, Waiter waiter) {
+  Entry& entry = at(id);
+  if (entry.waiters.size() >= limits_.maxWaiters) return {Admission::tooManyWaiters, kNone, nullptr, nullptr};
+  entry.waiters.push_back(waiter);
+  charge(entry, sizeof(Waiter));
+  return {Admission::joinRunning, id, nullptr, nullptr};
+}
+
+Store::AdmissionResult Store::admitKnown(Time now, EntryId id, const KeyedRequest& request) {
+  Entry& entry = at(id);
+  if (!(entry.fingerprint == request.fingerprint))
+    return {Admission::fingerprintMismatch, kNone, nullptr, nullptr};
+  switch (entry.state) {
+    case KeyState::unused: break;  // no entry in the table is unused
+    case KeyState::running: return joinRun(id, request.waiter);
+    case KeyState::completed: return {Admission::replayResponse, id, &entry.response, nullptr};
+    case KeyState::uncertain:
       unschedule(id);
-      enter(id, State::running);
-      r.admission = Admission::again;
-      r.earlier = &*e.earlier;
-      begin(now, id, a);
-      return r;
+      setState(id, KeyState::running);
+      startRun(now, id, request);
+      return {Admission::retryUncertain, id, nullptr, &*entry.earlierAttempt};
   }
-  return r;
+  return {Admission::storeFull, id, nullptr, nullptr};
 }
 
-void Store::sent(EntryId id, const Earlier& where) {
-  Entry& e = at(id);
-  e.tried = true;
-  if (e.earlier) return;
-  e.earlier = where;
-  e.open = true;
-  for (StoreObserver* o : observers_) o->onSent(e.run, where);
+Store::AdmissionResult Store::admit(Time now, const KeyedRequest& request) {
+  expire(now);
+  const std::uint64_t hash = hashOf(request);
+  const EntryId known = find(hash, request);
+  if (known != kNone) {
+    // The wheel removes an entry up to a tick after its expiry.
+    const bool expired = at(known).slot >= 0 && now >= at(known).expiresAt;
+    if (!expired) return admitKnown(now, known, request);
+    remove(known);
+  }
+  const auto inserted = insert(hash, request, KeyState::running);
+  if (!inserted) return {};
+  startRun(now, *inserted, request);
+  return {Admission::firstRun, *inserted, nullptr, nullptr};
+}
+
+void Store::onAttemptSent(EntryId id, const EarlierAttempt& attempt) {
+  Entry& entry = at(id);
+  entry.attemptSent = true;
+  if (entry.earlierAttempt) return;
+  entry.earlierAttempt = attempt;
+  entry.attemptOpen = true;
+  for (StoreObserver* observer : observers_) observer->onAttemptSent(entry.run, attempt);
 }
 
-void Store::settled(EntryId id, bool mayHaveRun) {
-  Entry& e = at(id);
-  if (!e.open) return;
-  e.open = false;
+void Store::onAttemptSettled(EntryId id, bool mayHaveRun) {
+  Entry& entry = at(id);
+  if (!entry.attemptOpen) return;
+  entry.attemptOpen = false;
   if (mayHaveRun) return;
-  e.earlier.reset();
-  for (StoreObserver* o : observers_) o->onNeverRan(e.run);
+  entry.earlierAttempt.reset();
+  for (StoreObserver* observer : observers_) observer->onAttemptNotExecuted(entry.run);
 }
 
-void Store::bind(EntryId id, const Earlier& earlier, Time until) {
-  Entry& e = at(id);
-  e.due = e.again ? std::max(e.due, until) : until;
-  e.again = e.bound = true;
-  if (e.earlier) return;
-  e.earlier = earlier;
-  for (StoreObserver* o : observers_) o->onSent(e.run, earlier);
+void Store::bindToEarlierAttempt(EntryId id, const EarlierAttempt& attempt, Time until) {
+  Entry& entry = at(id);
+  entry.expiresAt = entry.isRetry ? std::max(entry.expiresAt, until) : until;
+  entry.isRetry = true;
+  entry.isBound = true;
+  if (entry.earlierAttempt) return;
+  entry.earlierAttempt = attempt;
+  for (StoreObserver* observer : observers_) observer->onAttemptSent(entry.run, attempt);
 }
 
-void Store::leave(EntryId id, Waiter waiter) {
-  Entry& e = at(id);
-  const auto it = std::find(e.waiters.begin(), e.waiters.end(), waiter);
-  if (it == e.waiters.end()) return;
-  e.waiters.erase(it);
-  charge(e, -static_cast<std::ptrdiff_t>(sizeof(Waiter)));
+void Store::removeWaiter(EntryId id, Waiter waiter) {
+  Entry& entry = at(id);
+  const auto it = std::find(entry.waiters.begin(), entry.waiters.end(), waiter);
+  if (it == entry.waiters.end()) return;
+  entry.waiters.erase(it);
+  charge(entry, -static_cast<std::ptrdiff_t>(sizeof(Waiter)));
+}
+
+bool Store::hasWaiters(EntryId id) const { return !at(id).waiters.empty(); }
+
+std::vector<Store::Waiter> Store::takeWaiters(Entry& entry) {
+  std::vector<Waiter> waiters = std::move(entry.waiters);
+  entry.waiters.clear();
+  charge(entry, -static_cast<std::ptrdiff_t>(waiters.size() * sizeof(Waiter)));
+  return waiters;
 }
 
-bool Store::awaited(EntryId id) const { return !at(id).waiters.empty(); }
-
-std::vector<Store::Waiter> Store::end(Time now, EntryId id, End how, KeptAnswer&& answer) {
-  Entry& e = at(id);
-  std::vector<Waiter> waiting = std::move(e.waiters);
-  e.waiters.clear();
-  charge(e, -static_cast<std::ptrdiff_t>(waiting.size() * sizeof(Waiter)));
-  // Danger: were the window to begin anew with each repeat that fails unsent, one who repeats often enough
-  // would never get through.
-  const bool asBefore = e.again && !e.tried && (how == End::neverRan || e.bound);
-  const Time due = asBefore ? e.due : now + limits_.keep;
-  if ((how == End::neverRan && !e.earlier) || due <= now) {
-    for (StoreObserver* o : observers_) o->onEnded(e.run, now, State::free, {}, nullptr);
-    drop(id);
-    return waiting;
+std::vector<Store::Waiter> Store::finishRun(Time now, EntryId id, RunOutcome outcome,
+                                            CachedResponse&& response) {
+  Entry& entry = at(id);
+  std::vector<Waiter> waiters = takeWaiters(entry);
+  // A retry that was not sent does not renew the retention. Otherwise a client that repeats often enough
+  // could keep its key uncertain for good.
+  const bool keepsExpiry =
+      entry.isRetry && !entry.attemptSent && (outcome == RunOutcome::notExecuted || entry.isBound);
+  const Time expiresAt = keepsExpiry ? entry.expiresAt : now + limits_.retention;
+  if ((outcome == RunOutcome::notExecuted && !entry.earlierAttempt) || expiresAt <= now) {
+    for (StoreObserver* observer : observers_)
+      observer->onRunFinished(entry.run, now, KeyState::unused, {}, nullptr);
+    remove(id);
+    return waiters;
   }
-  e.open = false;
-  if (!e.earlier) e.earlier = Earlier{};  // nowhere and long ago: no host drops a repeat of it
-  // Its own entry is not among what makes room: it still runs.
-  const bool kept = how == End::served && answer.body.size() <= limits_.answerMost &&
-                    room(e.tenant, 0, answer.body.size() + answer.contentType.size());
-  if (kept) keep(id, std::move(answer));
-  enter(id, kept ? State::answered : State::uncertain);
-  schedule(id, due);
-  for (StoreObserver* o : observers_)
-    o->onEnded(e.run, due - limits_.keep, e.state, e.answer, e.tried ? &*e.earlier : nullptr);
-  return waiting;
+  entry.attemptOpen = false;
+  // An attempt with no zone and no time: it binds the key, and no host qualifies for a repeat.
+  if (!entry.earlierAttempt) entry.earlierAttempt = EarlierAttempt{};
+  // The entry still counts as running here, so making room cannot evict it.
+  const bool cached = outcome == RunOutcome::responded && response.body.size() <= limits_.maxResponseBytes &&
+                      makeRoom(entry.tenant, 0, response.body.size() + response.contentType.size());
+  if (cached) cacheResponse(id, std::move(response));
+  setState(id, cached ? KeyState::completed : KeyState::uncertain);
+  schedule(id, expiresAt);
+  const EarlierAttempt* const executed = entry.attemptSent ? &*entry.earlierAttempt : nullptr;
+  for (StoreObserver* observer : observers_)
+    observer->onRunFinished(entry.run, expiresAt - limits_.retention, entry.state, entry.response, executed);
+  return waiters;
 }
 
-void Store::keep(EntryId id, KeptAnswer&& answer) {
-  Entry& e = at(id);
-  e.answer = std::move(answer);
-  charge(e, static_cast<std::ptrdiff_t>(e.answer.body.size() + e.answer.contentType.size()));
+void Store::cacheResponse(EntryId id, CachedResponse&& response) {
+  Entry& entry = at(id);
+  entry.response = std::move(response);
+  charge(entry, static_cast<std::ptrdiff_t>(entry.response.body.size() + entry.response.contentType.size()));
 }
 
-void Store::reseed(const Seed& seed) {
+void Store::setSeed(const Seed& seed) {
   if (used_ == 0) seed_ = seed;
 }
 
-void Store::numberRunsFrom(std::uint64_t run) { nextRun_ = std::max(nextRun_, run); }
+void Store::setMinNextRun(std::uint64_t run) { nextRun_ = std::max(nextRun_, run); }
 
-void Store::forget(const Arrival& request) {
+void Store::erase(const KeyedRequest& request) {
   const EntryId id = find(hashOf(request), request);
-  if (id != kNone && at(id).state != State::running) drop(id);
+  if (id != kNone && at(id).state != KeyState::running) remove(id);
 }
 
-bool Store::restore(Time now, Remembered&& what) {
+bool Store::restore(Time now, RestoredEntry&& restored) {
   expire(now);
-  forget(what.request);
-  // Danger: by a calendar that stepped back it would be kept for longer than promised, and longer than the
-  // wheel reaches.
-  const Time due = std::min(what.due, now + limits_.keep);
-  const std::uint64_t hash = hashOf(what.request);
-  if (due <= now || find(hash, what.request) != kNone) return false;
-  const bool fits = what.state == State::answered && what.answer.body.size() <= limits_.answerMost;
-  const auto made = make(hash, what.request, State::uncertain);
-  if (!made) return false;
-  at(*made).earlier = std::move(what.earlier);
-  if (fits && room(what.request.tenant, 0, what.answer.body.size() + what.answer.contentType.size())) {
-    keep(*made, std::move(what.answer));
-    enter(*made, State::answered);
+  erase(restored.request);
+  // If the calendar stepped back between two processes, the recorded expiry may lie beyond the retention,
+  // which is longer than promised and longer than the wheel reaches.
+  const Time expiresAt = std::min(restored.expiresAt, now + limits_.retention);
+  const std::uint64_t hash = hashOf(restored.request);
+  if (expiresAt <= now || find(hash, restored.request) != kNone) return false;
+  const bool hasResponse =
+      restored.state == KeyState::completed && restored.response.body.size() <= limits_.maxResponseBytes;
+  const auto inserted = insert(hash, restored.request, KeyState::uncertain);
+  if (!inserted) return false;
+  at(*inserted).earlierAttempt = std::move(restored.earlierAttempt);
+  const std::size_t responseBytes = restored.response.body.size() + restored.response.contentType.size();
+  if (hasResponse && makeRoom(restored.request.tenant, 0, responseBytes)) {
+    cacheResponse(*inserted, std::move(restored.response));
+    setState(*inserted, KeyState::completed);
   }
-  schedule(*made, due);
+  schedule(*inserted, expiresAt);
   return true;
 }
 
-void Store::expire(Time now) {
-  const std::int64_t to = now / tick_;
-  // A clock that stepped far ahead: one whole turn meets everything.
-  std::int64_t from = std::max(turned_, to - static_cast<std::int64_t>(kWheel));
-  for (; from < to; ++from) {
-    EntryId id = wheel_[static_cast<std::size_t>((from + 1) % static_cast<std::int64_t>(kWheel))].first;
-    while (id != kNone) {
-      const EntryId next = at(id).after;
-      if (now >= at(id).due) drop(id);
-      id = next;
-    }
-  }
-  turned_ = std::max(turned_, to);
-}
-
 }  // namespace finchstile::idempotency
--- /dev/null
+++ b/src/idempotency/store_observer.hpp
@@ -0,0 +1,32 @@
+// Observes the runs of a store.
+#pragma once
+
+#include <cstdint>
+
+#include "idempotency/store.hpp"
+
+namespace finchstile::idempotency {
+
+// Each call comes before the step that it reports takes effect: a record written in onAttemptSent() stands
+// before the attempt is sent. Runs are numbered in ascending order.
+class StoreObserver {
+ public:
+  virtual ~StoreObserver() = default;
+
+  // `earlierAttempt`: null for the first run of a key.
+  virtual void onRunStarted(std::uint64_t run, Time at, const Store::KeyedRequest& request,
+                            const EarlierAttempt* earlierAttempt) = 0;
+
+  // The attempt that repeats have to go by.
+  virtual void onAttemptSent(std::uint64_t run, const EarlierAttempt& attempt) = 0;
+
+  // That attempt was not executed.
+  virtual void onAttemptNotExecuted(std::uint64_t run) = 0;
+
+  // `at`: the start of the retention; the key expires one retention later. `executed`: the attempt of this
+  // run that may have been executed, or null if there is none.
+  virtual void onRunFinished(std::uint64_t run, Time at, KeyState state, const CachedResponse& response,
+                             const EarlierAttempt* executed) = 0;
+};
+
+}  // namespace finchstile::idempotency
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -136,15 +136,15 @@
   done_ = std::move(done);
   // Danger: a loop that comes late finds the signal late too, and the platform's time runs since it was sent.
   const Time told = clock_.now() - std::max(lagNow(), overdue());
-  plan_.emplace(told, drain::Terms{longestClientTimeout(config_.settings), config_.options.drainServeTime,
-                                   listener_.inherited()});
+  plan_.emplace(told, drain::DrainSettings{longestClientTimeout(config_.settings),
+                                           config_.options.drainServeTime, listener_.inherited()});
   housekeepAt_ = clock_.now();
   if (listener_.inherited()) {  // who shares it takes what comes there from now on
     listener_.beginDrain();
     listener_.close();
     listener_.enterLameDuck(told + kRestAfterAway);
   }
-  for (ProtocolHandler* front : fronts_) front->onDrain(plan_->exit());
+  for (ProtocolHandler* front : fronts_) front->onDrain(plan_->exitTime());
   armTimer();
 }
 
@@ -296,12 +296,12 @@
   if (!config_.settings.pollsDiscovery) discovery_.watch();
   if (!plan_) return;
   // Danger: an answer that closes its connection sends its client to a front that may have no other gateway.
-  if (now >= plan_->serveUntil()) listener_.beginDrain();
-  if (now >= plan_->lastCall() && done_) failOpen();
-  const bool nobody = listener_.size() == 0 && now >= plan_->acceptUntil();
-  if (now < plan_->closeListener() && !nobody) return;
+  if (now >= plan_->serveDeadline()) listener_.beginDrain();
+  if (now >= plan_->finalResponseTime() && done_) failOpen();
+  const bool nobody = listener_.size() == 0 && now >= plan_->acceptDeadline();
+  if (now < plan_->listenerCloseTime() && !nobody) return;
   listener_.close();
-  if (((listener_.size() == 0 && frontsIdle()) || now >= plan_->exit()) && done_)
+  if (((listener_.size() == 0 && frontsIdle()) || now >= plan_->exitTime()) && done_)
     std::exchange(done_, nullptr)();
 }
 
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -237,8 +237,8 @@
   Discovery discovery_;
   boost::asio::steady_timer timer_;
   Time armed_{}, wake_{}, housekeepAt_{};
-  std::optional<drain::Plan> plan_;  // while draining
-  Duration lag_{};                   // how late the loop has lately been, for what is read until
+  std::optional<drain::DrainPlan> plan_;  // while draining
+  Duration lag_{};                        // how late the loop has lately been, for what is read until
   Time lagUntil_{};
 
   RequestReader reader_;
--- /dev/null
+++ b/src/ops/admin_server.cpp
@@ -0,0 +1,174 @@
+#include "ops/admin_server.hpp"
+
+#include <array>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/http.hpp>
+#include <optional>
+#include <utility>
+
+namespace finchstile::ops {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+using std::chrono::milliseconds;
+
+constexpr milliseconds kAcceptPause(20);    // after a failed accept, mostly for lack of descriptors
+constexpr milliseconds kLingerTime(500);    // for the client to read its response and close
+constexpr std::size_t kDiscardBytes = 512;  // read at once while lingering
+constexpr unsigned kHttp11 = 11;
+constexpr unsigned kBadRequest = 400;
+constexpr unsigned kNotFound = 404;
+
+// Other errors mean that the client has disconnected.
+bool isMalformed(const error_code& error) {
+  return error.category() == http::make_error_code(http::error::bad_method).category() &&
+         error != http::error::end_of_stream && error != http::error::partial_message;
+}
+
+}  // namespace
+
+// A connection is in `sessions_` from accept to close(). Its handlers keep the object alive a little longer.
+class AdminServer::Session : public std::enable_shared_from_this<Session> {
+ public:
+  Session(AdminServer& server, tcp::socket socket)
+      : server_(server),
+        socket_(std::move(socket)),
+        timer_(server.io_),
+        buffer_(server.limits_.maxCallBytes) {
+    parser_.header_limit(static_cast<std::uint32_t>(server.limits_.maxCallBytes));
+    parser_.body_limit(server.limits_.maxCallBytes);
+  }
+
+  Sessions::iterator place{};
+
+  void start() {
+    closeAfter(server_.limits_.callTimeout);
+    const auto onRead = [this, self = shared_from_this()](error_code error, std::size_t) {
+      if (closed_) return;
+      if (!error) return onCall();
+      if (isMalformed(error)) return respond({kBadRequest, "malformed call\n"}, {});
+      close();
+    };
+    http::async_read(socket_, buffer_, parser_, onRead);
+  }
+
+  void close() {
+    if (std::exchange(closed_, true)) return;
+    error_code ignored;
+    timer_.cancel();
+    socket_.close(ignored);
+    server_.sessions_.erase(place);
+  }
+
+ private:
+  void onCall() {
+    const auto& message = parser_.get();
+    const AdminCallResult result =
+        parseAdminCall({message.method_string().data(), message.method_string().size()},
+                       {message.target().data(), message.target().size()});
+    if (result.call) return respond(server_.handler_.onCall(*result.call), {});
+    const char* const text = result.status == kNotFound ? "no such call\n" : "not understood\n";
+    respond({result.status, text}, result.allow);
+  }
+
+  void respond(Reply&& reply, std::string_view allow) {
+    response_.result(reply.status);
+    response_.version(kHttp11);
+    response_.keep_alive(false);
+    response_.set(http::field::content_type, "text/plain; version=0.0.4; charset=utf-8");
+    if (!allow.empty()) response_.set(http::field::allow, std::string(allow));
+    response_.body() = std::move(reply.body);
+    response_.prepare_payload();
+    const auto onWritten = [this, self = shared_from_this()](error_code error, std::size_t) {
+      if (closed_) return;
+      if (error) return close();
+      linger();
+    };
+    http::async_write(socket_, response_, onWritten);
+  }
+
+  // Closing a socket with unread bytes resets the connection, and the response may be lost with it.
+  void linger() {
+    error_code ignored;
+    socket_.shutdown(tcp::socket::shutdown_send, ignored);
+    closeAfter(kLingerTime);
+    discardInput();
+  }
+
+  void discardInput() {
+    const auto onRead = [this, self = shared_from_this()](error_code error, std::size_t) {
+      if (closed_) return;
+      if (error) return close();
+      discardInput();
+    };
+    socket_.async_read_some(asio::buffer(discarded_), onRead);
+  }
+
+  void closeAfter(milliseconds time) {
+    timer_.expires_after(time);
+    timer_.async_wait([this, self = shared_from_this()](error_code cancelled) {
+      if (!cancelled && !closed_) close();
+    });
+  }
+
+  AdminServer& server_;
+  tcp::socket socket_;
+  asio::steady_timer timer_;
+  boost::beast::flat_buffer buffer_;
+  http::request_parser<http::string_body> parser_;
+  http::response<http::string_body> response_;
+  std::array<char, kDiscardBytes> discarded_{};
+  bool closed_ = false;
+};
+
+AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& at, AdminCallHandler& handler,
+                         Limits limits)
+    : io_(io), handler_(handler), limits_(limits), acceptor_(io), pause_(io) {
+  acceptor_.open(at.protocol());
+  acceptor_.set_option(tcp::acceptor::reuse_address(true));
+  acceptor_.bind(at);
+  acceptor_.listen(asio::socket_base::max_listen_connections);
+  accept();
+}
+
+AdminServer::~AdminServer() { close(); }
+
+void AdminServer::close() {
+  error_code ignored;
+  acceptor_.close(ignored);
+  pause_.cancel();
+  while (!sessions_.empty()) {
+    const auto session = sessions_.front();
+    session->close();
+  }
+}
+
+void AdminServer::accept() {
+  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
+    if (error) return acceptAfterPause();
+    startSession(std::move(socket));
+    accept();
+  });
+}
+
+void AdminServer::acceptAfterPause() {
+  pause_.expires_after(kAcceptPause);
+  pause_.async_wait([this](error_code cancelled) {
+    if (!cancelled && acceptor_.is_open()) accept();
+  });
+}
+
+void AdminServer::startSession(tcp::socket&& socket) {
+  if (sessions_.size() >= limits_.maxConnections) {
+    const auto oldest = sessions_.front();
+    oldest->close();
+  }
+  const auto session = std::make_shared<Session>(*this, std::move(socket));
+  session->place = sessions_.insert(sessions_.end(), session);
+  session->start();
+}
+
+}  // namespace finchstile::ops
