--- a/src/ops/exposition.cpp
+++ b/src/ops/exposition.cpp
@@ -7,35 +7,42 @@
 namespace finchstile::ops {
 namespace {
 
-void type(std::string& out, std::string_view name, std::string_view what) {
-  out.append("# TYPE lb_").append(name).append(" ").append(what).append("\n");
+// Rough sizes, to allocate once.
+constexpr std::size_t kBytesWithoutClasses = 256;
+constexpr std::size_t kBytesPerClass = 192;
+
+void appendType(std::string& out, std::string_view name, std::string_view type) {
+  out.append("# TYPE lb_").append(name).append(" ").append(type).append("\n");
 }
 
-void one(std::string& out, std::string_view name, std::string_view what, std::uint64_t value) {
-  type(out, name, what);
+void appendValue(std::string& out, std::string_view name, std::string_view type, std::uint64_t value) {
+  appendType(out, name, type);
   out.append("lb_").append(name).append(" ").append(std::to_string(value)).append("\n");
 }
 
+void appendTransactions(std::string& out, const ClassMetrics& requestClass) {
+  const std::string series =
+      "lb_transactions_total{group=\"" + metricLabel(requestClass.name) + "\",state=\"";
+  out += series + "answered\"} " + std::to_string(requestClass.succeeded) + "\n";
+  out += series + "deferred\"} " + std::to_string(requestClass.rejected) + "\n";
+  out += series + "errored\"} " + std::to_string(requestClass.failed) + "\n";
+}
+
 }  // namespace
 
-std::string exposition(const GatewayMetrics& f, const ConfigMetrics& config) {
+std::string renderMetrics(const GatewayMetrics& metrics, const ConfigMetrics& config) {
   std::string out;
-  out.reserve(256 + 192 * f.classes.size());
-  type(out, "transactions_total", "counter");
-  for (const ClassMetrics& c : f.classes) {
-    const std::string head = "lb_transactions_total{group=\"" + metricLabel(c.name) + "\",state=\"";
-    out += head + "answered\"} " + std::to_string(c.succeeded) + "\n";
-    out += head + "deferred\"} " + std::to_string(c.rejected) + "\n";
-    out += head + "errored\"} " + std::to_string(c.failed) + "\n";
-  }
-  one(out, "sends_total", "counter", f.attemptsSent);
-  one(out, "current", "gauge", f.activeRequests);
-  one(out, "cluster_size", "gauge", f.listedHosts);
-  one(out, "cluster_unhealthy", "gauge", f.avoidedHosts);
-  one(out, "load_reports_total", "counter", f.loadReports);
-  one(out, "load_reports_spoilt_total", "counter", f.malformedLoadReports);
-  one(out, "conf_loaded_total", "counter", config.loaded);
-  one(out, "conf_invalid_total", "counter", config.invalid);
+  out.reserve(kBytesWithoutClasses + kBytesPerClass * metrics.classes.size());
+  appendType(out, "transactions_total", "counter");
+  for (const ClassMetrics& requestClass : metrics.classes) appendTransactions(out, requestClass);
+  appendValue(out, "sends_total", "counter", metrics.attemptsSent);
+  appendValue(out, "current", "gauge", metrics.activeRequests);
+  appendValue(out, "cluster_size", "gauge", metrics.listedHosts);
+  appendValue(out, "cluster_unhealthy", "gauge", metrics.avoidedHosts);
+  appendValue(out, "load_reports_total", "counter", metrics.loadReports);
+  appendValue(out, "load_reports_spoilt_total", "counter", metrics.malformedLoadReports);
+  appendValue(out, "conf_loaded_total", "counter", config.loaded);
+  appendValue(out, "conf_invalid_total", "counter", config.invalid);
   return out;
 }
 
--- a/src/ops/exposition.hpp
+++ b/src/ops/exposition.hpp
@@ -1,6 +1,7 @@
-// The figures as text, in the exposition format that scrapers of time series read (version 0.0.4). No I/O.
+// The metrics as text in the Prometheus exposition format, version 0.0.4. No I/O.
 #pragma once
 
+#include <cstdint>
 #include <string>
 
 #include "net/gateway_metrics.hpp"
@@ -8,11 +9,11 @@
 namespace finchstile::ops {
 
 struct ConfigMetrics {
-  std::uint64_t loaded = 0, invalid = 0;  // configurations taken and turned down since the start
+  std::uint64_t loaded = 0, invalid = 0;  // configurations applied and rejected since the start
 };
 
-// "lb_transactions_total{group="log-in",state="answered"} 812" and so on; classes in their order, all of them
-// from the start on.
-std::string exposition(const GatewayMetrics& figures, const ConfigMetrics& config);
+// Lines like "lb_transactions_total{group="log-in",state="answered"} 812". Every class has its lines from the
+// start, in the order of the classes.
+std::string renderMetrics(const GatewayMetrics& metrics, const ConfigMetrics& config);
 
 }  // namespace finchstile::ops
--- a/src/ops/host_cordon.hpp
+++ b/src/ops/host_cordon.hpp
@@ -1,13 +1,13 @@
-// Hosts that operators have taken out by hand. No I/O: what the list says goes in, what the gateway and the
-// module go by comes out.
+// The hosts that operators have cordoned. Decides what of an entry of the endpoint list is in force. No I/O.
 //
-//   list says   out by hand   in force
-//   active      no            active; for one that came back by hand, started at the call back at the
-//   earliest active      yes           draining: finishes what it has, gets nothing new leaving     either
-//   draining left        either        gone
+//   listed as   cordoned   in force
+//   active      no         active; a host that was uncordoned counts as started no earlier than that
+//   active      yes        draining: finishes what it has, gets nothing new
+//   draining    either     draining
+//   gone        either     gone
 //
-// A call out that comes twice is one; a single call back undoes both. What is out stays out whatever the list
-// says, also while the list does not name the host, and over a change of the process (`encode`).
+// A host that is cordoned twice is uncordoned by one call. It stays cordoned whatever the list says, also
+// while the list does not name it, and for the next process of the gateway (encode()).
 #pragma once
 
 #include <cstddef>
@@ -25,37 +25,40 @@
 
 class HostCordon {
  public:
-  static constexpr std::size_t kMaxHosts = 4096;  // hosts remembered; one more is turned down
+  static constexpr std::size_t kMaxHosts = 4096;  // remembered, cordoned or not
 
-  // False: there is no room. Out already: true, and nothing changes.
+  // Returns false if too many hosts are remembered. A host that is cordoned stays so.
   bool cordon(const std::string& host);
-  // True also if it was in. `now` by the gateway's clock: it counts as started no earlier, since nobody can
-  // tell what was done to it meanwhile and the list may tell late.
+
+  // `now`: of the gateway's clock. The host counts as started no earlier, since nobody can tell what was done
+  // to it meanwhile, and the list may report its restart late.
   void uncordon(const std::string& host, Time now);
 
   bool isCordoned(const std::string& host) const;
-  std::size_t count() const { return out_; }
-  bool knows(const std::string& host) const { return marks_.count(host) > 0; }
+  std::size_t count() const { return cordonedHosts_; }
+  bool isRemembered(const std::string& host) const { return hosts_.count(host) > 0; }
 
-  // What stands of an entry of the list.
+  // Changes an entry of the list to what is in force.
   void apply(load_balancing::HostEntry& entry) const;
-  // Forgets who came back by hand longer than `keep` ago: the list knows by then, and nobody is cold for
-  // longer.
+
+  // Forgets hosts that were uncordoned longer than `keep` ago. The list has reported their restart by then.
   void expire(Time now, Duration keep);
 
-  // As text for the next process: "finchstile-out 1", then a line for each host that is out, its name
-  // percent-encoded; last "end N". Unix time is not needed: who came back counts as just come back.
+  // The cordoned hosts as text for other processes: the line "finchstile-out 1", a line "out NAME" for each
+  // host with its name percent-encoded, and the line "end N" with their number.
   std::string encode() const;
-  // False, and nothing changed: the text is cut short or none of ours.
+
+  // Takes over such a text: hosts that it does not name are uncordoned at `now`. Returns false and changes
+  // nothing unless the text is complete and valid.
   bool decode(std::string_view text, Time now);
 
  private:
-  struct Mark {
-    bool out = false;
-    Time back{};  // came back by hand
+  struct HostState {
+    bool cordoned = false;
+    Time uncordonedAt{};
   };
-  std::map<std::string, Mark> marks_;
-  std::size_t out_ = 0;
+  std::map<std::string, HostState> hosts_;
+  std::size_t cordonedHosts_ = 0;
 };
 
 }  // namespace finchstile::ops
--- a/src/ops/state_file.cpp
+++ b/src/ops/state_file.cpp
@@ -11,43 +11,48 @@
 #include "base/descriptor.hpp"
 
 namespace finchstile::ops {
+namespace {
 
-std::optional<StateFile::Stamp> StateFile::look() const {
-  struct stat s {};
-  if (::stat(path_.c_str(), &s) != 0) return std::nullopt;
-  return Stamp{s.st_ino, s.st_size, s.st_mtim.tv_sec, s.st_mtim.tv_nsec};
+constexpr mode_t kFileMode = 0600;
+
+bool writeFile(const std::string& path, const std::string& text) {
+  const Descriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
+  if (file.get() < 0) return false;
+  for (std::size_t done = 0; done < text.size();) {
+    const ssize_t written = ::write(file.get(), text.data() + done, text.size() - done);
+    if (written <= 0) return false;
+    done += static_cast<std::size_t>(written);
+  }
+  return true;
+}
+
+}  // namespace
+
+std::optional<StateFile::Version> StateFile::currentVersion() const {
+  struct stat status {};
+  if (::stat(path_.c_str(), &status) != 0) return std::nullopt;
+  return Version{status.st_ino, status.st_size, status.st_mtim.tv_sec, status.st_mtim.tv_nsec};
 }
 
 bool StateFile::write(const std::string& text) {
-  // Two processes may write at once while one takes over from the other: each has a file of its own.
-  const std::string beside = path_ + "." + std::to_string(::getpid());
-  {
-    const Descriptor file(::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-    if (file.get() < 0) return false;
-    for (std::size_t done = 0; done < text.size();) {
-      const ssize_t n = ::write(file.get(), text.data() + done, text.size() - done);
-      if (n <= 0) {
-        ::unlink(beside.c_str());
-        return false;
-      }
-      done += static_cast<std::size_t>(n);
-    }
-  }
-  if (::rename(beside.c_str(), path_.c_str()) != 0) {
-    ::unlink(beside.c_str());
+  // While one process takes over from another both may write, so each uses a temporary file of its own.
+  const std::string temporaryPath = path_ + "." + std::to_string(::getpid());
+  if (!writeFile(temporaryPath, text) || ::rename(temporaryPath.c_str(), path_.c_str()) != 0) {
+    ::unlink(temporaryPath.c_str());
     return false;
   }
-  seen_ = look();
+  knownVersion_ = currentVersion();
   return true;
 }
 
 std::optional<std::string> StateFile::readIfChanged() {
-  const auto now = look();
-  if (!now || now == seen_) return std::nullopt;
+  const auto version = currentVersion();
+  if (!version || version == knownVersion_) return std::nullopt;
   std::ifstream file(path_, std::ios::binary);
   if (!file) return std::nullopt;
   std::string text{std::istreambuf_iterator<char>(file), {}};
-  seen_ = now;  // a change after the look shows at the next one
+  // A version written after currentVersion() is read again by the next call.
+  knownVersion_ = version;
   return text;
 }
 
--- a/src/ops/state_file.hpp
+++ b/src/ops/state_file.hpp
@@ -1,10 +1,11 @@
-// A small file that processes of one gateway share: written whole or not at all, read when it has changed.
+// A small file that the processes of one gateway share. It is replaced as a whole, and read when it has
+// changed.
 #pragma once
 
 #include <cstdint>
 #include <optional>
 #include <string>
-#include <tuple>
+#include <utility>
 
 namespace finchstile::ops {
 
@@ -13,18 +14,26 @@
   explicit StateFile(std::string path) : path_(std::move(path)) {}
 
   const std::string& path() const { return path_; }
-  // By a temporary file beside it and a rename. False: the old content stands.
+
+  // Writes a temporary file beside it and renames that. Returns false if the old content stays.
   bool write(const std::string& text);
-  // What another process has written since the last look; the first look finds whatever is there.
+
+  // What another process has written since the last call. The first call returns whatever is there. Nothing
+  // if the file has not changed, or cannot be read.
   std::optional<std::string> readIfChanged();
 
  private:
-  using Stamp =
-      std::tuple<std::uint64_t, std::int64_t, std::int64_t, std::int64_t>;  // inode, size, time of change
-  std::optional<Stamp> look() const;
+  // Differs for each version of the file: a rename brings another inode.
+  struct Version {
+    std::uint64_t inode = 0;
+    std::int64_t bytes = 0;
+    std::int64_t modifiedSeconds = 0, modifiedNanoseconds = 0;
+    bool operator==(const Version& other) const = default;
+  };
+  std::optional<Version> currentVersion() const;
 
   std::string path_;
-  std::optional<Stamp> seen_;
+  std::optional<Version> knownVersion_;
 };
 
 }  // namespace finchstile::ops
--- a/src/wal/log.hpp
+++ b/src/wal/log.hpp
@@ -1,16 +1,7 @@
-// An append-only log of records in segments, with sums, a bounded size, and a recovery that tells a torn tail
-// from a damaged middle. It knows nothing of what the records mean.
+// An append-only log of records, in segments with checksums (segment_format.hpp) and of a bounded total size.
+// Its recovery tells a tail that a crash has torn from damage. The meaning of the records is up to the owner.
 //
-// Segment `log-NNNNNNNN`: blocks of 32 KiB. A record is cut into fragments that never cross a block:
-//   u32 CRC-32 of all that follows in the fragment, u16 length, u8 kind (whole, first, middle, last), payload
-// so that reading can go on at the next block behind damage. What is left of a block and too short for a
-// fragment's head is zeros. A segment's first record is its head: "FWAL1", u8 1 for a snapshot, which stands
-// for all before it, and u64: how many bytes of the segment before it count, since a tail that was cut stays
-// where it is (all ones: all; one less: not known when it was begun). In the last case a fragment of kind
-// `mark` with the u64 number of the older segment follows once that one has been synced: only from then on is
-// something unreadable in it damage, and not a tail that a crash cut.
-//
-// Syncs may be carried out by another thread, one at a time; all else belongs to one thread.
+// The log belongs to one thread, except that SyncTask::run() may be called on another.
 #pragma once
 
 #include <algorithm>
@@ -23,102 +14,115 @@
 #include <string_view>
 #include <vector>
 
-#include "wal/env.hpp"
+#include "wal/log_directory.hpp"
+#include "wal/log_recovery.hpp"
+#include "wal/segment_format.hpp"
 
 namespace finchstile::wal {
 
-inline constexpr std::size_t kBlock = std::size_t{32} * 1024;
-inline constexpr std::size_t kRecordMost = std::size_t{256} * 1024;  // bytes
-
-struct Options {
-  std::size_t segmentBytes = std::size_t{4} * 1024 * 1024;  // a new segment behind this
-  std::size_t totalBytes =
-      std::size_t{64} * 1024 * 1024;  // `wantsSnapshot` from half of this on; appends fail behind it
-};
+class SegmentWriter;
 
-struct Recovery {
-  std::size_t records = 0, segments = 0;
-  std::size_t cutBytes = 0;  // of a torn tail and all behind it: writes that a crash cut short, none synced
-  bool damaged = false;      // records in the middle are lost: what they told has to be taken for unknown
-  std::string what;          // where, for the operator
+struct LogOptions {
+  std::size_t maxSegmentBytes = std::size_t{4} * 1024 * 1024;  // a longer segment is followed by a new one
+  std::size_t maxTotalBytes = std::size_t{64} * 1024 * 1024;   // of all segments; append() fails beyond it
 };
 
 class Log {
  public:
-  // Makes what was appended before it outlive a crash of the machine.
-  struct Sync {
-    std::vector<std::shared_ptr<File>> files;  // in the order of their segments
-    Env* env = nullptr;                        // its folder as well, if not null
-    std::uint64_t upTo = 0;                    // appended() when it was begun
-    std::uint64_t closedThrough = 0;           // segments whole by it
-    // The only function that any thread may call. False: nothing can be relied on.
-    bool carryOut() const;
+  // Makes everything that was appended before beginSync() outlive a crash of the machine.
+  struct SyncTask {
+    std::vector<std::shared_ptr<LogFile>> files;  // in the order of their segments
+    LogDirectory* directory = nullptr;            // synced as well unless null
+    std::uint64_t throughRecord = 0;              // appendedRecords() at the start of the sync
+    std::uint64_t throughSegment = 0;             // closed segments up to this number are synced to their end
+
+    // May be called on any thread. Returns false on failure.
+    bool run() const;
   };
 
-  Log(Env& env, const Options& options);
+  // Writes one record of a snapshot; given to the caller of writeSnapshot().
+  using PutRecord = std::function<void(std::string_view record)>;
+
+  // `directory` must outlive the log.
+  Log(LogDirectory& directory, const LogOptions& options);
   ~Log();
 
-  // Once, first. Calls `each` for each record in order, and begins a new segment: what was there is never
-  // appended to. False: the records are good, but the log takes none (`broken`).
-  bool recover(const std::function<void(std::string_view record)>& each, Recovery& recovery);
+  // To be called once, before anything else. Calls `onRecord` for each record in order and begins a new
+  // segment; segments of earlier processes are not appended to. Returns false if the log accepts no records
+  // (failed()); the recovered ones are good all the same.
+  bool recover(const OnRecord& onRecord, RecoveryReport& report);
 
-  // Stands at the beginning of each segment from the next one on: what the records behind it need to be read.
-  // Asked for when a segment is begun; set before recover().
-  void preamble(std::function<std::string()> record) { preamble_ = std::move(record); }
+  // `record` returns a record that each segment begins with, which the records after it need to be read. It
+  // is called when a segment is begun. To be set before recover().
+  void setPreamble(std::function<std::string()> record) { preamble_ = std::move(record); }
 
-  // False: the record may or may not come back at recovery, and the log takes no more; `broken` from then on.
-  // Or there is no room for it (not broken): `dropThrough` or a snapshot make some. It outlives the process
-  // when this returns, and a crash of the machine when a later sync has succeeded.
+  // Returns true if the record outlives this process; it outlives a crash of the machine after the next
+  // successful sync. Returns false if there is no room, which removeSegmentsThrough() or a snapshot makes, or
+  // if the log has failed. Then the record may or may not be there at the next recovery, and the log accepts
+  // no more.
   bool append(std::string_view record);
-  std::uint64_t appended() const { return appended_; }  // records, by this object
-  std::uint64_t synced() const { return synced_; }      // so many of them outlive a crash
-
-  // One at a time: begun, carried out here or elsewhere, and ended here. Nothing: all is synced.
-  std::optional<Sync> beginSync();
-  bool endSync(const Sync& sync, bool good);
-  bool sync();  // all three
-  // An older segment waits to be synced: until then a crash in it cuts all that came later.
-  bool wantsSync() const { return !closing_.empty(); }
-  bool broken() const { return broken_; }
-
-  std::uint64_t segment() const { return number_; }  // that is written now
-  // Removes the segments up to that one, but for the one that is written: their records are worth nothing
-  // now.
-  void dropThrough(std::uint64_t segment);
-
-  // Writes the records that `all` gives as a snapshot and drops what came before it. Whole or not at all: on
-  // false the old segments stand, and the log goes on or is broken.
-  bool wantsSnapshot() const { return bytes() > options_.totalBytes / 2; }
-  bool snapshot(const std::function<void(const std::function<void(std::string_view)>& put)>& all);
-
-  std::size_t bytes() const;  // in all segments
-  // Nine tenths are in use: what may be left out should be.
-  bool nearlyFull() const { return room() < options_.totalBytes / 10; }
-  std::size_t room() const { return options_.totalBytes - std::min(bytes(), options_.totalBytes); }
+  std::uint64_t appendedRecords() const { return appendedRecords_; }  // by this object
+  std::uint64_t syncedRecords() const { return syncedRecords_; }      // that outlive a crash of the machine
+
+  // One sync at a time: beginSync(), SyncTask::run() on any thread, endSync() with its result. beginSync()
+  // returns nothing if all is synced, a sync is under way, or the log has failed.
+  std::optional<SyncTask> beginSync();
+  bool endSync(const SyncTask& task, bool succeeded);
+  // All three. Returns false on failure, or if a sync is under way.
+  bool sync();
+  // Whether a closed segment waits to be synced. Until it is, a crash that tears it cuts off all segments
+  // after it.
+  bool needsSync() const { return !unsyncedSegments_.empty(); }
+
+  bool failed() const { return failed_; }
+
+  // The number of the segment that is written.
+  std::uint64_t currentSegment() const { return segmentNumber_; }
+  // Removes the segments up to that number, except the current one. Segments that cannot be removed are tried
+  // again by the next call.
+  void removeSegmentsThrough(std::uint64_t segment);
+
+  // Replaces all segments by the records that `writeRecords` puts. Returns false if the old segments stay;
+  // the log goes on then, unless it has failed.
+  bool needsSnapshot() const { return bytes() > options_.maxTotalBytes / 2; }
+  bool writeSnapshot(const std::function<void(const PutRecord& put)>& writeRecords);
+
+  std::size_t bytes() const;  // of all segments
+  std::size_t remainingBytes() const {
+    return options_.maxTotalBytes - std::min(bytes(), options_.maxTotalBytes);
+  }
+  // Less than a tenth of the size remains, which is for records that must not be left out.
+  bool nearlyFull() const { return remainingBytes() < options_.maxTotalBytes / 10; }
 
  private:
-  class Writer;
-  struct Segment {
+  struct OlderSegment {
     std::uint64_t number = 0;
     std::size_t bytes = 0;
   };
-  struct Closing {
+  struct UnsyncedSegment {
     std::uint64_t number = 0;
-    std::shared_ptr<File> file;
+    std::shared_ptr<LogFile> file;
   };
-  std::unique_ptr<Writer> begin(const std::string& name, bool snapshot, std::uint64_t countsBefore);
-  static std::string nameOf(std::uint64_t number);
 
-  Env& env_;
-  Options options_;
+  std::unique_ptr<SegmentWriter> beginSegment(const std::string& name, const SegmentHeader& header);
+  bool beginNextSegment();
+  void addOlderSegment(std::uint64_t number, std::size_t bytes);
+  void replaceSegments(std::unique_ptr<SegmentWriter> snapshot);
+  void removeSegmentFilesThrough(std::uint64_t segment);
+  bool fail();
+
+  LogDirectory& directory_;
+  LogOptions options_;
   std::function<std::string()> preamble_;
-  std::unique_ptr<Writer> writer_;
-  std::uint64_t number_ = 0;     // of the segment that is written
-  std::deque<Segment> older_;    // before it
-  std::deque<Closing> closing_;  // of those: not synced to their end yet
+  std::unique_ptr<SegmentWriter> writer_;
+  std::uint64_t segmentNumber_ = 0;
+  std::deque<OlderSegment> olderSegments_;        // closed, oldest first
+  std::deque<UnsyncedSegment> unsyncedSegments_;  // of these: not synced to their end
   std::size_t olderBytes_ = 0;
-  std::uint64_t appended_ = 0, synced_ = 0;
-  bool folderChanged_ = false, syncing_ = false, broken_ = false;
+  std::uint64_t appendedRecords_ = 0, syncedRecords_ = 0;
+  bool directoryChanged_ = false;  // since it was synced
+  bool syncing_ = false;
+  bool failed_ = false;
 };
 
 }  // namespace finchstile::wal
--- /dev/null
+++ b/src/wal/log_recovery.cpp
@@ -0,0 +1,147 @@
+#include "wal/log_recovery.hpp"
+
+#include <algorithm>
+
+namespace finchstile::wal {
+namespace {
+
+void ignoreRecord(std::string_view /*record*/) {}
+
+}  // namespace
+
+void LogRecovery::selectSegments() {
+  findSegments();
+  readSegments();
+  removeUnstartedSegments();
+  removeSegmentsBeforeSnapshot();
+  // A check may remove the segments after the one that it is about.
+  for (std::size_t i = 0; i < segments_.size(); ++i) checkSegment(i);
+}
+
+void LogRecovery::findSegments() {
+  for (const std::string& name : directory_.list()) {
+    if (name == kUnfinishedSnapshotName) directory_.remove(name);
+    const std::uint64_t number = segmentNumber(name);
+    if (number == 0) continue;
+    Segment segment;
+    segment.number = number;
+    segment.name = name;
+    segments_.push_back(std::move(segment));
+  }
+  std::sort(segments_.begin(), segments_.end(),
+            [](const Segment& a, const Segment& b) { return a.number < b.number; });
+  if (!segments_.empty()) newestNumber_ = segments_.back().number;
+}
+
+std::string LogRecovery::contentOf(const Segment& segment) const {
+  return directory_.read(segment.name).value_or("");
+}
+
+// One segment at a time is in memory. All are read before any is judged, since whether an unreadable part is
+// a torn tail shows in later segments.
+void LogRecovery::readSegments() {
+  for (Segment& segment : segments_) {
+    const std::string bytes = contentOf(segment);
+    segment.contents = readSegment(bytes, ignoreRecord);
+    segment.bytes = bytes.size();
+    segment.countedBytes = bytes.size();
+    const auto& marks = segment.contents.syncedSegments;
+    knownSyncedSegments_.insert(marks.begin(), marks.end());
+  }
+}
+
+void LogRecovery::removeFrom(std::size_t index) {
+  while (segments_.size() > index) {
+    report_.truncatedBytes += segments_.back().bytes;
+    directory_.remove(segments_.back().name);
+    segments_.pop_back();
+  }
+}
+
+// A segment whose header is not complete was being begun at the crash, and none of its records was relied on.
+void LogRecovery::removeUnstartedSegments() {
+  while (!segments_.empty()) {
+    const SegmentContents& contents = segments_.back().contents;
+    if (contents.hasHeader || contents.readableAfterUnreadable) return;
+    removeFrom(segments_.size() - 1);
+  }
+}
+
+void LogRecovery::removeSegmentsBeforeSnapshot() {
+  std::size_t first = 0;
+  for (std::size_t i = 0; i < segments_.size(); ++i)
+    if (segments_[i].contents.header.snapshot) first = i;
+  for (std::size_t i = 0; i < first; ++i) directory_.remove(segments_[i].name);
+  segments_.erase(segments_.begin(), segments_.begin() + static_cast<std::ptrdiff_t>(first));
+}
+
+void LogRecovery::describe(const Segment& segment, const char* what, std::size_t number) {
+  if (!report_.description.empty()) report_.description += "; ";
+  report_.description += segment.name + what + std::to_string(number);
+}
+
+void LogRecovery::checkSegment(std::size_t index) {
+  Segment& segment = segments_[index];
+  const Segment* const next = index + 1 < segments_.size() ? &segments_[index + 1] : nullptr;
+  const bool nextFollows = next && next->number == segment.number + 1;
+  // Records lost from an older segment make all later ones worthless, unless it is known that the older one
+  // was synced to its end before the later ones were written.
+  const bool wasSynced = knownSyncedSegments_.count(segment.number) > 0 ||
+                         (nextFollows && next->contents.header.previousBytes != kUnknownBytes);
+  if (nextFollows && next->contents.header.previousBytes < segment.bytes) {
+    segment.countedBytes = next->contents.header.previousBytes;
+    const std::string bytes = contentOf(segment);
+    segment.contents = readSegment(std::string_view(bytes).substr(0, segment.countedBytes), ignoreRecord);
+  }
+  if (next && !nextFollows) {
+    report_.damaged = true;
+    describe(segment, ": none follows it, missing is ", segment.number + 1);
+  }
+  if (!segment.contents.unreadable) return;
+  if (segment.contents.readableAfterUnreadable || (next && (wasSynced || !nextFollows))) {
+    report_.damaged = true;
+    describe(segment, ": damaged behind byte ", segment.contents.readableBytes);
+    return;
+  }
+  report_.truncatedBytes += segment.countedBytes - segment.contents.readableBytes;
+  segment.countedBytes = segment.contents.readableBytes;
+  describe(segment, ": cut at byte ", segment.contents.readableBytes);
+  removedTail_ = next != nullptr;
+  removeFrom(index + 1);
+}
+
+bool LogRecovery::makeDurable() {
+  // On a file system that does not order the two, a removed segment could come back after a crash, behind a
+  // new one that uses its number.
+  if (removedTail_ && !directory_.syncDirectory()) return false;
+  // What a killed process has written may be in memory only. It must not be lost in a crash once later
+  // records are synced.
+  for (const Segment& segment : segments_) {
+    if (knownSyncedSegments_.count(segment.number) > 0) continue;
+    if (!directory_.sync(segment.name)) return false;
+  }
+  return true;
+}
+
+void LogRecovery::deliver(const OnRecord& onRecord) {
+  for (const Segment& segment : segments_) {
+    const std::string bytes = contentOf(segment);
+    readSegment(std::string_view(bytes).substr(0, segment.countedBytes), [&](std::string_view record) {
+      ++report_.records;
+      onRecord(record);
+    });
+    ++report_.segments;
+  }
+}
+
+std::uint64_t LogRecovery::nextNumber() const {
+  return segments_.empty() ? newestNumber_ + 1 : segments_.back().number + 1;
+}
+
+std::uint64_t LogRecovery::countedBytesOfLast() const {
+  if (segments_.empty()) return kAllBytes;
+  const Segment& last = segments_.back();
+  return last.countedBytes == last.bytes ? kAllBytes : last.countedBytes;
+}
+
+}  // namespace finchstile::wal
--- a/src/wal/sync_runner.hpp
+++ b/src/wal/sync_runner.hpp
@@ -1,4 +1,4 @@
-// Who carries a log's syncs out.
+// Runs the sync tasks of a log.
 #pragma once
 
 #include <functional>
@@ -10,8 +10,10 @@
 class SyncRunner {
  public:
   virtual ~SyncRunner() = default;
-  // One at a time. `done` is called on the thread of the log's owner, now or later.
-  virtual void run(const Log::Sync& sync, std::function<void(bool good)> done) = 0;
+
+  // Called for one task at a time. `done` is called on the thread of the log's owner, during this call or
+  // later, with the result of the task.
+  virtual void run(const Log::SyncTask& task, std::function<void(bool succeeded)> done) = 0;
 };
 
 }  // namespace finchstile::wal
--- a/src/wal/sync_thread.hpp
+++ b/src/wal/sync_thread.hpp
@@ -1,4 +1,5 @@
-// Syncs on a thread of their own: a disk may take seconds for one, and a loop must not.
+// Runs sync tasks on a thread of its own, since a disk may take seconds for one and an event loop must not
+// wait.
 #pragma once
 
 #include <condition_variable>
@@ -13,23 +14,27 @@
 
 class SyncThread : public SyncRunner {
  public:
-  // `post` hands a call over to the owner's thread; any thread may call it.
+  // `post` passes a call to the owner's thread. It is called on the sync thread.
   explicit SyncThread(std::function<void(std::function<void()>)> post);
-  ~SyncThread() override;  // waits for the one that is under way; its `done` may not be called any more
+  // Waits for the task that runs. Its `done` may not be called any more.
+  ~SyncThread() override;
   SyncThread(const SyncThread&) = delete;
   SyncThread& operator=(const SyncThread&) = delete;
 
-  void run(const Log::Sync& sync, std::function<void(bool good)> done) override;
+  void run(const Log::SyncTask& task, std::function<void(bool succeeded)> done) override;
 
  private:
-  using Job = std::pair<Log::Sync, std::function<void(bool)>>;
-  void work();
+  struct Job {
+    Log::SyncTask task;
+    std::function<void(bool)> done;
+  };
+  void runJobs();
 
   const std::function<void(std::function<void()>)> post_;
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::optional<Job> job_;  // taken by the thread when it begins with it
-  bool ending_ = false;
+  std::optional<Job> nextJob_;
+  bool stopping_ = false;
   std::thread thread_;
 };
 
--- a/tests/drain/plan_test.cpp
+++ b/tests/drain/plan_test.cpp
@@ -1,4 +1,4 @@
-// The instants of a drain, over the whole grid of deadlines, settings and lags.
+// The times of a drain, for a grid of deadlines, settings and lags.
 #include "drain/plan.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
         for (const bool shared : {false, true})
           for (const Duration lag :
                {Duration{}, Duration(milliseconds(30)), Duration(milliseconds(150)), Duration(seconds(5))}) {
-            Plan plan(kTold, {longest, serveFor, shared});
+            DrainPlan plan(kTold, {longest, serveFor, shared});
             plan.onLag(lag);
             SCOPED_TRACE("longest " + std::to_string(longest.count()) + " serve " +
                          std::to_string(serveFor.count()) + " shared " + std::to_string(shared) + " lag " +
@@ -31,61 +31,61 @@
   }
 };
 
-TEST_F(DrainGrid, TheInstantsFollowOneAnother) {
-  each([](const Plan& p, Duration, Duration, bool, Duration) {
-    EXPECT_LE(kTold, p.serveUntil());
-    EXPECT_LE(p.serveUntil(), p.closeListener());
-    EXPECT_LE(p.acceptUntil(), p.closeListener());
-    EXPECT_LT(p.closeListener(), p.lastCall());
-    EXPECT_LT(p.lastCall(), p.exit());
-    EXPECT_LT(p.exit(), p.kill());
+TEST_F(DrainGrid, TimesAreOrdered) {
+  each([](const DrainPlan& p, Duration, Duration, bool, Duration) {
+    EXPECT_LE(kTold, p.serveDeadline());
+    EXPECT_LE(p.serveDeadline(), p.listenerCloseTime());
+    EXPECT_LE(p.acceptDeadline(), p.listenerCloseTime());
+    EXPECT_LT(p.listenerCloseTime(), p.finalResponseTime());
+    EXPECT_LT(p.finalResponseTime(), p.exitTime());
+    EXPECT_LT(p.exitTime(), p.killTime());
   });
 }
 
-// The protocol's words: the longest deadline, 3 s at most, and 0.7 s.
-TEST_F(DrainGrid, TheKillIsThePlatforms) {
-  each([](const Plan& p, Duration longest, Duration, bool, Duration) {
-    EXPECT_EQ(p.kill() - kTold, std::min<Duration>(longest, seconds(3)) + milliseconds(700));
+// The platform's rule: the longest deadline, of which at most 3 s count, plus 0.7 s.
+TEST_F(DrainGrid, KillTimeFollowsThePlatformsRule) {
+  each([](const DrainPlan& p, Duration longest, Duration, bool, Duration) {
+    EXPECT_EQ(p.killTime() - kTold, std::min<Duration>(longest, seconds(3)) + milliseconds(700));
   });
 }
 
-TEST_F(DrainGrid, AFifthOfASecondIsLeftBeforeTheKillAndWhatTheLoopLags) {
-  each([](const Plan& p, Duration, Duration, bool, Duration lag) {
-    EXPECT_EQ(p.kill() - p.exit(), milliseconds(200) + std::min<Duration>(lag, milliseconds(200)));
+TEST_F(DrainGrid, ExitLeavesMarginAndLagBeforeKill) {
+  each([](const DrainPlan& p, Duration, Duration, bool, Duration lag) {
+    EXPECT_EQ(p.killTime() - p.exitTime(), milliseconds(200) + std::min<Duration>(lag, milliseconds(200)));
   });
 }
 
-// New connections go on coming for up to 0.4 s after the signal.
-TEST_F(DrainGrid, FrontsFindTheListenerForAsLongAsTheyConnect) {
-  each([](const Plan& p, Duration, Duration, bool, Duration lag) {
-    if (lag < milliseconds(100)) EXPECT_GE(p.acceptUntil() - kTold, milliseconds(370));
-    else EXPECT_GE(p.acceptUntil() - kTold, milliseconds(200));
+// New connections come for up to 0.4 s after the signal.
+TEST_F(DrainGrid, ListenerAcceptsWhileLoadBalancersConnect) {
+  each([](const DrainPlan& p, Duration, Duration, bool, Duration lag) {
+    if (lag < milliseconds(100)) EXPECT_GE(p.acceptDeadline() - kTold, milliseconds(370));
+    else EXPECT_GE(p.acceptDeadline() - kTold, milliseconds(200));
   });
 }
 
-// Whoever asks while connections are served on has time for an answer.
-TEST_F(DrainGrid, ServingEndsHalfASecondBeforeTheLastCall) {
-  each([](const Plan& p, Duration longest, Duration serveFor, bool shared, Duration lag) {
-    if (p.serveUntil() > kTold) EXPECT_GE(p.lastCall() - p.serveUntil(), milliseconds(540));
-    EXPECT_LE(p.serveUntil() - kTold, serveFor);
-    if (shared) EXPECT_EQ(p.serveUntil(), kTold);
+// A request that comes while connections are served has time for a response.
+TEST_F(DrainGrid, ServingEndsHalfASecondBeforeFinalResponses) {
+  each([](const DrainPlan& p, Duration longest, Duration serveFor, bool shared, Duration lag) {
+    if (p.serveDeadline() > kTold) EXPECT_GE(p.finalResponseTime() - p.serveDeadline(), milliseconds(540));
+    EXPECT_LE(p.serveDeadline() - kTold, serveFor);
+    if (shared) EXPECT_EQ(p.serveDeadline(), kTold);
     if (!shared && serveFor > seconds(3) && lag == Duration{})
-      EXPECT_EQ(p.serveUntil() - kTold,
+      EXPECT_EQ(p.serveDeadline() - kTold,
                 std::max<Duration>(Duration{}, std::min<Duration>(longest, seconds(3)) - milliseconds(100)));
   });
 }
 
-TEST(DrainPlan, TheWorstLagCountsAndNonsenseDoesNot) {
-  Plan p(kTold, {seconds(1), hours(1), false});
-  const Time calm = p.exit();
+TEST(DrainPlan, UsesWorstLagAndIgnoresNegativeOnes) {
+  DrainPlan p(kTold, {seconds(1), hours(1), false});
+  const Time calm = p.exitTime();
   p.onLag(-seconds(1));
-  EXPECT_EQ(p.exit(), calm);
+  EXPECT_EQ(p.exitTime(), calm);
   p.onLag(milliseconds(80));
   p.onLag(milliseconds(20));
-  EXPECT_EQ(calm - p.exit(), milliseconds(80));
-  const Plan odd(kTold, {-seconds(5), -seconds(1), false});
-  EXPECT_EQ(odd.kill(), kTold + milliseconds(700));
-  EXPECT_EQ(odd.serveUntil(), kTold);
+  EXPECT_EQ(calm - p.exitTime(), milliseconds(80));
+  const DrainPlan odd(kTold, {-seconds(5), -seconds(1), false});
+  EXPECT_EQ(odd.killTime(), kTold + milliseconds(700));
+  EXPECT_EQ(odd.serveDeadline(), kTold);
 }
 
 }  // namespace
--- a/tests/fuzz/idempotency_record.cpp
+++ b/tests/fuzz/idempotency_record.cpp
@@ -1,8 +1,8 @@
-// Any bytes as a record of the log of keyed requests: what is taken for one has one form only.
+// Decodes any bytes as a record of the idempotency log. A valid record has exactly one encoding.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
-#include "idempotency/record.hpp"
+#include "idempotency/log_record.hpp"
 
 using namespace finchstile::idempotency;
 
--- a/tests/handover/channel_test.cpp
+++ b/tests/handover/channel_test.cpp
@@ -1,4 +1,4 @@
-// What two processes of one gateway say to each other, and the socket that carries it.
+// The channel between two processes of one gateway, and the listener that waits for it.
 #include "handover/channel.hpp"
 
 #include <fcntl.h>
@@ -9,6 +9,7 @@
 
 #include <cstring>
 
+#include "handover/listener.hpp"
 #include "support/process.hpp"
 #include "support/run_until.hpp"
 
@@ -18,50 +19,22 @@
 using testing::Folder;
 using testing::runUntil;
 
-TEST(HandoverMessage, EachKindComesBackAsItWas) {
-  for (const Kind kind : {Kind::hello, Kind::welcome, Kind::client, Kind::bye}) {
-    const bool named = kind == Kind::hello || kind == Kind::welcome;
-    const auto m = decode(encode({kind, "n 3"}), kind == Kind::client);
-    ASSERT_TRUE(m);
-    EXPECT_EQ(m->kind, kind);
-    EXPECT_EQ(m->text, named ? "n 3" : "");
+HandoverListenerError::Code errorOf(const std::string& path) {
+  boost::asio::io_context io;
+  try {
+    const HandoverListener listener(io, path, {});
+  } catch (const HandoverListenerError& error) {
+    EXPECT_EQ(std::string(error.what()).substr(0, path.size() + 2), path + ": ");
+    return error.code();
   }
-  EXPECT_EQ(decode(encode({Kind::hello, std::string(900, 'x')}), 0)->text.size(), kNameMost);
-  EXPECT_EQ(decode(encode({Kind::learned, std::string(60'000, 'x')}), 0)->text.size(), 60'000u);
-  EXPECT_FALSE(decode(encode({Kind::learned, "x"}), 1));
-}
-
-TEST(HandoverMessage, WhatIsNotExactlySoIsTurnedDown) {
-  const std::string good = encode({Kind::hello, "n3"}), client = encode({Kind::client, {}});
-  for (std::size_t cut = 0; cut < 8; ++cut) EXPECT_FALSE(decode(good.substr(0, cut), 0)) << cut;
-  for (std::size_t at = 0; at < 8; ++at)
-    for (int bit = 0; bit < 8; ++bit) {
-      std::string bad = client;
-      bad[at] = static_cast<char>(bad[at] ^ (1 << bit));
-      EXPECT_FALSE(decode(bad, 1)) << at << " " << bit;
-    }
-  EXPECT_FALSE(decode(client + "x", 1));
-  EXPECT_FALSE(decode(client, 0));  // a client without its descriptor
-  EXPECT_FALSE(decode(client, 2));
-  EXPECT_FALSE(decode(good, 1));  // a descriptor that nobody knows what to do with
-  EXPECT_FALSE(decode(good + std::string(kNameMost, 'x'), 0));
-}
-
-// The two processes may be of different versions: the form is pinned by literal bytes of each kind.
-TEST(HandoverMessage, BytesOfEachKindAreFixed) {
-  using namespace std::string_literals;
-  EXPECT_EQ(encode({Kind::hello, "n3"}), "fsho\x01\x01\0\0n3"s);
-  EXPECT_EQ(encode({Kind::welcome, "n3"}), "fsho\x01\x02\0\0n3"s);
-  EXPECT_EQ(encode({Kind::client, ""}), "fsho\x01\x03\0\0"s);
-  EXPECT_EQ(encode({Kind::bye, ""}), "fsho\x01\x04\0\0"s);
-  EXPECT_EQ(encode({Kind::learned, "{}"}), "fsho\x01\x05\0\0{}"s);
+  throw std::logic_error(path + " can be listened at");
 }
 
 struct ChannelTest : ::testing::Test {
   boost::asio::io_context io;
   Folder folder;
   std::shared_ptr<Channel> one, two;
-  std::vector<Kind> heard;
+  std::vector<MessageKind> heard;
   std::vector<std::unique_ptr<Descriptor>> clients;
   int ends = 0, raw = -1;
 
@@ -70,7 +43,7 @@
       heard.push_back(m.kind);
       if (fd) clients.push_back(std::move(fd));
     };
-    c->onEnd = [this] { ++ends; };
+    c->onClosed = [this] { ++ends; };
     c->start();
   }
   void pair() {
@@ -80,7 +53,7 @@
     two = std::make_shared<Channel>(io, fds[1]);
     listen(two);
   }
-  void rawPair() {  // the other side says whatever a test likes
+  void rawPair() {  // the test writes raw bytes at the other end
     int fds[2];
     ASSERT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK, 0, fds), 0);
     raw = fds[0];
@@ -97,14 +70,14 @@
   }
 };
 
-TEST_F(ChannelTest, AConnectionThatIsGivenAwayGoesOnAtTheOtherEnd) {
+TEST_F(ChannelTest, HandedOverConnectionContinuesAtPeer) {
   pair();
   int ends_[2];
   ASSERT_EQ(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends_), 0);
-  ASSERT_EQ(::write(ends_[0], "before", 6), 6);  // unread when it goes
-  ASSERT_EQ(one->send({Kind::client, {}}, ends_[1]), Channel::Sent::done);
+  ASSERT_EQ(::write(ends_[0], "before", 6), 6);  // unread at the handover
+  ASSERT_EQ(one->send({MessageKind::connection, {}}, ends_[1]), Channel::SendResult::sent);
   ::close(ends_[1]);
-  ASSERT_EQ(one->send({Kind::bye, {}}), Channel::Sent::done);
+  ASSERT_EQ(one->send({MessageKind::finished, {}}), Channel::SendResult::sent);
   ASSERT_TRUE(runUntil(io, [&] { return heard.size() == 2; }));
   ASSERT_EQ(clients.size(), 1u);
   char bytes[16];
@@ -116,26 +89,27 @@
   ::close(ends_[0]);
 }
 
-// Hard case: the other side does not read. Nothing is lost or sent twice; it is asked again.
-TEST_F(ChannelTest, AFullChannelSaysSoAndGoesOnLater) {
+// The peer does not read. Nothing is lost or sent twice, and sending continues later.
+TEST_F(ChannelTest, ReportsWouldBlockAndContinuesLater) {
   pair();
   const int fd = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
   std::size_t sent = 0;
-  Channel::Sent last{};
-  while ((last = one->send({Kind::client, {}}, fd)) == Channel::Sent::done && sent < 100000) ++sent;
-  EXPECT_EQ(last, Channel::Sent::full);
+  Channel::SendResult last{};
+  while ((last = one->send({MessageKind::connection, {}}, fd)) == Channel::SendResult::sent && sent < 100000)
+    ++sent;
+  EXPECT_EQ(last, Channel::SendResult::wouldBlock);
   EXPECT_GT(sent, 0u);
   ASSERT_TRUE(runUntil(io, [&] { return heard.size() == sent; }));
-  EXPECT_EQ(one->send({Kind::client, {}}, fd), Channel::Sent::done);
+  EXPECT_EQ(one->send({MessageKind::connection, {}}, fd), Channel::SendResult::sent);
   ASSERT_TRUE(runUntil(io, [&] { return heard.size() == sent + 1; }));
   EXPECT_EQ(clients.size(), sent + 1);
   ::close(fd);
 }
 
-TEST_F(ChannelTest, NoiseEndsItAndLeavesNoDescriptorOpen) {
-  const std::string client = encode({Kind::client, {}});
+TEST_F(ChannelTest, ClosesOnInvalidInputWithoutLeakingDescriptors) {
+  const std::string client = encode({MessageKind::connection, {}});
   for (const std::string& bytes :
-       {std::string("noise"), encode({Kind::hello, "n"}), client + "x", std::string(70'000, 'x')}) {
+       {std::string("noise"), encode({MessageKind::hello, "n"}), client + "x", std::string(70'000, 'x')}) {
     rawPair();
     const std::size_t before = openDescriptors();
     int fds[3] = {0, 0, 0};
@@ -156,42 +130,45 @@
     const int seen = ends;
     ASSERT_TRUE(runUntil(io, [&] { return ends == seen + 1; }));
     EXPECT_TRUE(heard.empty());
-    EXPECT_EQ(openDescriptors(), before - 1);  // its own socket is closed too
+    EXPECT_EQ(openDescriptors(), before - 1);  // its own socket is closed as well
     ::close(std::exchange(raw, -1));
   }
 }
 
-TEST_F(ChannelTest, TheEndOfTheOtherProcessIsToldOnce) {
+TEST_F(ChannelTest, ReportsPeerCloseOnce) {
   pair();
   one->close();
-  EXPECT_EQ(one->send({Kind::bye, {}}), Channel::Sent::broken);
+  EXPECT_EQ(one->send({MessageKind::finished, {}}), Channel::SendResult::failed);
   ASSERT_TRUE(runUntil(io, [&] { return ends == 1; }));
-  EXPECT_EQ(two->send({Kind::bye, {}}), Channel::Sent::broken);
+  EXPECT_EQ(two->send({MessageKind::finished, {}}), Channel::SendResult::failed);
   io.restart();
   io.poll();
   EXPECT_EQ(ends, 1);
 }
 
-TEST_F(ChannelTest, TheLatestDoorHasTheNameAndTheOldOneLeavesItAlone) {
-  EXPECT_EQ(connectTo(io, folder / "door"), nullptr);
+TEST_F(ChannelTest, LatestListenerKeepsPathWhenOlderOneCloses) {
+  EXPECT_EQ(connectToPredecessor(io, folder / "door"), nullptr);
   std::vector<std::shared_ptr<Channel>> at[2];
-  auto first = std::make_unique<Door>(io, folder / "door", [&](auto c) { at[0].push_back(c); });
-  const auto a = connectTo(io, folder / "door");
+  auto first = std::make_unique<HandoverListener>(io, folder / "door", [&](auto c) { at[0].push_back(c); });
+  const auto a = connectToPredecessor(io, folder / "door");
   ASSERT_NE(a, nullptr);
   ASSERT_TRUE(runUntil(io, [&] { return at[0].size() == 1; }));
-  const auto second = std::make_unique<Door>(io, folder / "door", [&](auto c) { at[1].push_back(c); });
-  first.reset();  // goes, and does not take the other's name along
-  const auto b = connectTo(io, folder / "door");
+  const auto second =
+      std::make_unique<HandoverListener>(io, folder / "door", [&](auto c) { at[1].push_back(c); });
+  first.reset();  // leaves the path to the second
+  const auto b = connectToPredecessor(io, folder / "door");
   ASSERT_NE(b, nullptr);
   ASSERT_TRUE(runUntil(io, [&] { return at[1].size() == 1; }));
   EXPECT_EQ(at[0].size(), 1u);
-  EXPECT_EQ(at[0][0]->send({Kind::welcome, "n"}), Channel::Sent::done);  // what was connected stays so
-  EXPECT_EQ(connectTo(io, std::string(300, 'x')), nullptr);
-  EXPECT_THROW(Door(io, folder / "none/door", {}), std::runtime_error);
+  EXPECT_EQ(at[0][0]->send({MessageKind::welcome, "n"}),
+            Channel::SendResult::sent);  // its channel stays connected
+  EXPECT_EQ(connectToPredecessor(io, std::string(300, 'x')), nullptr);
+  EXPECT_EQ(errorOf(folder / "none/door"), HandoverListenerError::Code::cannotBind);
+  EXPECT_EQ(errorOf(std::string(300, 'x')), HandoverListenerError::Code::invalidPath);
 }
 
-// A name that a process left behind when it was killed.
-TEST_F(ChannelTest, AStaleNameIsNobodyAndIsTakenOver) {
+// A path that a killed process has left behind.
+TEST_F(ChannelTest, ReplacesStaleSocketPath) {
   const int fd = ::socket(AF_UNIX, SOCK_SEQPACKET, 0);
   sockaddr_un at{};
   at.sun_family = AF_UNIX;
@@ -199,9 +176,9 @@
   std::memcpy(at.sun_path, path.data(), path.size());
   ASSERT_EQ(::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
   ::close(fd);
-  EXPECT_EQ(connectTo(io, path), nullptr);
-  const Door door(io, path, [&](auto c) { one = c; });
-  const auto a = connectTo(io, path);
+  EXPECT_EQ(connectToPredecessor(io, path), nullptr);
+  const HandoverListener door(io, path, [&](auto c) { one = c; });
+  const auto a = connectToPredecessor(io, path);
   ASSERT_NE(a, nullptr);
   ASSERT_TRUE(runUntil(io, [&] { return one != nullptr; }));
 }
--- a/tests/handover/learned_test.cpp
+++ b/tests/handover/learned_state_text_test.cpp
@@ -1,10 +1,10 @@
-// What is learned, as text between processes.
+// Learned state as text between processes.
+#include "handover/learned_state_text.hpp"
+
 #include <gtest/gtest.h>
 
 #include <cmath>
 
-#include "handover/learned_text.hpp"
-
 namespace finchstile::handover {
 namespace {
 
@@ -24,7 +24,7 @@
   return l;
 }
 
-TEST(LearnedText, ComesBackAsItWas) {
+TEST(LearnedStateText, RoundTrips) {
   const auto back = decodeLearnedState(encodeLearnedState(some()).text);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->age, some().age);
@@ -37,8 +37,8 @@
   EXPECT_EQ(back->hosts[0].ejectedFor, std::chrono::seconds(2));
 }
 
-// The two processes may be of different versions: the form is pinned by a literal text.
-TEST(LearnedText, TextIsFixed) {
+// The two processes may be of different versions, so the format is fixed by a literal text.
+TEST(LearnedStateText, TextIsFixed) {
   const std::string fixed =
       R"({"age":40000000000,"classes":[["cut-plan",0.08,0.0,0.01,1200000000]],)"
       R"("hosts":[["s-1",9000000000,1.5,0.1,22.0,2000000000,1]],"kinds":[["std-4c",31.0,0.9]],)"
@@ -47,7 +47,7 @@
   EXPECT_TRUE(decodeLearnedState(fixed));
 }
 
-TEST(LearnedText, WhatIsNotWholeIsNothing) {
+TEST(LearnedStateText, RejectsIncompleteText) {
   const std::string whole = encodeLearnedState(some()).text;
   for (std::size_t cut = 0; cut < whole.size(); ++cut)
     EXPECT_FALSE(decodeLearnedState(whole.substr(0, cut))) << cut;
@@ -60,7 +60,7 @@
   EXPECT_TRUE(std::isnan(back->inTimeRate));
 }
 
-TEST(LearnedText, OfALargeFleetWhatFitsGoesAlong) {
+TEST(LearnedStateText, OmitsHostsThatDoNotFit) {
   LearnedState l = some();
   l.hosts.resize(10'000, l.hosts[0]);
   const auto [text, leftOut] = encodeLearnedState(l);
@@ -68,12 +68,12 @@
   const auto back = decodeLearnedState(text);
   ASSERT_TRUE(back);
   EXPECT_GT(back->hosts.size(), 500u);
-  EXPECT_EQ(back->hosts.size() + leftOut, 10'000u);  // never cut in silence
+  EXPECT_EQ(back->hosts.size() + leftOut, 10'000u);  // all omitted hosts are counted
 }
 
-// Hard case: 1,024 hosts. One gateway has met few of them; what it knows of those finds room, wherever they
-// stand.
-TEST(LearnedText, WhatIsKnownOfAFewAmongManyHostsIsNotLeftOut) {
+// A gateway that knows something of few hosts among thousands hands all of that over, wherever they stand in
+// the list.
+TEST(LearnedStateText, KeepsKnownHostsAmongManyUnknownOnes) {
   LearnedState l = some();
   l.hosts.clear();
   for (int i = 0; i < 4096; ++i)
@@ -86,7 +86,7 @@
   const auto back = decodeLearnedState(text);
   ASSERT_TRUE(back);
   ASSERT_EQ(back->hosts.size(), 3u);
-  EXPECT_EQ(back->hosts[0].address, "host-with-a-long-name-4095");  // what is avoided first
+  EXPECT_EQ(back->hosts[0].address, "host-with-a-long-name-4095");  // ejected hosts first
   EXPECT_EQ(back->hosts[1].address, "host-with-a-long-name-4000");
 }
 
--- a/tests/idempotency/filter_test.cpp
+++ b/tests/idempotency/filter_test.cpp
@@ -1,10 +1,11 @@
-// Keyed requests in the gateway, over loopback: joined, replayed, and bound by what may have run.
+// Requests with idempotency keys in the gateway, over loopback: joined, replayed, and bound by earlier
+// attempts.
 #include "idempotency/filter.hpp"
 
 #include <random>
 
-#include "support/faulty_folder.hpp"
-#include "support/later_runner.hpp"
+#include "support/faulty_directory.hpp"
+#include "support/manual_sync_runner.hpp"
 #include "support/sockets.hpp"
 
 namespace finchstile::idempotency {
@@ -18,11 +19,11 @@
   Clock clock;
   Server discovery{io, [](const auto&, const Received&) {}};
   std::vector<std::unique_ptr<Server>> hosts;
-  std::vector<std::shared_ptr<Peer>> held;  // with a host, to be answered by the test
+  std::vector<std::shared_ptr<Peer>> held;  // at a host, to be answered by the test
   Server::Handler hold = [this](const std::shared_ptr<Peer>& peer, const Received&) { held.push_back(peer); };
   std::function<void(json&)> change;  // of the configuration
   std::unique_ptr<Gateway> gateway;
-  std::unique_ptr<IdempotencyFilter> stage;
+  std::unique_ptr<IdempotencyFilter> filter;
   IdempotencySettings settings;
 
   void start(
@@ -36,34 +37,34 @@
     json config = configJson(discovery.endpoint(), list);
     change(config);
     gateway = std::make_unique<Gateway>(io, clock, readConfig(config.dump(), clock));
-    stage = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{1, 2}, gateway->filterCallbacks());
+    filter = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{1, 2}, gateway->filterCallbacks());
     if (onLog) recover();
-    gateway->attach(*stage);
+    gateway->attach(*filter);
     gateway->start();
   }
   ~IdempotencyTest() override { gateway.reset(); }
 
-  // With a log, whose syncs the test carries out.
+  // With a log whose sync tasks the test runs.
   bool onLog = false;
-  FaultyFolder folder{1};
-  LaterRunner runner;
-  Names names{{}, {"read", "book", "put"}};
+  FaultyDirectory folder{1};
+  ManualSyncRunner runner;
+  TenantAndClassNames names{{}, {"read", "book", "put"}};
   std::unique_ptr<wal::Log> log;
   std::unique_ptr<Journal> journal;
   JournalRecovery recovery;
   void recover() {
     JournalSettings s;
     s.sync = settings.log.sync;
-    s.keep = settings.limits.keep;
-    s.longest = std::chrono::seconds(4);
-    log = std::make_unique<wal::Log>(folder, wal::Options{});
-    journal = std::make_unique<Journal>(*log, s, names, timeBase(clock, "boot"), runner);
-    recovery = stage->recover(*journal);
+    s.retention = settings.limits.retention;
+    s.maxRequestDuration = std::chrono::seconds(4);
+    log = std::make_unique<wal::Log>(folder, wal::LogOptions{});
+    journal = std::make_unique<Journal>(*log, s, names, clockTimeBase(clock, "boot"), runner);
+    recovery = filter->recover(*journal);
   }
-  // The process is killed, and another one started: clients and requests of the first are gone.
+  // Kills the process and starts another one. Clients and requests of the first are gone.
   void restart() {
     gateway.reset();
-    stage.reset(), journal.reset(), log.reset();
+    filter.reset(), journal.reset(), log.reset();
     runner.job.reset();
     hosts.clear(), held.clear();
     folder.kill();
@@ -92,13 +93,13 @@
   }
 };
 
-// Hard case: the repeat arrives before the first answer.
-TEST_F(IdempotencyTest, ARepeatWaitsForTheFirstAndIsAnsweredFromIt) {
+// The repeat arrives before the response of the first request.
+TEST_F(IdempotencyTest, RepeatWaitsForRunningRequestAndGetsItsResponse) {
   start(2);
   const auto first = put("k");
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   const auto second = put("k"), third = put("k");
-  ASSERT_TRUE(until([&] { return stage->counts().joined == 2; }));
+  ASSERT_TRUE(until([&] { return filter->counts().joinedRunning == 2; }));
   held[0]->reply(200, "done", "Content-Type: text/x\r\n");
   for (const auto& c : {first, second, third}) {
     ASSERT_TRUE(answered(c));
@@ -106,14 +107,14 @@
     EXPECT_EQ(c->answers[0].body(), "done");
     EXPECT_EQ(c->answers[0]["Content-Type"], "text/x");
   }
-  const auto later = put("k");  // and one that comes after
+  const auto later = put("k");  // after the response
   ASSERT_TRUE(answered(later));
   EXPECT_EQ(later->answers[0].body(), "done");
   EXPECT_EQ(received(), 1u);
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-TEST_F(IdempotencyTest, AKeyWithAnotherBodyNeverRuns) {
+TEST_F(IdempotencyTest, RejectsKeyWithAnotherBody) {
   start();
   const auto first = put("k");
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
@@ -125,15 +126,15 @@
   EXPECT_EQ(received(), 1u);
 }
 
-// Hard case: the first client leaves. What others wait for goes on.
-TEST_F(IdempotencyTest, TheFirstClientLeavingDoesNotEndWhatOthersWaitFor) {
+// The first client disconnects. The run goes on for the waiters.
+TEST_F(IdempotencyTest, KeepsRunForWaitersWhenFirstClientDisconnects) {
   start();
   const auto first = put("k");
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   const auto second = put("k");
-  ASSERT_TRUE(until([&] { return stage->counts().joined == 1; }));
+  ASSERT_TRUE(until([&] { return filter->counts().joinedRunning == 1; }));
   first->close();
-  ASSERT_TRUE(until([&] { return stage->counts().keptWithoutClient == 1; }));
+  ASSERT_TRUE(until([&] { return filter->counts().keptWithoutClient == 1; }));
   EXPECT_FALSE(held[0]->ended);
   held[0]->reply(200, "done");
   ASSERT_TRUE(answered(second));
@@ -142,18 +143,19 @@
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-// But nothing more is begun for it: where its attempt never ran, one that waits runs in its place.
-TEST_F(IdempotencyTest, NothingMoreIsBegunForAFirstClientThatLeft) {
-  static OutcomeLog outcomes;  // it outlives the gateway
+// No further attempt is sent for a disconnected client: if its attempt was not executed, a waiter runs in its
+// place.
+TEST_F(IdempotencyTest, StartsNoAttemptAfterFirstClientDisconnected) {
+  static OutcomeLog outcomes;  // outlives the gateway
   outcomes.all.clear();
   start(2);
   gateway->setAttemptLog(outcomes);
   const auto first = put("k");
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   const auto second = put("k");
-  ASSERT_TRUE(until([&] { return stage->counts().joined == 1; }));
+  ASSERT_TRUE(until([&] { return filter->counts().joinedRunning == 1; }));
   first->close();
-  ASSERT_TRUE(until([&] { return stage->counts().keptWithoutClient == 1; }));
+  ASSERT_TRUE(until([&] { return filter->counts().keptWithoutClient == 1; }));
   held[0]->reply(503, "", "X-Unprocessed: 1\r\n");
   ASSERT_TRUE(until([&] { return held.size() == 2; }));
   std::vector<std::string> ids;
@@ -166,37 +168,37 @@
   EXPECT_EQ(second->answers[0].result_int(), 200u);
   EXPECT_EQ(received(), 2u);
   EXPECT_TRUE(until([&] { return gateway->openRequests() == 0; }));
-  // Nor is what was not begun held against a host, or tried at one after the other.
+  // An attempt that was not sent is not counted against a host, and the hosts are not tried one after the
+  // other.
   EXPECT_EQ(outcomes.count(load_balancing::Outcome::connectFailed), 0);
   EXPECT_EQ(outcomes.count(load_balancing::Outcome::notSent), 1);
 }
 
-TEST_F(IdempotencyTest, TheLastOneLeavingEndsTheWork) {
+TEST_F(IdempotencyTest, AbandonsRunWhenLastWaiterDisconnects) {
   start();
   const auto first = put("k");
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   const auto second = put("k");
-  ASSERT_TRUE(until([&] { return stage->counts().joined == 1; }));
+  ASSERT_TRUE(until([&] { return filter->counts().joinedRunning == 1; }));
   first->close();
-  ASSERT_TRUE(until([&] { return stage->counts().keptWithoutClient == 1; }));
+  ASSERT_TRUE(until([&] { return filter->counts().keptWithoutClient == 1; }));
   const auto left = std::chrono::steady_clock::now();
   second->close();
-  ASSERT_TRUE(
-      until([&] { return held[0]->ended; }));  // the attempt is called off, and not at the end of its time
+  ASSERT_TRUE(until([&] { return held[0]->ended; }));  // the attempt is cancelled before its time-out
   EXPECT_LT(std::chrono::steady_clock::now() - left, milliseconds(1500));
   EXPECT_TRUE(until([&] { return gateway->openRequests() == 0; }));
-  EXPECT_EQ(stage->store().count(State::uncertain), 1u);  // it may have run
+  EXPECT_EQ(filter->store().countInState(KeyState::uncertain), 1u);  // it may have been executed
 }
 
-// Hard case: the waiter's deadline comes before the first's.
-TEST_F(IdempotencyTest, AWaiterIsAnsweredInItsOwnTime) {
+// The waiter's deadline comes before that of the first request.
+TEST_F(IdempotencyTest, AnswersWaiterByItsOwnDeadline) {
   start();
   const auto first = put("k", 2800);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   const auto begin = std::chrono::steady_clock::now();
   const auto second = put("k", 300);
   ASSERT_TRUE(answered(second));
-  EXPECT_EQ(status(second), 502u);  // failed, not refused: the first may run
+  EXPECT_EQ(status(second), 502u);  // failed rather than rejected: the first may be executed
   EXPECT_LT(std::chrono::steady_clock::now() - begin, milliseconds(300));
   held[0]->reply(200, "done");
   ASSERT_TRUE(answered(first));
@@ -204,20 +206,20 @@
   EXPECT_EQ(second->answers.size(), 1u);
 }
 
-// Hard case: the first fails after an attempt may have run, and the repeat comes within the hosts' window: it
-// goes to the zone that drops duplicates, and nowhere else.
-TEST_F(IdempotencyTest, ARepeatOfAnUncertainOneGoesOnlyWhereRepeatsAreDropped) {
+// The first request fails after an attempt may have been executed, and the repeat comes within the hosts'
+// window: it is sent to the zone that recognizes repeats, and nowhere else.
+TEST_F(IdempotencyTest, SendsRepeatOfUncertainKeyOnlyWhereHostsRecognizeIt) {
   start(2, [](json& c) { c["known"]["endpoints"][1]["zone"] = "west"; });
   const auto first = put("k", 400);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   const std::size_t where = hosts[0]->received.size() == 1 ? 0 : 1;
   first->close();
-  ASSERT_TRUE(until([&] { return stage->store().count(State::uncertain) == 1; }));
+  ASSERT_TRUE(until([&] { return filter->store().countInState(KeyState::uncertain) == 1; }));
   held.clear();
   for (int i = 0; i < 4; ++i) {
     const auto again = put("k", 1500);
     ASSERT_TRUE(until([&] { return held.size() == 1 || !again->answers.empty(); }));
-    if (!held.empty()) held[0]->close();  // it may have run once more
+    if (!held.empty()) held[0]->close();  // it may have been executed again
     held.clear();
     ASSERT_TRUE(answered(again));
     EXPECT_EQ(status(again), 502u);
@@ -226,13 +228,13 @@
   EXPECT_EQ(hosts[1 - where]->received.size(), 0u);
 }
 
-// Behind the hosts' window they would no longer drop it: it fails, and nothing is sent.
-TEST_F(IdempotencyTest, ARepeatOfAnUncertainOneBehindTheWindowFails) {
+// After the hosts' window they would not recognize the repeat: it fails, and nothing is sent.
+TEST_F(IdempotencyTest, FailsRepeatOfUncertainKeyAfterHostsWindow) {
   start(1, [](json& c) { c["settings"]["grades"][2]["windowNs"] = 200'000'000; });
   const auto first = put("k", 2500);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   first->close();
-  ASSERT_TRUE(until([&] { return stage->store().count(State::uncertain) == 1; }));
+  ASSERT_TRUE(until([&] { return filter->store().countInState(KeyState::uncertain) == 1; }));
   pause(milliseconds(250));
   const auto again = put("k");
   ASSERT_TRUE(answered(again));
@@ -240,14 +242,13 @@
   EXPECT_EQ(received(), 1u);
 }
 
-// Hard case: the first was turned away unseen. One that waited runs in its place, and the rest wait for that
-// one.
-TEST_F(IdempotencyTest, WhenTheFirstNeverRanAWaiterRunsInItsPlace) {
+// The first request was rejected by the host. One waiter runs in its place, and the others wait for that one.
+TEST_F(IdempotencyTest, PromotesWaiterWhenFirstWasNotExecuted) {
   start();
   const auto first = put("k", 2500);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   const auto second = put("k", 2500), third = put("k", 2500);
-  ASSERT_TRUE(until([&] { return stage->counts().joined == 2; }));
+  ASSERT_TRUE(until([&] { return filter->counts().joinedRunning == 2; }));
   const std::string id = first->id;
   hosts[0]->handler = [id](const std::shared_ptr<Peer>& peer, const Received& q) {
     if (q["X-Correlation-Id"] == id) peer->reply(503, "", "X-Unprocessed: 1\r\n");
@@ -256,24 +257,25 @@
   held[0]->reply(503, "", "X-Unprocessed: 1\r\n");
   ASSERT_TRUE(answered(first));
   EXPECT_EQ(status(first), 503u);
-  // The module may refuse the next as well: its only host has just said that it is full. Then nothing ran.
+  // The load balancer may reject the next one as well, since its only host has just reported that it is full.
+  // Nothing was executed then.
   for (const auto& c : {second, third}) {
     ASSERT_TRUE(answered(c));
     EXPECT_TRUE(status(c) == 200 || status(c) == 503) << status(c);
     EXPECT_EQ(c->answers.size(), 1u);
   }
-  EXPECT_GE(stage->counts().promoted, 1u);
+  EXPECT_GE(filter->counts().promoted, 1u);
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-// Hard case: a host dies between the first's send and its answer, with others waiting.
-TEST_F(IdempotencyTest, AHostThatDiesLeavesOneAttemptAtATime) {
+// A host fails between the attempt of the first request and its response, while others wait.
+TEST_F(IdempotencyTest, SendsOneAttemptAtATimeAfterHostFailure) {
   start(2);
   const auto first = put("k", 2500);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   const auto second = put("k", 2500);
-  ASSERT_TRUE(until([&] { return stage->counts().joined == 1; }));
-  held[0]->close();  // may have run; resent within its zone and window by the module, to the other host
+  ASSERT_TRUE(until([&] { return filter->counts().joinedRunning == 1; }));
+  held[0]->close();  // may have been executed; retried at the other host of the zone within the window
   ASSERT_TRUE(until([&] { return held.size() == 2 || !first->answers.empty(); }));
   if (held.size() == 2) held[1]->reply(200, "done");
   ASSERT_TRUE(answered(first));
@@ -282,43 +284,43 @@
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-TEST_F(IdempotencyTest, AnAnswerTooLargeToKeepIsNotMadeUp) {
-  settings.limits.answerMost = 3;
+TEST_F(IdempotencyTest, LeavesKeyUncertainWhenResponseIsTooLarge) {
+  settings.limits.maxResponseBytes = 3;
   start();
   const auto first = put("k");
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   held[0]->reply(200, "larger");
   ASSERT_TRUE(answered(first));
   EXPECT_EQ(first->answers[0].body(), "larger");
-  const auto again = put("k");  // within the window: the zone drops it and answers
+  const auto again = put("k");  // within the window: the zone recognizes it and responds
   ASSERT_TRUE(until([&] { return held.size() == 2; }));
   held[1]->reply(200, "larger");
   ASSERT_TRUE(answered(again));
   EXPECT_EQ(again->answers[0].body(), "larger");
 }
 
-// Hard case: a full store; both settings.
-TEST_F(IdempotencyTest, AFullStorePassesOrRefusesAsSet) {
-  settings.limits.entries = 16;
-  settings.limits.tenantShare = 1;
-  settings.refuseWhenFull = true;
+// A full store, with both settings.
+TEST_F(IdempotencyTest, FullStoreForwardsOrRejectsBySetting) {
+  settings.limits.maxEntries = 16;
+  settings.limits.maxTenantFraction = 1;
+  settings.rejectWhenFull = true;
   start();
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 16; ++i) clients.push_back(put("k" + std::to_string(i)));
-  ASSERT_TRUE(until([&] { return stage->store().entries() == 16; }));
+  ASSERT_TRUE(until([&] { return filter->store().entries() == 16; }));
   const auto more = put("more");
   ASSERT_TRUE(answered(more));
   EXPECT_EQ(status(more), 503u);
-  EXPECT_EQ(stage->counts().full, 1u);
+  EXPECT_EQ(filter->counts().storeFull, 1u);
 }
 
-// Hard case: a drain with waiters. All are answered before the gateway's end.
-TEST_F(IdempotencyTest, ADrainAnswersThoseThatWait) {
+// A drain with waiters. All of them are answered before the gateway ends.
+TEST_F(IdempotencyTest, DrainAnswersWaiters) {
   start();
   const auto first = put("k", 2000);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   const auto second = put("k", 2000);
-  ASSERT_TRUE(until([&] { return stage->counts().joined == 1; }));
+  ASSERT_TRUE(until([&] { return filter->counts().joinedRunning == 1; }));
   bool done = false;
   gateway->drain([&] { done = true; });
   held[0]->reply(200, "done");
@@ -327,19 +329,19 @@
   EXPECT_EQ(status(second), 200u);
 }
 
-// Unsafe and safe classes are not looked at, and neither is anything while the stage is not attached.
-TEST_F(IdempotencyTest, OtherClassesGoTheirWay) {
+// Requests of other classes are ignored, and so are all requests while the filter is not attached.
+TEST_F(IdempotencyTest, IgnoresClassesWithoutIdempotencyKeys) {
   start();
   const auto c = Client::connect(io, gateway->endpoint());
   c->ask("GET", "/read/1", 2500);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   held[0]->reply(200, "ok");
   ASSERT_TRUE(answered(c));
-  EXPECT_EQ(stage->store().entries(), 0u);
+  EXPECT_EQ(filter->store().entries(), 0u);
 }
 
-// Hard case: two repeats at once in one read, the first with them.
-TEST_F(IdempotencyTest, RepeatsThatComeInOneReadRunOnce) {
+// The first request and two repeats arrive in one read.
+TEST_F(IdempotencyTest, RunsRepeatsReceivedInOneReadOnce) {
   start(2);
   const auto c = Client::connect(io, gateway->endpoint());
   std::string three;
@@ -348,7 +350,7 @@
              "\r\nX-Time-Left-Ms: 2500\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nb";
   const auto other = put("k");
   c->write(three);
-  ASSERT_TRUE(until([&] { return held.size() == 1 && stage->counts().joined >= 1; }));
+  ASSERT_TRUE(until([&] { return held.size() == 1 && filter->counts().joinedRunning >= 1; }));
   held[0]->reply(200, "done");
   ASSERT_TRUE(until([&] { return c->answers.size() == 3; }));
   ASSERT_TRUE(answered(other));
@@ -356,7 +358,7 @@
   EXPECT_EQ(received(), 1u);
 }
 
-TEST_F(IdempotencyTest, WhatWasAnsweredBeforeARestartIsAnsweredFromTheLog) {
+TEST_F(IdempotencyTest, ReplaysResponseFromLogAfterRestart) {
   onLog = true;
   start();
   const auto first = put("k");
@@ -373,15 +375,15 @@
   EXPECT_EQ(again->answers[0]["Content-Type"], "text/x");
   EXPECT_EQ(status(other), 422u);
   EXPECT_EQ(received(), 0u);
-  // What ran when the process ended goes to the zone that drops repeats, within its window.
+  // The repeat of an interrupted run is sent to the zone that recognizes repeats, within its window.
   const auto repeat = put("r");
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   held[0]->reply(200, "once");
   ASSERT_TRUE(answered(repeat));
-  EXPECT_EQ(stage->counts().again, 1u);
+  EXPECT_EQ(filter->counts().retriedUncertain, 1u);
 }
 
-TEST_F(IdempotencyTest, BehindTheHostsWindowWhatRanWhenTheProcessEndedFails) {
+TEST_F(IdempotencyTest, FailsInterruptedRunAfterHostsWindow) {
   onLog = true;
   start(1, [](json& c) { c["settings"]["grades"][2]["windowNs"] = 100'000'000; });
   const auto running = put("r");
@@ -394,19 +396,19 @@
   EXPECT_EQ(status(repeat), 502u);
 }
 
-// Nothing goes out before its record is safe, where that is set.
-TEST_F(IdempotencyTest, ARequestWaitsForItsRecordToBeSynced) {
+// With that setting no attempt is sent before its record is synced.
+TEST_F(IdempotencyTest, HoldsRequestUntilRecordIsSynced) {
   onLog = true;
   settings.log.sync = SyncPolicy::beforeSend;
   start();
   const auto first = put("a"), second = put("b");
-  ASSERT_TRUE(until([&] { return stage->counts().fresh == 2; }));
+  ASSERT_TRUE(until([&] { return filter->counts().firstRuns == 2; }));
   const auto repeat = put("b");
-  ASSERT_TRUE(until([&] { return stage->counts().joined == 1; }));
+  ASSERT_TRUE(until([&] { return filter->counts().joinedRunning == 1; }));
   pause(milliseconds(50));
   EXPECT_EQ(received(), 0u);
-  ASSERT_TRUE(runner.carryOut());  // one of them at least, the rest by the next
-  if (runner.job) runner.carryOut();
+  ASSERT_TRUE(runner.runJob());  // at least one of them, the rest by the next task
+  if (runner.job) runner.runJob();
   ASSERT_TRUE(until([&] { return held.size() == 2; }));
   for (const auto& h : std::vector(held)) h->reply(200, "done");
   for (const auto& c : {first, second, repeat}) {
@@ -416,9 +418,9 @@
   EXPECT_EQ(received(), 2u);
 }
 
-// A disk that does not answer: those that wait are refused in their time, since nothing ran, and what waits
-// for one of them as it is told to.
-TEST_F(IdempotencyTest, ARecordThatIsNotSyncedInTimeRefusesItsRequest) {
+// The disk does not answer. Requests that wait for a sync are rejected at their deadline, since nothing was
+// executed, and the waiters of one of them get its response.
+TEST_F(IdempotencyTest, RejectsRequestWhenRecordIsNotSyncedInTime) {
   onLog = true;
   settings.log.sync = SyncPolicy::beforeSend;
   start();
@@ -427,34 +429,35 @@
   ASSERT_TRUE(answered(c));
   EXPECT_EQ(status(c), 503u);
   EXPECT_LT(std::chrono::steady_clock::now() - begin, milliseconds(300));
-  EXPECT_EQ(stage->store().entries(), 0u);
-  runner.carryOut();  // too late: nothing goes out for it
+  EXPECT_EQ(filter->store().entries(), 0u);
+  runner.runJob();  // too late: no attempt is sent for it
   pause(milliseconds(50));
   EXPECT_EQ(received(), 0u);
   EXPECT_EQ(c->answers.size(), 1u);
-  // The key is free.
+  // The key is unused.
   const auto again = put("a");
   ASSERT_TRUE(until([&] { return runner.job.has_value(); }));
-  while (runner.carryOut()) {
+  while (runner.runJob()) {
   }
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   held[0]->reply(200, "done");
   ASSERT_TRUE(answered(again));
 }
 
-// Its client leaves while the record is written: what waited runs in its place, after its own record.
-TEST_F(IdempotencyTest, OneThatLeavesWhileItsRecordIsWrittenMakesWay) {
+// The client disconnects during the sync of the record. A waiter runs in its place, after a record of its
+// own.
+TEST_F(IdempotencyTest, PromotesWaiterWhenClientDisconnectsDuringSync) {
   onLog = true;
   settings.log.sync = SyncPolicy::beforeSend;
   start();
   const auto first = put("k");
-  ASSERT_TRUE(until([&] { return stage->counts().fresh == 1; }));
+  ASSERT_TRUE(until([&] { return filter->counts().firstRuns == 1; }));
   const auto second = put("k"), third = put("k");
-  ASSERT_TRUE(until([&] { return stage->counts().joined == 2; }));
+  ASSERT_TRUE(until([&] { return filter->counts().joinedRunning == 2; }));
   first->close();
-  ASSERT_TRUE(until([&] { return stage->counts().promoted == 1; }));
+  ASSERT_TRUE(until([&] { return filter->counts().promoted == 1; }));
   EXPECT_EQ(received(), 0u);
-  while (runner.carryOut()) {
+  while (runner.runJob()) {
   }
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   held[0]->reply(200, "done");
@@ -464,18 +467,18 @@
   EXPECT_TRUE(until([&] { return gateway->openRequests() == 0; }));
 }
 
-// A disk that fails. Refused or passed on, as set; those that wait for the sync as well.
-TEST_F(IdempotencyTest, ALogThatFailsPassesOrRefusesAsSet) {
+// The disk fails. Requests are rejected or forwarded by the setting, those that wait for the sync as well.
+TEST_F(IdempotencyTest, FailedLogForwardsOrRejectsBySetting) {
   for (const bool refuse : {false, true}) {
     onLog = true;
     settings.log.sync = SyncPolicy::beforeSend;
-    settings.log.refuseUnrecorded = refuse;
+    settings.log.rejectUnrecorded = refuse;
     start();
     const std::string key = refuse ? "r" : "p";
     const auto waits = put(key + "1");
     ASSERT_TRUE(until([&] { return runner.job.has_value(); }));
-    folder.stopAt = folder.operations + 1;
-    ASSERT_TRUE(runner.carryOut());
+    folder.failFrom = folder.operations + 1;
+    ASSERT_TRUE(runner.runJob());
     ASSERT_TRUE(until([&] { return held.size() == 1 || !waits->answers.empty(); }));
     const auto later = put(key + "2");
     ASSERT_TRUE(until([&] { return held.size() == 2 || !later->answers.empty(); }));
@@ -485,24 +488,24 @@
       ASSERT_TRUE(answered(c));
       EXPECT_EQ(status(c), refuse ? 503u : 200u);
     }
-    EXPECT_EQ(stage->counts().unrecorded, 2u);
-    EXPECT_NE(stage->summary().find("log_broken=1"), std::string::npos) << stage->summary();
-    gateway.reset(), stage.reset(), journal.reset(), log.reset();
+    EXPECT_EQ(filter->counts().unrecorded, 2u);
+    EXPECT_NE(filter->summary().find("log_broken=1"), std::string::npos) << filter->summary();
+    gateway.reset(), filter.reset(), journal.reset(), log.reset();
     hosts.clear(), held.clear();
-    folder = FaultyFolder(1);
+    folder = FaultyDirectory(1);
   }
 }
 
-// A disk that fails right behind a request's record, with no sync under way: it is not left to wait for one.
-TEST_F(IdempotencyTest, ALogThatBreaksBehindARecordLeavesNobodyWaiting) {
+// The disk fails right after a request's record, while no sync runs: the request does not wait for one.
+TEST_F(IdempotencyTest, ReleasesHeldRequestsWhenLogFails) {
   onLog = true;
   settings.log.sync = SyncPolicy::beforeSend;
-  settings.log.refuseUnrecorded = true;
+  settings.log.rejectUnrecorded = true;
   start();
   for (int i = 0; i < 6; ++i) {
     const auto c = put("k" + std::to_string(i));
     ASSERT_TRUE(until([&] { return runner.job.has_value(); }));
-    while (runner.carryOut()) {
+    while (runner.runJob()) {
     }
     ASSERT_TRUE(until([&] { return held.size() == static_cast<std::size_t>(i) + 1; }));
     held.back()->reply(200, std::string(10'000, 'd'));
@@ -511,19 +514,20 @@
   folder.damage(folder.contents().begin()->first, 5000);
   restart();
   ASSERT_NE(recovery.uncertainUntil, Time{});
-  folder.stopAt = folder.operations + 2;  // the record that it began is written, the next one is not
+  folder.failFrom = folder.operations + 2;  // the record of its start is written, the next one is not
   const auto begin = std::chrono::steady_clock::now();
   const auto c = put("new");
   ASSERT_TRUE(answered(c));
   EXPECT_EQ(status(c), 502u);
   EXPECT_LT(std::chrono::steady_clock::now() - begin, milliseconds(1500));
-  EXPECT_TRUE(journal->broken());
+  EXPECT_TRUE(journal->logFailed());
 }
 
-// Behind damage every key that is not known may have run: it is not sent, and not said to be harmless.
-TEST_F(IdempotencyTest, BehindADamagedLogUnknownKeysFailForTheirWindow) {
+// After damage every unknown key may have run: it is not sent, and its failure does not say that a repeat is
+// harmless.
+TEST_F(IdempotencyTest, FailsUnknownKeysWithinRetentionAfterLogDamage) {
   onLog = true;
-  settings.limits.keep = std::chrono::seconds(1);
+  settings.limits.retention = std::chrono::seconds(1);
   start();
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 6; ++i) {  // more than a block
@@ -534,12 +538,12 @@
   }
   folder.damage(folder.contents().begin()->first, 5000);
   restart();
-  ASSERT_TRUE(recovery.log.damaged) << recovery.log.what;
+  ASSERT_TRUE(recovery.log.damaged) << recovery.log.description;
   const auto unknown = put("new");
   ASSERT_TRUE(answered(unknown));
   EXPECT_EQ(status(unknown), 502u);
   EXPECT_EQ(received(), 0u);
-  EXPECT_EQ(stage->counts().unknown, 1u);
+  EXPECT_EQ(filter->counts().assumedUncertain, 1u);
   pause(milliseconds(1050));
   const auto later = put("later");
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
@@ -547,76 +551,76 @@
   ASSERT_TRUE(answered(later));
 }
 
-// Three gateways on one loop, which hear one another at once, or not at all.
+// Three gateways on one event loop. Messages between them arrive at once, or not at all.
 struct OwnersOverSockets : ::testing::Test {
   asio::io_context io;
   Clock clock;
   Server discovery{io, [](const auto&, const Received&) {}};
   std::vector<std::shared_ptr<Peer>> held;
   Server host{io, [this](const auto& peer, const Received&) { held.push_back(peer); }};
-  Names names{{}, {"read", "book", "put"}};
+  TenantAndClassNames names{{}, {"read", "book", "put"}};
   bool cutOff = false;
 
-  struct Node : OwnerLink {
+  struct Node : GatewayLink {
     OwnersOverSockets& all;
     GatewayNumber number;
     std::unique_ptr<Gateway> gateway;
-    std::unique_ptr<IdempotencyFilter> stage;
-    std::unique_ptr<Owners> owners;
+    std::unique_ptr<IdempotencyFilter> filter;
+    std::unique_ptr<KeyOwnership> owners;
     asio::steady_timer timer;
     Node(OwnersOverSockets& net, GatewayNumber n) : all(net), number(n), timer(net.io) {}
     void send(GatewayNumber to, std::string_view payload) override {
       if (all.cutOff) return;
       asio::post(all.io, [this, to, bytes = std::string(payload)] {
-        all.nodes[to]->stage->fromGateway(number, 1, bytes);
+        all.nodes[to]->filter->onGatewayMessage(number, 1, bytes);
       });
     }
-    void wakeAt(std::optional<Time> at) override {
+    void scheduleTimer(std::optional<Time> at) override {
       if (!at) {
         timer.cancel();
         return;
       }
       timer.expires_at(all.clock.steady(*at));
       timer.async_wait([this](error_code stopped) {
-        if (!stopped) stage->onWake();
+        if (!stopped) filter->onTimer();
       });
     }
   };
   std::vector<std::unique_ptr<Node>> nodes;
-  bool onLog = false;  // the second: before each send
-  FaultyFolder folder{1};
-  LaterRunner runner;
+  bool onLog = false;  // of the second gateway, with a sync before each send
+  FaultyDirectory folder{1};
+  ManualSyncRunner runner;
   std::unique_ptr<wal::Log> log;
   std::unique_ptr<Journal> journal;
 
-  void start(const std::function<void(OwnerSettings&)>& change = [](OwnerSettings&) {}) {
+  void start(const std::function<void(OwnershipSettings&)>& change = [](OwnershipSettings&) {}) {
     json list = json::array({hostJson("s-0", host.endpoint())});
     const json config = configJson(discovery.endpoint(), list);
     for (GatewayNumber n = 0; n < 3; ++n) {
       nodes.push_back(std::make_unique<Node>(*this, n));
       Node& node = *nodes.back();
       IdempotencySettings settings;
-      OwnerSettings o;
-      o.own = n;
+      OwnershipSettings o;
+      o.ownNumber = n;
       o.gateways = 3;
-      o.keep = settings.limits.keep;
-      o.longest = std::chrono::seconds(4);
+      o.retention = settings.limits.retention;
+      o.maxRequestDuration = std::chrono::seconds(4);
       change(o);
       node.gateway = std::make_unique<Gateway>(io, clock, readConfig(config.dump(), clock));
-      node.stage = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{n, 2},
-                                                       node.gateway->filterCallbacks());
+      node.filter = std::make_unique<IdempotencyFilter>(clock, settings, 0, Seed{n, 2},
+                                                        node.gateway->filterCallbacks());
       if (n == 1 && onLog) {
         JournalSettings j;
         j.sync = SyncPolicy::beforeSend;
-        j.keep = settings.limits.keep;
-        log = std::make_unique<wal::Log>(folder, wal::Options{});
+        j.retention = settings.limits.retention;
+        log = std::make_unique<wal::Log>(folder, wal::LogOptions{});
         journal = std::make_unique<Journal>(*log, j, names, TimeBase{}, runner);
-        node.stage->recover(*journal);
+        node.filter->recover(*journal);
       }
-      // Been there for long: what they do not know is not there.
-      node.owners = std::make_unique<Owners>(o, SipKey{5, 6}, Time{});
-      node.stage->join(*node.owners, node, names, false);
-      node.gateway->attach(*node.stage);
+      // They have run for longer than the retention, so a key that they do not know is unused.
+      node.owners = std::make_unique<KeyOwnership>(o, SipKey{5, 6}, Time{});
+      node.filter->enableOwnership(*node.owners, node, names, false);
+      node.gateway->attach(*node.filter);
       node.gateway->start();
     }
   }
@@ -641,14 +645,15 @@
   }
 };
 
-// Hard case of the need: the client's retry lands at another gateway.
-TEST_F(OwnersOverSockets, ARepeatAtAnotherGatewayIsAnsweredFromTheFirst) {
+// The client's repeat reaches another gateway.
+TEST_F(OwnersOverSockets, AnswersRepeatWithAnotherGatewaysResponse) {
   start();
   const auto first = put(0, "k", false);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   const auto second = put(1, "k", true), third = put(2, "k", true), beside = put(1, "k", true);
-  ASSERT_TRUE(
-      until([&] { return nodes[1]->owners->counts().polls >= 1 && nodes[1]->stage->counts().joined == 1; }));
+  ASSERT_TRUE(until([&] {
+    return nodes[1]->owners->counts().polls >= 1 && nodes[1]->filter->counts().joinedRunning == 1;
+  }));
   EXPECT_EQ(held.size(), 1u);
   held[0]->reply(200, "done", "Content-Type: text/x\r\n");
   for (const auto& c : {first, second, third, beside}) {
@@ -666,37 +671,39 @@
   EXPECT_TRUE(until([&] { return open() == 0; }));
 }
 
-TEST_F(OwnersOverSockets, ARepeatOfOneThatNobodyKnowsRuns) {
+TEST_F(OwnersOverSockets, RunsRepeatThatNoOwnerKnows) {
   start();
   const auto c = put(1, "k", true);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   held[0]->reply(200, "done");
   ASSERT_TRUE(answered(c));
-  EXPECT_EQ(nodes[1]->owners->counts().ran, 1u);
+  EXPECT_EQ(nodes[1]->owners->counts().decidedRun, 1u);
 }
 
-// The first may have run, and its gateway tells where: the repeat goes there, to be dropped.
-TEST_F(OwnersOverSockets, ARepeatOfOneThatMayHaveRunIsBoundElsewhereToo) {
+// The first request may have been executed, and its gateway knows where: the repeat is sent there, where
+// hosts recognize it.
+TEST_F(OwnersOverSockets, BindsRepeatAtAnotherGatewayToEarlierAttempt) {
   start();
   const auto first = put(0, "k", false, "b", 400);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   first->close();
-  ASSERT_TRUE(until([&] { return nodes[0]->stage->store().count(State::uncertain) == 1; }));
+  ASSERT_TRUE(until([&] { return nodes[0]->filter->store().countInState(KeyState::uncertain) == 1; }));
   const auto c = put(2, "k", true);
   ASSERT_TRUE(until([&] { return held.size() == 2; }));
   held[1]->reply(200, "once");
   ASSERT_TRUE(answered(c));
   EXPECT_EQ(c->answers[0].body(), "once");
-  EXPECT_EQ(nodes[2]->owners->counts().uncertain, 1u);
+  EXPECT_EQ(nodes[2]->owners->counts().decidedUncertain, 1u);
 }
 
-// Uncertain here, and run again by another gateway just now: not two at once. It gets that one's answer.
-TEST_F(OwnersOverSockets, OneThatIsUncertainHereWaitsForWhoRunsItNow) {
+// The key is uncertain here while another gateway runs it again: the two do not run at once, and this one
+// gets the other's response.
+TEST_F(OwnersOverSockets, UncertainKeyWaitsForGatewayThatRunsIt) {
   start();
   const auto first = put(0, "k", false, "b", 400);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   first->close();
-  ASSERT_TRUE(until([&] { return nodes[0]->stage->store().count(State::uncertain) == 1; }));
+  ASSERT_TRUE(until([&] { return nodes[0]->filter->store().countInState(KeyState::uncertain) == 1; }));
   const auto elsewhere = put(2, "k", true);
   ASSERT_TRUE(until([&] { return held.size() == 2; }));
   const auto here = put(0, "k", true);
@@ -709,21 +716,21 @@
   EXPECT_EQ(host.received.size(), 2u);
 }
 
-// Both are waited for: its own record, and what others know. Either may come first.
-TEST_F(OwnersOverSockets, ARepeatWaitsForItsRecordAndForTheOthers) {
+// The request waits for the sync of its record and for the owners, in either order.
+TEST_F(OwnersOverSockets, HoldsRepeatForSyncAndForOwners) {
   onLog = true;
   start();
   const auto first = put(0, "k", false);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   held[0]->reply(200, "done");
   ASSERT_TRUE(answered(first));
-  const auto had = put(1, "k", true);  // another gateway's answer, before the sync
+  const auto had = put(1, "k", true);  // another gateway's response, before the sync
   ASSERT_TRUE(answered(had));
   EXPECT_EQ(had->answers[0].body(), "done");
   const auto fresh = put(1, "new", true);
-  ASSERT_TRUE(until([&] { return nodes[1]->owners->counts().ran == 1; }));
-  EXPECT_EQ(host.received.size(), 1u);  // not before its record is safe
-  while (runner.carryOut()) {
+  ASSERT_TRUE(until([&] { return nodes[1]->owners->counts().decidedRun == 1; }));
+  EXPECT_EQ(host.received.size(), 1u);  // not before its record is synced
+  while (runner.runJob()) {
   }
   ASSERT_TRUE(until([&] { return held.size() == 2; }));
   held[1]->reply(200, "second");
@@ -731,15 +738,16 @@
   cutOff = true;
   const auto bound = put(1, "cut off", true);
   ASSERT_TRUE(until([&] { return runner.job.has_value(); }));
-  while (runner.carryOut()) {  // the sync first
+  while (runner.runJob()) {  // the sync comes first
   }
   ASSERT_TRUE(answered(bound));
   EXPECT_EQ(bound->answers[0].result_int(), 502u);
   EXPECT_EQ(host.received.size(), 2u);
 }
 
-// Cut off from the others: failed, not refused and not run, in its time; or run, as set. First tries go on.
-TEST_F(OwnersOverSockets, CutOffARepeatFailsOrRunsAsSet) {
+// Cut off from the other gateways a repeat fails at its deadline, or runs, by the setting. First requests
+// run.
+TEST_F(OwnersOverSockets, FailsRepeatWithoutOwnersBySetting) {
   start();
   cutOff = true;
   const auto c = put(1, "k", true);
@@ -752,18 +760,19 @@
   ASSERT_TRUE(answered(first));
 }
 
-TEST_F(OwnersOverSockets, CutOffARepeatRunsWhereThatIsSet) {
-  start([](OwnerSettings& o) { o.runWhenSilent = true; });
+TEST_F(OwnersOverSockets, RunsRepeatWithoutOwnersBySetting) {
+  start([](OwnershipSettings& o) { o.runWhenOwnersSilent = true; });
   cutOff = true;
   const auto c = put(1, "k", true);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   held[0]->reply(200, "done");
   ASSERT_TRUE(answered(c));
-  EXPECT_EQ(nodes[1]->owners->counts().untold, 1u);
+  EXPECT_EQ(nodes[1]->owners->counts().noMajority, 1u);
 }
 
-// It waits for what runs elsewhere, and its own time is up before: one answer, and nothing goes out after it.
-TEST_F(OwnersOverSockets, ARepeatThatWaitsForAnotherGatewayIsAnsweredInItsTime) {
+// The request waits for a run at another gateway until its deadline: it gets one response, and nothing is
+// sent after that.
+TEST_F(OwnersOverSockets, AnswersRepeatWaitingForAnotherGatewayByItsDeadline) {
   start();
   const auto first = put(0, "k", false);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
@@ -782,24 +791,24 @@
   EXPECT_EQ(host.received.size(), 1u);
 }
 
-// A seeded crowd: few keys, many clients, hosts that answer, turn away, and break off. Hosts of the zone drop
-// repeats for the window, as the rule says: so an effect is a key's first execution within it. Each client
-// gets one answer.
-TEST_F(IdempotencyTest, EveryKeyHasOneEffectAndEveryClientOneAnswer) {
-  std::mt19937 dice(7);
+// Few keys, many clients, and hosts that respond, reject and disconnect, from a fixed seed. Hosts of a zone
+// recognize repeats within the window, so an effect is the first execution of a key within it. Each client
+// gets one response.
+TEST_F(IdempotencyTest, RunsEachKeyOnceAndAnswersEachClientOnce) {
+  std::mt19937 rng(7);
   std::map<std::string, int> effects;
-  std::map<std::string, int> out;  // attempts of a key that are with a host
+  std::map<std::string, int> out;  // attempts of a key that are at a host
   bool twoAtOnce = false;
   Server::Handler host = [&](const std::shared_ptr<Peer>& peer, const Received& q) {
     const std::string key(q["Idempotency-Key"]);
-    const auto roll = dice() % 10;
+    const auto roll = rng() % 10;
     if (roll == 0) return peer->reply(503, "", "X-Unprocessed: 1\r\n");
     if (out[key] > 0) twoAtOnce = true;
     ++out[key];
-    const auto timer = std::make_shared<asio::steady_timer>(io, milliseconds(dice() % 5));
+    const auto timer = std::make_shared<asio::steady_timer>(io, milliseconds(rng() % 5));
     timer->async_wait([&, peer, key, roll, timer](error_code) {
       --out[key];
-      effects[key] = 1;  // once, whatever comes again: the zone drops it
+      effects[key] = 1;  // once: the zone recognizes repeats
       if (roll == 1) peer->close();
       else if (peer->socket.is_open()) {
         error_code gone;
@@ -814,7 +823,7 @@
   std::map<unsigned, int> statuses;
   for (int round = 0; round < 60; ++round) {
     std::vector<std::shared_ptr<Client>> clients;
-    for (int i = 0; i < 8; ++i) clients.push_back(put("k" + std::to_string(dice() % 40), 1500)), ++asked;
+    for (int i = 0; i < 8; ++i) clients.push_back(put("k" + std::to_string(rng() % 40), 1500)), ++asked;
     ASSERT_TRUE(until([&] {
       return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return !c->answers.empty(); });
     }));
@@ -827,7 +836,7 @@
   EXPECT_EQ(answers, asked);
   EXPECT_FALSE(twoAtOnce);
   EXPECT_GT(statuses[200], 300);
-  EXPECT_GT(stage->counts().replayed + stage->counts().answeredFromFirst, 100u);
+  EXPECT_GT(filter->counts().replayedResponses + filter->counts().answeredFromRunning, 100u);
   EXPECT_TRUE(until([&] { return gateway->openRequests() == 0; }));
 }
 
--- a/tests/idempotency/owner_message_test.cpp
+++ b/tests/idempotency/owner_message_test.cpp
@@ -1,4 +1,4 @@
-// Messages between gateways about keys: each kind is read as it was written, and nothing else is accepted.
+// Encodes and decodes the messages between gateways. Nothing but a valid message is accepted.
 #include "idempotency/owner_message.hpp"
 
 #include <gtest/gtest.h>
@@ -10,13 +10,14 @@
 
 using testing::fromHex;
 
-TEST(OwnerMessage, EachKindComesBackAsItWasAndFitsIntoADatagram) {
+TEST(OwnerMessage, RoundTripsEachKindWithinDatagramSize) {
   const SharedKey k{{1, 2}, 3};
-  const std::string zone(kZoneMost, 'z');
+  const std::string zone(kMaxZoneNameBytes, 'z');
   for (const OwnerMessage& m : std::vector<OwnerMessage>{
-           Claim{7, k, 9, 11, true}, Ruling{7, Known::uncertain, 513, true, true, {zone, -4, 120}, 5000},
-           Over{8, k, 9, State::answered, {zone, 1, 120}, 5000}, Noted{8}, Fetch{9, k, 190},
-           Piece{9, 400, 190, std::string(kPieceMost, 'p')}}) {
+           Claim{7, k, 9, 11, true},
+           ClaimResponse{7, KeyKnowledge::uncertain, 513, true, true, {zone, -4, 120}, 5000},
+           RunFinishedNotice{8, k, 9, KeyState::completed, {zone, 1, 120}, 5000}, FinishedAcknowledgement{8},
+           ResponseRequest{9, k, 190}, ResponseChunk{9, 400, 190, std::string(kMaxChunkBytes, 'p')}}) {
     const std::string bytes = encode(m);
     EXPECT_LE(bytes.size(), 218u);
     const auto back = decodeOwnerMessage(bytes);
@@ -26,39 +27,39 @@
     for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(decodeOwnerMessage(bytes.substr(0, n)));
     EXPECT_FALSE(decodeOwnerMessage(bytes + "x"));
   }
-  const auto ruling =
-      decodeOwnerMessage(encode(Ruling{7, Known::running, 513, false, true, {"east", -4, 120}, 5}));
-  const Ruling& r = std::get<Ruling>(*ruling);
+  const auto ruling = decodeOwnerMessage(
+      encode(ClaimResponse{7, KeyKnowledge::running, 513, false, true, {"east", -4, 120}, 5}));
+  const ClaimResponse& r = std::get<ClaimResponse>(*ruling);
   EXPECT_EQ(r.runner, 513);
-  EXPECT_FALSE(r.mine);
-  EXPECT_TRUE(r.young);
-  EXPECT_EQ(r.where.zone, "east");
-  EXPECT_EQ(r.where.cell, -4);
-  EXPECT_EQ(r.where.agoMs, 120u);
+  EXPECT_FALSE(r.senderIsOwner);
+  EXPECT_TRUE(r.senderIsNew);
+  EXPECT_EQ(r.attempt.zone, "east");
+  EXPECT_EQ(r.attempt.cell, -4);
+  EXPECT_EQ(r.attempt.ageMs, 120u);
 }
 
-// A zone whose name is too long is not said at all: cut short it could be another's.
-TEST(OwnerMessage, AZoneThatIsTooLongIsNotSaid) {
-  const auto m = decodeOwnerMessage(
-      encode(Over{8, {}, 9, State::uncertain, {std::string(kZoneMost + 1, 'z'), 1, 120}, 5000}));
+// A zone name that is too long is left out, since a truncated one could be another zone's.
+TEST(OwnerMessage, OmitsZoneNameThatIsTooLong) {
+  const auto m = decodeOwnerMessage(encode(RunFinishedNotice{
+      8, {}, 9, KeyState::uncertain, {std::string(kMaxZoneNameBytes + 1, 'z'), 1, 120}, 5000}));
   ASSERT_TRUE(m);
-  EXPECT_EQ(std::get<Over>(*m).where.zone, "");
-  EXPECT_EQ(std::get<Over>(*m).where.agoMs, Whereabouts::kLongAgo);
+  EXPECT_EQ(std::get<RunFinishedNotice>(*m).attempt.zone, "");
+  EXPECT_EQ(std::get<RunFinishedNotice>(*m).attempt.ageMs, AttemptLocation::kUnknownAge);
 }
 
-TEST(OwnerMessage, AnAnswerIsPackedWhole) {
-  const KeptAnswer a{201, "text/plain", std::string("b\0dy", 4)};
-  const auto back = unpackAnswer(packAnswer(a));
+TEST(OwnerMessage, RoundTripsResponse) {
+  const CachedResponse a{201, "text/plain", std::string("b\0dy", 4)};
+  const auto back = parseResponse(serializeResponse(a));
   ASSERT_TRUE(back);
   EXPECT_EQ(back->status, 201u);
   EXPECT_EQ(back->contentType, "text/plain");
   EXPECT_EQ(back->body, a.body);
-  EXPECT_FALSE(unpackAnswer(""));
-  EXPECT_FALSE(unpackAnswer("ab"));
+  EXPECT_FALSE(parseResponse(""));
+  EXPECT_FALSE(parseResponse("ab"));
 }
 
-// Gateways of two versions talk to each other during a deploy: the form is pinned by literal bytes of each
-// kind.
+// Gateways of two versions talk to each other during a deployment, so the format is fixed by literal bytes of
+// each kind.
 TEST(OwnerMessage, BytesOfEachKindAreFixed) {
   const SharedKey k{{1, 2}, 3};
   const std::vector<std::pair<OwnerMessage, const char*>> fixed = {
@@ -71,7 +72,7 @@
        "0900000000000000"
        "0b000000"
        "01"},
-      {Ruling{7, Known::uncertain, 513, true, true, {"east", -4, 120}, 5000},
+      {ClaimResponse{7, KeyKnowledge::uncertain, 513, true, true, {"east", -4, 120}, 5000},
        "02"
        "0700000000000000"
        "03"
@@ -81,7 +82,7 @@
        "fcffffffffffffff"
        "78000000"
        "88130000"},
-      {Over{8, k, 9, State::answered, {"west", 1, 120}, 5000},
+      {RunFinishedNotice{8, k, 9, KeyState::completed, {"west", 1, 120}, 5000},
        "03"
        "0800000000000000"
        "0100000000000000"
@@ -93,17 +94,17 @@
        "0100000000000000"
        "78000000"
        "88130000"},
-      {Noted{8},
+      {FinishedAcknowledgement{8},
        "04"
        "0800000000000000"},
-      {Fetch{9, k, 190},
+      {ResponseRequest{9, k, 190},
        "05"
        "0900000000000000"
        "0100000000000000"
        "0200000000000000"
        "0300000000000000"
        "be00"},
-      {Piece{9, 400, 190, "piece"},
+      {ResponseChunk{9, 400, 190, "piece"},
        "06"
        "0900000000000000"
        "9001"
@@ -115,9 +116,9 @@
     ASSERT_TRUE(back) << message.index();
     EXPECT_EQ(back->index(), message.index());
   }
-  EXPECT_EQ(packAnswer({201, "text/plain", "body"}), fromHex("c900"
-                                                             "0a746578742f706c61696e"
-                                                             "626f6479"));
+  EXPECT_EQ(serializeResponse({201, "text/plain", "body"}), fromHex("c900"
+                                                                    "0a746578742f706c61696e"
+                                                                    "626f6479"));
 }
 
 }  // namespace
--- a/tests/idempotency/run_test.cpp
+++ b/tests/idempotency/run_test.cpp
@@ -9,8 +9,8 @@
 #include <random>
 
 #include "idempotency/filter.hpp"
-#include "support/faulty_folder.hpp"
-#include "support/later_runner.hpp"
+#include "support/faulty_directory.hpp"
+#include "support/manual_sync_runner.hpp"
 #include "support/sockets.hpp"
 
 namespace finchstile::idempotency {
@@ -20,11 +20,11 @@
 using std::chrono::milliseconds;
 using Steady = std::chrono::steady_clock;
 
-// Scaled down from service: hosts of a zone drop repeats for 200 ms, clients repeat after up to 500 ms, the
-// store keeps its promise for 5 s.
+// Scaled down: hosts of a zone recognize repeats for 200 ms, clients repeat after up to 500 ms, and the
+// store's retention is 5 s.
 constexpr milliseconds kWindow(200), kKeep(5000);
-// Hosts keep their word with room to spare: a pause of a busy machine between a send and its execution must
-// not be taken for a double booking.
+// Hosts recognize repeats for some time longer: a pause of a busy machine between a send and its execution
+// must not count as a double execution.
 constexpr milliseconds kDropped = kWindow + milliseconds(300);
 constexpr std::size_t kZones = 2, kHostsOfZone = 3;
 
@@ -38,7 +38,7 @@
   std::size_t requests = 2000;
   bool store = true;
   std::size_t entries = 100'000;
-  Steady::duration restartEvery{};  // 0: never. The gateway is killed, and another one started on its log
+  Steady::duration restartEvery{};  // of the gateway on its log, by a kill; 0: never
 };
 
 class Load {
@@ -66,28 +66,28 @@
     gateway_ = std::make_unique<Gateway>(*gatewayIo_, clock_, readConfig(config.dump(), clock_));
     if (plan_.store) {
       IdempotencySettings settings;
-      settings.limits.entries = plan_.entries;
-      settings.limits.keep = kKeep;
-      settings.limits.tenantShare = 1;
-      settings.refuseWhenFull = true;
-      settings.limits.evict = false;
-      stage_ =
+      settings.limits.maxEntries = plan_.entries;
+      settings.limits.retention = kKeep;
+      settings.limits.maxTenantFraction = 1;
+      settings.rejectWhenFull = true;
+      settings.limits.evictCompleted = false;
+      filter_ =
           std::make_unique<IdempotencyFilter>(clock_, settings, 0, Seed{1, 2}, gateway_->filterCallbacks());
       if (plan_.restartEvery != Steady::duration{}) {
         JournalSettings j;
         j.sync = SyncPolicy::never;
-        j.keep = kKeep;
-        j.longest = std::chrono::seconds(4);
-        log_ = std::make_unique<wal::Log>(folder_, wal::Options{});
-        journal_ = std::make_unique<Journal>(*log_, j, names_, timeBase(clock_, "boot"), runner_);
-        EXPECT_FALSE(stage_->recover(*journal_).log.damaged);
+        j.retention = kKeep;
+        j.maxRequestDuration = std::chrono::seconds(4);
+        log_ = std::make_unique<wal::Log>(folder_, wal::LogOptions{});
+        journal_ = std::make_unique<Journal>(*log_, j, names_, clockTimeBase(clock_, "boot"), runner_);
+        EXPECT_FALSE(filter_->recover(*journal_).log.damaged);
         restartAt_ = Steady::now() + plan_.restartEvery;
       }
-      gateway_->attach(*stage_);
+      gateway_->attach(*filter_);
     }
     gateway_->start();
   }
-  // The gateway has a loop of its own, so that it can be killed with what its loop still holds.
+  // The gateway has an event loop of its own, so that it can be killed together with what the loop holds.
   void turn() {
     for (asio::io_context* one : {gatewayIo_.get(), &io_}) {
       one->restart();
@@ -96,17 +96,17 @@
   }
   void restart() {
     count();
-    gateway_.reset(), gatewayIo_.reset();  // with all that was still to be handled
-    stage_.reset(), journal_.reset(), log_.reset();
+    gateway_.reset(), gatewayIo_.reset();  // with all its pending handlers
+    filter_.reset(), journal_.reset(), log_.reset();
     runner_.job.reset();
     folder_.kill();
     ++tally_.restarts;
     start();
   }
   void count() {
-    if (!stage_) return;
-    const Counts& c = stage_->counts();
-    known_ += c.replayed + c.answeredFromFirst + c.again;
+    if (!filter_) return;
+    const FilterCounts& c = filter_->counts();
+    known_ += c.replayedResponses + c.answeredFromRunning + c.retriedUncertain;
   }
 
   Tally run() {
@@ -119,13 +119,14 @@
         step(p);
         busy |= p.state != Person::State::idle || tally_.requests < requests_;
       }
-      if (dice_() % 100 == 0) downUntil_[dice_() % downUntil_.size()] = Steady::now() + milliseconds(30);
-      if (journal_) journal_->tick(clock_.now()), runner_.carryOut();
+      if (rng_() % 100 == 0) downUntil_[rng_() % downUntil_.size()] = Steady::now() + milliseconds(30);
+      if (journal_) journal_->tick(clock_.now()), runner_.runJob();
       if (journal_ && Steady::now() >= restartAt_) restart();
-      // Received requests pile up in the stand-ins; what is counted is counted.
+      // Received requests accumulate in the hosts; they have been counted.
       for (auto& h : hosts_) {
         h->received.clear();
-        // Danger: kept, the ends of connections that the gateway closed use up the descriptors of a long run.
+        // If they were kept, connections that the gateway has closed would use up the descriptors of a long
+        // run.
         std::erase_if(h->peers, [](const auto& p) { return p->ended || !p->socket.is_open(); });
       }
     }
@@ -136,8 +137,8 @@
     count();
     return tally_;
   }
-  std::size_t known() const { return known_; }  // requests of which the store knew the key
-  const IdempotencyFilter* stage() const { return stage_.get(); }
+  std::size_t known() const { return known_; }  // requests whose key the store knew
+  const IdempotencyFilter* filter() const { return filter_.get(); }
   bool over() {
     const auto most = Steady::now() + std::chrono::seconds(20);
     while (gateway_->openRequests() > 0 && Steady::now() < most) turn();
@@ -145,32 +146,32 @@
   }
 
  private:
-  struct Person {  // one who books, and repeats until it is served or tired
+  struct Person {  // a client that repeats until it is served or gives up
     enum class State { idle, pausing, asking } state = State::idle;
     std::string key;
     int triesLeft = 0;
     std::shared_ptr<Client> client;
-    std::size_t before = 0;   // answers on that connection
-    Steady::time_point at{};  // when it asks, or gives up
+    std::size_t before = 0;   // responses on that connection so far
+    Steady::time_point at{};  // when it sends its request, or gives up
     bool impatient = false;
-    std::size_t ofLife = 0;  // the gateway that it asked
+    std::size_t ofLife = 0;  // the gateway process that it sent its request to
   };
   static std::size_t zoneOf(std::size_t host) { return host / kHostsOfZone; }
 
   void serve(std::size_t h, const std::shared_ptr<Peer>& peer, const Received& q) {
     const auto now = Steady::now();
-    if (now < downUntil_[h]) return peer->close();  // it died: nothing ran
-    const unsigned roll = dice_() % 100;
+    if (now < downUntil_[h]) return peer->close();  // the host is down: nothing is executed
+    const unsigned roll = rng_() % 100;
     if (roll < 3) return reply(peer, 503, "X-Unprocessed: 1\r\n");
     const std::string key(q["Idempotency-Key"]);
-    const auto timer = std::make_shared<asio::steady_timer>(io_, milliseconds(dice_() % 4));
+    const auto timer = std::make_shared<asio::steady_timer>(io_, milliseconds(rng_() % 4));
     timer->async_wait([this, h, key, roll, peer, timer](error_code) {
       auto& seen = seen_[zoneOf(h)][key];
       const auto then = Steady::now();
       if (seen == Steady::time_point{} || then - seen >= kDropped)
         executed_[key].push_back(then), seen = then;
-      if (roll < 8) return peer->close();  // it ran, and nobody hears of it
-      if (roll < 10) return;               // the same, in silence
+      if (roll < 8) return peer->close();  // executed without a response
+      if (roll < 10) return;               // executed, and the connection stays open
       reply(peer, 200, "");
     });
   }
@@ -203,7 +204,7 @@
           ++(status == 200 ? tally_.served : status == 503 ? tally_.refused : tally_.failed);
           return again(p, status == 200);
         }
-        // Every time limit on sockets is 50 ms longer: a busy loop is no late answer.
+        // Every time limit on sockets is 50 ms longer: a busy event loop is not a late response.
         if (now < p.at + (p.impatient ? milliseconds(0) : milliseconds(50)) && !p.client->ended) return;
         ++(p.ofLife != tally_.restarts ? tally_.cut : p.impatient ? tally_.left : tally_.unanswered);
         p.client->close();
@@ -215,39 +216,39 @@
   void ask(Person& p) {
     if (!p.client || p.client->ended) p.client = Client::connect(io_, gateway_->endpoint());
     p.ofLife = tally_.restarts;
-    const int left = 150 + static_cast<int>(dice_() % 300);
+    const int left = 150 + static_cast<int>(rng_() % 300);
     p.before = p.client->answers.size();
     p.client->ask("POST", "/put/1", left, "log " + p.key, "Idempotency-Key: " + p.key + "\r\n");
-    p.impatient = dice_() % 20 == 0;
-    p.at = Steady::now() + milliseconds(p.impatient ? dice_() % 10 : left);
+    p.impatient = rng_() % 20 == 0;
+    p.at = Steady::now() + milliseconds(p.impatient ? rng_() % 10 : left);
     p.state = Person::State::asking;
     --p.triesLeft;
     ++tally_.requests;
   }
   void again(Person& p, bool served) {
-    // Some repeat though they were served: an answer may be lost behind the gateway.
-    if (p.triesLeft == 0 || (served && dice_() % 4 != 0)) {
+    // Some clients repeat after a response, which may be lost after the gateway.
+    if (p.triesLeft == 0 || (served && rng_() % 4 != 0)) {
       p.state = Person::State::idle;
       return;
     }
     p.state = Person::State::pausing;
-    p.at = Steady::now() + milliseconds(dice_() % 500);
+    p.at = Steady::now() + milliseconds(rng_() % 500);
   }
 
   const Plan plan_;
   std::size_t requests_, known_ = 0;
   asio::io_context io_;
   Clock clock_;
-  std::mt19937 dice_{11};
+  std::mt19937 rng_{11};
   Server discovery_{io_, [](const auto&, const Received&) {}};
   std::vector<std::unique_ptr<Server>> hosts_;
   std::vector<Steady::time_point> downUntil_;
   std::unique_ptr<asio::io_context> gatewayIo_;
   std::unique_ptr<Gateway> gateway_;
-  std::unique_ptr<IdempotencyFilter> stage_;
-  FaultyFolder folder_{1};
-  LaterRunner runner_;
-  const Names names_{{}, {"read", "book", "put"}};
+  std::unique_ptr<IdempotencyFilter> filter_;
+  FaultyDirectory folder_{1};
+  ManualSyncRunner runner_;
+  const TenantAndClassNames names_{{}, {"read", "book", "put"}};
   std::unique_ptr<wal::Log> log_;
   std::unique_ptr<Journal> journal_;
   Steady::time_point restartAt_{};
@@ -284,21 +285,21 @@
   if (plan.restartEvery != Steady::duration{}) EXPECT_GT(t.restarts, 0u);
 }
 
-TEST(IdempotencyRun, EveryKeyRunsAtMostOnceWithinItsWindow) {
+TEST(IdempotencyRun, RunsEachKeyAtMostOnceWithinRetention) {
   Plan plan;
   plan.requests = std::max<std::size_t>(asked(), 2000);
   expectOnce("with the store", plan);
 }
 
-TEST(IdempotencyRun, EveryKeyRunsAtMostOnceThoughTheGatewayIsKilled) {
+TEST(IdempotencyRun, RunsEachKeyAtMostOnceAcrossKills) {
   Plan plan;
   plan.requests = std::max<std::size_t>(asked(), 1500);
   plan.restartEvery = milliseconds(asked() ? 3000 : 400);
   expectOnce("with the store on its log, killed", plan);
 }
 
-// Hard case: full at month-end, set to refuse. What was answered is not dropped to make room.
-TEST(IdempotencyRun, AFullStoreThatRefusesKeepsItsPromise) {
+// A full store that rejects new keys keeps its completed ones.
+TEST(IdempotencyRun, FullStoreThatRejectsRunsEachKeyOnce) {
   Plan plan;
   plan.requests = 1500;
   plan.entries = 100;
@@ -311,8 +312,8 @@
   EXPECT_GT(t.executions, 100u);
 }
 
-// A measurement only: what the same load does without, and with a store that is always full.
-TEST(IdempotencyRun, TheSameLoadWithoutAndFull) {
+// Only a measurement: the same load without a store, and with a store that is always full.
+TEST(IdempotencyRun, ComparesLoadWithoutStoreAndWithFullStore) {
   if (!asked()) GTEST_SKIP() << "with FINCHSTILE_REQUESTS only";
   Plan plan;
   plan.requests = asked();
@@ -320,7 +321,7 @@
   Load without(plan);
   const Tally t = without.run();
   print("without", t);
-  EXPECT_GT(t.doubleBookings, 0u);  // or the load shows nothing
+  EXPECT_GT(t.doubleBookings, 0u);  // otherwise the load shows nothing
   plan.requests = asked() / 4;
   plan.store = true;
   plan.entries = 200;
@@ -328,7 +329,7 @@
   const Tally f = full.run();
   print("with a store that is full", f);
   EXPECT_EQ(f.doubleBookings, 0u);
-  std::printf("%s\n", full.stage()->summary().c_str());
+  std::printf("%s\n", full.filter()->summary().c_str());
 }
 
 }  // namespace
--- a/tests/idempotency/store_test.cpp
+++ b/tests/idempotency/store_test.cpp
@@ -1,5 +1,5 @@
-// The store of keyed requests: each transition, its bounds, and a plain reference model under random
-// operations.
+// Tests each transition of a key in the store, the limits of the store, and random operations against a
+// reference model.
 #include "idempotency/store.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using E = Store::End;
+using E = Store::RunOutcome;
 
 struct StoreTest : ::testing::Test {
   StoreLimits limits;
@@ -25,338 +25,345 @@
   void make(std::uint32_t tenants = 2, std::uint64_t hashMask = ~std::uint64_t{0}) {
     store = std::make_unique<Store>(limits, tenants, Seed{1, 2}, hashMask);
   }
-  Store::Result arrive(const std::string& key, std::uint64_t body = 1, std::uint32_t tenant = 0,
-                       std::uint32_t cls = 0) {
-    Store::Arrival a;
+  Store::AdmissionResult arrive(const std::string& key, std::uint64_t body = 1, std::uint32_t tenant = 0,
+                                std::uint32_t cls = 0) {
+    Store::KeyedRequest a;
     a.tenant = tenant;
     a.classIndex = cls;
     a.key = key;
     a.fingerprint = {body, body};
     a.waiter = ++waiters;
-    return store->arrive(now, a);
+    return store->admit(now, a);
   }
-  static KeptAnswer ok(const std::string& body = "ok") { return {200, "text/plain", body}; }
+  static CachedResponse ok(const std::string& body = "ok") { return {200, "text/plain", body}; }
 };
 
-TEST_F(StoreTest, ARepeatOfARunningOneJoinsAndOfAnAnsweredOneIsReplayed) {
+TEST_F(StoreTest, JoinsRunningRequestAndReplaysCompletedOne) {
   make();
   const auto first = arrive("k");
-  ASSERT_EQ(first.admission, Admission::fresh);
-  EXPECT_EQ(arrive("k").admission, Admission::join);
-  EXPECT_EQ(arrive("k").admission, Admission::join);  // two at once
-  EXPECT_TRUE(store->awaited(first.entry));
-  EXPECT_EQ(store->end(now, first.entry, E::served, ok()), (std::vector<Store::Waiter>{2, 3}));
+  ASSERT_EQ(first.admission, Admission::firstRun);
+  EXPECT_EQ(arrive("k").admission, Admission::joinRunning);
+  EXPECT_EQ(arrive("k").admission, Admission::joinRunning);  // a second waiter
+  EXPECT_TRUE(store->hasWaiters(first.entry));
+  EXPECT_EQ(store->finishRun(now, first.entry, E::responded, ok()), (std::vector<Store::Waiter>{2, 3}));
   const auto replay = arrive("k");
-  ASSERT_EQ(replay.admission, Admission::replay);
-  EXPECT_EQ(replay.answer->body, "ok");
-  EXPECT_EQ(store->count(State::answered), 1u);
+  ASSERT_EQ(replay.admission, Admission::replayResponse);
+  EXPECT_EQ(replay.response->body, "ok");
+  EXPECT_EQ(store->countInState(KeyState::completed), 1u);
 }
 
-TEST_F(StoreTest, TheSameKeyOfAnotherClassOrTenantIsAnother) {
+TEST_F(StoreTest, SeparatesKeysByClassAndTenant) {
   make();
-  EXPECT_EQ(arrive("k", 1, 0, 0).admission, Admission::fresh);
-  EXPECT_EQ(arrive("k", 1, 1, 0).admission, Admission::fresh);
-  EXPECT_EQ(arrive("k", 1, 0, 1).admission, Admission::fresh);
+  EXPECT_EQ(arrive("k", 1, 0, 0).admission, Admission::firstRun);
+  EXPECT_EQ(arrive("k", 1, 1, 0).admission, Admission::firstRun);
+  EXPECT_EQ(arrive("k", 1, 0, 1).admission, Admission::firstRun);
 }
 
-TEST_F(StoreTest, TheSameKeyWithAnotherRequestIsAMismatchInEveryState) {
+TEST_F(StoreTest, DetectsFingerprintMismatchInEachState) {
   make();
   const auto first = arrive("k", 1);
-  EXPECT_EQ(arrive("k", 2).admission, Admission::mismatch);
-  store->end(now, first.entry, E::served, ok());
-  EXPECT_EQ(arrive("k", 2).admission, Admission::mismatch);
+  EXPECT_EQ(arrive("k", 2).admission, Admission::fingerprintMismatch);
+  store->finishRun(now, first.entry, E::responded, ok());
+  EXPECT_EQ(arrive("k", 2).admission, Admission::fingerprintMismatch);
   const auto other = arrive("u", 1);
-  store->end(now, other.entry, E::mayHaveRun);
-  EXPECT_EQ(arrive("u", 2).admission, Admission::mismatch);
-  EXPECT_EQ(arrive("u", 1).admission, Admission::again);
+  store->finishRun(now, other.entry, E::mayHaveExecuted);
+  EXPECT_EQ(arrive("u", 2).admission, Admission::fingerprintMismatch);
+  EXPECT_EQ(arrive("u", 1).admission, Admission::retryUncertain);
 }
 
-// Hard case: the first was refused unsent; the repeat then runs as new.
-TEST_F(StoreTest, OneThatNeverRanIsForgotten) {
+// A first request that was rejected unsent leaves nothing, and its repeat runs as a new one.
+TEST_F(StoreTest, ForgetsRunThatWasNotExecuted) {
   make();
   const auto first = arrive("k");
   arrive("k");
-  EXPECT_EQ(store->end(now, first.entry, E::neverRan).size(), 1u);
+  EXPECT_EQ(store->finishRun(now, first.entry, E::notExecuted).size(), 1u);
   EXPECT_EQ(store->entries(), 0u);
   EXPECT_EQ(store->bytes(), 0u);
-  EXPECT_EQ(arrive("k", 9).admission, Admission::fresh);
+  EXPECT_EQ(arrive("k", 9).admission, Admission::firstRun);
 }
 
-// Hard case: the first fails after an attempt may have run. The first such attempt is what counts.
-TEST_F(StoreTest, OneThatMayHaveRunTellsWhereAndWhen) {
+// A first request fails after an attempt may have been executed. The first such attempt is the one that
+// counts.
+TEST_F(StoreTest, RemembersLocationAndTimeOfRunThatMayHaveExecuted) {
   make();
   const auto first = arrive("k");
-  store->sent(first.entry, {"brasov", 1, now});
-  store->settled(first.entry, false);  // turned away unseen: it does not count
-  store->sent(first.entry, {"cluj", 2, now + milliseconds(10)});
-  store->settled(first.entry, true);
-  store->sent(first.entry, {"cluj", 3, now + milliseconds(20)});
-  store->settled(first.entry, false);
-  store->end(now + milliseconds(30), first.entry, E::mayHaveRun);
+  store->onAttemptSent(first.entry, {"brasov", 1, now});
+  store->onAttemptSettled(first.entry, false);  // rejected by the host: it does not count
+  store->onAttemptSent(first.entry, {"cluj", 2, now + milliseconds(10)});
+  store->onAttemptSettled(first.entry, true);
+  store->onAttemptSent(first.entry, {"cluj", 3, now + milliseconds(20)});
+  store->onAttemptSettled(first.entry, false);
+  store->finishRun(now + milliseconds(30), first.entry, E::mayHaveExecuted);
   const auto again = arrive("k");
-  ASSERT_EQ(again.admission, Admission::again);
-  EXPECT_EQ(again.earlier->zone, "cluj");
-  EXPECT_EQ(again.earlier->cell, 2);
-  EXPECT_EQ(again.earlier->sentAt, now + milliseconds(10));
-  // That one never ran itself; what came before it still may have.
-  store->end(now, again.entry, E::neverRan);
+  ASSERT_EQ(again.admission, Admission::retryUncertain);
+  EXPECT_EQ(again.earlierAttempt->zone, "cluj");
+  EXPECT_EQ(again.earlierAttempt->cell, 2);
+  EXPECT_EQ(again.earlierAttempt->sentAt, now + milliseconds(10));
+  // The retry itself was not executed, but the run before it still may have been.
+  store->finishRun(now, again.entry, E::notExecuted);
   const auto third = arrive("k");
-  ASSERT_EQ(third.admission, Admission::again);
-  EXPECT_EQ(third.earlier->sentAt, now + milliseconds(10));
+  ASSERT_EQ(third.admission, Admission::retryUncertain);
+  EXPECT_EQ(third.earlierAttempt->sentAt, now + milliseconds(10));
 }
 
-// One who repeats an uncertain request over and over, and is failed unsent each time, does not make its
-// window longer.
-TEST_F(StoreTest, ARepeatThatIsNotSentDoesNotLengthenTheWindow) {
-  limits.keep = seconds(10);
+// A client that repeats an uncertain request again and again, and fails unsent each time, does not prolong
+// its retention.
+TEST_F(StoreTest, UnsentRetryDoesNotProlongRetention) {
+  limits.retention = seconds(10);
   make();
   const auto first = arrive("k");
-  store->sent(first.entry, {"cluj", 2, now});
-  store->settled(first.entry, true);
-  store->end(now, first.entry, E::mayHaveRun);
-  const Time due = now + limits.keep;
+  store->onAttemptSent(first.entry, {"cluj", 2, now});
+  store->onAttemptSettled(first.entry, true);
+  store->finishRun(now, first.entry, E::mayHaveExecuted);
+  const Time due = now + limits.retention;
   for (now += seconds(1); now < due; now += seconds(1)) {
     const auto again = arrive("k");
-    ASSERT_EQ(again.admission, Admission::again);
-    EXPECT_EQ(again.earlier->zone, "cluj");
-    store->end(now, again.entry, E::neverRan);
+    ASSERT_EQ(again.admission, Admission::retryUncertain);
+    EXPECT_EQ(again.earlierAttempt->zone, "cluj");
+    store->finishRun(now, again.entry, E::notExecuted);
   }
-  EXPECT_EQ(arrive("k").admission, Admission::fresh);
-  // Sent once more, it begins anew.
+  EXPECT_EQ(arrive("k").admission, Admission::firstRun);
+  // A retry that is sent begins a new retention.
   const auto other = arrive("o");
-  store->sent(other.entry, {"cluj", 2, now});
-  store->settled(other.entry, true);
-  store->end(now, other.entry, E::mayHaveRun);
+  store->onAttemptSent(other.entry, {"cluj", 2, now});
+  store->onAttemptSettled(other.entry, true);
+  store->finishRun(now, other.entry, E::mayHaveExecuted);
   now += seconds(9);
   const auto again = arrive("o");
-  store->sent(again.entry, {"cluj", 2, now});
-  store->end(now, again.entry, E::neverRan);
+  store->onAttemptSent(again.entry, {"cluj", 2, now});
+  store->finishRun(now, again.entry, E::notExecuted);
   now += seconds(9);
-  EXPECT_EQ(arrive("o").admission, Admission::again);
+  EXPECT_EQ(arrive("o").admission, Admission::retryUncertain);
 }
 
-// What others know binds one that has just begun here, and no longer than they say: with their answer, or
-// unsent.
-TEST_F(StoreTest, WhatOthersKnowCountsAsLongAsTheySay) {
-  limits.keep = seconds(10);
+// An earlier attempt that another gateway knows of binds a run that has just begun, for as long as that
+// gateway says, whether it ends with the other gateway's response or unsent.
+TEST_F(StoreTest, BoundAttemptCountsUntilItsTime) {
+  limits.retention = seconds(10);
   make();
-  for (const E how : {E::served, E::neverRan}) {
-    const std::string key = how == E::served ? "a" : "u";
+  for (const E how : {E::responded, E::notExecuted}) {
+    const std::string key = how == E::responded ? "a" : "u";
     const auto r = arrive(key);
-    store->bind(r.entry, {"cluj", 2, now}, now + seconds(4));
-    store->end(now + seconds(1), r.entry, how, ok());
+    store->bindToEarlierAttempt(r.entry, {"cluj", 2, now}, now + seconds(4));
+    store->finishRun(now + seconds(1), r.entry, how, ok());
   }
   const Time began = now;
   now = began + milliseconds(3999);
-  EXPECT_EQ(arrive("a").admission, Admission::replay);
+  EXPECT_EQ(arrive("a").admission, Admission::replayResponse);
   const auto again = arrive("u");
-  ASSERT_EQ(again.admission, Admission::again);
-  EXPECT_EQ(again.earlier->zone, "cluj");
-  // And one that was uncertain here: what was known here stays known, its answer lasts no longer.
-  store->bind(again.entry, {"brasov", 1, now}, began + seconds(6));
-  store->end(now, again.entry, E::served, ok());
+  ASSERT_EQ(again.admission, Admission::retryUncertain);
+  EXPECT_EQ(again.earlierAttempt->zone, "cluj");
+  // The same for a key that was uncertain here: its own earlier attempt stays, and the response lasts no
+  // longer.
+  store->bindToEarlierAttempt(again.entry, {"brasov", 1, now}, began + seconds(6));
+  store->finishRun(now, again.entry, E::responded, ok());
   now = began + milliseconds(5999);
-  EXPECT_EQ(arrive("a").admission, Admission::fresh);
-  EXPECT_EQ(arrive("u").admission, Admission::replay);
+  EXPECT_EQ(arrive("a").admission, Admission::firstRun);
+  EXPECT_EQ(arrive("u").admission, Admission::replayResponse);
   now = began + seconds(6);
-  EXPECT_EQ(arrive("u").admission, Admission::fresh);
+  EXPECT_EQ(arrive("u").admission, Admission::firstRun);
 }
 
-// One that ends unsent behind the window it was bound by: its key is free.
-TEST_F(StoreTest, ARepeatThatOutlastsTheWindowUnsentLeavesNothing) {
-  limits.keep = seconds(10);
+// A run that ends unsent after the time of the attempt that bound it leaves its key unused.
+TEST_F(StoreTest, ForgetsUnsentRetryThatOutlastsRetention) {
+  limits.retention = seconds(10);
   make();
-  store->end(now, arrive("k").entry, E::mayHaveRun);
+  store->finishRun(now, arrive("k").entry, E::mayHaveExecuted);
   now += seconds(9);
   const auto again = arrive("k");
   now += seconds(2);
-  store->end(now, again.entry, E::neverRan);
+  store->finishRun(now, again.entry, E::notExecuted);
   EXPECT_EQ(store->entries(), 0u);
 }
 
-// Hard case: an answer that is larger than the store takes.
-TEST_F(StoreTest, AnAnswerTooLargeLeavesItUncertain) {
-  limits.answerMost = 10;
+// A response that is larger than the store accepts.
+TEST_F(StoreTest, ResponseTooLargeLeavesKeyUncertain) {
+  limits.maxResponseBytes = 10;
   make();
   const auto first = arrive("k");
-  store->sent(first.entry, {"cluj", 0, now});
-  store->settled(first.entry, true);
-  store->end(now, first.entry, E::served, ok(std::string(11, 'x')));
-  EXPECT_EQ(store->count(State::uncertain), 1u);
-  EXPECT_EQ(arrive("k").admission, Admission::again);
+  store->onAttemptSent(first.entry, {"cluj", 0, now});
+  store->onAttemptSettled(first.entry, true);
+  store->finishRun(now, first.entry, E::responded, ok(std::string(11, 'x')));
+  EXPECT_EQ(store->countInState(KeyState::uncertain), 1u);
+  EXPECT_EQ(arrive("k").admission, Admission::retryUncertain);
 }
 
-// Hard case: a key used again a millisecond before and after its window.
-TEST_F(StoreTest, TheWindowIsExact) {
-  limits.keep = seconds(10);
+// A key is used again a millisecond before and after its retention.
+TEST_F(StoreTest, RetentionIsExact) {
+  limits.retention = seconds(10);
   make();
-  store->end(now, arrive("a").entry, E::served, ok());
-  store->end(now, arrive("u").entry, E::mayHaveRun);
+  store->finishRun(now, arrive("a").entry, E::responded, ok());
+  store->finishRun(now, arrive("u").entry, E::mayHaveExecuted);
   now += milliseconds(9999);
-  EXPECT_EQ(arrive("a").admission, Admission::replay);
+  EXPECT_EQ(arrive("a").admission, Admission::replayResponse);
   now += milliseconds(1);
-  EXPECT_EQ(arrive("a").admission, Admission::fresh);
-  EXPECT_EQ(arrive("u").admission, Admission::fresh);
+  EXPECT_EQ(arrive("a").admission, Admission::firstRun);
+  EXPECT_EQ(arrive("u").admission, Admission::firstRun);
 }
 
-TEST_F(StoreTest, WhatIsDueIsForgottenUnasked) {
-  limits.keep = seconds(10);
+TEST_F(StoreTest, RemovesExpiredEntriesWithoutCalls) {
+  limits.retention = seconds(10);
   make();
   for (int i = 0; i < 1000; ++i, now += milliseconds(7))
-    store->end(now, arrive(std::to_string(i)).entry, E::served, ok());
+    store->finishRun(now, arrive(std::to_string(i)).entry, E::responded, ok());
   now += seconds(11);
   store->expire(now);
   EXPECT_EQ(store->entries(), 0u);
   EXPECT_EQ(store->bytes(), 0u);
 }
 
-// Hard case: clock steps. Far ahead forgets all that is due; back keeps all.
-TEST_F(StoreTest, ClockStepsNeitherLoseNorKeepWhatTheyShouldNot) {
-  limits.keep = seconds(10);
+// A clock step far ahead removes all expired entries; a step back removes none.
+TEST_F(StoreTest, ClockStepsNeitherLoseNorRetainEntries) {
+  limits.retention = seconds(10);
   make();
-  store->end(now, arrive("a").entry, E::served, ok());
+  store->finishRun(now, arrive("a").entry, E::responded, ok());
   now += std::chrono::hours(1000);
   store->expire(now);
   EXPECT_EQ(store->entries(), 0u);
-  store->end(now, arrive("b").entry, E::served, ok());
+  store->finishRun(now, arrive("b").entry, E::responded, ok());
   now -= std::chrono::hours(2);
-  EXPECT_EQ(arrive("b").admission, Admission::replay);
+  EXPECT_EQ(arrive("b").admission, Admission::replayResponse);
   now += std::chrono::hours(2) + seconds(10);
-  EXPECT_EQ(arrive("b").admission, Admission::fresh);
+  EXPECT_EQ(arrive("b").admission, Admission::firstRun);
 }
 
-// Hard case: full at month-end. Running and uncertain ones are never dropped; answered ones are, the oldest
-// first.
-TEST_F(StoreTest, AFullStoreDropsAnsweredOnesOnlyAndThenSaysSo) {
-  limits.entries = 10;
-  limits.tenantShare = 1;
+// A full store never removes running and uncertain entries. It removes completed ones, the oldest first.
+TEST_F(StoreTest, EvictsCompletedEntriesOnlyThenReportsFull) {
+  limits.maxEntries = 10;
+  limits.maxTenantFraction = 1;
   make(1);
   std::vector<Store::EntryId> running;
   for (int i = 0; i < 4; ++i) running.push_back(arrive("r" + std::to_string(i)).entry);
-  for (int i = 0; i < 3; ++i) store->end(now, arrive("u" + std::to_string(i)).entry, E::mayHaveRun);
-  for (int i = 0; i < 3; ++i) store->end(now, arrive("a" + std::to_string(i)).entry, E::served, ok());
-  EXPECT_EQ(arrive("n0").admission, Admission::fresh);  // in place of a0
-  EXPECT_EQ(store->evicted(), 1u);
-  EXPECT_EQ(arrive("a1").admission, Admission::replay);
-  EXPECT_EQ(arrive("n1").admission, Admission::fresh);
-  EXPECT_EQ(arrive("n2").admission, Admission::fresh);
-  EXPECT_EQ(arrive("n3").admission, Admission::full);
-  for (int i = 0; i < 4; ++i) EXPECT_EQ(arrive("r" + std::to_string(i)).admission, Admission::join);
-  EXPECT_EQ(arrive("u0").admission, Admission::again);
-  store->end(now, running[0], E::neverRan);
-  EXPECT_EQ(arrive("n3").admission, Admission::fresh);
+  for (int i = 0; i < 3; ++i)
+    store->finishRun(now, arrive("u" + std::to_string(i)).entry, E::mayHaveExecuted);
+  for (int i = 0; i < 3; ++i)
+    store->finishRun(now, arrive("a" + std::to_string(i)).entry, E::responded, ok());
+  EXPECT_EQ(arrive("n0").admission, Admission::firstRun);  // evicts a0
+  EXPECT_EQ(store->evictions(), 1u);
+  EXPECT_EQ(arrive("a1").admission, Admission::replayResponse);
+  EXPECT_EQ(arrive("n1").admission, Admission::firstRun);
+  EXPECT_EQ(arrive("n2").admission, Admission::firstRun);
+  EXPECT_EQ(arrive("n3").admission, Admission::storeFull);
+  for (int i = 0; i < 4; ++i) EXPECT_EQ(arrive("r" + std::to_string(i)).admission, Admission::joinRunning);
+  EXPECT_EQ(arrive("u0").admission, Admission::retryUncertain);
+  store->finishRun(now, running[0], E::notExecuted);
+  EXPECT_EQ(arrive("n3").admission, Admission::firstRun);
 }
 
-// Where the promise comes before new keys, nothing is dropped before its time.
-TEST_F(StoreTest, AFullStoreThatMayNotDropKeepsWhatWasAnswered) {
-  limits.entries = 4;
-  limits.tenantShare = 1;
-  limits.evict = false;
+// Without eviction nothing is removed before its time, and new keys are not admitted.
+TEST_F(StoreTest, KeepsCompletedEntriesWithoutEviction) {
+  limits.maxEntries = 4;
+  limits.maxTenantFraction = 1;
+  limits.evictCompleted = false;
   make(1);
-  for (int i = 0; i < 4; ++i) store->end(now, arrive("a" + std::to_string(i)).entry, E::served, ok());
-  EXPECT_EQ(arrive("n").admission, Admission::full);
-  for (int i = 0; i < 4; ++i) EXPECT_EQ(arrive("a" + std::to_string(i)).admission, Admission::replay);
-  EXPECT_EQ(store->evicted(), 0u);
-  now += limits.keep + seconds(1);
+  for (int i = 0; i < 4; ++i)
+    store->finishRun(now, arrive("a" + std::to_string(i)).entry, E::responded, ok());
+  EXPECT_EQ(arrive("n").admission, Admission::storeFull);
+  for (int i = 0; i < 4; ++i) EXPECT_EQ(arrive("a" + std::to_string(i)).admission, Admission::replayResponse);
+  EXPECT_EQ(store->evictions(), 0u);
+  now += limits.retention + seconds(1);
   store->expire(now);
-  EXPECT_EQ(arrive("n").admission, Admission::fresh);
+  EXPECT_EQ(arrive("n").admission, Admission::firstRun);
 }
 
-TEST_F(StoreTest, OneTenantCannotPushTheOthersOut) {
-  limits.entries = 1000;
-  limits.tenantShare = 0.5;
+TEST_F(StoreTest, TenantCannotEvictOthersBeyondItsLimit) {
+  limits.maxEntries = 1000;
+  limits.maxTenantFraction = 0.5;
   make(3);
-  for (int i = 0; i < 200; ++i) store->end(now, arrive("p" + std::to_string(i), 1, 1).entry, E::served, ok());
+  for (int i = 0; i < 200; ++i)
+    store->finishRun(now, arrive("p" + std::to_string(i), 1, 1).entry, E::responded, ok());
   for (int i = 0; i < 100'000; ++i)
-    store->end(now, arrive("f" + std::to_string(i), 1, 0).entry, E::served, ok());
-  for (int i = 0; i < 300; ++i) store->end(now, arrive("q" + std::to_string(i), 1, 2).entry, E::served, ok());
+    store->finishRun(now, arrive("f" + std::to_string(i), 1, 0).entry, E::responded, ok());
+  for (int i = 0; i < 300; ++i)
+    store->finishRun(now, arrive("q" + std::to_string(i), 1, 2).entry, E::responded, ok());
   for (int i = 0; i < 200; ++i)
-    EXPECT_EQ(arrive("p" + std::to_string(i), 1, 1).admission, Admission::replay) << i;
+    EXPECT_EQ(arrive("p" + std::to_string(i), 1, 1).admission, Admission::replayResponse) << i;
   EXPECT_LE(store->entries(), 1000u);
 }
 
-// Hard case: a client that sends a million keys.
-TEST_F(StoreTest, AMillionKeysStayWithinTheBounds) {
-  limits.entries = 5000;
-  limits.bytes = 2 * 1024 * 1024;
+// A client that sends a million keys.
+TEST_F(StoreTest, StaysWithinLimitsForAMillionKeys) {
+  limits.maxEntries = 5000;
+  limits.maxBytes = 2 * 1024 * 1024;
   make();
   std::size_t most = 0;
   for (int i = 0; i < 1'000'000; ++i) {
     const auto r = arrive("key-" + std::to_string(i));
-    if (r.admission == Admission::fresh) store->end(now, r.entry, E::served, ok());
+    if (r.admission == Admission::firstRun) store->finishRun(now, r.entry, E::responded, ok());
     most = std::max(most, store->bytes());
     now += std::chrono::microseconds(10);
   }
-  EXPECT_LE(most, limits.bytes);
+  EXPECT_LE(most, limits.maxBytes);
   EXPECT_LE(store->entries(), 5000u);
 }
 
-TEST_F(StoreTest, WaitersAreBounded) {
-  limits.joinedMost = 3;
+TEST_F(StoreTest, BoundsWaiters) {
+  limits.maxWaiters = 3;
   make();
   arrive("k");
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(arrive("k").admission, Admission::join);
-  EXPECT_EQ(arrive("k").admission, Admission::crowded);
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(arrive("k").admission, Admission::joinRunning);
+  EXPECT_EQ(arrive("k").admission, Admission::tooManyWaiters);
 }
 
-TEST_F(StoreTest, OneThatLeavesIsNotAmongThoseThatAreAnswered) {
+TEST_F(StoreTest, DoesNotReturnRemovedWaiter) {
   make();
   const auto first = arrive("k");
   arrive("k"), arrive("k");
-  store->leave(first.entry, 2);
-  store->leave(first.entry, 99);  // unknown: nothing
-  EXPECT_EQ(store->end(now, first.entry, E::served, ok()), (std::vector<Store::Waiter>{3}));
+  store->removeWaiter(first.entry, 2);
+  store->removeWaiter(first.entry, 99);  // an unknown waiter has no effect
+  EXPECT_EQ(store->finishRun(now, first.entry, E::responded, ok()), (std::vector<Store::Waiter>{3}));
 }
 
-// Hard case: keys that collide in the hash. Two buckets and many keys: each chain holds most of them.
-TEST_F(StoreTest, KeysThatShareABucketStayApart) {
-  limits.entries = 16;
-  limits.tenantShare = 1;
+// Keys that collide in the hash: with two buckets each chain holds most of them.
+TEST_F(StoreTest, SeparatesKeysInOneBucket) {
+  limits.maxEntries = 16;
+  limits.maxTenantFraction = 1;
   make(1);
   std::vector<Store::EntryId> ids;
   for (int i = 0; i < 16; ++i) ids.push_back(arrive("k" + std::to_string(i)).entry);
-  for (int i = 0; i < 16; i += 2) store->end(now, ids[i], E::neverRan);
+  for (int i = 0; i < 16; i += 2) store->finishRun(now, ids[i], E::notExecuted);
   for (int i = 1; i < 16; i += 2) EXPECT_EQ(arrive("k" + std::to_string(i)).entry, ids[i]);
-  for (int i = 0; i < 16; i += 2) EXPECT_EQ(arrive("k" + std::to_string(i)).admission, Admission::fresh);
+  for (int i = 0; i < 16; i += 2) EXPECT_EQ(arrive("k" + std::to_string(i)).admission, Admission::firstRun);
 }
 
-// The same where the hash is the same to the last bit: what tells them apart is the key, its class and its
-// tenant.
-TEST_F(StoreTest, KeysWithTheSameHashStayApart) {
+// Keys whose hashes are equal in all bits are told apart by key, class and tenant.
+TEST_F(StoreTest, SeparatesKeysWithEqualHash) {
   make(2, 1);
   const auto first = arrive("a", 1, 0, 0);
-  ASSERT_EQ(first.admission, Admission::fresh);
-  for (int i = 0; i < 50; ++i) EXPECT_EQ(arrive("k" + std::to_string(i)).admission, Admission::fresh);
-  EXPECT_EQ(arrive("a", 1, 1, 0).admission, Admission::fresh);
-  EXPECT_EQ(arrive("a", 1, 0, 1).admission, Admission::fresh);
+  ASSERT_EQ(first.admission, Admission::firstRun);
+  for (int i = 0; i < 50; ++i) EXPECT_EQ(arrive("k" + std::to_string(i)).admission, Admission::firstRun);
+  EXPECT_EQ(arrive("a", 1, 1, 0).admission, Admission::firstRun);
+  EXPECT_EQ(arrive("a", 1, 0, 1).admission, Admission::firstRun);
   EXPECT_EQ(arrive("a", 1, 0, 0).entry, first.entry);
-  store->end(now, first.entry, E::served, ok("of a"));
-  EXPECT_EQ(arrive("k7").admission, Admission::join);
-  EXPECT_EQ(arrive("a").answer->body, "of a");
+  store->finishRun(now, first.entry, E::responded, ok("of a"));
+  EXPECT_EQ(arrive("k7").admission, Admission::joinRunning);
+  EXPECT_EQ(arrive("a").response->body, "of a");
 }
 
-// Where the shares together are more than the whole, the tenant that holds most gives way, not one that holds
-// little.
-TEST_F(StoreTest, WhereTheWholeIsFullTheLargestTenantGivesWay) {
-  limits.entries = 1000;
-  limits.tenantShare = 0.8;
+// If the limits of all tenants exceed the whole store, the tenant with the most bytes is evicted from, and
+// not one with few.
+TEST_F(StoreTest, EvictsFromLargestTenantWhenStoreIsFull) {
+  limits.maxEntries = 1000;
+  limits.maxTenantFraction = 0.8;
   make(3);
-  for (int i = 0; i < 200; ++i) store->end(now, arrive("p" + std::to_string(i), 1, 1).entry, E::served, ok());
+  for (int i = 0; i < 200; ++i)
+    store->finishRun(now, arrive("p" + std::to_string(i), 1, 1).entry, E::responded, ok());
   for (int i = 0; i < 5000; ++i)
-    store->end(now, arrive("f" + std::to_string(i), 1, 0).entry, E::served, ok());
-  for (int i = 0; i < 300; ++i) store->end(now, arrive("q" + std::to_string(i), 1, 2).entry, E::served, ok());
+    store->finishRun(now, arrive("f" + std::to_string(i), 1, 0).entry, E::responded, ok());
+  for (int i = 0; i < 300; ++i)
+    store->finishRun(now, arrive("q" + std::to_string(i), 1, 2).entry, E::responded, ok());
   EXPECT_EQ(store->entries(), 1000u);
   for (int i = 0; i < 200; ++i)
-    EXPECT_EQ(arrive("p" + std::to_string(i), 1, 1).admission, Admission::replay) << i;
+    EXPECT_EQ(arrive("p" + std::to_string(i), 1, 1).admission, Admission::replayResponse) << i;
   for (int i = 0; i < 300; ++i)
-    EXPECT_EQ(arrive("q" + std::to_string(i), 1, 2).admission, Admission::replay) << i;
+    EXPECT_EQ(arrive("q" + std::to_string(i), 1, 2).admission, Admission::replayResponse) << i;
 }
 
-// The model: plain maps, no bounds but the window. Random operations; what the store says must be what it
-// says.
+// The model consists of plain maps without limits other than the retention. The store has to agree with it
+// after each random operation.
 struct Model {
   struct Item {
-    State state = State::running;
+    KeyState state = KeyState::running;
     std::uint64_t body = 0;
     bool earlier = false, again = false, tried = false;
     Time due{};
@@ -366,99 +373,100 @@
   std::map<std::string, Item> items;
   void expire(Time now) {
     for (auto it = items.begin(); it != items.end();)
-      if (it->second.state != State::running && now >= it->second.due) it = items.erase(it);
+      if (it->second.state != KeyState::running && now >= it->second.due) it = items.erase(it);
       else ++it;
   }
 };
 
-TEST_F(StoreTest, DoesWhatAPlainModelDoes) {
+TEST_F(StoreTest, MatchesReferenceModel) {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-    std::mt19937 dice(seed);
+    std::mt19937 rng(seed);
     limits = {};
-    limits.keep = milliseconds(500);
-    limits.joinedMost = 4;
+    limits.retention = milliseconds(500);
+    limits.maxWaiters = 4;
     make(1);
     Model model;
     std::map<std::string, Store::EntryId> running;
-    std::map<std::string, bool> attempt;  // one is out
+    std::map<std::string, bool> attempt;  // one is under way
     for (int step = 0; step < 20'000; ++step) {
-      now += std::chrono::microseconds(dice() % 3000);
+      now += std::chrono::microseconds(rng() % 3000);
       model.expire(now);
-      const std::string key = "k" + std::to_string(dice() % 40);
-      const std::uint64_t body = dice() % 20 == 0 ? 2 : 1;
+      const std::string key = "k" + std::to_string(rng() % 40);
+      const std::uint64_t body = rng() % 20 == 0 ? 2 : 1;
       const auto it = model.items.find(key);
-      switch (dice() % 4) {
+      switch (rng() % 4) {
         case 0:
         case 1: {
           const auto r = arrive(key, body);
           if (it == model.items.end()) {
-            ASSERT_EQ(r.admission, Admission::fresh);
+            ASSERT_EQ(r.admission, Admission::firstRun);
             model.items[key].body = body;
             running[key] = r.entry;
           } else if (it->second.body != body) {
-            ASSERT_EQ(r.admission, Admission::mismatch);
-          } else if (it->second.state == State::running) {
+            ASSERT_EQ(r.admission, Admission::fingerprintMismatch);
+          } else if (it->second.state == KeyState::running) {
             const bool crowded = it->second.waiters.size() == 4;
-            ASSERT_EQ(r.admission, crowded ? Admission::crowded : Admission::join);
+            ASSERT_EQ(r.admission, crowded ? Admission::tooManyWaiters : Admission::joinRunning);
             if (!crowded) it->second.waiters.push_back(waiters);
-          } else if (it->second.state == State::answered) {
-            ASSERT_EQ(r.admission, Admission::replay);
-            ASSERT_EQ(r.answer->body, it->second.answer);
+          } else if (it->second.state == KeyState::completed) {
+            ASSERT_EQ(r.admission, Admission::replayResponse);
+            ASSERT_EQ(r.response->body, it->second.answer);
           } else {
-            ASSERT_EQ(r.admission, Admission::again);
-            it->second.state = State::running;
+            ASSERT_EQ(r.admission, Admission::retryUncertain);
+            it->second.state = KeyState::running;
             it->second.again = true;
             it->second.tried = false;
             running[key] = r.entry;
           }
           break;
         }
-        case 2:  // an attempt goes out, or ends
+        case 2:  // an attempt is sent, or ends
           if (!running.count(key)) break;
           if (!attempt[key]) {
-            store->sent(running[key], {"z", 0, now});
+            store->onAttemptSent(running[key], {"z", 0, now});
             attempt[key] = it->second.tried = true;
           } else {
-            const bool may = dice() % 2;
-            store->settled(running[key], may);
+            const bool may = rng() % 2;
+            store->onAttemptSettled(running[key], may);
             it->second.earlier |= may;
             attempt[key] = false;
           }
           break;
         default: {
           if (!running.count(key)) break;
-          if (dice() % 5 == 0 && !it->second.waiters.empty()) {
-            store->leave(running[key], it->second.waiters.front());
+          if (rng() % 5 == 0 && !it->second.waiters.empty()) {
+            store->removeWaiter(running[key], it->second.waiters.front());
             it->second.waiters.pop_front();
             break;
           }
-          const E how = attempt[key]                       ? (dice() % 2 ? E::served : E::mayHaveRun)
-                        : it->second.earlier && dice() % 2 ? E::mayHaveRun
-                                                           : E::neverRan;
+          const E how = attempt[key]                      ? (rng() % 2 ? E::responded : E::mayHaveExecuted)
+                        : it->second.earlier && rng() % 2 ? E::mayHaveExecuted
+                                                          : E::notExecuted;
           const std::string answer = "a" + std::to_string(step);
-          const auto waiting = store->end(now, running[key], how, {200, "", answer});
+          const auto waiting = store->finishRun(now, running[key], how, {200, "", answer});
           ASSERT_TRUE(std::equal(waiting.begin(), waiting.end(), it->second.waiters.begin(),
                                  it->second.waiters.end()));
           running.erase(key);
           attempt[key] = false;
-          const bool asBefore = how == E::neverRan && it->second.again && !it->second.tried;
-          if ((how == E::neverRan && !it->second.earlier) || (asBefore && it->second.due <= now)) {
+          const bool asBefore = how == E::notExecuted && it->second.again && !it->second.tried;
+          if ((how == E::notExecuted && !it->second.earlier) || (asBefore && it->second.due <= now)) {
             model.items.erase(it);
             break;
           }
           it->second.earlier = true;
           it->second.waiters.clear();
-          it->second.state = how == E::served ? State::answered : State::uncertain;
+          it->second.state = how == E::responded ? KeyState::completed : KeyState::uncertain;
           it->second.answer = answer;
-          if (!asBefore) it->second.due = now + limits.keep;
+          if (!asBefore) it->second.due = now + limits.retention;
         }
       }
       if (step % 64 == 0) {
         store->expire(now);
         std::size_t n[4] = {};
         for (const auto& [k, item] : model.items) ++n[static_cast<std::size_t>(item.state)];
-        ASSERT_EQ(store->count(State::running), n[1]);
-        ASSERT_GE(store->entries(), model.items.size());  // the wheel may come to what is due a tick later
+        ASSERT_EQ(store->countInState(KeyState::running), n[1]);
+        ASSERT_GE(store->entries(),
+                  model.items.size());  // entries are removed up to a tick after their expiry
       }
     }
     now += seconds(2);
@@ -467,7 +475,7 @@
   }
 }
 
-TEST(Fingerprints, GoByPartsAndSeed) {
+TEST(Fingerprints, DependOnPartsAndSeed) {
   const auto of = [](Seed seed, std::vector<std::string> parts) {
     Hasher h(seed);
     for (const auto& p : parts) h.add(p);
--- a/tests/ops/server_test.cpp
+++ b/tests/ops/admin_server_test.cpp
@@ -1,12 +1,10 @@
-// The operators' address over loopback.
-#include "ops/server.hpp"
+// The administration interface over loopback.
+#include "ops/admin_server.hpp"
 
 #include <gtest/gtest.h>
 
 #include <boost/asio.hpp>
 
-#include "ops/state_file.hpp"
-#include "support/process.hpp"
 #include "support/run_until.hpp"
 
 namespace finchstile::ops {
@@ -38,14 +36,14 @@
   bool ended = false;
 };
 
-struct ServerTest : ::testing::Test, CallEvents {
+struct AdminServerTest : ::testing::Test, AdminCallHandler {
   asio::io_context io;
   std::vector<std::string> calls;
   Reply reply{200, "done\n"};
-  Server server{
+  AdminServer server{
       io, {asio::ip::make_address("127.0.0.1"), 0}, *this, {4, std::chrono::milliseconds(300), 512}};
 
-  Reply onCall(const Call& call) override {
+  Reply onCall(const AdminCall& call) override {
     calls.push_back(std::to_string(static_cast<int>(call.kind)) + call.host);
     return reply;
   }
@@ -57,7 +55,7 @@
   }
 };
 
-TEST_F(ServerTest, AnswersOneCallForEachConnection) {
+TEST_F(AdminServerTest, AnswersOneCallPerConnection) {
   const std::string answer =
       ask("PUT /api/exclude/s-1 HTTP/1.1\r\nHost: ops\r\nContent-Length: 0\r\n\r\n"
           "PUT /api/exclude/s-2 HTTP/1.1\r\n\r\n");
@@ -74,35 +72,20 @@
   EXPECT_EQ(calls.size(), 2u);
 }
 
-// Callers that say nothing, or half a call, are ended in time and keep nobody out.
-TEST_F(ServerTest, SilentCallersKeepNobodyOut) {
+// Clients that are silent or send half a call are disconnected in time and keep nobody out.
+TEST_F(AdminServerTest, SilentClientsKeepNobodyOut) {
   std::vector<std::shared_ptr<Caller>> silent;
   for (int i = 0; i < 12; ++i) {
     silent.push_back(Caller::connect(io, server.endpoint()));
     if (i % 2) silent.back()->say("GET /api/rea");
   }
-  ASSERT_TRUE(runUntil(io, [&] { return server.size() == 4; }));
+  ASSERT_TRUE(runUntil(io, [&] { return server.openConnections() == 4; }));
   EXPECT_EQ(ask("GET /api/ready HTTP/1.1\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
-  EXPECT_LE(server.size(), 4u);
-  ASSERT_TRUE(runUntil(io, [&] { return server.size() == 0; }));
+  EXPECT_LE(server.openConnections(), 4u);
+  ASSERT_TRUE(runUntil(io, [&] { return server.openConnections() == 0; }));
   for (const auto& c : silent) ASSERT_TRUE(runUntil(io, [&] { return c->ended; }));
   EXPECT_EQ(calls.size(), 1u);
 }
 
-TEST(StateFileTest, ShowsWhatAnotherHasWrittenOnce) {
-  const testing::Folder folder;
-  StateFile one(folder / "s"), two(folder / "s");
-  EXPECT_FALSE(one.readIfChanged());
-  ASSERT_TRUE(one.write("first"));
-  EXPECT_FALSE(one.readIfChanged());  // its own
-  EXPECT_EQ(two.readIfChanged(), "first");
-  EXPECT_FALSE(two.readIfChanged());
-  ASSERT_TRUE(two.write("other"));  // as long as the one before, and maybe in the same instant
-  EXPECT_EQ(one.readIfChanged(), "other");
-  StateFile nowhere(folder / "missing/s");
-  EXPECT_FALSE(nowhere.write("x"));
-  EXPECT_FALSE(nowhere.readIfChanged());
-}
-
 }  // namespace
 }  // namespace finchstile::ops
--- a/tests/ops/exposition_test.cpp
+++ b/tests/ops/exposition_test.cpp
@@ -5,7 +5,7 @@
 namespace finchstile::ops {
 namespace {
 
-TEST(Exposition, HasEachFigureOnALineOfItsOwn) {
+TEST(Exposition, HasOneLineForEachMetric) {
   GatewayMetrics f;
   f.classes = {{"log-in", 812, 3, 1}, {"a\"b\\c\nd", 0, 0, 0}};
   f.attemptsSent = 900;
@@ -14,7 +14,7 @@
   f.avoidedHosts = 2;
   f.loadReports = 5;
   f.malformedLoadReports = 6;
-  EXPECT_EQ(exposition(f, {4, 1}),
+  EXPECT_EQ(renderMetrics(f, {4, 1}),
             "# TYPE lb_transactions_total counter\n"
             "lb_transactions_total{group=\"log-in\",state=\"answered\"} 812\n"
             "lb_transactions_total{group=\"log-in\",state=\"deferred\"} 3\n"
--- a/tests/ops/host_cordon_test.cpp
+++ b/tests/ops/host_cordon_test.cpp
@@ -26,20 +26,20 @@
   return e.phase;
 }
 
-TEST(HandOut, WhatIsOutStaysOutWhateverTheListSays) {
+TEST(HostCordon, CordonedHostStaysCordonedWhateverTheListSays) {
   HostCordon out;
   EXPECT_TRUE(out.cordon("a"));
   EXPECT_EQ(inForce(out, HostPhase::active), HostPhase::draining);
   EXPECT_EQ(inForce(out, HostPhase::draining), HostPhase::draining);
-  EXPECT_EQ(inForce(out, HostPhase::removed), HostPhase::removed);  // never livelier than the list has it
+  EXPECT_EQ(inForce(out, HostPhase::removed), HostPhase::removed);  // a cordon never revives a host
   EXPECT_EQ(inForce(out, HostPhase::active),
-            HostPhase::draining);  // listed again, started anew: all the same
+            HostPhase::draining);  // restarted and listed again: still cordoned
   HostEntry other = entry("b");
   out.apply(other);
   EXPECT_EQ(other.phase, HostPhase::active);
 }
 
-TEST(HandOut, OneCallBackUndoesTwoCallsOut) {
+TEST(HostCordon, OneUncordonUndoesTwoCordons) {
   HostCordon out;
   out.cordon("a");
   out.cordon("a");
@@ -47,30 +47,30 @@
   out.uncordon("a", seconds(10));
   EXPECT_FALSE(out.isCordoned("a"));
   EXPECT_EQ(inForce(out, HostPhase::active), HostPhase::active);
-  out.uncordon("a", seconds(20));  // once more changes nothing
+  out.uncordon("a", seconds(20));  // a second call changes nothing
   HostEntry e = entry("a");
   out.apply(e);
   EXPECT_EQ(e.startedAt, seconds(10));
 }
 
-// It was restarted while it was out, and the list tells seconds late.
-TEST(HandOut, WhoComesBackCountsAsJustStarted) {
+// The host may have been restarted while it was cordoned, and the list reports that seconds late.
+TEST(HostCordon, UncordonedHostCountsAsJustStarted) {
   HostCordon out;
   out.cordon("a");
   out.uncordon("a", seconds(100));
   HostEntry e = entry("a", HostPhase::active, seconds(3));
   out.apply(e);
   EXPECT_EQ(e.startedAt, seconds(100));
-  HostEntry later = entry("a", HostPhase::active, seconds(101));  // the list knows of a still later start
+  HostEntry later = entry("a", HostPhase::active, seconds(101));  // a later start in the list counts
   out.apply(later);
   EXPECT_EQ(later.startedAt, seconds(101));
   out.expire(seconds(105), seconds(9));
-  EXPECT_TRUE(out.knows("a"));
+  EXPECT_TRUE(out.isRemembered("a"));
   out.expire(seconds(110), seconds(9));
-  EXPECT_FALSE(out.knows("a"));
+  EXPECT_FALSE(out.isRemembered("a"));
 }
 
-TEST(HandOut, IsBounded) {
+TEST(HostCordon, BoundsRememberedHosts) {
   HostCordon out;
   for (std::size_t i = 0; i < HostCordon::kMaxHosts; ++i) ASSERT_TRUE(out.cordon("h" + std::to_string(i)));
   EXPECT_FALSE(out.cordon("one more"));
@@ -78,7 +78,7 @@
   EXPECT_EQ(out.count(), HostCordon::kMaxHosts);
 }
 
-TEST(HandOut, TheNextProcessTakesOverWhatIsOut) {
+TEST(HostCordon, NextProcessTakesOverCordonedHosts) {
   HostCordon first, next;
   const std::string odd("a b%\n\x01\xff", 7);
   first.cordon(odd);
@@ -90,15 +90,15 @@
   EXPECT_TRUE(next.isCordoned("s-1"));
   EXPECT_FALSE(next.isCordoned("s-2"));
   first.uncordon("s-1", seconds(6));
-  ASSERT_TRUE(next.decode(first.encode(), seconds(7)));  // called back at the other process
+  ASSERT_TRUE(next.decode(first.encode(), seconds(7)));  // uncordoned at the other process
   EXPECT_FALSE(next.isCordoned("s-1"));
   HostEntry e = entry("s-1");
   next.apply(e);
   EXPECT_EQ(e.startedAt, seconds(7));
 }
 
-// The file is shared by processes of different versions: its form is pinned by a literal text.
-TEST(HandOut, TextOfTheStateFileIsFixed) {
+// The file is shared by processes of different versions, so its format is fixed by a literal text.
+TEST(HostCordon, TextOfTheStateFileIsFixed) {
   HostCordon out;
   EXPECT_EQ(out.encode(), "finchstile-out 1\nend 0\n");
   out.cordon("s-2");
@@ -106,7 +106,7 @@
   EXPECT_EQ(out.encode(), "finchstile-out 1\nout a%20b%25\nout s-2\nend 2\n");
 }
 
-TEST(HandOut, ATextThatIsNotWholeChangesNothing) {
+TEST(HostCordon, InvalidTextChangesNothing) {
   HostCordon out;
   out.cordon("a");
   out.cordon("b");
@@ -125,19 +125,19 @@
   EXPECT_FALSE(other.isCordoned("c"));
 }
 
-// Calls in any order at two processes that read each other's file: both always agree with a plain set.
-TEST(HandOut, TwoProcessesAgreeWithAPlainSet) {
+// Random calls at two processes that read each other's file: both always agree with a reference set.
+TEST(HostCordon, TwoProcessesMatchReferenceSet) {
   for (std::uint32_t seed = 0; seed < 200; ++seed) {
-    std::mt19937 dice(seed);
+    std::mt19937 rng(seed);
     HostCordon both[2];
     std::set<std::string> plain;
     std::string file = both[0].encode();
     for (int step = 0; step < 60; ++step) {
-      HostCordon& at = both[dice() % 2];
+      HostCordon& at = both[rng() % 2];
       const Time now = seconds(step);
       ASSERT_TRUE(at.decode(file, now));
-      const std::string host = "h" + std::to_string(dice() % 6);
-      if (dice() % 2) at.cordon(host), plain.insert(host);
+      const std::string host = "h" + std::to_string(rng() % 6);
+      if (rng() % 2) at.cordon(host), plain.insert(host);
       else at.uncordon(host, now), plain.erase(host);
       file = at.encode();
       for (HostCordon& h : both) {
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -75,7 +75,7 @@
     gate.balancer = std::make_unique<LoadBalancer>(s, now_);
     gate.balancer->onHostListUpdate(now_, HostListUpdate::restored, told_);
     for (const HostEntry& e : told_) audit.told(g, e, now_);
-    carryOut(g);
+    runJob(g);
   }
   void stopGateway(std::uint32_t g) {  // with all that it holds
     Gateway& gate = gateways_[g];
@@ -239,7 +239,7 @@
     if (!gateways_[g].up) return;
     gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::incremental, {e});
     audit.told(g, e, now_);
-    carryOut(g);
+    runJob(g);
   }
 
   void arrive() {
@@ -260,10 +260,10 @@
     ++counts.asked;
     audit.asked(g, q.id, classes_[q.classIndex], now_ + q.timeLeft);
     gateways_[g].balancer->onRequest(now_, q);
-    carryOut(g);
+    runJob(g);
   }
 
-  void carryOut(std::uint32_t g) {
+  void runJob(std::uint32_t g) {
     Gateway& gate = gateways_[g];
     const std::uint32_t life = gate.life;
     std::vector<Action> actions;
@@ -285,7 +285,7 @@
           at(a.duration, [this, g, life] {
             if (gateways_[g].life != life) return;
             gateways_[g].balancer->onTimer(now_);
-            carryOut(g);
+            runJob(g);
           });
           break;
         default: break;
@@ -407,7 +407,7 @@
     gate.balancer->onAttemptResult(
         now_, {key.request, key.attempt, gate.balancer->findHost(h.entry.address), outcome,
                std::max(now_ - t.at, Duration(1)), outcome == Outcome::served});
-    carryOut(key.gateway);
+    runJob(key.gateway);
   }
 
   void answer(RequestId id, int how) {
