--- a/src/app/gateway_program.cpp
+++ b/src/app/gateway_program.cpp
@@ -173,9 +173,9 @@
 
 void GatewayProgram::attachAdminApi() {
   if (!config_.adminEndpoint) return;
-  adminApi_ = std::make_unique<AdminApi>(io_, clock_, config_, opsFile(config_.name), gateway_);
-  adminApi_->more = [this] { return furtherMetrics(); };
-  if (membership_) adminApi_->hosts = [this](const std::string& host) { return membership_->describeHosts(host); };
+  adminApi_ = std::make_unique<AdminApi>(io_, clock_, config_, cordonFilePath(config_.name), gateway_);
+  adminApi_->additionalMetrics = [this] { return furtherMetrics(); };
+  if (membership_) adminApi_->hostsText = [this](const std::string& host) { return membership_->describeHosts(host); };
 }
 
 void GatewayProgram::attachTraceLog() {
@@ -210,11 +210,11 @@
   gateway_.drain([this] {
     std::fprintf(stderr, "finchstile: drained: open_connections=%zu active_requests=%zu\n",
                  gateway_.clientConnections(), gateway_.openRequests());
-    if (handover_) handover_->over();
+    if (handover_) handover_->finish();
     if (trace_) trace_->stop(gateway_.openRequests());
     io_.stop();
   });
-  if (handover_) handover_->begin();
+  if (handover_) handover_->startHandingOver();
 }
 
 // A file that is incomplete or wrong must not end a gateway that serves: the one in force stays in force,
@@ -222,9 +222,9 @@
 void GatewayProgram::reload() {
   try {
     gateway_.reload(loadConfig(options_.config, clock_));
-    if (adminApi_) ++adminApi_->config.loaded;
+    if (adminApi_) ++adminApi_->configMetrics.loaded;
   } catch (const std::exception& error) {
-    if (adminApi_) ++adminApi_->config.invalid;
+    if (adminApi_) ++adminApi_->configMetrics.invalid;
     std::fprintf(stderr, "finchstile: not reloaded: %s\n", error.what());
   }
   if (!options_.operatorFile.empty()) reloader_.reload();
--- a/src/app/gateway_program.hpp
+++ b/src/app/gateway_program.hpp
@@ -14,7 +14,7 @@
 
 #include "app/admin_api.hpp"
 #include "app/idempotency_log.hpp"
-#include "app/idempotency_owners.hpp"
+#include "app/idempotency_ownership.hpp"
 #include "app/loaded_operator_file.hpp"
 #include "app/membership_service.hpp"
 #include "app/operator_file_reloader.hpp"
