--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -18,7 +18,7 @@
 #include "finchstile/load_balancer.hpp"
 #include "measure.hpp"
 #include "net/config.hpp"
-#include "net/tenants.hpp"
+#include "net/tenant_table.hpp"
 
 namespace finchstile::bench {
 namespace {
--- a/src/configuration/client.cpp
+++ b/src/configuration/client.cpp
@@ -119,11 +119,11 @@
   // Danger: with two machines silent at once a held call to the second would take the term of a change. What
   // is newer is answered at once, and no news is a word too.
   const Duration wait = afterFailure_ ? Duration{} : settings_.wait;
-  const Watch::Patience patience{wait + settings_.silence, settings_.silence, settings_.whole};
+  const LongPollClient::Timeouts patience{wait + settings_.silence, settings_.silence, settings_.whole};
   watch_.call(settings_.endpoints[source_], pollTarget({gateway_, position_, wait}), patience);
 }
 
-void Client::onWatchLost() { sourceFailed(); }
+void Client::onLongPollFailed() { sourceFailed(); }
 
 void Client::sourceFailed() {
   sources_.failed(source_, clock_.now(), draw());
@@ -133,7 +133,7 @@
   schedule(clock_.now());
 }
 
-void Client::onWatchResponse(WatchResponse&& answer) {
+void Client::onLongPollResponse(LongPollResponse&& answer) {
   if (answer.status == kUnavailable && answer.retryAfter > Duration{}) {
     sources_.busy(source_, clock_.now(), answer.retryAfter, draw());
     return schedule(clock_.now());
--- a/src/configuration/client.hpp
+++ b/src/configuration/client.hpp
@@ -18,7 +18,7 @@
 #include "configuration/sources.hpp"
 #include "configuration/store.hpp"
 #include "net/clock.hpp"
-#include "net/watch.hpp"
+#include "net/long_poll_client.hpp"
 
 namespace finchstile::configuration {
 
@@ -28,7 +28,7 @@
 // That a client needs at the most: its connection, one that it has just left, and the file that is written.
 inline constexpr std::size_t kDescriptors = 3;
 
-class Client : WatchCallbacks {
+class Client : LongPollCallbacks {
  public:
   struct Figures {
     Version inForce;
@@ -66,8 +66,8 @@
   void recover();
   void schedule(Time notBefore);
   void ask();
-  void onWatchResponse(WatchResponse&& answer) override;
-  void onWatchLost() override;
+  void onLongPollResponse(LongPollResponse&& answer) override;
+  void onLongPollFailed() override;
   void done(const Done& done);
   void note(const Done& done);
   void keepSoon();
@@ -88,7 +88,7 @@
   std::shared_ptr<Client*>
       alive_;  // null behind it: this client is gone, and answers of the worker are of no use
   Position position_;
-  Watch watch_;
+  LongPollClient watch_;
   boost::asio::steady_timer timer_, keepTimer_;
   Time keepNext_;  // the file is not written before
   bool keepPending_ = false;
--- a/src/hook/filter.cpp
+++ b/src/hook/filter.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "net/request.hpp"
+#include "net/string_view.hpp"
 
 namespace finchstile::hook {
 namespace {
--- a/src/idempotency/filter.cpp
+++ b/src/idempotency/filter.cpp
@@ -1,7 +1,7 @@
 #include "idempotency/filter.hpp"
 
 #include "net/config.hpp"
-#include "net/request.hpp"
+#include "net/string_view.hpp"
 
 namespace finchstile::idempotency {
 namespace {
--- a/src/net/attempt_log.hpp
+++ b/src/net/attempt_log.hpp
@@ -1,5 +1,4 @@
-// A seam for whoever writes down what became of attempts and requests. The gateway tells; nothing that is
-// done here changes what it does.
+// The interface through which outcomes of attempts and requests are recorded.
 #pragma once
 
 #include <cstdint>
@@ -11,44 +10,48 @@
 
 namespace finchstile {
 
-// What was known of a host as it was chosen: the list's last word, its last sign of life, its start, and
-// whether the module avoided it. A time of 0: never.
+/// What was known of a host when it was chosen. A time of 0: never.
 struct HostObservation {
   load_balancing::Time lastListedAt{}, lastResponseAt{}, startedAt{};
-  bool avoided = false;
+  bool avoided = false;  ///< The load balancer avoided it.
 };
 
-// Views hold during the call only.
+/// The views are valid during the call only.
 struct AttemptLogEntry {
-  std::string_view id;  // the client's
+  std::string_view id;  ///< The client's X-Correlation-Id.
   const load_balancing::ClassSettings& classSettings;
-  std::uint32_t number = 0;  // from 0
+  std::uint32_t number = 0;  ///< Counts the attempts of the request, from 0.
   std::string_view host, zone;
   std::int64_t cell = 0;
-  load_balancing::Time chosenAt{}, firstByteAt{};  // chosen; its first byte went out, 0: it did not
+  load_balancing::Time chosenAt{};
+  load_balancing::Time firstByteAt{};  ///< When its first byte went out; 0: none did.
   load_balancing::Outcome outcome{};
-  bool timedOut = false;      // its time was up
-  bool requestEnded = false;  // its request had ended
+  bool timedOut = false;
+  bool requestEnded = false;  ///< Its request had finished before.
   HostObservation hostObservation;
 };
 
+/// The view is valid during the call only.
 struct RequestLogEntry {
-  std::string_view id;
+  std::string_view id;  ///< The client's X-Correlation-Id.
   const load_balancing::ClassSettings& classSettings;
   load_balancing::Time arrivedAt{};
-  load_balancing::Duration timeLeft{};  // that its client would wait
+  load_balancing::Duration timeLeft{};  ///< For which its client would wait, counted from its arrival.
   RequestResult result{};
-  unsigned status = 0;  // 0: its client has gone
+  unsigned status = 0;  ///< Of the response; 0: the client has gone without one.
   std::size_t attempts = 0;
-  double cutoff = 0;
+  double cutoff = 0;  ///< The load balancer's admission cutoff at the end.
 };
 
+/// Nothing that is done here changes what the gateway does.
 class AttemptLog {
  public:
   virtual ~AttemptLog() = default;
-  virtual void onAttempt(const AttemptLogEntry& attempt) = 0;  // it has ended
-  virtual void onRequest(const RequestLogEntry& request) = 0;  // the same
-  // In force from now on, by the list and by whoever else has a say.
+  /// An attempt has its outcome.
+  virtual void onAttempt(const AttemptLogEntry& attempt) = 0;
+  /// A request has finished. Attempts of it may still follow.
+  virtual void onRequest(const RequestLogEntry& request) = 0;
+  /// The phase in force of a host has changed, by the list or by a filter.
   virtual void onHostPhase(const std::string& host, load_balancing::HostPhase phase) = 0;
 };
 
--- /dev/null
+++ b/src/net/attempt_manager.cpp
@@ -0,0 +1,310 @@
+#include "net/attempt_manager.hpp"
+
+#include <algorithm>
+#include <chrono>
+
+#include "membership/report.hpp"
+#include "net/string_view.hpp"
+
+namespace finchstile {
+namespace {
+
+namespace http = boost::beast::http;
+using load_balancing::HostPhase;
+using load_balancing::Outcome;
+using load_balancing::RequestId;
+using std::chrono::milliseconds;
+
+// RFC 9110, 15.2.2, with the headers that the upgrade handler wants.
+std::string switchingProtocolsHead(const std::vector<HeaderLine>& headers) {
+  std::string head = "HTTP/1.1 101 Switching Protocols\r\n";
+  for (const HeaderLine& line : headers)
+    head.append(line.name).append(": ").append(line.value).append("\r\n");
+  return head += "\r\n";
+}
+
+}  // namespace
+
+void AttemptManager::send(const load_balancing::Action& action) {
+  ActiveRequest* const request = requests_.table().find(action.request);
+  if (!request) return;
+  if (request->context && request->attempts.empty()) extensions_.filters.onRequestAdmitted(*request->context);
+  const AttemptId id = table_.newId();
+  const Time now = clock_.now();
+  request->attempts.resize(std::max<std::size_t>(request->attempts.size(), action.attempt + 1));
+  request->attempts[action.attempt] = id;
+  ++request->pendingExchanges;
+  // While the body is still coming, the client and the host's reading of it are timed instead. The load
+  // balancer's limit starts with the last byte.
+  const Time deadline = request->bodyIncomplete ? Time::max() : now + action.duration;
+  Attempt& attempt = table_.add(
+      id, {action.request, action.attempt, action.host, now, deadline, {}, {}, {}, action.sendDeadline});
+  const UpstreamHost* const host = hosts_.find(action.host);
+  // The load balancer knows only hosts of the table. If one were missing, the attempt would time out.
+  if (!host) return;
+  if (extensions_.attemptLog)
+    attempt.hostObservation = {host->lastListedAt, host->lastResponseAt, host->listed.startedAt,
+                               balancer_.isAvoided(action.host)};
+  pool_.send(id, action.host, host->endpoint, action.verifyConnection);
+}
+
+// The wait for a connection may have outlasted the request, its client, its time, the idempotency window, or
+// the host's place in the list. So all of them are checked right before the first byte.
+std::optional<OutgoingRequest> AttemptManager::compose(AttemptId id, Outcome& unsent) {
+  Attempt* const attempt = table_.find(id);
+  if (!attempt) return std::nullopt;
+  ActiveRequest* const request = requests_.table().findUnfinished(attempt->request);
+  const UpstreamHost* const host = hosts_.find(attempt->host);
+  if (!request || !host || host->phaseInForce != HostPhase::active) return std::nullopt;
+  const Time now = clock_.now();
+  const auto timeLeft = std::chrono::duration_cast<milliseconds>(attempt->deadline - now);
+  if (timeLeft.count() <= 0 || now > attempt->sendDeadline) return std::nullopt;
+  // The client may have closed its connection behind unread bytes, or while a filter continues the request.
+  // Nothing more is begun for it, neither here nor at other hosts.
+  const auto client = request->client.lock();
+  if (!client || client->gone()) {
+    unsent = Outcome::notSent;
+    return std::nullopt;
+  }
+  attempt->firstByteAt = now;
+  OutgoingRequest out{composeMessage(*request, *host, timeLeft), !request->bodyIncomplete};
+  out.upgrade = request->pendingUpgrade != nullptr;
+  if (RequestContext* const context = request->context.get()) {
+    ++context->attemptCount;
+    context->zone = host->listed.zone;
+    context->cell = host->listed.cell;
+    context->mayHaveRun = true;  // until its outcome proves the contrary
+    for (const HeaderLine& line : context->upstreamHeaders) out.message.set(line.name, line.value);
+    extensions_.filters.onAttemptSending(*context, out.message);
+  }
+  return out;
+}
+
+UpstreamRequest AttemptManager::composeMessage(const ActiveRequest& request, const UpstreamHost& host,
+                                               milliseconds timeLeft) const {
+  const ClientRequest& from = *request.message;
+  const bool bodyComplete = !request.bodyIncomplete;
+  UpstreamRequest to(from.method(), from.target(), 11);
+  if (from.method() == http::verb::unknown) to.method_string(from.method_string());
+  to.set(http::field::host, host.endpoint.address().to_string() + ":" + std::to_string(host.endpoint.port()));
+  for (const char* name : {"X-Correlation-Id", "Idempotency-Key", "Content-Type"})
+    if (const auto value = from[name]; !value.empty()) to.set(name, value);
+  if (bodyComplete) to.set("X-Time-Left-Ms", std::to_string(timeLeft.count()));
+  else to.set("X-Time-Left-Ms", from["X-Time-Left-Ms"]);
+  to.body() = from.body();
+  if (request.pendingUpgrade)
+    for (const HeaderLine& line : extensions_.upgradeHandler->upstreamHeaders(from))
+      to.insert(line.name, line.value);
+  if (bodyComplete) {
+    if (!from.body().empty() || from.method() != http::verb::get) to.content_length(from.body().size());
+  } else if (const auto length = from[http::field::content_length]; !length.empty()) {
+    to.set(http::field::content_length, length);
+  } else {
+    to.chunked(true);
+  }
+  return to;
+}
+
+// Where attempts can't be cancelled, the host would still begin one whose request has finished.
+bool AttemptManager::maySendLastByte(AttemptId id) {
+  const Attempt* const attempt = table_.find(id);
+  const ActiveRequest* const request = attempt ? requests_.table().findUnfinished(attempt->request) : nullptr;
+  return request && clock_.now() <= attempt->sendDeadline;
+}
+
+void AttemptManager::onRequestBodyWanted(AttemptId id) {
+  const ActiveRequest* const request = requestOf(id);
+  if (!request) return;
+  if (const auto client = request->client.lock()) client->readBody();
+}
+
+bool AttemptManager::forwardRequestBody(RequestId id, std::string&& piece, bool last) {
+  ActiveRequest* const request = requests_.table().findUnfinished(id);
+  if (!request || request->attempts.empty()) return false;
+  const AttemptId attemptId = request->attempts.back();
+  if (last) {
+    request->bodyIncomplete = false;
+    if (Attempt* const attempt = table_.find(attemptId)) {
+      const Time now = clock_.now();
+      attempt->sentAt = now;
+      table_.setDeadline(attemptId, *attempt, now + balancer_.onRequestBodyComplete(now, id));
+    }
+  }
+  pool_.sendBody(attemptId, std::move(piece), last);
+  return last;
+}
+
+void AttemptManager::cancel(const load_balancing::Action& action) {
+  const ActiveRequest* const request = requests_.table().find(action.request);
+  if (!request || action.attempt >= request->attempts.size()) return;
+  cancelled_.push_back(request->attempts[action.attempt]);
+}
+
+std::vector<AttemptManager::ClosedAttempt> AttemptManager::closeCancelled() {
+  std::vector<ClosedAttempt> closed;
+  for (const AttemptId id : std::exchange(cancelled_, {}))
+    if (table_.contains(id)) closed.push_back({id, pool_.giveUp(id)});
+  return closed;
+}
+
+void AttemptManager::settleCancelled(const std::vector<ClosedAttempt>& closed) {
+  for (const auto& [id, lastByteSent] : closed)
+    settle(id, lastByteSent ? Outcome::cancelled : Outcome::notSent, {});
+}
+
+void AttemptManager::settleExpired(Time now) {
+  while (const auto id = table_.firstExpired(now)) {
+    const bool lastByteSent = pool_.giveUp(*id);
+    settle(*id, lastByteSent ? Outcome::timeout : Outcome::connectFailed, {}, {}, true);
+  }
+}
+
+bool AttemptManager::onResponseHeaders(AttemptId id) {
+  Attempt* const attempt = table_.find(id);
+  if (!attempt) return false;
+  attempt->responseStartedAt = clock_.now();
+  if (UpstreamHost* const host = hosts_.find(attempt->host))
+    host->lastResponseAt = attempt->responseStartedAt;
+  balancer_.onResponseHeaders(attempt->responseStartedAt, attempt->request, attempt->number);
+  return true;
+}
+
+// To the load balancer the request is served now: the time that the client takes to read the rest is no load,
+// and the request can go nowhere else.
+void AttemptManager::onResponseBegun(AttemptId id, UpstreamResponse&& upstream,
+                                     std::optional<std::uint64_t> length) {
+  const Attempt* const attempt = table_.find(id);
+  const RequestId requestId = attempt ? attempt->request : 0;
+  ActiveRequest* const request = attempt ? requests_.table().findUnfinished(requestId) : nullptr;
+  if (!request) {
+    pool_.giveUp(id);
+    return settle(id, Outcome::served, std::move(upstream));
+  }
+  const auto client = request->client.lock();
+  relays_.begin(id, requestId, *request);
+  settle(id, Outcome::served, std::move(upstream), PartialResponse{length, id});
+  if (!client) relays_.onAborted(id);
+}
+
+bool AttemptManager::onUpgraded(AttemptId id, tcp::socket&& socket, std::string&& early,
+                                const http::fields& head) {
+  ActiveRequest* const request = requestOf(id);
+  if (!request) return false;
+  UpgradeHandler* const upgrades = extensions_.upgradeHandler;
+  std::optional<UpgradeHandler::AcceptedUpgrade> accepted;
+  if (!request->finished && request->pendingUpgrade)
+    accepted = upgrades->acceptResponse(*request->message, head);
+  const auto client = request->client.lock();
+  std::optional<ClientSession::ReleasedConnection> released;
+  if (accepted && client) released = client->release();
+  if (!released) {
+    // The 101 is no answer to this request. The request may have run; the connection is of no further use.
+    settle(id, request->finished ? Outcome::cancelled : Outcome::reset, {});
+    return true;
+  }
+  const Attempt attempt = *table_.remove(id);
+  --request->pendingExchanges;
+  const UpstreamHost* const host = hosts_.find(attempt.host);
+  log(attempt, host, *request, Outcome::served, false);
+  requests_.onUpgradeResponse(*request, head, accepted->toClient);
+  UpgradedConnection upgraded{attempt.request,
+                              attempt.number,
+                              attempt.host,
+                              host ? host->listed.address : "",
+                              *std::exchange(request->pendingUpgrade, nullptr),
+                              std::move(released->socket),
+                              std::move(socket),
+                              std::move(released->unread),
+                              std::move(early),
+                              switchingProtocolsHead(accepted->toClient),
+                              accepted->agreed};
+  requests_.finish(attempt.request, *request, RequestResult::served);
+  requests_.table().releaseIfDone(attempt.request);
+  upgrades->takeOverConnection(std::move(upgraded));
+  return true;
+}
+
+// The client gets a served response before the load balancer learns of it.
+void AttemptManager::settle(AttemptId id, Outcome outcome, UpstreamResponse&& upstream,
+                            std::optional<PartialResponse> partial, bool timedOut) {
+  const std::optional<Attempt> attempt = table_.remove(id);
+  if (!attempt) return;
+  UpstreamHost* const host = hosts_.find(attempt->host);
+  if (host) observeHost(*host, outcome, attempt->sentAt, timedOut);
+  ActiveRequest* const request = requests_.table().find(attempt->request);
+  if (!request) return;
+  log(*attempt, host, *request, outcome, timedOut);
+  --request->pendingExchanges;
+  const Time now = clock_.now();
+  load_balancing::AttemptResult result;
+  result.request = attempt->request;
+  result.attempt = attempt->number;
+  result.host = attempt->host;
+  result.outcome = outcome;
+  result.elapsed =
+      (attempt->responseStartedAt != Time{} ? attempt->responseStartedAt : now) - attempt->sentAt;
+  result.requestEnded = request->finished || outcome == Outcome::served;
+  readLoadReport(*attempt, host, upstream, result);
+  if (RequestContext* const context = request->context.get()) {
+    const bool mayHaveRun = load_balancing::mayHaveRun(outcome);
+    request->mayHaveRun |= mayHaveRun;
+    context->mayHaveRun = request->mayHaveRun || request->pendingExchanges > 0;
+    extensions_.filters.onAttemptEnded(*context, mayHaveRun);
+  }
+  if (outcome == Outcome::invalidRequest) request->failureStatus = static_cast<http::status>(upstream.status);
+  if (outcome == Outcome::served) {
+    Response response;
+    response.body = std::move(upstream.body);
+    response.contentType = std::move(upstream.contentType);
+    response.partial = partial;
+    requests_.respond(attempt->request, RequestResult::served, std::move(response), &upstream);
+  }
+  requests_.table().releaseIfDone(attempt->request);
+  balancer_.onAttemptResult(now, result);
+}
+
+ActiveRequest* AttemptManager::requestOf(AttemptId id) {
+  const Attempt* const attempt = table_.find(id);
+  return attempt ? requests_.table().find(attempt->request) : nullptr;
+}
+
+// An attempt that got no connection for want of our own descriptors until its time was up says nothing of the
+// host.
+void AttemptManager::observeHost(UpstreamHost& host, Outcome outcome, Time sentAt, bool timedOut) const {
+  switch (outcome) {
+    case Outcome::served:
+    case Outcome::error:
+    case Outcome::rejectedForCapacity:
+    case Outcome::invalidRequest: host.lastResponseAt = clock_.now(); return;
+    case Outcome::timeout: break;
+    case Outcome::connectFailed:
+      if (timedOut) return;
+      break;
+    default: return;
+  }
+  if (extensions_.hostObserver && host.lastResponseAt < sentAt)
+    extensions_.hostObserver->onHostSilent(host.listed.address);
+}
+
+void AttemptManager::readLoadReport(const Attempt& attempt, const UpstreamHost* host,
+                                    const UpstreamResponse& upstream, load_balancing::AttemptResult& result) {
+  const auto text = upstream.head["X-Backend-Load"];
+  if (text.empty()) return;
+  result.report = membership::readReport(view(text));
+  if (result.report) metrics_.onLoadReport();
+  else metrics_.onMalformedLoadReport();
+  // A response to an attempt that is older than the host's process is from the process before.
+  if (extensions_.hostObserver && result.report && host && attempt.sentAt >= host->listed.startedAt)
+    extensions_.hostObserver->onLoadReport(host->listed.address, *result.report);
+}
+
+void AttemptManager::log(const Attempt& attempt, const UpstreamHost* host, const ActiveRequest& request,
+                         Outcome outcome, bool timedOut) const {
+  if (!extensions_.attemptLog || !host) return;
+  extensions_.attemptLog->onAttempt({request.clientId(), config_.settings.classes[request.classIndex],
+                                     attempt.number, host->listed.address, host->listed.zone,
+                                     host->listed.cell, attempt.sentAt, attempt.firstByteAt, outcome,
+                                     timedOut, request.finished, attempt.hostObservation});
+}
+
+}  // namespace finchstile
--- /dev/null
+++ b/src/net/client_session.cpp
@@ -0,0 +1,410 @@
+#include "net/client_session.hpp"
+
+#include <poll.h>
+#include <sys/socket.h>
+
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/post.hpp>
+#include <boost/asio/write.hpp>
+#include <cerrno>
+#include <chrono>
+#include <cstdio>
+#include <utility>
+
+#include "net/listener.hpp"
+
+namespace finchstile {
+namespace {
+
+namespace asio = boost::asio;
+namespace beast = boost::beast;
+namespace http = beast::http;
+using boost::system::error_code;
+
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // of a body that was refused
+constexpr std::size_t kMaxBytesAhead = 16 * 1024;       // of later requests, while one is answered
+// The slowest rate of a body: half of what slow lines carry. A client below it is taken for silent.
+constexpr double kMinBodyBytesPerSecond = 32 * 1024;
+
+// A connection for which there is no capacity gets this at once. The refusal is harmless, as nothing of a
+// request was passed on.
+constexpr std::string_view kRefusal =
+    "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+
+// Above 0: bytes lie unread. 0: the end does. Below 0: nothing yet, or an error that errno tells.
+ssize_t peek(tcp::socket& socket) {
+  char byte = 0;
+  return ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+}
+
+}  // namespace
+
+ClientSession::ClientSession(tcp::socket socket, Listener& listener)
+    : listener_(listener), socket_(std::move(socket)), buffer_(kMaxUnparsedBytes + kMaxReadBytes) {
+  reader_.restart();
+}
+
+void ClientSession::enter(State state) {
+  if (state != State::closed) {
+    auto& sessions = listener_.in(state);
+    sessions.splice(sessions.end(), listener_.in(state_), place_);
+  } else {
+    listener_.in(state_).erase(place_);
+    --listener_.size_;
+  }
+  state_ = state;
+  stateSince_ = listener_.clock_.now();
+}
+
+// --- Reading
+
+// There is one wait for bytes at a time. What comes is handled by the state that the session has then.
+void ClientSession::awaitBytes() {
+  if (std::exchange(awaitingBytes_, true)) return;
+  socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this()](error_code error) {
+    awaitingBytes_ = false;
+    if (state_ == State::closed) return;
+    if (error) return close();
+    onReadable();
+  });
+}
+
+std::size_t ClientSession::receive(std::size_t maxBytes, error_code& error) {
+  const std::size_t received = socket_.read_some(buffer_.prepare(maxBytes), error);
+  buffer_.commit(received);
+  return received;
+}
+
+void ClientSession::onReadable() {
+  if (state_ == State::writing || state_ == State::relaying) return;  // awaitRequest waits again
+  if (state_ == State::lingering) return discardInput();
+  if (state_ == State::waiting && bodyIncomplete_ && !bodyPieceWanted_) return;  // readBody waits again
+  // Bytes of a next request are read, up to a limit, while this one is answered. Otherwise the end of a
+  // client's connection behind them would not be seen.
+  const bool readsAhead = state_ == State::waiting && !bodyIncomplete_;
+  const std::size_t buffered = buffer_.size();
+  if (readsAhead && buffered >= kMaxBytesAhead) return;  // checkForDisconnect sees the end
+  error_code error;
+  receive(readsAhead ? kMaxBytesAhead - buffered : kMaxReadBytes, error);
+  if (error == asio::error::would_block || error == asio::error::try_again) return awaitBytes();
+  if (error) return close();
+  if (readsAhead) return awaitBytes();
+  lastByteAt_ = listener_.clock_.now();
+  if (bodyIncomplete_) return parseBody();
+  if (state_ == State::idle) enter(State::reading);
+  requestStarted_ = true;
+  parseRequest();
+}
+
+void ClientSession::awaitRequest() {
+  reader_.restart();
+  requestStarted_ = buffer_.size() > 0;
+  enter(requestStarted_ ? State::reading : State::idle);
+  if (requestStarted_) return parseRequest();
+  if (listener_.handOverSession(*this)) return;
+  listener_.trimIdle();
+  // An idle client keeps no large buffer.
+  if (buffer_.capacity() > kMaxReadBytes) buffer_ = beast::flat_buffer(kMaxUnparsedBytes + kMaxReadBytes);
+  awaitBytes();
+}
+
+void ClientSession::parseRequest() {
+  using Step = MessageReader<true>::Step;
+  error_code error;
+  for (;;) switch (reader_.step(buffer_, error)) {
+      case Step::needsBytes:
+        if (reader_.bufferedBody() > kMaxBufferedBody) return onRequestParsed(false);
+        return awaitBytes();
+      case Step::malformed: return refuseInput(error);
+      case Step::complete: return onRequestParsed(true);
+      case Step::head:
+        if (!reader_.parser().is_done() &&
+            beast::iequals(reader_.parser().get()[http::field::expect], "100-continue"))
+          return writeContinue();
+    }
+}
+
+void ClientSession::writeContinue() {
+  static constexpr char kContinue[] = "HTTP/1.1 100 Continue\r\n\r\n";
+  writingContinue_ = true;
+  asio::async_write(socket_, asio::buffer(kContinue, sizeof kContinue - 1),
+                    [this, self = shared_from_this()](error_code error, std::size_t) {
+                      writingContinue_ = false;
+                      if (state_ == State::closed) return;
+                      if (error) return close();
+                      parseRequest();
+                    });
+}
+
+void ClientSession::onRequestParsed(bool bodyComplete) {
+  ClientRequest request = reader_.takeMessage();
+  keepAlive_ = request.keep_alive();
+  httpVersion_ = request.version();
+  isHeadRequest_ = request.method() == http::verb::head;
+  enter(State::waiting);
+  bodyIncomplete_ = !bodyComplete;
+  bodyPieceWanted_ = false;
+  unaskedTime_ = {};
+  unaskedSince_ = stateSince_;
+  const auto self = shared_from_this();
+  listener_.callbacks_.onClientRequest(self, std::move(request), bodyComplete);
+  if (state_ == State::waiting && !bodyIncomplete_) awaitBytes();
+}
+
+void ClientSession::readBody() {
+  if (state_ != State::waiting || !bodyIncomplete_ || std::exchange(bodyPieceWanted_, true)) return;
+  lastByteAt_ = listener_.clock_.now();
+  unaskedTime_ += lastByteAt_ - unaskedSince_;
+  if (buffer_.size() > 0) return parseBody();
+  awaitBytes();
+}
+
+void ClientSession::parseBody() {
+  using Step = MessageReader<true>::Step;
+  error_code error;
+  const Step step = reader_.step(buffer_, error);
+  // The request is under way; the client would take an error status for the response to it.
+  if (step == Step::malformed) return close();
+  if (step == Step::needsBytes && reader_.bufferedBody() == 0) return awaitBytes();
+  bodyIncomplete_ = step != Step::complete;
+  bodyPieceWanted_ = false;
+  unaskedSince_ = listener_.clock_.now();
+  const auto self = shared_from_this();
+  listener_.callbacks_.onClientBody(request_, reader_.takeBody(), !bodyIncomplete_);
+  if (state_ == State::waiting && !bodyIncomplete_) awaitBytes();
+}
+
+// --- Writing
+
+// After a request that has not come completely the connection is closed: what still comes would be taken for
+// a next request.
+void ClientSession::respond(Response&& response) {
+  if (state_ != State::waiting) return;
+  request_ = 0;
+  if (!response.partial) {
+    writeHead(response, response.body.size());
+    if (!isHeadRequest_) output_ += response.body;
+    return write();
+  }
+  const std::optional<std::uint64_t> length = response.partial->length;
+  relay_ = response.partial->relay;
+  chunked_ = !length && httpVersion_ >= 11;
+  endsWithConnection_ = !length && !chunked_;
+  if (endsWithConnection_) keepAlive_ = false;
+  writeHead(response, length);
+  writeBody(std::move(response.body), false);
+}
+
+void ClientSession::writeHead(const Response& response, std::optional<std::uint64_t> length) {
+  enter(State::writing);
+  if (std::exchange(bodyIncomplete_, false)) keepAlive_ = false;
+  keepAlive_ = keepAlive_ && !response.close && !listener_.closesAfterResponse();
+  const auto line = [this](std::string_view name, std::string_view value) {
+    output_.append(name).append(": ").append(value).append("\r\n");
+  };
+  const auto reason = http::obsolete_reason(response.status);
+  output_.reserve(256 + response.body.size());
+  output_ = httpVersion_ >= 11 ? "HTTP/1.1 " : "HTTP/1.0 ";
+  output_.append(std::to_string(static_cast<unsigned>(response.status))).append(" ");
+  output_.append(reason.data(), reason.size()).append("\r\n");
+  if (httpVersion_ >= 11 && !keepAlive_) line("Connection", "close");
+  if (httpVersion_ < 11 && keepAlive_) line("Connection", "keep-alive");
+  if (!response.contentType.empty()) line("Content-Type", response.contentType);
+  for (const HeaderLine& header : response.headers) line(header.name, header.value);
+  if (response.retryAfter > Duration{}) {
+    char seconds[32];
+    std::snprintf(seconds, sizeof seconds, "%.3f",
+                  std::chrono::duration<double>(response.retryAfter).count());
+    line("Retry-After", seconds);
+  }
+  if (length) line("Content-Length", std::to_string(*length));
+  else if (chunked_) line("Transfer-Encoding", "chunked");
+  output_ += "\r\n";
+}
+
+void ClientSession::writeBody(std::string&& piece, bool last) {
+  if (state_ != State::writing && state_ != State::relaying) return;
+  morePiecesFollow_ = !last;
+  if (chunked_) {
+    appendChunk(output_, piece);
+    if (last) output_ += kLastChunk;
+  } else if (output_.empty()) {
+    output_ = std::move(piece);
+  } else {
+    output_ += piece;
+  }
+  enter(State::writing);
+  write();
+}
+
+void ClientSession::truncateResponse() {
+  relay_ = 0;
+  error_code ignored;
+  // The end of the connection would be the end of the body; a reset is not.
+  if (endsWithConnection_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+  close();
+}
+
+// A client that takes a little at a time goes on; only one that takes nothing is ended.
+void ClientSession::write() {
+  const auto unwritten = asio::buffer(output_.data() + outputWritten_, output_.size() - outputWritten_);
+  socket_.async_write_some(unwritten, [this, self = shared_from_this()](error_code error, std::size_t bytes) {
+    if (state_ == State::closed) return;
+    if (error) return close();
+    outputWritten_ += bytes;
+    if (outputWritten_ == output_.size()) return onWritten();
+    enter(State::writing);
+    write();
+  });
+}
+
+void ClientSession::onWritten() {
+  output_.clear();
+  outputWritten_ = 0;
+  if (morePiecesFollow_) {
+    enter(State::relaying);
+    return listener_.callbacks_.onResponseWritten(relay_);
+  }
+  if (const RelayId relay = std::exchange(relay_, 0)) listener_.callbacks_.onResponseWritten(relay);
+  if (output_.capacity() > kMaxReadBytes) output_.shrink_to_fit();  // an idle client keeps no large buffer
+  if (keepAlive_) return awaitRequest();
+  linger();
+}
+
+// --- Refusing
+
+void ClientSession::refuse(http::status status) {
+  enter(State::waiting);
+  Response response = plainResponse(status);
+  response.close = true;
+  respond(std::move(response));
+}
+
+void ClientSession::refuseInput(error_code error) {
+  if (error == http::error::body_limit) return refuse(http::status::payload_too_large);
+  if (error == http::error::header_limit) return refuse(http::status::request_header_fields_too_large);
+  refuse(http::status::bad_request);
+}
+
+void ClientSession::refuseConnection() {
+  error_code ignored;
+  socket_.write_some(asio::buffer(kRefusal), ignored);
+  linger();
+}
+
+void ClientSession::onTooSlow() {
+  if (!requestStarted_) return closeIdle();
+  if (writingContinue_ || state_ == State::waiting) return close();  // two writes at once would mix
+  refuse(http::status::request_timeout);
+}
+
+bool ClientSession::isOverdue() const {
+  if (state_ == State::waiting && (!bodyIncomplete_ || !bodyPieceWanted_)) return false;
+  const Time now = listener_.clock_.now();
+  const Duration timeout = listener_.options_.requestTimeout;
+  // Without this a body that came fast at first would earn its client minutes of silence.
+  if (bodyIncomplete_ && now - lastByteAt_ > timeout) return true;
+  double bytes = static_cast<double>(reader_.bodyRead());
+  if (bodyIncomplete_) bytes -= static_cast<double>(kMaxBufferedBody);
+  const auto timeForBytes = std::chrono::duration<double>(bytes / kMinBodyBytesPerSecond);
+  const Duration unasked = bodyIncomplete_ ? unaskedTime_ : Duration{};
+  return now - stateSince_ - unasked > timeout + std::chrono::duration_cast<Duration>(timeForBytes);
+}
+
+// --- Ending
+
+// Nothing is read from a client that sent more than is read ahead, or whose host takes its time with the rest
+// of a long response. Only the kernel knows whether such a client has gone.
+void ClientSession::checkForDisconnect() {
+  if ((state_ == State::relaying || buffer_.size() >= kMaxBytesAhead) && atEnd()) close();
+}
+
+// Nothing more comes from the client: the end is next to be read, or lies behind unread bytes. A client that
+// has ended only its sending side counts as gone too (docs/design/acceptance.md).
+bool ClientSession::atEnd() {
+  const ssize_t unread = peek(socket_);
+  if (unread < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
+  pollfd query{socket_.native_handle(), POLLRDHUP, 0};
+  return unread == 0 || ::poll(&query, 1, 0) > 0;
+}
+
+bool ClientSession::gone() {
+  if (state_ == State::closed) return true;
+  if (!atEnd()) return false;
+  asio::post(socket_.get_executor(), [self = shared_from_this()] {
+    if (self->state_ == State::waiting) self->close();
+  });
+  return true;
+}
+
+std::optional<ClientSession::ReleasedConnection> ClientSession::release() {
+  if (state_ != State::waiting || bodyIncomplete_) return std::nullopt;
+  const auto self = shared_from_this();
+  request_ = 0;
+  enter(State::closed);
+  error_code ignored;
+  socket_.cancel(ignored);
+  const auto unread = buffer_.data();
+  return ReleasedConnection{std::move(socket_),
+                            std::string(static_cast<const char*>(unread.data()), unread.size())};
+}
+
+tcp::endpoint ClientSession::remoteEndpoint() const {
+  error_code ignored;
+  return socket_.remote_endpoint(ignored);
+}
+
+// Closing a socket that holds unread bytes resets the connection, and the response may be lost with it. So
+// our side ends first, and what still comes is read and dropped, for a limited time and up to a limit.
+void ClientSession::linger() {
+  enter(State::lingering);
+  error_code ignored;
+  socket_.shutdown(tcp::socket::shutdown_send, ignored);
+  buffer_.clear();
+  discardInput();
+}
+
+void ClientSession::discardInput() {
+  error_code error;
+  discardedBytes_ += socket_.read_some(buffer_.prepare(kMaxReadBytes), error);
+  if (error == asio::error::would_block || error == asio::error::try_again) return awaitBytes();
+  if (error || discardedBytes_ > kMaxDiscardedBytes) return close();
+  awaitBytes();
+}
+
+// A request that has come since the last read is read, not reset. One that comes at this very moment finds
+// our side ended: it is dropped, and its client, which sees the end in place of a response, sends it again
+// elsewhere. A close would reset the connection, and drop what the system still holds of the last response.
+void ClientSession::closeIdle() {
+  if (peek(socket_) > 0) return;
+  linger();
+}
+
+// The descriptor is needed now. A request that has come in part is refused, and so is a first one that may be
+// on its way: without a response it would count as lost. Unread bytes are read to make a reset unlikely.
+void ClientSession::drop() {
+  const bool resting = state_ == State::idle || (state_ == State::fresh && !requestStarted_);
+  if (resting && peek(socket_) > 0) return;  // its request has come
+  error_code ignored;
+  if (!writingContinue_ && state_ != State::idle) socket_.write_some(asio::buffer(kRefusal), ignored);
+  socket_.shutdown(tcp::socket::shutdown_send, ignored);
+  buffer_.clear();
+  error_code end;
+  for (std::size_t bytes = 0; !end && bytes < kMaxDiscardedBytes;)
+    bytes += socket_.read_some(buffer_.prepare(kMaxReadBytes), end);
+  close();
+}
+
+void ClientSession::close() {
+  if (state_ == State::closed) return;
+  const auto self = shared_from_this();
+  const bool responsePending = state_ == State::waiting;
+  enter(State::closed);
+  error_code ignored;
+  socket_.close(ignored);
+  const load_balancing::RequestId request = std::exchange(request_, 0);
+  if (responsePending && request != 0) listener_.callbacks_.onClientDisconnected(request);
+  if (const RelayId relay = std::exchange(relay_, 0)) listener_.callbacks_.onResponseAborted(relay);
+}
+
+}  // namespace finchstile
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -16,12 +16,12 @@
 
   std::chrono::steady_clock::time_point steady(Time t) const { return started_ + (t - kOrigin); }
 
-  // What this clock shows at a moment of Unix time, by the calendar as it stood at the start.
+  /// Unix time at `t`, by the calendar as it stood at the start.
   std::chrono::nanoseconds unixAt(Time t) const { return unixStarted_ + (t - kOrigin); }
 
-  // Danger: tied anew at each list, the same start would come out some microseconds apart, and the module
-  // would take every host for restarted. 0 stands for long ago, and so does what lies before this clock's
-  // zero.
+  /// The time at a moment of Unix time. 0 stands for long ago, and so does what lies before this clock's
+  /// zero. Ties to the start and not to the present calendar: else the start of one process would differ by
+  /// microseconds from list to list, and the load balancer would take every host for restarted.
   Time fromUnix(std::chrono::milliseconds since) const {
     if (since.count() <= 0) return Time{};
     const auto ago = unixStarted_ - since;
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -5,7 +5,6 @@
 #include <fstream>
 #include <iterator>
 #include <nlohmann/json.hpp>
-#include <stdexcept>
 #include <unordered_set>
 
 #include "base/address.hpp"
@@ -17,52 +16,81 @@
 using load_balancing::HostEntry;
 using load_balancing::HostPhase;
 using nlohmann::json;
+using Code = ConfigError::Code;
 
-[[noreturn]] void fail(const std::string& what) { throw std::runtime_error(what); }
+constexpr int kSeedBase = 16;
 
-// Walks the settings as the simulator's first message would list them: path by path, list items by number.
-template <class F>
-void eachLeaf(const json& value, const std::string& path, const F& f) {
+// Calls `visit(path, text)` for each value of the settings, with the paths of the simulator's first message:
+// keys joined by dots, list items by number.
+template <class Visitor>
+void forEachLeaf(const json& value, const std::string& path, const Visitor& visit) {
   if (value.is_structured()) {
     std::size_t index = 0;
     for (const auto& [key, item] : value.items()) {
       const std::string part = value.is_array() ? std::to_string(index++) : key;
-      eachLeaf(item, path.empty() ? part : path + "." + part, f);
+      forEachLeaf(item, path.empty() ? part : path + "." + part, visit);
     }
   } else if (value.is_string()) {
-    f(path, value.get_ref<const std::string&>());
+    visit(path, value.get_ref<const std::string&>());
   } else if (!value.is_null()) {
-    f(path, value.dump());
+    visit(path, value.dump());
   }
 }
 
+// The platform's words for the phases of a host.
 HostPhase readPhase(const std::string& status) {
   if (status == "active") return HostPhase::active;
   if (status == "leaving") return HostPhase::draining;
   if (status == "left") return HostPhase::removed;
-  fail("unknown status '" + status + "' of a host");
+  throw ConfigError(Code::invalidValue, "unknown status '" + status + "' of a host");
 }
 
 std::uint64_t readSeed(const std::string& text) {
   std::uint64_t seed = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, kSeedBase);
   if (text.empty() || error != std::errc{} || end != text.data() + text.size())
-    fail("seed '" + text + "' is not hexadecimal");
+    throw ConfigError(Code::invalidValue, "seed '" + text + "' is not hexadecimal");
   return seed;
 }
 
-Duration positive(const json& settings, const char* name) {
-  const auto ns = settings.at("ceilings").at(name).get<std::int64_t>();
-  if (ns <= 0) fail(std::string("settings.ceilings.") + name + " must be above 0");
-  return Duration(ns);
+Duration readPositiveNanoseconds(const json& settings, const char* name) {
+  const auto nanoseconds = settings.at("ceilings").at(name).get<std::int64_t>();
+  if (nanoseconds <= 0)
+    throw ConfigError(Code::invalidValue, std::string("settings.ceilings.") + name + " must be above 0");
+  return Duration(nanoseconds);
+}
+
+ListedHost readHost(const json& item, const Clock& clock) {
+  ListedHost host;
+  HostEntry& entry = host.entry;
+  entry.address = item.at("name").get<std::string>();
+  entry.phase = readPhase(item.at("status").get<std::string>());
+  entry.zone = item.value("zone", "");
+  entry.machineType = item.value("type", "");
+  entry.cell = item.value("group", std::int64_t{0});
+  entry.startedAt = clock.fromUnix(std::chrono::milliseconds(item.value("since_ms", std::int64_t{0})));
+  host.endpoint = readEndpoint(item.at("address").get<std::string>());
+  if (entry.address.empty()) throw ConfigError(Code::invalidValue, "a host has no name");
+  return host;
+}
+
+load_balancing::Settings readSettings(const json& document) {
+  load_balancing::Settings settings;
+  forEachLeaf(document.at("settings"), "", [&](const std::string& path, const std::string& value) {
+    load_balancing::applySetting(settings, path, value);
+  });
+  load_balancing::completeSettings(settings);
+  settings.seed = readSeed(document.at("seed").get<std::string>());
+  load_balancing::validate(settings);
+  return settings;
 }
 
 }  // namespace
 
 tcp::endpoint readEndpoint(std::string_view text) {
-  const auto at = parseAddress(text);
-  if (!at) fail("'" + std::string(text) + "' is no address and port");
-  return {at->first, at->second};
+  const auto address = parseAddress(text);
+  if (!address) throw ConfigError(Code::invalidValue, "'" + std::string(text) + "' is no address and port");
+  return {address->first, address->second};
 }
 
 Duration longestClientTimeout(const load_balancing::Settings& settings) {
@@ -76,75 +104,60 @@
   out.version = list.at("index").get<std::int64_t>();
   out.complete = list.at("snapshot").get<bool>();
   const json& endpoints = list.at("endpoints");
-  if (!endpoints.is_array()) fail("bad host list: endpoints is no list");  // else {} would empty the fleet
-  for (const json& item : endpoints) {
-    ListedHost h;
-    HostEntry& e = h.entry;
-    e.address = item.at("name").get<std::string>();
-    e.phase = readPhase(item.at("status").get<std::string>());
-    e.zone = item.value("zone", "");
-    e.machineType = item.value("type", "");
-    e.cell = item.value("group", std::int64_t{0});
-    e.startedAt = clock.fromUnix(std::chrono::milliseconds(item.value("since_ms", std::int64_t{0})));
-    h.endpoint = readEndpoint(item.at("address").get<std::string>());
-    if (e.address.empty()) fail("a host has no name");
-    out.hosts.push_back(std::move(h));
-  }
+  // An empty object would pass for an empty list, and remove all hosts.
+  if (!endpoints.is_array())
+    throw ConfigError(Code::malformedDocument, "bad host list: endpoints is no list");
+  for (const json& item : endpoints) out.hosts.push_back(readHost(item, clock));
   return out;
 } catch (const json::exception& bad) {
-  fail(std::string("bad host list: ") + bad.what());
-}
-
-HostList applyChanges(const HostList& base, HostList&& changes) {
-  std::unordered_set<std::string> changed;
-  for (const ListedHost& h : changes.hosts) changed.insert(h.entry.address);
-  HostList whole{changes.version, true, {}};
-  const auto take = [&](const ListedHost& h) {
-    if (h.entry.phase != HostPhase::removed) whole.hosts.push_back(h);
-  };
-  for (const ListedHost& h : base.hosts)
-    if (changed.count(h.entry.address) == 0) take(h);
-  for (const ListedHost& h : changes.hosts) take(h);
-  return whole;
+  throw ConfigError(Code::malformedDocument, std::string("bad host list: ") + bad.what());
 }
 
 HostList parseHostList(std::string_view text, const Clock& clock) {
   const json list = json::parse(text, nullptr, false);
-  if (list.is_discarded()) fail("bad host list: not JSON");
+  if (list.is_discarded()) throw ConfigError(Code::malformedDocument, "bad host list: not JSON");
   return readHostList(list, clock);
 }
 
+HostList applyChanges(const HostList& base, HostList&& changes) {
+  std::unordered_set<std::string> changed;
+  for (const ListedHost& host : changes.hosts) changed.insert(host.entry.address);
+  HostList complete{changes.version, true, {}};
+  const auto addUnlessRemoved = [&](const ListedHost& host) {
+    if (host.entry.phase != HostPhase::removed) complete.hosts.push_back(host);
+  };
+  for (const ListedHost& host : base.hosts)
+    if (changed.count(host.entry.address) == 0) addUnlessRemoved(host);
+  for (const ListedHost& host : changes.hosts) addUnlessRemoved(host);
+  return complete;
+}
+
 GatewayConfig readConfig(std::string_view text, const Clock& clock) try {
-  const json all = json::parse(text);
-  const json& settings = all.at("settings");
-  GatewayConfig c;
-  c.name = all.value("name", "gateway");
-  c.listen = readEndpoint(all.at("listen").get<std::string>());
-  c.discovery = readEndpoint(all.at("discovery").get<std::string>());
-  if (const auto ops = all.find("ops"); ops != all.end() && !ops->is_null())
-    c.adminEndpoint = readEndpoint(ops->get<std::string>());
-  if (const auto limits = all.find("limits"); limits != all.end())
-    c.descriptorLimit = limits->value("sockets", c.descriptorLimit);
-  eachLeaf(settings, "", [&](const std::string& path, const std::string& value) {
-    load_balancing::applySetting(c.settings, path, value);
-  });
-  load_balancing::completeSettings(c.settings);
-  c.settings.seed = readSeed(all.at("seed").get<std::string>());
-  load_balancing::validate(c.settings);
-  c.connectTimeout = positive(settings, "connectTimeoutNs");
-  c.upstreamIdleTimeout = positive(settings, "idleCloseNs");
-  if (const auto known = all.find("known"); known != all.end() && !known->is_null())
-    c.knownHosts = readHostList(*known, clock);
-  return c;
+  const json document = json::parse(text);
+  const json& settings = document.at("settings");
+  GatewayConfig config;
+  config.name = document.value("name", "gateway");
+  config.listen = readEndpoint(document.at("listen").get<std::string>());
+  config.discovery = readEndpoint(document.at("discovery").get<std::string>());
+  if (const auto admin = document.find("ops"); admin != document.end() && !admin->is_null())
+    config.adminEndpoint = readEndpoint(admin->get<std::string>());
+  if (const auto limits = document.find("limits"); limits != document.end())
+    config.descriptorLimit = limits->value("sockets", config.descriptorLimit);
+  config.settings = readSettings(document);
+  config.connectTimeout = readPositiveNanoseconds(settings, "connectTimeoutNs");
+  config.upstreamIdleTimeout = readPositiveNanoseconds(settings, "idleCloseNs");
+  if (const auto known = document.find("known"); known != document.end() && !known->is_null())
+    config.knownHosts = readHostList(*known, clock);
+  return config;
 } catch (const json::exception& bad) {
-  fail(std::string("bad configuration: ") + bad.what());
+  throw ConfigError(Code::malformedDocument, std::string("bad configuration: ") + bad.what());
 } catch (const std::invalid_argument& bad) {
-  fail(std::string("bad configuration: ") + bad.what());
+  throw ConfigError(Code::invalidValue, std::string("bad configuration: ") + bad.what());
 }
 
 GatewayConfig loadConfig(const std::string& path, const Clock& clock) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) fail("cannot read the configuration '" + path + "'");
+  if (!file) throw ConfigError(Code::unreadableFile, "cannot read the configuration '" + path + "'");
   const std::string text{std::istreambuf_iterator<char>(file), {}};
   return readConfig(text, clock);
 }
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -1,88 +1,94 @@
 #include "net/discovery.hpp"
 
 #include <algorithm>
-#include <exception>
+#include <chrono>
 #include <string>
 #include <utility>
 
 namespace finchstile {
 namespace {
 
-constexpr std::size_t kListMost = std::size_t{4} * 1024 * 1024;
+constexpr std::size_t kMaxListBytes = std::size_t{4} * 1024 * 1024;
 constexpr unsigned kOk = 200;
-constexpr std::int64_t kNoIndex = -1;  // the whole list is asked for
+constexpr std::int64_t kNoVersion = -1;
 
 }  // namespace
 
-Discovery::Discovery(boost::asio::io_context& io, const Clock& clock, const tcp::endpoint& at, Limits limits,
-                     std::int64_t index, DiscoveryCallbacks& events)
-    : clock_(clock), at_(at), limits_(limits), index_(index), events_(events), watch_(io, kListMost, *this) {}
+Discovery::Discovery(boost::asio::io_context& io, const Clock& clock, const tcp::endpoint& endpoint,
+                     const Timeouts& timeouts, std::int64_t version, DiscoveryCallbacks& callbacks)
+    : clock_(clock),
+      endpoint_(endpoint),
+      timeouts_(timeouts),
+      version_(version),
+      callbacks_(callbacks),
+      client_(io, kMaxListBytes, *this) {}
 
 void Discovery::watch() {
   if (std::exchange(watching_, true)) return;
-  ask();
+  poll();
 }
 
-// Danger: a version of one discovery means nothing to another, so ours is of no use there. But the
-// configuration names a discovery together with a list and its version, as it does at a start. The changes
-// since cost a discovery that all gateways turn to at once a quarter of what the whole list does.
-void Discovery::move(const tcp::endpoint& at, HostList known) {
+// The version of one service means nothing to another. But the configuration names a service together with a
+// list and its version there. Asking for the changes since spares a service to which all gateways move at
+// once three quarters of the work of complete lists.
+void Discovery::move(const tcp::endpoint& endpoint, HostList known) {
   stop();
-  at_ = at;
-  const bool usable = known.version >= 0 && !known.hosts.empty();  // danger: changes to nothing are no list
-  index_ = usable ? known.version : kNoIndex;
-  base_ = usable ? std::optional(std::move(known)) : std::nullopt;
-  soon_ = true;  // no news is a word too: that the list which came with the move holds
+  endpoint_ = endpoint;
+  const bool usable = known.version >= 0 && !known.hosts.empty();  // changes to no hosts make no list
+  version_ = usable ? known.version : kNoVersion;
+  changeBase_ = usable ? std::optional(std::move(known)) : std::nullopt;
+  wantsEarlyResponse_ = true;  // also a response without changes confirms the list that came with the move
   watch();
 }
 
 void Discovery::stop() {
   watching_ = false;
-  watch_.stop();
+  client_.stop();
 }
 
-void Discovery::ask() {
+// The form of the call is the platform's.
+void Discovery::poll() {
   std::string target = "/registry/instances";
-  Duration most = limits_.silence;
-  if (index_ >= 0) {
-    const Duration wait = soon_ ? std::min(limits_.wait, limits_.soon) : limits_.wait;
-    target += "?since=" + std::to_string(index_) + "&timeout_ms=" +
-              std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(wait).count());
-    most += wait;
+  Duration timeout = timeouts_.silence;
+  if (version_ >= 0) {
+    const Duration watchTime =
+        wantsEarlyResponse_ ? std::min(timeouts_.watch, timeouts_.watchAfterFailure) : timeouts_.watch;
+    const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(watchTime).count();
+    target += "?since=" + std::to_string(version_) + "&timeout_ms=" + std::to_string(milliseconds);
+    timeout += watchTime;
   }
-  watch_.call(at_, target, {most, {}, {}});
+  client_.call(endpoint_, target, {timeout, {}, {}});
 }
 
-void Discovery::onWatchResponse(WatchResponse&& answer) {
-  if (answer.status != kOk) return lost();
+void Discovery::onLongPollResponse(LongPollResponse&& response) {
+  if (response.status != kOk) return endWatch();
   HostList list;
   try {
-    list = parseHostList(answer.body, clock_);
-  } catch (const std::exception&) {
-    return lost();
+    list = parseHostList(response.body, clock_);
+  } catch (const ConfigError&) {
+    return endWatch();
   }
-  // Danger: these may be changes to a list that we do not have: we asked for a whole one, or it has begun to
-  // count anew, or is another one than our version is from.
-  if (!list.complete && (index_ < 0 || list.version < index_)) {
-    index_ = kNoIndex;
-    base_.reset();
-    return lost();
+  // These may be changes to a list that the gateway does not have: it asked for the complete one, or the
+  // service counts its versions anew, or it is another service than the version is from.
+  if (!list.complete && (version_ < 0 || list.version < version_)) {
+    version_ = kNoVersion;
+    changeBase_.reset();
+    return endWatch();
   }
-  index_ = list.version;
-  soon_ = false;
-  if (const auto base = std::exchange(base_, std::nullopt); base && !list.complete)
+  version_ = list.version;
+  wantsEarlyResponse_ = false;
+  if (const auto base = std::exchange(changeBase_, std::nullopt); base && !list.complete)
     list = applyChanges(*base, std::move(list));
-  // The next call goes out first: a watch lasts only as long as calls follow one another closely.
-  ask();
-  events_.onHostList(std::move(list));
+  // The next poll goes out first: to the service a watch lasts only as long as polls follow each other
+  // closely.
+  poll();
+  callbacks_.onHostList(std::move(list));
 }
 
-void Discovery::onWatchLost() { lost(); }
-
-void Discovery::lost() {
+void Discovery::endWatch() {
   stop();
-  soon_ = true;
-  events_.onDiscoveryLost();
+  wantsEarlyResponse_ = true;
+  callbacks_.onDiscoveryLost();
 }
 
 }  // namespace finchstile
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -1,4 +1,4 @@
-// The watch on the list of hosts.
+// Watches the endpoint list of a discovery service.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,7 +7,7 @@
 
 #include "net/clock.hpp"
 #include "net/config.hpp"
-#include "net/watch.hpp"
+#include "net/long_poll_client.hpp"
 
 namespace finchstile {
 
@@ -15,42 +15,48 @@
  public:
   virtual ~DiscoveryCallbacks() = default;
   virtual void onHostList(HostList&& list) = 0;
-  virtual void onDiscoveryLost() = 0;  // the watch has ended; `watch` starts a new one
+  /// The watch has ended; `Discovery::watch` starts a new one.
+  virtual void onDiscoveryLost() = 0;
 };
 
-class Discovery : WatchCallbacks {
+/// Polls the service again as soon as a poll is answered, each time for what has changed since the last
+/// version.
+class Discovery : LongPollCallbacks {
  public:
-  struct Limits {
-    Duration wait{};     // how long discovery may hold a call that has no news,
-    Duration soon{};     // and the first one after a failed call or a move, whose answer is wanted soon
-    Duration silence{};  // after that wait: how much longer an answer may take
+  struct Timeouts {
+    Duration watch{};              ///< How long the service may hold a poll while nothing changes.
+    Duration watchAfterFailure{};  ///< The same for the first poll after a failed one, or after a move.
+    Duration silence{};            ///< How much longer a response may take.
   };
 
-  Discovery(boost::asio::io_context& io, const Clock& clock, const tcp::endpoint& at, Limits limits,
-            std::int64_t index, DiscoveryCallbacks& events);
-
-  void watch();  // does nothing while a watch is on
-  // Watches another discovery from now on. `known`: a list as that one had it, with its version there; what
-  // has changed since is asked for, and the first answer is handed on as the whole list that it makes. With
-  // no version the whole list is asked for.
-  void move(const tcp::endpoint& at, HostList known = {});
-  void renew() { move(at_); }  // asks for the whole list where it watches
+  /// `version`: of the list that the gateway has; below 0: it has none, and polls for the complete one.
+  Discovery(boost::asio::io_context& io, const Clock& clock, const tcp::endpoint& endpoint,
+            const Timeouts& timeouts, std::int64_t version, DiscoveryCallbacks& callbacks);
+
+  /// Does nothing while a watch is open.
+  void watch();
+  /// Watches another service from now on. `known`: a list of that service, with its version there. The
+  /// service is asked for what has changed since, and the first response is passed on as the complete list
+  /// that it makes. With no version the complete list is asked for.
+  void move(const tcp::endpoint& endpoint, HostList known = {});
+  /// Asks the service that it watches for the complete list.
+  void requestCompleteList() { move(endpoint_); }
   void stop();
 
  private:
-  void ask();
-  void onWatchResponse(WatchResponse&& answer) override;
-  void onWatchLost() override;
-  void lost();
+  void poll();
+  void onLongPollResponse(LongPollResponse&& response) override;
+  void onLongPollFailed() override { endWatch(); }
+  void endWatch();
 
   const Clock& clock_;
-  tcp::endpoint at_;
-  Limits limits_;
-  std::int64_t index_;
-  bool soon_ = false;             // nothing has been answered since a call failed, or since a move
-  std::optional<HostList> base_;  // what the first answer after a move tells the changes of
-  DiscoveryCallbacks& events_;
-  Watch watch_;
+  tcp::endpoint endpoint_;
+  Timeouts timeouts_;
+  std::int64_t version_;
+  bool wantsEarlyResponse_ = false;     // nothing was answered since a poll failed, or since a move
+  std::optional<HostList> changeBase_;  // to which the first response after a move tells the changes
+  DiscoveryCallbacks& callbacks_;
+  LongPollClient client_;
   bool watching_ = false;
 };
 
--- a/src/net/framing.hpp
+++ b/src/net/framing.hpp
@@ -1,5 +1,5 @@
-// Reads one HTTP/1.1 message at a time with Beast's parser, and adds what that leaves open: a limit on the
-// whole head, and proof that the framing tells where the message ends.
+// Framing of HTTP/1.1 messages: a reader on top of Beast's parser that adds a limit on the whole head and a
+// check that the framing is unambiguous, and chunks for writers.
 #pragma once
 
 #include <algorithm>
@@ -7,27 +7,41 @@
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
 #include <cstddef>
+#include <cstdint>
+#include <cstdio>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <utility>
 
 namespace finchstile {
 
-// A body up to kWholeMost is held whole, so that the request can go to another host and a spoilt answer be
-// found out before its client has a byte of it. A longer one is passed on piece by piece as it comes, and can
-// be neither.
-inline constexpr std::size_t kWholeMost = std::size_t{64} * 1024;
-inline constexpr std::size_t kBodyMost = std::size_t{32} * 1024 * 1024;
-inline constexpr std::size_t kPieceMost =
-    std::size_t{32} * 1024;  // of a longer body, under way at once in each direction
-inline constexpr std::size_t kHeadMost = std::size_t{16} * 1024;
-inline constexpr std::size_t kReadMost = std::size_t{8} * 1024;        // taken from a socket at once
-inline constexpr std::size_t kBufferMost = 2 * kHeadMost + kReadMost;  // not yet parsed
+/// A body up to this length is buffered, so that the request can go to another host, and a broken response is
+/// detected before its client has a byte of it. A longer one is relayed piece by piece, and can be neither.
+inline constexpr std::size_t kMaxBufferedBody = std::size_t{64} * 1024;
+inline constexpr std::size_t kMaxBody = std::size_t{32} * 1024 * 1024;
+/// Of a relayed body, under way at once in each direction.
+inline constexpr std::size_t kMaxPieceBytes = std::size_t{32} * 1024;
+inline constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;
+/// Read from a socket at once.
+inline constexpr std::size_t kMaxReadBytes = std::size_t{8} * 1024;
+inline constexpr std::size_t kMaxUnparsedBytes = 2 * kMaxHeadBytes + kMaxReadBytes;
 
-// Beast takes a length that is repeated or listed, and a coding beside a length if it does not know that
-// coding. Two readers could then disagree on where the message ends, so none of these is taken here.
+/// The end of a chunked body (RFC 9112, 7.1).
+inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
+
+/// Appends `piece` as one chunk. An empty piece adds nothing: as a chunk it would end the body.
+inline void appendChunk(std::string& out, std::string_view piece) {
+  if (piece.empty()) return;
+  char size[24];
+  const int length = std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
+  out.append(size, static_cast<std::size_t>(length)).append(piece).append("\r\n");
+}
+
+/// Whether all readers agree on where the message ends. Beast accepts a length that is repeated or listed,
+/// and a coding that it does not know beside a length; two readers could disagree on those.
 template <bool isRequest>
-bool framingIsPlain(const boost::beast::http::header<isRequest>& head) {
+bool isFramingUnambiguous(const boost::beast::http::header<isRequest>& head) {
   namespace http = boost::beast::http;
   const auto lengths = head.count(http::field::content_length);
   const auto codings = head.count(http::field::transfer_encoding);
@@ -39,8 +53,8 @@
                                                          [](char c) { return c >= '0' && c <= '9'; }));
 }
 
-// A string that grows as bytes come. Danger: Beast's own string body reserves at once what a head promises,
-// and a head may promise anything.
+/// A string body that grows as bytes come. Beast's own reserves at once what a head announces, and a head may
+/// announce anything.
 struct GrowingBody {
   using value_type = std::string;
   class reader {  // NOLINT(readability-identifier-naming): Beast looks for a body's reader by this name
@@ -63,91 +77,97 @@
   };
 };
 
+/// Reads one message at a time. `restart` comes before the first message and between any two.
 template <bool isRequest>
 class MessageReader {
  public:
   using Parser = boost::beast::http::parser<isRequest, GrowingBody>;
-  using Whole = boost::beast::http::message<isRequest, boost::beast::http::string_body>;
-  enum class Step { more, head, whole, bad };
+  using Message = boost::beast::http::message<isRequest, boost::beast::http::string_body>;
+  enum class Step {
+    needsBytes,  ///< The buffer is used up, or holds too little for the next step.
+    head,        ///< The head is complete. Comes once, before a byte of the body is looked at.
+    complete,    ///< The message is complete.
+    malformed    ///< The message can't be used; `error` says why.
+  };
 
   void restart() {
     parser_.emplace();
-    parser_->body_limit(kBodyMost);
-    parser_->header_limit(kHeadMost);
+    parser_->body_limit(kMaxBody);
+    parser_->header_limit(kMaxHeadBytes);
     headBytes_ = 0;
-    headDone_ = false;
-    taken_ = 0;
+    headComplete_ = false;
+    takenBytes_ = 0;
   }
 
-  // Takes what it can use from the buffer. `head` comes once, before a byte of the body is looked at; `more`
-  // asks for bytes; after `bad`, `error` tells why. The body grows in `parser().get().body()` until it is
-  // taken.
+  /// Consumes what it can use from the buffer. The body grows in `parser().get().body()` until it is taken.
   Step step(boost::beast::flat_buffer& buffer, boost::system::error_code& error) {
     namespace http = boost::beast::http;
     error = {};
     while (!parser_->is_done()) {
-      if (buffer.size() == 0) return Step::more;
+      if (buffer.size() == 0) return Step::needsBytes;
       const std::size_t used = parser_->put(buffer.data(), error);
       buffer.consume(used);
-      const bool more = error == http::error::need_more;
-      if (more) error = {};
-      // Danger: Beast holds a single line of a head to the limit, not the head; lines could come for ever.
-      if (!headDone_) headBytes_ += used;
-      if (!error && headBytes_ > kHeadMost) error = http::error::header_limit;
-      if (!error && buffer.size() >= kBufferMost && more) error = http::error::buffer_overflow;
-      if (error) return Step::bad;
-      if (!headDone_ && parser_->is_header_done()) {
-        headDone_ = true;
+      const bool incomplete = error == http::error::need_more;
+      if (incomplete) error = {};
+      // Beast applies its limit to each line of the head; without this one, lines could come without end.
+      if (!headComplete_) headBytes_ += used;
+      if (!error && headBytes_ > kMaxHeadBytes) error = http::error::header_limit;
+      if (!error && buffer.size() >= kMaxUnparsedBytes && incomplete) error = http::error::buffer_overflow;
+      if (error) return Step::malformed;
+      if (!headComplete_ && parser_->is_header_done()) {
+        headComplete_ = true;
         parser_->eager(true);
-        if (!framingIsPlain<isRequest>(parser_->get())) {
+        if (!isFramingUnambiguous<isRequest>(parser_->get())) {
           error = http::error::bad_content_length;
-          return Step::bad;
+          return Step::malformed;
         }
         const auto length = parser_->content_length();
-        if (length && *length > kBodyMost) {
+        if (length && *length > kMaxBody) {
           error = http::error::body_limit;
-          return Step::bad;
+          return Step::malformed;
         }
         return Step::head;
       }
-      if (more) return Step::more;
+      if (incomplete) return Step::needsBytes;
     }
-    return Step::whole;
+    return Step::complete;
   }
 
-  // The other side has ended in order. True: that is the end of a message whose length is told by nothing
-  // else (RFC 9112, 6.3), which is whole now. A reset is no such end.
-  bool endsWithConnection() {
-    if (!headDone_ || parser_->is_done() || !parser_->need_eof()) return false;
+  /// The other side has closed its connection in order. Returns true if that completes the message: its
+  /// length is given by nothing else (RFC 9112, 6.3). A reset completes no message.
+  bool completeAtEndOfConnection() {
+    if (!headComplete_ || parser_->is_done() || !parser_->need_eof()) return false;
     boost::system::error_code error;
     parser_->put_eof(error);
     return !error;
   }
 
   Parser& parser() { return *parser_; }
-  bool headDone() const { return headDone_; }
-  std::size_t bodyHeld() const { return parser_->get().body().size(); }
-  std::uint64_t bodyRead() const { return taken_ + bodyHeld(); }  // since `restart`
-  // The body as far as it has come and has not been taken.
+  bool isHeadComplete() const { return headComplete_; }
+  /// Bytes of the body that have come and have not been taken.
+  std::size_t bufferedBody() const { return parser_->get().body().size(); }
+  /// Bytes of the body that have come since `restart`.
+  std::uint64_t bodyRead() const { return takenBytes_ + bufferedBody(); }
+  /// Moves out the body as far as it has come and has not been taken.
   std::string takeBody() {
     std::string body = std::exchange(parser_->get().body(), {});
-    taken_ += body.size();
+    takenBytes_ += body.size();
     return body;
   }
-  // The message with the body as far as it has come; if it is not whole, more of it may follow.
-  Whole takeMessage() {
+  /// The message with the body as far as it has come. If it is not complete, more of the body may follow.
+  Message takeMessage() {
     std::string body = takeBody();
-    Whole out =
-        parser_->is_done() ? Whole{std::move(parser_->release().base())} : Whole{parser_->get().base()};
-    out.body() = std::move(body);
-    return out;
+    Message message =
+        parser_->is_done() ? Message{std::move(parser_->release().base())} : Message{parser_->get().base()};
+    message.body() = std::move(body);
+    return message;
   }
 
  private:
   std::optional<Parser> parser_;
   std::size_t headBytes_ = 0;
-  std::uint64_t taken_ = 0;
-  bool headDone_ = false;
+  std::uint64_t takenBytes_ = 0;
+  bool headComplete_ = false;
 };
 
 }  // namespace finchstile
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -1,11 +1,13 @@
 #include "net/gateway.hpp"
 
 #include <algorithm>
-#include <charconv>
+#include <chrono>
 #include <cstdio>
 #include <string_view>
+#include <utility>
 
-#include "membership/report.hpp"
+#include "net/gateway_limits.hpp"
+#include "net/string_view.hpp"
 
 namespace finchstile {
 namespace {
@@ -16,293 +18,406 @@
 using load_balancing::HostId;
 using load_balancing::HostListUpdate;
 using load_balancing::HostPhase;
-using load_balancing::kNone;
 using load_balancing::Outcome;
 using load_balancing::RequestId;
 using std::chrono::milliseconds;
-using std::chrono::seconds;
-
-constexpr Duration kHousekeep = milliseconds(250);
-constexpr Duration kHousekeepDrain = milliseconds(20);
-// The front notices, and clients that use their connections once more learn of it from the answer. Beyond
-// this a connection at rest is closed.
-constexpr Duration kRestAfterAway = milliseconds(1200);
-// What discovery has to tell counts as told 6 s after it had it and could be reached, whatever a call of ours
-// met. A watch that falls silent right behind a call is given up kWatchMost + kSilence later, the module asks
-// again within 0.5 s, and that answer may take kSilence: 5.5 s. While calls fail they are held kWatchSoon in
-// place of kWatchMost, and the module waits 2 s at the most: kWatchSoon + kSilence + 2 s + kSilence, 5.5 s.
-constexpr Duration kWatchMost = seconds(2);
-constexpr Duration kWatchSoon = milliseconds(500);
-constexpr Duration kSilence = milliseconds(1500);
-constexpr double kStallOfAim = 0.25;
-constexpr double kIdleShare = 0.5;  // of the host's idle limit: a close must never cross a request
-// A stall shorter than this is within the slack of every deadline. Danger: taken off each client's time for
-// long, it makes the module take first tries for late ones.
-constexpr Duration kLagLeast = milliseconds(20);
-constexpr Duration kLagKept = milliseconds(100);
-
-// Descriptors that nobody else may take: standard input, output and error, the loop's three, the signals'
-// two, the listener, the inherited one, two for discovery (a watch that is replaced), three for operators,
-// and one for a connection that is to be turned away. Danger: clients at rest would take those of discovery.
-constexpr std::size_t kOwnDescriptors = 16;
-
-std::size_t share(const GatewayConfig& c, double part) {
-  const std::size_t own = kOwnDescriptors + c.reservedDescriptors;
-  const auto rest = static_cast<double>(c.descriptorLimit - std::min(c.descriptorLimit / 4, own));
-  return std::max<std::size_t>(
-      8, static_cast<std::size_t>(rest * part * (1 - c.options.reservedDescriptorFraction)));
-}
-
-Duration part(Duration d, double by) {
-  return Duration(static_cast<Duration::rep>(static_cast<double>(d.count()) * by));
-}
-
-Duration watchWait(const load_balancing::Settings& s) {
-  // Danger: the module takes a first watch that is silent for half this time for lost.
-  return s.maxDiscoverySilence > Duration{} ? std::min(s.maxDiscoverySilence / 4, kWatchMost) : kWatchMost;
-}
-
-// Between the bytes of an answer that has begun: within the time in which a host shows any sign of life, and
-// soon enough that another host can still answer in time.
-Duration answerMost(const GatewayConfig& config) {
-  Duration least = config.connectTimeout;
-  for (const auto& c : config.settings.classes)
-    least = std::min(least, part(c.latencyObjective, kStallOfAim));
-  return least;
-}
+
+constexpr Duration kMaintenanceInterval = milliseconds(250);
+constexpr Duration kMaintenanceIntervalInDrain = milliseconds(20);
+// Fronts notice that the gateway is not ready, and clients that use their connections once more learn of it
+// from the response. Connections that are idle for longer are closed.
+constexpr Duration kIdleTimeInLameDuck = milliseconds(1200);
 
 }  // namespace
 
 Gateway::Gateway(boost::asio::io_context& io, const Clock& clock, GatewayConfig config)
-    : io_(io),
-      clock_(clock),
+    : clock_(clock),
       config_(std::move(config)),
       balancer_(config_.settings, clock.now()),
-      listener_(io, clock, config_.listen, config_.inheritedListenerDescriptor,
-                share(config_, config_.options.clientDescriptorFraction), config_.options.clients, *this),
-      pool_(io, clock,
-            {config_.connectTimeout, answerMost(config_), part(config_.upstreamIdleTimeout, kIdleShare),
-             config_.options.maxConnectingPerHost, share(config_, config_.options.upstreamDescriptorFraction),
-             config_.options.minConnectionCheck},
-            *this),
-      discovery_(io, clock, config_.discovery, {watchWait(config_.settings), kWatchSoon, kSilence},
+      listener_(io, clock, config_.listen, config_.inheritedListenerDescriptor, maxClientConnections(config_),
+                config_.options.clients, *this),
+      pool_(io, clock, upstreamPoolLimits(config_), *this),
+      metrics_(config_.settings.classes),
+      hosts_(clock, balancer_, pool_),
+      requests_(clock, config_, balancer_, extensions_, metrics_),
+      relays_(requests_.table(), pool_, metrics_),
+      attempts_(clock, config_, balancer_, extensions_, metrics_, hosts_, requests_, relays_, pool_),
+      discovery_(io, clock, config_.discovery, discoveryTimeouts(config_.settings),
                  config_.knownHosts.version, *this),
-      timer_(io),
-      reader_(config_.settings) {
-  for (const auto& c : config_.settings.classes) counts_.push_back({c.name});
-}
+      timer_(io) {}
 
 void Gateway::start() {
-  housekeepAt_ = clock_.now() + kHousekeep;
-  if (gate_) gate_->onInitialList(config_.knownHosts);
-  learnHosts(config_.knownHosts, HostListUpdate::restored);
+  maintenanceAt_ = clock_.now() + kMaintenanceInterval;
+  if (extensions_.hostListInterceptor) extensions_.hostListInterceptor->onInitialList(config_.knownHosts);
+  updateHosts(config_.knownHosts, HostListUpdate::restored);
   if (!config_.settings.pollsDiscovery) discovery_.watch();
   listener_.start();
 }
 
+// --- Changes while it runs
+
 void Gateway::reload(const GatewayConfig& next) {
-  if (gate_) gate_->onDiscoveryMoved();
+  if (extensions_.hostListInterceptor) extensions_.hostListInterceptor->onDiscoveryMoved();
   balancer_.onHostListUpdate(clock_.now(), HostListUpdate::moved, {});
   discovery_.move(next.discovery, next.knownHosts);
-  carryOut();
+  executeActions();
 }
 
 void Gateway::applyDynamicSettings(const configuration::SettingsChange& change) {
-  load_balancing::DynamicSettings terms;
-  terms.classes = change.classes;
+  load_balancing::DynamicSettings settings;
+  settings.classes = change.classes;
   for (const auto& tenant : change.tenants)
-    if (tenant.quotaPerSecond) terms.tenants.push_back({tenant.index, *tenant.quotaPerSecond});
-  balancer_.onDynamicSettings(clock_.now(), terms);
+    if (tenant.quotaPerSecond) settings.tenants.push_back({tenant.index, *tenant.quotaPerSecond});
+  balancer_.onDynamicSettings(clock_.now(), settings);
+  TenantTable& tenants = requests_.tenants();
   for (const auto& tenant : change.tenants) {
-    if (tenant.quotaPerSecond) reader_.tenants().list(tenant.index, tenant.name);
-    else reader_.tenants().unlist(tenant.name);
+    if (tenant.quotaPerSecond) tenants.list(tenant.index, tenant.name);
+    else tenants.unlist(tenant.name);
   }
-  for (const auto& cls : change.classes) {
-    load_balancing::ClassSettings& settings = config_.settings.classes[cls.index];
-    settings.latencyObjective = cls.latencyObjective;
-    settings.priorityWeight = cls.priorityWeight;
-    settings.lateValueFraction = cls.lateValueFraction;
+  for (const auto& changed : change.classes) {
+    load_balancing::ClassSettings& classSettings = config_.settings.classes[changed.index];
+    classSettings.latencyObjective = changed.latencyObjective;
+    classSettings.priorityWeight = changed.priorityWeight;
+    classSettings.lateValueFraction = changed.lateValueFraction;
   }
-  carryOut();
+  executeActions();
 }
 
-void Gateway::setOptions(const GatewayOptions& tuning) {
-  listener_.setOptions(tuning.clients);
-  pool_.setConnectionOptions(tuning.maxConnectingPerHost, tuning.minConnectionCheck);
+void Gateway::setOptions(const GatewayOptions& options) {
+  listener_.setOptions(options.clients);
+  pool_.setConnectionOptions(options.maxConnectingPerHost, options.minConnectionCheck);
 }
 
-void Gateway::drain(std::function<void()> done) {
-  if (plan_) return;
-  done_ = std::move(done);
-  // Danger: a loop that comes late finds the signal late too, and the platform's time runs since it was sent.
-  const Time told = clock_.now() - std::max(lagNow(), overdue());
-  plan_.emplace(told, drain::Terms{longestClientTimeout(config_.settings), config_.options.drainServeTime,
-                                   listener_.inherited()});
-  housekeepAt_ = clock_.now();
-  if (listener_.inherited()) {  // who shares it takes what comes there from now on
-    listener_.beginDrain();
-    listener_.close();
-    listener_.enterLameDuck(told + kRestAfterAway);
-  }
-  for (ProtocolHandler* front : fronts_) front->onDrain(plan_->exit());
-  armTimer();
+void Gateway::restoreLearnedState(const load_balancing::LearnedState& learned) {
+  balancer_.restoreLearnedState(clock_.now(), learned);
+  executeActions();
 }
 
-// Danger: what was taken late in a drain may have longer than this process; its client is owed an answer all
-// the same, and this one claims nothing.
-void Gateway::failOpen() {
-  std::vector<RequestId> open;
-  for (const auto& [id, r] : requests_)
-    if (!r.ended) open.push_back(id);
-  for (const RequestId id : open) {
-    const auto it = requests_.find(id);
-    if (it == requests_.end() || it->second.ended) continue;
-    const bool held = it->second.heldUntil != Time{};
-    answer(id, RequestResult::failed, plainResponse(http::status::bad_gateway));
-    if (!held) balancer_.onClientDisconnected(clock_.now(), id);
+// --- Clients
+
+bool Gateway::respondToHealthCheck(ClientSession& session, const ClientRequest& message) const {
+  const std::string_view target = view(message.target());
+  if (target == "/health/live") {
+    session.respond(plainResponse(http::status::ok));
+  } else if (target == "/health/ready") {
+    session.respond(plainResponse(ready() ? http::status::ok : http::status::service_unavailable));
+  } else {
+    return false;
   }
-  listener_.refuseHalf();
-  carryOut();
+  return true;
 }
 
-void Gateway::handOverClients(std::function<bool(int)> give) {
-  const bool ends = !give;
-  listener_.handOver(std::move(give));
-  if (ends && plan_) listener_.enterLameDuck(clock_.now() + kRestAfterAway);
+void Gateway::onClientRequest(const std::shared_ptr<ClientSession>& session, ClientRequest&& message,
+                              bool bodyComplete) {
+  if (respondToHealthCheck(*session, message)) return;
+  if (requests_.receive(session, std::move(message), bodyComplete, lag_.at(clock_.now()))) executeActions();
 }
 
-void Gateway::restoreLearnedState(const load_balancing::LearnedState& learned) {
-  balancer_.restoreLearnedState(clock_.now(), learned);
-  carryOut();
+void Gateway::onClientBody(RequestId request, std::string&& piece, bool last) {
+  if (attempts_.forwardRequestBody(request, std::move(piece), last)) executeActions();
 }
 
-bool Gateway::ready() const { return !plan_ && !away_ && !hosts_.empty(); }
+void Gateway::onClientDisconnected(RequestId request) {
+  if (requests_.onClientDisconnected(request)) executeActions();
+}
 
-void Gateway::enterLameDuck() {
-  if (std::exchange(away_, true) || plan_) return;
-  listener_.enterLameDuck(clock_.now() + kRestAfterAway);
+// --- Hosts
+
+void Gateway::onResponseHeaders(AttemptId attempt) {
+  if (attempts_.onResponseHeaders(attempt)) armTimer();
 }
 
-void Gateway::leaveLameDuck() {
-  if (!std::exchange(away_, false) || plan_) return;
-  listener_.leaveLameDuck();
+void Gateway::onResponseBegun(AttemptId attempt, UpstreamResponse&& response,
+                              std::optional<std::uint64_t> length) {
+  attempts_.onResponseBegun(attempt, std::move(response), length);
+  executeActions();
+}
+
+void Gateway::onUpgraded(AttemptId attempt, tcp::socket&& socket, std::string&& early,
+                         const http::fields& head) {
+  if (attempts_.onUpgraded(attempt, std::move(socket), std::move(early), head)) executeActions();
+}
+
+void Gateway::onOutcome(AttemptId attempt, Outcome outcome, UpstreamResponse&& response) {
+  attempts_.settle(attempt, outcome, std::move(response));
+  executeActions();
+}
+
+// --- The endpoint list
+
+void Gateway::onHostList(HostList&& list) {
+  if (!extensions_.hostListInterceptor) return applyHostList(list);
+  if (const auto accepted = extensions_.hostListInterceptor->onList(std::move(list)))
+    return applyHostList(*accepted);
+  // An empty change shows the load balancer that the watch works; otherwise it would poll again.
+  applyHostList({});
+}
+
+void Gateway::onDiscoveryLost() {
+  if (extensions_.hostListInterceptor) extensions_.hostListInterceptor->onWatchLost();
+  balancer_.onHostListUpdate(clock_.now(), HostListUpdate::unavailable, {});
+  executeActions();
+}
+
+void Gateway::applyHostList(const HostList& list) {
+  updateHosts(list, list.complete ? HostListUpdate::complete : HostListUpdate::incremental);
+}
+
+// Applies the list as it stands once more, so that what the filters change shows as a change of the list.
+void Gateway::reapplyHostFilters() { updateHosts(hosts_.listedHosts(), HostListUpdate::incremental); }
+
+void Gateway::updateHosts(const HostList& list, HostListUpdate kind) {
+  const std::vector<HostPhaseChange> changes = hosts_.apply(list, kind);
+  if (extensions_.attemptLog)
+    for (const auto& [id, phase] : changes)
+      extensions_.attemptLog->onHostPhase(hosts_.find(id)->listed.address, phase);
+  protocolHandlers_.onHostPhasesChanged(changes);
+  executeActions();
+}
+
+Time Gateway::lastResponseAt(const std::string& host) const {
+  const UpstreamHost* const known = hosts_.findByName(host);
+  return known ? known->lastResponseAt : Time{};
+}
+
+// --- Held requests
+
+void Gateway::respondToHeld(RequestId request, Response&& response) {
+  queueHeldAction({HeldRequestAction::Kind::respond, request, std::move(response)});
+}
+
+void Gateway::admitHeld(RequestId request) { queueHeldAction({HeldRequestAction::Kind::admit, request, {}}); }
+
+void Gateway::abandonContinued(RequestId request) {
+  queueHeldAction({HeldRequestAction::Kind::abandon, request, {}});
+}
+
+void Gateway::queueHeldAction(HeldRequestAction&& action) {
+  requests_.held().queue(std::move(action));
+  // A filter may call from a timer of its own. Then only the gateway's timer executes the action.
+  if (!executing_) armTimer();
+}
+
+// --- Protocol handlers
+
+void Gateway::submitRequest(ProtocolHandler& handler, const load_balancing::Request& request) {
+  protocolHandlers_.addRequest(request.id, handler);
+  balancer_.onRequest(clock_.now(), request);
+  executeActions();
+}
+
+void Gateway::attemptEstablished(RequestId request, std::uint32_t attempt) {
+  balancer_.onResponseStarted(clock_.now(), request, attempt);
+  executeActions();
+}
+
+void Gateway::attemptEnded(RequestId request, std::uint32_t attempt, HostId host, Outcome outcome,
+                           Duration elapsed, bool last) {
+  load_balancing::AttemptResult result;
+  result.request = request;
+  result.attempt = attempt;
+  result.host = host;
+  result.outcome = outcome;
+  result.elapsed = elapsed;
+  result.requestEnded = last;
+  if (last) protocolHandlers_.removeRequest(request);
+  balancer_.onAttemptResult(clock_.now(), result);
+  executeActions();
+}
+
+void Gateway::clientDisconnected(RequestId request) {
+  balancer_.onClientDisconnected(clock_.now(), request);
+  executeActions();
+  protocolHandlers_.removeRequest(request);
+}
+
+HostPhase Gateway::hostPhase(HostId host) const {
+  const UpstreamHost* const known = hosts_.find(host);
+  return known ? known->phaseInForce : HostPhase::removed;
 }
 
-// Danger: carrying out an action may bring results at once, and these new actions. They are told one after
-// the other, never from within another.
-void Gateway::carryOut() {
-  if (carrying_) return;
-  carrying_ = true;
-  while (!balancer_.actions().empty() || !givenUp_.empty() || !heldActions_.empty()) {
+// --- Actions of the load balancer
+
+// Executing an action may bring results at once, and these further actions. All are executed one after the
+// other, never from within another.
+void Gateway::executeActions() {
+  if (executing_) return;
+  executing_ = true;
+  while (!balancer_.actions().empty() || attempts_.hasCancelled() || requests_.held().hasActions()) {
     const std::vector<load_balancing::Action> actions = std::exchange(balancer_.actions(), {});
-    // An attempt given up is closed before anything else goes out for its request, the answer included.
+    // A cancelled attempt is closed before anything else goes out for its request, the response included.
     for (const auto& action : actions)
       if (action.kind == ActionKind::cancelAttempt) cancel(action);
-    const std::vector<AttemptId> givenUp = std::exchange(givenUp_, {});
-    std::vector<std::pair<AttemptId, bool>> closed;
-    for (const AttemptId id : givenUp)
-      if (attempts_.count(id) > 0) closed.emplace_back(id, pool_.giveUp(id));
-    for (const auto& action : actions) carryOut(action);
-    for (HeldAction& action : std::exchange(heldActions_, {})) carryOut(std::move(action));
-    for (const auto& [id, began] : closed) settle(id, began ? Outcome::cancelled : Outcome::notSent, {});
+    const auto closed = attempts_.closeCancelled();
+    for (const auto& action : actions) execute(action);
+    for (HeldRequestAction& action : requests_.held().takeActions())
+      requests_.executeHeldAction(std::move(action));
+    attempts_.settleCancelled(closed);
   }
-  carrying_ = false;
+  executing_ = false;
   armTimer();
 }
 
-void Gateway::carryOut(const load_balancing::Action& action) {
-  if (const auto front = asked_.find(action.request);
-      front != asked_.end() && carryOut(action, *front->second))
-    return;
+void Gateway::cancel(const load_balancing::Action& action) {
+  if (ProtocolHandler* const handler = protocolHandlers_.ownerOf(action.request))
+    return handler->onCancelAttempt(action.request, action.attempt);
+  attempts_.cancel(action);
+}
+
+void Gateway::execute(const load_balancing::Action& action) {
+  ProtocolHandler* const handler = protocolHandlers_.ownerOf(action.request);
+  if (handler && executeFor(*handler, action)) return;
   switch (action.kind) {
-    case ActionKind::sendAttempt: return send(action);
-    case ActionKind::reject: {
-      Response a = plainResponse(http::status::service_unavailable);
-      a.retryAfter = action.duration;
-      return answer(action.request, RequestResult::rejected, std::move(a));
-    }
-    case ActionKind::fail: {
-      const auto r = requests_.find(action.request);
-      return answer(action.request, RequestResult::failed,
-                    plainResponse(r == requests_.end() ? http::status::bad_gateway : r->second.failure));
-    }
+    case ActionKind::sendAttempt: return attempts_.send(action);
+    case ActionKind::reject: return requests_.reject(action.request, action.duration);
+    case ActionKind::fail: return requests_.fail(action.request);
     case ActionKind::setTimer:
-      wake_ = wake_ == Time{} ? action.duration : std::min(wake_, action.duration);
+      balancerWake_ = balancerWake_ == Time{} ? action.duration : std::min(balancerWake_, action.duration);
       return;
     case ActionKind::pollDiscovery: return discovery_.watch();
     case ActionKind::log: std::fprintf(stderr, "%s\n", action.text.c_str()); return;
-    case ActionKind::cancelAttempt:
-    case ActionKind::probeHost:  // these two: not offered by this gateway, so never asked for
+    case ActionKind::cancelAttempt: return;  // has been executed ahead of the others
+    case ActionKind::probeHost:              // the gateway's settings offer neither of these two
     case ActionKind::sendPeerMessage: return;
   }
 }
 
+// False: the action is none that a protocol handler executes.
+bool Gateway::executeFor(ProtocolHandler& handler, const load_balancing::Action& action) {
+  switch (action.kind) {
+    case ActionKind::sendAttempt: {
+      const UpstreamHost* const host = hosts_.find(action.host);
+      if (!host) return false;  // the load balancer knows only hosts of the table
+      handler.onSendAttempt(action.request, action.attempt,
+                            {action.host, host->endpoint, host->listed.address, host->listed.zone},
+                            action.duration);
+      return true;
+    }
+    case ActionKind::cancelAttempt: return true;  // has been executed ahead of the others
+    case ActionKind::reject:
+      protocolHandlers_.removeRequest(action.request);
+      handler.onRequestRejected(action.request, action.duration);
+      return true;
+    case ActionKind::fail:
+      protocolHandlers_.removeRequest(action.request);
+      handler.onRequestFailed(action.request);
+      return true;
+    default: return false;
+  }
+}
+
+// --- The timer
+
 void Gateway::armTimer() {
-  Time want = housekeepAt_;
-  if (wake_ != Time{}) want = std::min(want, wake_);
-  if (!limits_.empty()) want = std::min(want, limits_.begin()->first);
-  if (!held_.empty()) want = std::min(want, held_.begin()->first.first);
-  if (!heldActions_.empty()) want = std::min(want, clock_.now());
-  if (want == armed_) return;
-  armed_ = want;
-  timer_.expires_at(clock_.steady(want));
+  Time next = maintenanceAt_;
+  if (balancerWake_ != Time{}) next = std::min(next, balancerWake_);
+  if (const auto deadline = attempts_.nextDeadline()) next = std::min(next, *deadline);
+  if (const auto deadline = requests_.held().nextDeadline()) next = std::min(next, *deadline);
+  if (requests_.held().hasActions()) next = std::min(next, clock_.now());
+  if (next == timerAt_) return;
+  timerAt_ = next;
+  timer_.expires_at(clock_.steady(next));
   timer_.async_wait([this](error_code stopped) {
     if (!stopped) onTimer();
   });
 }
 
-// How late the loop is with its timer: what it deals with now may have waited as long.
-Duration Gateway::overdue() const {
-  return armed_ == Time{} ? Duration{} : std::max(clock_.now() - armed_, Duration{});
+// How late the loop is with its timer: what it handles now may have waited as long.
+Duration Gateway::timerDelay() const {
+  return timerAt_ == Time{} ? Duration{} : std::max(clock_.now() - timerAt_, Duration{});
 }
 
-// How late the loop may have come to what it now reads.
-Duration Gateway::lagNow() const { return clock_.now() < lagUntil_ ? lag_ : Duration{}; }
-
 void Gateway::onTimer() {
   const Time now = clock_.now();
-  const Duration late = overdue();
-  if (late > kLagLeast) lag_ = late, lagUntil_ = now + kLagKept;
-  if (plan_) plan_->onLag(late);
-  armed_ = Time{};
-  while (!limits_.empty() && limits_.begin()->first <= now) {
-    const AttemptId id = limits_.begin()->second;
-    const bool began = pool_.giveUp(id);
-    settle(id, began ? Outcome::timeout : Outcome::connectFailed, {}, {}, true);
-  }
-  failHeld(now);
-  if (wake_ != Time{} && wake_ <= now) {
-    wake_ = Time{};
+  const Duration late = timerDelay();
+  lag_.record(now, late);
+  if (drainPlan_) drainPlan_->onLag(late);
+  timerAt_ = Time{};
+  attempts_.settleExpired(now);
+  requests_.failExpiredHeld(now);
+  if (balancerWake_ != Time{} && balancerWake_ <= now) {
+    balancerWake_ = Time{};
     balancer_.onTimer(clock_.now());
   }
-  if (now >= housekeepAt_) housekeep(now);
-  carryOut();
+  if (now >= maintenanceAt_) maintain(now);
+  executeActions();
 }
 
-// Nothing is kept of hosts that are gone, once the module and the sockets are through with them.
-void Gateway::forgetHosts() {
-  for (auto it = hosts_.begin(); it != hosts_.end();)
-    if (it->second.phase == HostPhase::removed && !balancer_.isKnown(it->first) && pool_.forget(it->first))
-      it = hosts_.erase(it);
-    else ++it;
-}
-
-void Gateway::housekeep(Time now) {
-  forgetHosts();
-  housekeepAt_ = now + (plan_ ? kHousekeepDrain : kHousekeep);
+void Gateway::maintain(Time now) {
+  hosts_.forgetRemoved();
+  maintenanceAt_ = now + (drainPlan_ ? kMaintenanceIntervalInDrain : kMaintenanceInterval);
   listener_.sweep();
   pool_.sweep();
-  // Danger: what discovery pushes counts as told during a drain too, whether or not a watch is open.
+  // Where discovery pushes its lists, a watch has to be open, in a drain as well.
   if (!config_.settings.pollsDiscovery) discovery_.watch();
-  if (!plan_) return;
-  // Danger: an answer that closes its connection sends its client to a front that may have no other gateway.
-  if (now >= plan_->serveUntil()) listener_.beginDrain();
-  if (now >= plan_->lastCall() && done_) failOpen();
-  const bool nobody = listener_.size() == 0 && now >= plan_->acceptUntil();
-  if (now < plan_->closeListener() && !nobody) return;
+  if (drainPlan_) continueDrain(now);
+}
+
+// --- Draining
+
+bool Gateway::ready() const { return !drainPlan_ && !lameDuck_ && !hosts_.empty(); }
+
+void Gateway::enterLameDuck() {
+  if (std::exchange(lameDuck_, true) || drainPlan_) return;
+  listener_.enterLameDuck(clock_.now() + kIdleTimeInLameDuck);
+}
+
+void Gateway::leaveLameDuck() {
+  if (!std::exchange(lameDuck_, false) || drainPlan_) return;
+  listener_.leaveLameDuck();
+}
+
+void Gateway::handOverClients(std::function<bool(int)> handOver) {
+  const bool ends = !handOver;
+  listener_.handOver(std::move(handOver));
+  if (ends && drainPlan_) listener_.enterLameDuck(clock_.now() + kIdleTimeInLameDuck);
+}
+
+void Gateway::drain(std::function<void()> onDrained) {
+  if (drainPlan_) return;
+  onDrained_ = std::move(onDrained);
+  // A loop that is late found the signal late too, and the platform counts from when it was sent.
+  const Time signalledAt = clock_.now() - std::max(lag_.at(clock_.now()), timerDelay());
+  drainPlan_.emplace(signalledAt, drain::Terms{longestClientTimeout(config_.settings),
+                                               config_.options.drainServeTime, listener_.inherited()});
+  maintenanceAt_ = clock_.now();
+  if (listener_.inherited()) {  // the process that shares the listener accepts what comes from now on
+    listener_.beginDrain();
+    listener_.close();
+    listener_.enterLameDuck(signalledAt + kIdleTimeInLameDuck);
+  }
+  protocolHandlers_.onDrain(drainPlan_->exit());
+  armTimer();
+}
+
+void Gateway::continueDrain(Time now) {
+  // A response that closes its connection sends its client to a front that may have no other gateway.
+  if (now >= drainPlan_->serveUntil()) listener_.beginDrain();
+  if (now >= drainPlan_->lastCall() && onDrained_) answerEverythingOpen();
+  const bool noClients = listener_.size() == 0 && now >= drainPlan_->acceptUntil();
+  if (now < drainPlan_->closeListener() && !noClients) return;
   listener_.close();
-  if (((listener_.size() == 0 && frontsIdle()) || now >= plan_->exit()) && done_)
-    std::exchange(done_, nullptr)();
+  const bool idle = listener_.size() == 0 && protocolHandlers_.allIdle();
+  if ((idle || now >= drainPlan_->exit()) && onDrained_) std::exchange(onDrained_, nullptr)();
+}
+
+// A request that was accepted late in a drain may have longer than this process. Its client gets a response
+// that claims nothing about whether the request ran.
+void Gateway::answerEverythingOpen() {
+  requests_.failAll();
+  listener_.refuseIncompleteRequests();
+  executeActions();
+}
+
+// --- Metrics
+
+GatewayMetrics Gateway::metrics() const {
+  GatewayMetrics metrics = metrics_.snapshot();
+  metrics.attemptsSent = pool_.sends();
+  metrics.activeRequests = relays_.size() + requests_.table().unfinishedCount();
+  metrics.listedHosts = hosts_.listedCount();
+  metrics.avoidedHosts = hosts_.avoidedCount();
+  return metrics;
 }
 
 }  // namespace finchstile
--- /dev/null
+++ b/src/net/gateway_extensions.hpp
@@ -0,0 +1,20 @@
+// What the program attaches to a gateway. The parts of the gateway share it by reference.
+#pragma once
+
+#include "net/attempt_log.hpp"
+#include "net/host_list_hooks.hpp"
+#include "net/request_filter.hpp"
+#include "net/upgrade_handler.hpp"
+
+namespace finchstile {
+
+/// All of them are owned by the program and outlive the gateway. A null pointer: nothing is attached.
+struct GatewayExtensions {
+  RequestFilterChain filters;
+  UpgradeHandler* upgradeHandler = nullptr;
+  HostListInterceptor* hostListInterceptor = nullptr;
+  HostObserver* hostObserver = nullptr;
+  AttemptLog* attemptLog = nullptr;
+};
+
+}  // namespace finchstile
--- /dev/null
+++ b/src/net/gateway_limits.cpp
@@ -0,0 +1,77 @@
+#include "net/gateway_limits.hpp"
+
+#include <algorithm>
+#include <chrono>
+
+namespace finchstile {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+// Discovery has 6 s to notify a gateway of a change, counted from when it has the change and can be reached.
+// If a watch falls silent right after a call, the call is given up after kMaxWatchTime +
+// kMaxDiscoverySilence, the load balancer polls again within 0.5 s, and that response may take
+// kMaxDiscoverySilence: 5.5 s. While calls fail, they ask to be held only for kMaxWatchTimeAfterFailure, and
+// the load balancer waits for 2 s at most: 0.5 s + 1.5 s + 2 s + 1.5 s = 5.5 s.
+constexpr Duration kMaxWatchTime = seconds(2);
+constexpr Duration kMaxWatchTimeAfterFailure = milliseconds(500);
+constexpr Duration kMaxDiscoverySilence = milliseconds(1500);
+// The load balancer takes a first watch that is silent for half of the allowed time for lost.
+constexpr int kWatchesInAllowedSilence = 4;
+
+// Of the shortest latency objective: then another host can still answer in time.
+constexpr double kMaxStallOfLatencyObjective = 0.25;
+// Of the host's own idle time-out: its close must never cross a request.
+constexpr double kIdleFractionOfHostTimeout = 0.5;
+
+// Descriptors that neither clients nor hosts may take: standard input, output and error, three of the event
+// loop, two for signals, the listener, the inherited listener, two for discovery (while a watch is replaced),
+// three for operators, and one for a connection that is to be rejected.
+constexpr std::size_t kOwnDescriptors = 16;
+constexpr std::size_t kMinDescriptorsPerUse = 8;
+
+std::size_t descriptorShare(const GatewayConfig& config, double fraction) {
+  const std::size_t own = kOwnDescriptors + config.reservedDescriptors;
+  const auto available =
+      static_cast<double>(config.descriptorLimit - std::min(config.descriptorLimit / 4, own));
+  const double share = available * fraction * (1 - config.options.reservedDescriptorFraction);
+  return std::max(kMinDescriptorsPerUse, static_cast<std::size_t>(share));
+}
+
+Duration scaled(Duration duration, double factor) {
+  return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * factor));
+}
+
+// Between the bytes of a response that has begun: at most the time in which a host shows any sign of life.
+Duration maxResponsePause(const GatewayConfig& config) {
+  Duration pause = config.connectTimeout;
+  for (const auto& c : config.settings.classes)
+    pause = std::min(pause, scaled(c.latencyObjective, kMaxStallOfLatencyObjective));
+  return pause;
+}
+
+}  // namespace
+
+std::size_t maxClientConnections(const GatewayConfig& config) {
+  return descriptorShare(config, config.options.clientDescriptorFraction);
+}
+
+UpstreamPool::Limits upstreamPoolLimits(const GatewayConfig& config) {
+  return {config.connectTimeout,
+          maxResponsePause(config),
+          scaled(config.upstreamIdleTimeout, kIdleFractionOfHostTimeout),
+          config.options.maxConnectingPerHost,
+          descriptorShare(config, config.options.upstreamDescriptorFraction),
+          config.options.minConnectionCheck};
+}
+
+Discovery::Timeouts discoveryTimeouts(const load_balancing::Settings& settings) {
+  const bool bounded = settings.maxDiscoverySilence > Duration{};
+  const Duration watchTime =
+      bounded ? std::min(settings.maxDiscoverySilence / kWatchesInAllowedSilence, kMaxWatchTime)
+              : kMaxWatchTime;
+  return {watchTime, kMaxWatchTimeAfterFailure, kMaxDiscoverySilence};
+}
+
+}  // namespace finchstile
--- a/src/net/gateway_metrics.hpp
+++ b/src/net/gateway_metrics.hpp
@@ -1,4 +1,4 @@
-// What a gateway has counted since its start, and how it stands.
+// What a gateway has counted since its start, and its present state.
 #pragma once
 
 #include <cstdint>
@@ -7,21 +7,21 @@
 
 namespace finchstile {
 
-// Requests that have ended, by the answer that their client was given: 200; 429 or 503; any other. One whose
-// client had left before is in none.
+/// Requests that have finished, by the status of their responses: 200; 429 or 503; any other. A request whose
+/// client had gone before is in none of them.
 struct ClassMetrics {
   std::string name;
   std::uint64_t succeeded = 0, rejected = 0, failed = 0;
 };
 
 struct GatewayMetrics {
-  std::vector<ClassMetrics> classes;  // in the order of the settings
-  std::uint64_t attemptsSent = 0;     // attempts whose last byte was written
-  std::uint64_t loadReports = 0,
-                malformedLoadReports = 0;  // load reports of hosts that were read; that could not be
-  std::uint64_t activeRequests = 0;        // requests taken and not yet ended
-  std::uint64_t listedHosts = 0;           // hosts of the list, those that drain among them
-  std::uint64_t avoidedHosts = 0;  // of these: what gets nothing new now, by the list, by hand or by choice
+  std::vector<ClassMetrics> classes;  ///< In the order of the settings.
+  std::uint64_t attemptsSent = 0;     ///< Attempts whose last byte was written.
+  std::uint64_t loadReports = 0;      ///< Load reports of hosts that were read.
+  std::uint64_t malformedLoadReports = 0;
+  std::uint64_t activeRequests = 0;  ///< Requests that were accepted and have not finished.
+  std::uint64_t listedHosts = 0;     ///< Hosts of the list, draining ones included.
+  std::uint64_t avoidedHosts = 0;    ///< Listed hosts that get no new requests, for whatever reason.
 };
 
 }  // namespace finchstile
--- /dev/null
+++ b/src/net/gateway_metrics_collector.hpp
@@ -0,0 +1,48 @@
+// Counts what has happened since the gateway's start.
+#pragma once
+
+#include <boost/beast/http/status.hpp>
+#include <cstdint>
+#include <vector>
+
+#include "finchstile/load_balancer.hpp"
+#include "net/gateway_metrics.hpp"
+
+namespace finchstile {
+
+class GatewayMetricsCollector {
+ public:
+  /// One set of counters for each class, in the order of the settings.
+  explicit GatewayMetricsCollector(const std::vector<load_balancing::ClassSettings>& classes) {
+    for (const auto& c : classes) classes_.push_back({c.name});
+  }
+
+  /// A client has been given a complete response with this status.
+  void onResponse(std::uint32_t classIndex, boost::beast::http::status status) {
+    namespace http = boost::beast::http;
+    ClassMetrics& metrics = classes_[classIndex];
+    const bool rejected =
+        status == http::status::service_unavailable || status == http::status::too_many_requests;
+    if (status == http::status::ok) ++metrics.succeeded;
+    else if (rejected) ++metrics.rejected;
+    else ++metrics.failed;
+  }
+  void onUpgrade(std::uint32_t classIndex) { ++classes_[classIndex].succeeded; }
+  void onLoadReport() { ++loadReports_; }
+  void onMalformedLoadReport() { ++malformedLoadReports_; }
+
+  /// The counters; what describes the gateway's present state is left at 0.
+  GatewayMetrics snapshot() const {
+    GatewayMetrics metrics;
+    metrics.classes = classes_;
+    metrics.loadReports = loadReports_;
+    metrics.malformedLoadReports = malformedLoadReports_;
+    return metrics;
+  }
+
+ private:
+  std::vector<ClassMetrics> classes_;
+  std::uint64_t loadReports_ = 0, malformedLoadReports_ = 0;
+};
+
+}  // namespace finchstile
--- a/src/net/gateway_options.hpp
+++ b/src/net/gateway_options.hpp
@@ -1,4 +1,4 @@
-// What an operator may set of the gateway's own sockets. The defaults are what service has shown to hold.
+// What an operator may set of the gateway's own sockets.
 #pragma once
 
 #include <chrono>
@@ -9,30 +9,29 @@
 namespace finchstile {
 
 struct ClientConnectionOptions {
-  // Longer than clients and fronts keep a connection unused.
+  /// Longer than clients and fronts keep a connection unused.
   load_balancing::Duration idleTimeout = std::chrono::seconds(120);
-  // For the head of a request to come in, and in all for its body beyond what a slow line takes for it.
-  // Danger: a client that dribbles or says nothing holds a descriptor. A first request counts from the accept
-  // on.
+  /// For the head of a request, and for its body beyond the time that a slow line takes for it. The time of a
+  /// first request counts from the accept. A client that is slower than that holds a descriptor for nothing.
   load_balancing::Duration requestTimeout = std::chrono::milliseconds(2400);
-  load_balancing::Duration writeTimeout =
-      std::chrono::seconds(5);  // in which a client takes nothing of its answer
+  /// In which a client takes nothing of its response.
+  load_balancing::Duration writeTimeout = std::chrono::seconds(5);
 };
 
 struct GatewayOptions {
   ClientConnectionOptions clients;
-  double clientDescriptorFraction = 0.5;     // of the descriptors
-  double upstreamDescriptorFraction = 0.45;  // the same; the two together at most 0.95
-  // After SIGTERM open connections are served on for so long, at most for 0.1 s less than the longest
-  // deadline (3 s of it at the most); then answers close them. Where no other gateway is near, whoever is
-  // sent away at once finds none.
+  /// Fractions of the descriptors that are neither the gateway's own nor reserved; together at most 0.95.
+  double clientDescriptorFraction = 0.5;
+  double upstreamDescriptorFraction = 0.45;
+  /// For so long after SIGTERM open connections are served on, limited by drain::Plan; then responses close
+  /// them. Where no other gateway is near, a client that is sent away at once finds none.
   load_balancing::Duration drainServeTime = std::chrono::hours(1);
-  // Of the descriptors, for what is neither: the two above are shares of the rest.
+  /// Of the descriptors, for neither clients nor hosts.
   double reservedDescriptorFraction = 0;
-  // Connections being opened to one host at once: each costs it as much as a small request.
+  /// Connections that are being opened to one host at once. Each costs the host as much as a small request.
   std::size_t maxConnectingPerHost = 4;
-  // The least time for a connection's end to show before a last byte: what a busy machine needs to run the
-  // other side, where the network needs none.
+  /// The least time in which a connection's end has to show before a last byte. A busy machine needs it to
+  /// run the other side, where the network needs none.
   load_balancing::Duration minConnectionCheck = std::chrono::milliseconds(1);
 };
 
--- a/src/net/host_list_hooks.hpp
+++ b/src/net/host_list_hooks.hpp
@@ -1,4 +1,4 @@
-// Seams for whoever has a say about hosts beside the list, or wants to hear of them. The gateway carries out.
+// Interfaces for parts that influence the hosts beside the endpoint list, or want to learn of them.
 #pragma once
 
 #include <optional>
@@ -9,31 +9,34 @@
 
 namespace finchstile {
 
-// What stands of an entry of the list. It may make it worse, never better. Each must outlive the gateway;
-// `Gateway::refilter` when it would say something else than before.
+/// Changes entries of the endpoint list before they are applied. May make an entry worse, never better.
+/// `Gateway::reapplyHostFilters` is to be called when it would change an entry in another way than before.
 class HostEntryFilter {
  public:
   virtual ~HostEntryFilter() = default;
   virtual void apply(load_balancing::HostEntry& entry) const = 0;
 };
 
-// What becomes of a list before anybody goes by it.
+/// Decides which lists of discovery are applied.
 class HostListInterceptor {
  public:
   virtual ~HostListInterceptor() = default;
-  virtual void onInitialList(
-      const HostList& known) = 0;  // the list that the gateway starts with; it holds as it is
-  // What is told in its place; none: nothing. `Gateway::takeList` tells more at any later time.
+  /// The list with which the gateway starts; it is applied as it is.
+  virtual void onInitialList(const HostList& known) = 0;
+  /// Returns the list to apply in place of `list`; none: nothing is applied. `Gateway::applyHostList` applies
+  /// more at any later time.
   virtual std::optional<HostList> onList(HostList&& list) = 0;
-  virtual void onWatchLost() = 0;       // the watch has ended
-  virtual void onDiscoveryMoved() = 0;  // another discovery is watched from now on
+  /// The watch on discovery has ended.
+  virtual void onWatchLost() = 0;
+  /// Another discovery is watched from now on.
+  virtual void onDiscoveryMoved() = 0;
 };
 
-// What attempts show of hosts, at first hand.
+/// Learns what attempts show of hosts.
 class HostObserver {
  public:
   virtual ~HostObserver() = default;
-  // An attempt has met silence, and nothing has been heard of the host since it went out.
+  /// An attempt got no sign of life, and nothing else has come from the host since it was sent.
   virtual void onHostSilent(const std::string& host) = 0;
   virtual void onLoadReport(const std::string& host, const load_balancing::LoadReport& report) = 0;
 };
--- /dev/null
+++ b/src/net/listener.cpp
@@ -0,0 +1,251 @@
+#include "net/listener.hpp"
+
+#include <fcntl.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <chrono>
+#include <stdexcept>
+#include <string>
+#include <thread>
+#include <utility>
+#include <vector>
+
+namespace finchstile {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+constexpr Duration kMaxLingerTime = seconds(1);
+constexpr Duration kMaxLingerTimeInDrain = milliseconds(200);  // lingering must not delay the end
+constexpr Duration kPauseAfterFailedAccept = milliseconds(20);
+// A process that replaces another one may start before the system has released the address. This is a third
+// of the time in which the platform wants a restarted process to be ready.
+constexpr Duration kMaxBindTime = milliseconds(3300);
+constexpr Duration kBindRetryInterval = milliseconds(20);
+constexpr std::size_t kConnectionsPerRefused = 32;  // one connection in so many may be refused at once
+// For so long the request of a usual client may be on its way.
+constexpr Duration kMaxRequestTransit = milliseconds(100);
+// Clients that send one request and keep their connections would use up the limit: at most one in so many of
+// the connections may be idle.
+constexpr std::size_t kConnectionsPerIdle = 3;
+
+}  // namespace
+
+Listener::Listener(asio::io_context& io, const Clock& clock, const tcp::endpoint& endpoint, int inherited,
+                   std::size_t maxConnections, const ClientConnectionOptions& options,
+                   ClientCallbacks& callbacks)
+    : io_(io),
+      clock_(clock),
+      maxConnections_(maxConnections),
+      maxRefused_(maxConnections / kConnectionsPerRefused + 1),
+      options_(options),
+      callbacks_(callbacks),
+      acceptor_(io),
+      acceptPause_(io),
+      inherited_(inherited >= 0) {
+  if (inherited_) inherit(endpoint, inherited);
+  else bind(endpoint);
+  acceptor_.non_blocking(true);
+}
+
+void Listener::bind(const tcp::endpoint& endpoint) {
+  acceptor_.open(endpoint.protocol());
+  acceptor_.set_option(tcp::acceptor::reuse_address(true));
+  const Time until = clock_.now() + kMaxBindTime;
+  for (error_code error;;) {
+    acceptor_.bind(endpoint, error);
+    if (!error) break;
+    if (error != asio::error::address_in_use || clock_.now() >= until)
+      throw std::runtime_error("cannot listen at " + endpoint.address().to_string() + ":" +
+                               std::to_string(endpoint.port()) + ": " + error.message());
+    std::this_thread::sleep_for(kBindRetryInterval);
+  }
+  acceptor_.listen(asio::socket_base::max_listen_connections);
+}
+
+// The number may belong to another descriptor, a file of ours or somebody else's socket, which must not be
+// taken for the clients' listener.
+void Listener::inherit(const tcp::endpoint& endpoint, int fd) {
+  const auto fail = [fd](const std::string& what) {
+    throw std::runtime_error("the inherited descriptor " + std::to_string(fd) + " " + what);
+  };
+  int listening = 0;
+  socklen_t size = sizeof listening;
+  if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listening, &size) != 0 || listening == 0)
+    fail("is no listening socket");
+  ::fcntl(fd, F_SETFD, FD_CLOEXEC);
+  error_code error;
+  acceptor_.assign(endpoint.protocol(), fd, error);
+  if (error) fail("can't be used: " + error.message());
+  const tcp::endpoint found = acceptor_.local_endpoint(error);
+  if (error || (endpoint.port() != 0 && found != endpoint))
+    fail("does not listen at the address that is configured");
+}
+
+void Listener::accept() {
+  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
+    if (!error) {
+      add(std::move(socket));
+      return accept();
+    }
+    // Without descriptors accept fails at once, again and again; without the pause the loop would spin.
+    shedConnection();
+    acceptPause_.expires_after(kPauseAfterFailedAccept);
+    acceptPause_.async_wait([this](error_code stopped) {
+      if (!stopped && acceptor_.is_open()) accept();
+    });
+  });
+}
+
+void Listener::add(tcp::socket socket) {
+  error_code ignored;
+  socket.set_option(tcp::no_delay(true), ignored);
+  socket.non_blocking(true, ignored);
+  // Lingering sessions have their responses. They do not count against the limit, and give way below.
+  const bool hasCapacity =
+      size_ - in(State::lingering).size() < maxConnections_ || shedUnfinishedConnection();
+  const auto session = std::make_shared<ClientSession>(std::move(socket), *this);
+  session->place_ = in(State::fresh).insert(in(State::fresh).end(), session);
+  session->stateSince_ = clock_.now();
+  ++size_;
+  while (size_ > maxConnections_ + maxRefused_ && !in(State::lingering).empty()) endOldest(State::lingering);
+  if (hasCapacity) session->start();
+  else session->refuseConnection();
+}
+
+void Listener::adopt(int fd) {
+  tcp::socket socket(io_);
+  error_code error;
+  socket.assign(acceptor_.is_open() ? acceptor_.local_endpoint(error).protocol() : tcp::v4(), fd, error);
+  if (error) ::close(fd);
+  else add(std::move(socket));
+}
+
+// Bytes of a next request that are read already would be missing in the other process. What the kernel holds
+// goes along with the descriptor.
+bool Listener::handOverSession(ClientSession& session) {
+  const bool resting = session.state_ == State::idle || session.state_ == State::fresh;
+  if (!handOver_ || session.buffer_.size() > 0 || !resting || session.requestStarted_) return false;
+  if (!handOver_(session.socket_.native_handle())) return false;
+  session.close();  // only this process's descriptor; the connection continues in the other process
+  return true;
+}
+
+// Gives a descriptor back, if there is a connection that can be ended. Lingering ones are ended first.
+bool Listener::shedConnection() {
+  if (in(State::lingering).empty()) return shedUnfinishedConnection();
+  endOldest(State::lingering);
+  return true;
+}
+
+// The request of a usual client may be on its way. So connections for which that can't be the case come
+// first.
+bool Listener::shedUnfinishedConnection() {
+  const std::size_t before = size_;
+  if (oldestAge(State::fresh) > kMaxRequestTransit) endOldest(State::fresh);
+  else if (oldestAge(State::reading) > kMaxRequestTransit) endOldest(State::reading);
+  else if (!in(State::idle).empty()) endOldest(State::idle);
+  else if (!in(State::fresh).empty()) endOldest(State::fresh);
+  return size_ < before;
+}
+
+void Listener::trimIdle() {
+  if (in(State::idle).size() > std::max<std::size_t>(1, maxConnections_ / kConnectionsPerIdle))
+    in(State::idle).front()->closeIdle();
+}
+
+void Listener::endOldest(State state) {
+  const auto session = in(state).front();
+  if (state == State::lingering) session->close();
+  else session->drop();
+}
+
+Duration Listener::oldestAge(State state) const {
+  const Sessions& sessions = sessions_[static_cast<std::size_t>(state)];
+  return sessions.empty() ? Duration(-1) : clock_.now() - sessions.front()->stateSince_;
+}
+
+Duration Listener::maxAge(State state) const {
+  switch (state) {
+    case State::idle: return options_.idleTimeout;
+    case State::writing: return options_.writeTimeout;
+    case State::lingering: return draining() ? kMaxLingerTimeInDrain : kMaxLingerTime;
+    default: return Duration::max();
+  }
+}
+
+// The action may end other sessions and so change the list; hence the copy.
+template <class Action>
+void Listener::forEachIn(State state, Action action) {
+  const std::vector<std::shared_ptr<ClientSession>> sessions(in(state).begin(), in(state).end());
+  for (const auto& session : sessions)
+    if (session->state_ == state) action(*session);
+}
+
+void Listener::sweep() {
+  for (const State state : {State::idle, State::writing, State::lingering}) sweepExpired(state);
+  for (const State state : {State::fresh, State::reading, State::waiting})
+    forEachIn(state, [](ClientSession& session) {
+      if (session.isOverdue()) session.onTooSlow();
+    });
+  forEachIn(State::waiting, [](ClientSession& session) { session.checkForDisconnect(); });
+  forEachIn(State::relaying, [](ClientSession& session) { session.checkForDisconnect(); });
+  if (handOver_)
+    for (const State state : {State::idle, State::fresh})
+      forEachIn(state, [this](ClientSession& session) { handOverSession(session); });
+  closeIdleSessions();
+}
+
+void Listener::sweepExpired(State state) {
+  for (std::size_t left = in(state).size(); left > 0 && oldestAge(state) > maxAge(state); --left) {
+    const auto session = in(state).front();
+    if (state == State::idle) session->closeIdle();
+    else session->close();
+    if (session->state_ == state) break;  // its request has just come
+  }
+}
+
+// In a lame duck from the announced time on, and in a drain once nothing is accepted any more.
+void Listener::closeIdleSessions() {
+  const bool ending = draining_ && !acceptor_.is_open();
+  const bool lameDuck = closeIdleAt_ != Time{};
+  if (lameDuck ? clock_.now() < closeIdleAt_ : !ending) return;
+  forEachIn(State::idle, [](ClientSession& session) { session.closeIdle(); });
+  forEachIn(State::fresh, [this, ending](ClientSession& session) {
+    // A client that has just connected to a lame duck may be about to send its request.
+    const bool connectedLongAgo = clock_.now() - session.stateSince_ > kMaxRequestTransit;
+    if (!session.requestStarted_ && (ending || connectedLongAgo)) session.closeIdle();
+  });
+}
+
+void Listener::refuseIncompleteRequests() {
+  for (const State state : {State::fresh, State::reading})
+    forEachIn(state, [](ClientSession& session) {
+      const bool writesContinue = session.writingContinue_;  // two writes at once would mix
+      if (session.requestStarted_ && !writesContinue) session.refuse(http::status::service_unavailable);
+    });
+}
+
+void Listener::close() {
+  draining_ = true;
+  if (!acceptor_.is_open()) return;
+  // The kernel has accepted these connections already; closing the listener would reset them. An inherited
+  // listener stays open elsewhere, and the next process accepts what waits there.
+  for (error_code error; !error && !inherited_;) {
+    tcp::socket socket(io_);
+    acceptor_.accept(socket, error);
+    if (!error) add(std::move(socket));
+  }
+  error_code ignored;
+  acceptor_.close(ignored);
+  acceptPause_.cancel();
+}
+
+}  // namespace finchstile
--- a/src/net/protocol_handler.hpp
+++ b/src/net/protocol_handler.hpp
@@ -1,6 +1,5 @@
-// A front beside HTTP requests: it has its own way of taking something in and of carrying it to a host, and
-// asks the same module as every request does. The gateway passes the module's decisions on; what becomes of
-// them on sockets is the front's own.
+// Protocols beside HTTP requests. A handler accepts work and carries it to hosts by its own means, and asks
+// the load balancer as HTTP requests do. The gateway only passes the load balancer's actions on.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,49 +11,52 @@
 
 namespace finchstile {
 
-// Where an attempt goes to. The views stay good during the call.
+/// Where an attempt is sent. The views are valid during the call only.
 struct AttemptTarget {
   load_balancing::HostId host = load_balancing::kNone;
   boost::asio::ip::tcp::endpoint endpoint;
   std::string_view name, zone;
 };
 
-// Danger: called while the gateway carries out actions. A front may call its FrontHost from here: what comes
-// of it is told after the call, never within it.
+/// Called while the gateway executes actions. A handler may call ProtocolHandlerCallbacks from within;
+/// actions that follow from that are executed after the call, never within it.
 class ProtocolHandler {
  public:
   virtual ~ProtocolHandler() = default;
-  // The attempt is to go out, and to be over or begun within `limit`; each is owed one `over`.
+  /// Sends the attempt, which has to be established or ended within `limit`. Each attempt ends with one
+  /// `attemptEnded`.
   virtual void onSendAttempt(load_balancing::RequestId request, std::uint32_t attempt,
                              const AttemptTarget& to, Duration limit) = 0;
-  // Called off: nothing of it may go out from here on. Owed its `over` all the same.
+  /// Nothing of the attempt may be sent from here on. `attemptEnded` is due all the same.
   virtual void onCancelAttempt(load_balancing::RequestId request, std::uint32_t attempt) = 0;
-  // The last word on the request, unless it has begun. `after`: when to come back; 0: not said.
+  /// These two end a request that is not established. `after`: when to come back; 0: not said.
   virtual void onRequestRejected(load_balancing::RequestId request, Duration after) = 0;
   virtual void onRequestFailed(load_balancing::RequestId request) = 0;
-  // The phase in force of a host, by the list or by hand, is another than before.
+  /// The phase in force of a host has changed, by the list or by a filter.
   virtual void onHostPhaseChanged(load_balancing::HostId host, load_balancing::HostPhase phase) = 0;
-  // The gateway ends at `until` at the latest: nothing new, and what is held is brought to its end.
+  /// The gateway exits at `until` at the latest. The handler accepts nothing new, and ends what is open.
   virtual void onDrain(Time until) = 0;
-  virtual bool isIdle() const = 0;  // nothing is held
+  /// Nothing is open.
+  virtual bool isIdle() const = 0;
 };
 
+/// What the gateway does for protocol handlers.
 class ProtocolHandlerCallbacks {
  public:
   virtual ~ProtocolHandlerCallbacks() = default;
-  // The id under which the front asks next; nothing is decided before it has asked.
+  /// An id for `submitRequest`.
   virtual load_balancing::RequestId newRequest() = 0;
-  virtual void submitRequest(ProtocolHandler& front, const load_balancing::Request& request) = 0;
-  // It has begun: it goes nowhere else, and neither time-out nor deadline applies any more.
+  virtual void submitRequest(ProtocolHandler& handler, const load_balancing::Request& request) = 0;
+  /// The request goes to no other host any more, and neither time-out nor deadline applies.
   virtual void attemptEstablished(load_balancing::RequestId request, std::uint32_t attempt) = 0;
-  // One for each `onSend`. `last`: nothing more is owed for the request.
+  /// Called once for each `onSendAttempt`. `last`: nothing more follows for the request.
   virtual void attemptEnded(load_balancing::RequestId request, std::uint32_t attempt,
-                            load_balancing::HostId host, load_balancing::Outcome outcome, Duration taken,
+                            load_balancing::HostId host, load_balancing::Outcome outcome, Duration elapsed,
                             bool last) = 0;
-  virtual void clientDisconnected(
-      load_balancing::RequestId request) = 0;  // its client has gone, before it had begun
-  virtual load_balancing::HostPhase hostPhase(
-      load_balancing::HostId host) const = 0;  // `out` if it is not known
+  /// The client has gone before the request was established.
+  virtual void clientDisconnected(load_balancing::RequestId request) = 0;
+  /// `removed` if the host is not known.
+  virtual load_balancing::HostPhase hostPhase(load_balancing::HostId host) const = 0;
 };
 
 }  // namespace finchstile
--- a/src/net/request_filter.hpp
+++ b/src/net/request_filter.hpp
@@ -1,18 +1,19 @@
-// The way of a request through the gateway in named phases, and how a subsystem takes part in it without
-// knowing the others. The gateway carries out; the module decides on hosts, attempts and refusals; a stage
-// sees a request go by and may add to it within what each phase allows.
+// The phases of a request, and the interface through which a part of the program takes part in them without
+// knowing the others. The gateway does the I/O, the load balancer chooses hosts, attempts and rejections, and
+// a filter may add to the request within what each phase allows:
 //
-//   arrived     read, usable, its id not open; the module has not been asked. A stage may answer it here.
-//   admitted    the module has chosen a host for it for the first time.
-//   (held)      a stage may hold it in `arrived` instead: it then answers it, or has it admitted, through
-//   StageHost. sent        an attempt is composed, right before its first byte. A stage may add headers for
-//   the host. settled     an attempt has ended; known whether it may have run. answerHead  its one final
-//   answer is known. A stage may add headers for the client. answerDone  the answer has been handed to the
-//   client's connection. ended       nothing more goes out for it, and its record goes. Comes once for each
-//   that arrived.
+//   received         The request is read and usable, its id is not active; the load balancer has not been
+//                    asked. A filter may answer the request here, or hold it and have it answered or admitted
+//                    later through RequestFilterCallbacks.
+//   admitted         The load balancer has chosen a host for it for the first time.
+//   attemptSending   An attempt is composed, right before its first byte. A filter may add headers for the
+//   host. attemptEnded     An attempt has ended, and it is known whether it may have run. responseHeaders The
+//   one final response is known. A filter may add headers for the client. responseSent     The response has
+//   been handed to the client's connection. completed        Nothing more goes out for the request. Comes
+//   once for each request that was received.
 //
-// Stages come in the order in which they were attached, in each phase. Where none asks for a phase, that
-// phase costs one look at an empty list; where none is attached at all, nothing is allocated either.
+// In each phase filters are called in the order in which they were attached. A phase that no filter asks for
+// costs one check of an empty list; without any filter nothing is allocated either.
 #pragma once
 
 #include <array>
@@ -24,9 +25,11 @@
 #include <string_view>
 #include <vector>
 
+#include "base/header_line.hpp"
 #include "finchstile/load_balancer.hpp"
-#include "net/client.hpp"
-#include "net/upstream.hpp"
+#include "net/client_messages.hpp"
+#include "net/clock.hpp"
+#include "net/upstream_messages.hpp"
 
 namespace finchstile {
 
@@ -41,86 +44,93 @@
 };
 inline constexpr std::size_t kRequestPhases = 7;
 
-constexpr std::uint8_t phaseBit(RequestPhase p) {
-  return static_cast<std::uint8_t>(1u << static_cast<unsigned>(p));
+/// The bit of a phase in RequestFilter::phases().
+constexpr std::uint8_t phaseBit(RequestPhase phase) {
+  return static_cast<std::uint8_t>(1u << static_cast<unsigned>(phase));
 }
 
 enum class RequestResult : std::uint8_t {
-  served,             // with a host's answer
-  rejected,           // unsent or turned away: trying again is harmless
-  failed,             // by the module or the host
-  rejectedByFilter,   // by a stage, before the module was asked
-  clientDisconnected  // the client has gone
+  served,             ///< With a host's response, or one of a filter that held it.
+  rejected,           ///< Never sent, or rejected by hosts: trying again is harmless.
+  failed,             ///< By the load balancer or the host.
+  rejectedByFilter,   ///< Before the load balancer was asked.
+  clientDisconnected  ///< The client has gone.
 };
 
-// What a stage keeps for one request, from the phase in which it was made to the end.
+/// What a filter keeps for one request, from the phase in which it was made to the end.
 struct RequestFilterState {
   virtual ~RequestFilterState() = default;
 };
 
-// One request as stages see it. Views stay good until `ended` returns.
+/// One request as filters see it. The views are valid until `onRequestCompleted` returns.
 struct RequestContext {
   load_balancing::RequestId id = 0;
   std::shared_ptr<const ClientRequest> message;
-  std::string_view className, tenant;  // tenant: empty if the settings name none such
-  std::uint32_t classIndex = 0, tenantIndex = load_balancing::kNone;  // into the settings
+  std::string_view className;
+  std::string_view tenant;  ///< Empty if the settings name no such tenant.
+  /// Into the settings' classes and tenants.
+  std::uint32_t classIndex = 0, tenantIndex = load_balancing::kNone;
   load_balancing::Idempotency idempotency{};
-  Time deadline{};                 // when its client stops waiting
-  std::uint32_t attemptCount = 0;  // composed so far
-  std::string_view zone;           // of the host that the present attempt goes to
-  std::int64_t cell = 0;
-  std::optional<load_balancing::EarlierAttempt>
-      earlierAttempt;  // set by a stage in `arrived`: the module goes by it
-  // An attempt's last byte may have gone out, and nothing has proved that it was not begun. From then on
-  // nothing may tell the client that trying again is harmless.
+  Time deadline{};                 ///< When its client stops waiting.
+  std::uint32_t attemptCount = 0;  ///< Attempts composed so far.
+  std::string_view zone;           ///< Of the host that the present attempt goes to.
+  std::int64_t cell = 0;           ///< Of the host that the present attempt goes to.
+  /// Set by a filter in `received`, for the load balancer.
+  std::optional<load_balancing::EarlierAttempt> earlierAttempt;
+  /// The last byte of an attempt may have gone out, and nothing has proved that it was not begun. From then
+  /// on nothing may tell the client that trying again is harmless.
   bool mayHaveRun = false;
-  // Set by the stage that holds it: nothing of it runs, nor of what it waits for. If its time is up it is
-  // refused and not failed.
+  /// Set by the filter that holds the request: neither it nor what it waits for runs. If its time is up, it
+  /// is rejected instead of failed.
   bool heldBeforeExecution = false;
-  // Set by a stage in `arrived`: hosts of the own zone come first, as long as service there does not fall.
+  /// Set by a filter in `received`: hosts of the local zone come first while they serve no worse.
   bool preferLocalZone = false;
-  std::uint64_t bodyLength = 0;  // of a body that is not whole, as its head tells it; 0: it does not
-  // Else `message` has the beginning of a body that is too long to be held: the rest goes to a host as it
-  // comes.
+  /// False: `message` has the beginning of a body too long to be buffered; the rest goes to a host as it
+  /// comes.
   bool bodyComplete = true;
-  std::vector<HeaderLine> upstreamHeaders;                        // for every attempt from now on
-  std::vector<std::unique_ptr<RequestFilterState>> filterStates;  // one for each stage, by its place
+  /// Of an incomplete body, as the head announces it; 0: it does not.
+  std::uint64_t bodyLength = 0;
+  std::vector<HeaderLine> upstreamHeaders;                        ///< For every attempt from now on.
+  std::vector<std::unique_ptr<RequestFilterState>> filterStates;  ///< By the place of the filter.
 };
 
-// The final answer as it stands in `answerHead`.
+/// The final response in `responseHeaders`.
 struct ResponseHead {
   unsigned status = 0;
-  bool fromUpstream = false;                           // else the gateway's own
-  const boost::beast::http::fields* fields = nullptr;  // of the host; null: there are none
+  bool fromUpstream = false;                           ///< Else the gateway's own.
+  const boost::beast::http::fields* fields = nullptr;  ///< Of the host; null: there are none.
   std::string_view contentType, body;
-  bool bodyComplete = true;  // else `body` is the beginning of one that is too long to be held,
-  std::uint64_t length = 0;  // of so many bytes, as its head tells it; 0: it does not
+  bool bodyComplete = true;  ///< Else `body` is the beginning of one too long to be buffered.
+  std::uint64_t length = 0;  ///< Of an incomplete body, as its head announces it; 0: it does not.
 };
 
-// What a stage makes of a request that has arrived: with neither it goes on.
+/// What a filter makes of a request that was received. Neither of the two: it goes on.
 struct FilterDecision {
   std::optional<Response> response;
-  bool hold = false;  // it waits; the stage has it answered or admitted later, the gateway fails it in time
+  /// It waits. The filter has it answered or admitted later; the gateway fails it in time if it does not.
+  bool hold = false;
 };
 
-// What the gateway does for stages that hold requests. Carried out soon, not at once: may be called from
-// within a phase. An id that is no longer open is passed over.
+/// What the gateway does for filters that hold requests: soon, but not within the call, so that filters may
+/// call from within a phase. Ids of requests that have finished are ignored.
 class RequestFilterCallbacks {
  public:
   virtual ~RequestFilterCallbacks() = default;
-  virtual void respondToHeld(load_balancing::RequestId request, Response&& answer) = 0;
-  virtual void admitHeld(
-      load_balancing::RequestId request) = 0;  // the module is asked now, with Exchange::earlier
-  // For one that was kept (see keepsWork): nobody waits for it any more.
+  virtual void respondToHeld(load_balancing::RequestId request, Response&& response) = 0;
+  /// The load balancer is asked now, with RequestContext::earlierAttempt as it is then.
+  virtual void admitHeld(load_balancing::RequestId request) = 0;
+  /// Nobody waits any more for a request that was continued (see RequestFilter::continuesWithoutClient).
   virtual void abandonContinued(load_balancing::RequestId request) = 0;
 };
 
+/// Called while the gateway changes its own state: none of these functions may call back into the gateway,
+/// except through RequestFilterCallbacks.
 class RequestFilter {
  public:
   virtual ~RequestFilter() = default;
-  virtual std::uint8_t phases() const = 0;  // phaseBit()s; asked for once, when attached
+  /// The phases that it wants, as phaseBit()s. Asked for once, when it is attached.
+  virtual std::uint8_t phases() const = 0;
 
-  // Danger: called while the gateway is in the midst of its own bookkeeping. None may call back into it.
   virtual FilterDecision onRequestReceived(RequestContext&) { return {}; }
   virtual void onRequestAdmitted(RequestContext&) {}
   virtual void onAttemptSending(RequestContext&, UpstreamRequest&) {}
@@ -129,76 +139,89 @@
                                  std::vector<HeaderLine>& /*toClient*/) {}
   virtual void onResponseSent(RequestContext&) {}
   virtual void onRequestCompleted(RequestContext&, RequestResult) {}
-  // Its client has gone. True: what runs goes on all the same, for others; `abandon` ends that.
+  /// The client has gone. True: attempts go on all the same, for other requests, until `abandonContinued`.
   virtual bool continuesWithoutClient(RequestContext&) { return false; }
 
  protected:
-  // This stage's own place among the states of an exchange.
-  std::unique_ptr<RequestFilterState>& state(RequestContext& x) const { return x.filterStates[place_]; }
+  /// This filter's own state for a request.
+  std::unique_ptr<RequestFilterState>& state(RequestContext& context) const {
+    return context.filterStates[place_];
+  }
   std::size_t place() const { return place_; }
 
  private:
   friend class RequestFilterChain;
-  std::size_t place_ = 0;
+  std::size_t place_ = 0;  // in the chain
 };
 
-// The stages of a gateway. Each must outlive it. One may be attached at any time but from within a phase.
+/// The filters of a gateway. Each must outlive it. One may be attached at any time, except from within a
+/// phase.
 class RequestFilterChain {
  public:
-  void attach(RequestFilter& stage) {
-    stage.place_ = all_.size();
-    all_.push_back(&stage);
-    for (std::size_t p = 0; p < kRequestPhases; ++p)
-      if (stage.phases() & (1u << p)) byPhase_[p].push_back(&stage);
+  void attach(RequestFilter& filter) {
+    filter.place_ = all_.size();
+    all_.push_back(&filter);
+    for (std::size_t phase = 0; phase < kRequestPhases; ++phase)
+      if (filter.phases() & (1u << phase)) byPhase_[phase].push_back(&filter);
   }
   bool empty() const { return all_.empty(); }
   std::size_t size() const { return all_.size(); }
-  const std::vector<RequestFilter*>& at(RequestPhase p) const {
-    return byPhase_[static_cast<std::size_t>(p)];
-  }
 
-  // The first stage that answers or holds it ends the phase.
-  FilterDecision onRequestReceived(RequestContext& x) const {
-    for (RequestFilter* s : at(RequestPhase::received))
-      if (FilterDecision a = s->onRequestReceived(x); a.response || a.hold) return a;
+  /// The first filter that answers or holds the request ends the phase.
+  FilterDecision onRequestReceived(RequestContext& context) const {
+    for (RequestFilter* filter : in(RequestPhase::received)) {
+      FilterDecision decision = filter->onRequestReceived(context);
+      if (decision.response || decision.hold) return decision;
+    }
     return {};
   }
-  // Danger: a stage attached while the gateway serves has no place in what arrived before. It is told nothing
-  // of it.
-
-  void onRequestAdmitted(RequestContext& x) const {
-    for (RequestFilter* s : at(RequestPhase::admitted))
-      if (s->place_ < x.filterStates.size()) s->onRequestAdmitted(x);
+  void onRequestAdmitted(RequestContext& context) const {
+    forEach(RequestPhase::admitted, context,
+            [&](RequestFilter& filter) { filter.onRequestAdmitted(context); });
   }
-  void onAttemptSending(RequestContext& x, UpstreamRequest& to) const {
-    for (RequestFilter* s : at(RequestPhase::attemptSending))
-      if (s->place_ < x.filterStates.size()) s->onAttemptSending(x, to);
+  void onAttemptSending(RequestContext& context, UpstreamRequest& request) const {
+    forEach(RequestPhase::attemptSending, context,
+            [&](RequestFilter& filter) { filter.onAttemptSending(context, request); });
   }
-  void onAttemptEnded(RequestContext& x, bool mayHaveRun) const {
-    for (RequestFilter* s : at(RequestPhase::attemptEnded))
-      if (s->place_ < x.filterStates.size()) s->onAttemptEnded(x, mayHaveRun);
+  void onAttemptEnded(RequestContext& context, bool mayHaveRun) const {
+    forEach(RequestPhase::attemptEnded, context,
+            [&](RequestFilter& filter) { filter.onAttemptEnded(context, mayHaveRun); });
   }
-  bool continuesWithoutClient(RequestContext& x) const {
-    bool keeps = false;
-    for (RequestFilter* s : all_)
-      if (s->place_ < x.filterStates.size()) keeps |= s->continuesWithoutClient(x);
-    return keeps;
-  }
-  void onResponseHeaders(RequestContext& x, const ResponseHead& head,
+  void onResponseHeaders(RequestContext& context, const ResponseHead& head,
                          std::vector<HeaderLine>& toClient) const {
-    for (RequestFilter* s : at(RequestPhase::responseHeaders))
-      if (s->place_ < x.filterStates.size()) s->onResponseHeaders(x, head, toClient);
+    forEach(RequestPhase::responseHeaders, context,
+            [&](RequestFilter& filter) { filter.onResponseHeaders(context, head, toClient); });
+  }
+  void onResponseSent(RequestContext& context) const {
+    forEach(RequestPhase::responseSent, context,
+            [&](RequestFilter& filter) { filter.onResponseSent(context); });
   }
-  void onResponseSent(RequestContext& x) const {
-    for (RequestFilter* s : at(RequestPhase::responseSent))
-      if (s->place_ < x.filterStates.size()) s->onResponseSent(x);
+  void onRequestCompleted(RequestContext& context, RequestResult result) const {
+    forEach(RequestPhase::completed, context,
+            [&](RequestFilter& filter) { filter.onRequestCompleted(context, result); });
   }
-  void onRequestCompleted(RequestContext& x, RequestResult end) const {
-    for (RequestFilter* s : at(RequestPhase::completed))
-      if (s->place_ < x.filterStates.size()) s->onRequestCompleted(x, end);
+  /// Asks all filters, whatever their phases; true if one of them wants the request to go on.
+  bool continuesWithoutClient(RequestContext& context) const {
+    bool continues = false;
+    for (RequestFilter* filter : all_)
+      if (knows(*filter, context)) continues |= filter->continuesWithoutClient(context);
+    return continues;
   }
 
  private:
+  const std::vector<RequestFilter*>& in(RequestPhase phase) const {
+    return byPhase_[static_cast<std::size_t>(phase)];
+  }
+  // A filter that was attached later than a request was received has no state for it, and is not called.
+  static bool knows(const RequestFilter& filter, const RequestContext& context) {
+    return filter.place_ < context.filterStates.size();
+  }
+  template <class Call>
+  void forEach(RequestPhase phase, const RequestContext& context, Call call) const {
+    for (RequestFilter* filter : in(phase))
+      if (knows(*filter, context)) call(*filter);
+  }
+
   std::array<std::vector<RequestFilter*>, kRequestPhases> byPhase_;
   std::vector<RequestFilter*> all_;
 };
--- /dev/null
+++ b/src/net/request_manager.cpp
@@ -0,0 +1,238 @@
+#include "net/request_manager.hpp"
+
+#include <algorithm>
+#include <charconv>
+#include <utility>
+
+#include "net/string_view.hpp"
+
+namespace finchstile {
+
+namespace http = boost::beast::http;
+using load_balancing::RequestId;
+
+RequestManager::RequestManager(const Clock& clock, const GatewayConfig& config,
+                               load_balancing::LoadBalancer& balancer, const GatewayExtensions& extensions,
+                               GatewayMetricsCollector& metrics)
+    : clock_(clock),
+      config_(config),
+      balancer_(balancer),
+      extensions_(extensions),
+      metrics_(metrics),
+      reader_(config.settings) {}
+
+bool RequestManager::receive(const std::shared_ptr<ClientSession>& session, ClientRequest&& message,
+                             bool bodyComplete, Duration lag) {
+  UpgradeHandler* const upgrades = extensions_.upgradeHandler;
+  const bool isUpgrade = upgrades && upgrades->isUpgradeRequest(message);
+  if (isUpgrade)
+    if (std::optional<Response> refusal = upgrades->checkRequest(message)) {
+      session->respond(std::move(*refusal));
+      return false;
+    }
+  load_balancing::Request asked;
+  http::status status = reader_.read(message, asked);
+  // A host would take a second request with the id of an active one for a repetition of it.
+  if (status == http::status::ok && !table_.reserveClientId(view(message["X-Correlation-Id"])))
+    status = http::status::conflict;
+  if (status != http::status::ok) {
+    Response refusal = plainResponse(status);
+    refusal.close = true;  // a client that sends unusable requests sends more of them
+    session->respond(std::move(refusal));
+    return false;
+  }
+  // The request may have waited in its socket while the loop was busy, and its client counts that time.
+  asked.timeLeft -= std::min(lag, asked.timeLeft / 4);
+  asked.id = table_.newId();
+  ActiveRequest& request = table_.add(asked.id);
+  request.client = session;
+  request.message = std::make_shared<const ClientRequest>(std::move(message));
+  request.classIndex = asked.classIndex;
+  request.arrivedAt = clock_.now();
+  request.timeLeft = asked.timeLeft;
+  request.bodyIncomplete = asked.bodyIncomplete = !bodyComplete;
+  if (isUpgrade) {
+    asked.isStream = true;
+    asked.timeLeft = std::min(asked.timeLeft, upgrades->handshakeTimeout());
+    request.pendingUpgrade =
+        std::make_unique<PendingUpgrade>(PendingUpgrade{session->remoteEndpoint(), clock_.now()});
+    upgrades->onUpgradeRequested();
+  }
+  session->setRequest(asked.id);
+  FilterDecision decision;
+  if (!extensions_.filters.empty()) {
+    request.context = makeContext(asked, request.message);
+    decision = extensions_.filters.onRequestReceived(*request.context);
+    asked.earlierAttempt = request.context->earlierAttempt;
+    asked.preferLocalZone = request.context->preferLocalZone;
+  }
+  // Holding it would stop its client in the middle of the body, beyond any time-out that the client keeps.
+  if (decision.hold && !bodyComplete) decision = {plainResponse(http::status::payload_too_large), false};
+  if (decision.response) {
+    respond(asked.id, RequestResult::rejectedByFilter, std::move(*decision.response));
+  } else if (decision.hold) {
+    request.heldUntil = held_.hold(clock_.now(), asked, config_.settings.eventInterval);
+  } else {
+    balancer_.onRequest(clock_.now(), asked);
+  }
+  return true;
+}
+
+bool RequestManager::onClientDisconnected(RequestId id) {
+  ActiveRequest* const request = table_.findUnfinished(id);
+  if (!request) return false;
+  const bool held = request->isHeld();
+  if (!held && request->context && extensions_.filters.continuesWithoutClient(*request->context)) {
+    request->client.reset();
+    return false;
+  }
+  finish(id, *request, RequestResult::clientDisconnected);
+  if (!held) balancer_.onClientDisconnected(clock_.now(), id);
+  table_.releaseIfDone(id);
+  return true;
+}
+
+void RequestManager::respond(RequestId id, RequestResult result, Response&& response,
+                             const UpstreamResponse* upstream) {
+  ActiveRequest* const request = table_.findUnfinished(id);
+  if (!request) return;
+  RequestContext* const context = request->context.get();
+  const RequestFilterChain& filters = extensions_.filters;
+  if (context) {
+    // A failure with another status than 502 is a host's client error.
+    const bool fromUpstream =
+        upstream || (result == RequestResult::failed && response.status != http::status::bad_gateway);
+    const std::optional<PartialResponse>& partial = response.partial;
+    const ResponseHead head{static_cast<unsigned>(response.status),
+                            fromUpstream,
+                            upstream ? &upstream->head : nullptr,
+                            response.contentType,
+                            response.body,
+                            !partial,
+                            partial ? partial->length.value_or(0) : 0};
+    filters.onResponseHeaders(*context, head, response.headers);
+  }
+  request->finished = true;
+  request->responseStatus = static_cast<unsigned>(response.status);
+  if (!response.partial) metrics_.onResponse(request->classIndex, response.status);
+  if (const auto client = request->client.lock()) client->respond(std::move(response));
+  if (context) filters.onResponseSent(*context);
+  finish(id, *request, result);
+  table_.releaseIfDone(id);
+}
+
+void RequestManager::reject(RequestId id, Duration retryAfter) {
+  Response response = plainResponse(http::status::service_unavailable);
+  response.retryAfter = retryAfter;
+  respond(id, RequestResult::rejected, std::move(response));
+}
+
+void RequestManager::fail(RequestId id) {
+  const ActiveRequest* const request = table_.find(id);
+  respond(id, RequestResult::failed,
+          plainResponse(request ? request->failureStatus : http::status::bad_gateway));
+}
+
+void RequestManager::finish(RequestId id, ActiveRequest& request, RequestResult result) {
+  if (request.isHeld()) releaseHold(id, request);
+  request.finished = true;
+  if (extensions_.attemptLog)
+    extensions_.attemptLog->onRequest({request.clientId(), config_.settings.classes[request.classIndex],
+                                       request.arrivedAt, request.timeLeft, result, request.responseStatus,
+                                       request.attempts.size(), balancer_.admissionCutoff()});
+  if (const auto upgrade = std::exchange(request.pendingUpgrade, nullptr))
+    extensions_.upgradeHandler->onUpgradeNotEstablished(*upgrade, result);
+  if (const auto context = std::exchange(request.context, nullptr))
+    extensions_.filters.onRequestCompleted(*context, result);
+}
+
+void RequestManager::failAll() {
+  for (const RequestId id : table_.unfinished()) {
+    const ActiveRequest* const request = table_.findUnfinished(id);
+    if (!request) continue;
+    const bool held = request->isHeld();
+    respond(id, RequestResult::failed, plainResponse(http::status::bad_gateway));
+    if (!held) balancer_.onClientDisconnected(clock_.now(), id);
+  }
+}
+
+void RequestManager::onUpgradeResponse(ActiveRequest& request, const http::fields& upstreamHead,
+                                       std::vector<HeaderLine>& toClient) {
+  constexpr unsigned kSwitchingProtocols = 101;
+  request.responseStatus = kSwitchingProtocols;
+  if (RequestContext* const context = request.context.get()) {
+    const RequestFilterChain& filters = extensions_.filters;
+    filters.onAttemptEnded(*context, true);
+    filters.onResponseHeaders(*context, {kSwitchingProtocols, true, &upstreamHead, {}, {}, true, 0},
+                              toClient);
+    filters.onResponseSent(*context);
+  }
+  metrics_.onUpgrade(request.classIndex);
+}
+
+void RequestManager::executeHeldAction(HeldRequestAction&& action) {
+  ActiveRequest* const request = table_.findUnfinished(action.request);
+  if (!request) return;
+  switch (action.kind) {
+    case HeldRequestAction::Kind::respond:
+      return respond(action.request, RequestResult::served, std::move(action.response));
+    case HeldRequestAction::Kind::admit: return admitHeld(action.request, *request);
+    case HeldRequestAction::Kind::abandon: {
+      const Time now = clock_.now();
+      finish(action.request, *request, RequestResult::clientDisconnected);
+      balancer_.onClientDisconnected(now, action.request);
+      return table_.releaseIfDone(action.request);
+    }
+  }
+}
+
+void RequestManager::admitHeld(RequestId id, ActiveRequest& request) {
+  const Time now = clock_.now();
+  const load_balancing::Request* const held = held_.find(request.heldUntil, id);
+  if (!held) return;
+  load_balancing::Request asked = *held;
+  releaseHold(id, request);
+  asked.timeLeft = std::max(request.context->deadline - now, Duration(1));
+  asked.earlierAttempt = request.context->earlierAttempt;
+  asked.preferLocalZone = request.context->preferLocalZone;
+  balancer_.onRequest(now, asked);
+}
+
+void RequestManager::failExpiredHeld(Time now) {
+  while (const auto id = held_.firstExpired(now)) {
+    const ActiveRequest* const request = table_.find(*id);
+    // What it waited for may have run, unless the filter that holds it knows better.
+    const bool neverRan = request && request->context && request->context->heldBeforeExecution;
+    Response response =
+        plainResponse(neverRan ? http::status::service_unavailable : http::status::bad_gateway);
+    if (neverRan && config_.settings.retryAfterEnabled) response.retryAfter = config_.settings.maxRetryAfter;
+    respond(*id, neverRan ? RequestResult::rejected : RequestResult::failed, std::move(response));
+  }
+}
+
+void RequestManager::releaseHold(RequestId id, ActiveRequest& request) {
+  held_.release(std::exchange(request.heldUntil, Time{}), id);
+}
+
+std::unique_ptr<RequestContext> RequestManager::makeContext(
+    const load_balancing::Request& request, const std::shared_ptr<const ClientRequest>& message) const {
+  const load_balancing::ClassSettings& settings = config_.settings.classes[request.classIndex];
+  auto context = std::make_unique<RequestContext>();
+  context->id = request.id;
+  context->message = message;
+  context->className = settings.name;
+  context->classIndex = request.classIndex;
+  context->tenantIndex = request.tenantIndex;
+  context->idempotency = settings.idempotency;
+  context->tenant = reader_.tenants().name(request.tenantIndex);
+  context->deadline = clock_.now() + request.timeLeft;
+  context->bodyComplete = !request.bodyIncomplete;
+  if (request.bodyIncomplete) {
+    const auto length = (*message)[http::field::content_length];
+    std::from_chars(length.data(), length.data() + length.size(), context->bodyLength);
+  }
+  context->filterStates.resize(extensions_.filters.size());
+  return context;
+}
+
+}  // namespace finchstile
--- /dev/null
+++ b/src/net/response_relays.hpp
@@ -0,0 +1,51 @@
+// Responses too long to be buffered: each piece goes from the host to the client as it comes.
+#pragma once
+
+#include <memory>
+#include <string>
+#include <unordered_map>
+
+#include "finchstile/load_balancer.hpp"
+#include "net/active_request.hpp"
+#include "net/client_messages.hpp"
+#include "net/client_session.hpp"
+#include "net/gateway_metrics_collector.hpp"
+#include "net/upstream_pool.hpp"
+
+namespace finchstile {
+
+/// Couples a host's connection with a client's. One piece is under way at a time: the host is read on once
+/// the client has taken the last one. An active request stays in its table as long as its relay.
+class ResponseRelays {
+ public:
+  ResponseRelays(ActiveRequestTable& requests, UpstreamPool& pool, GatewayMetricsCollector& metrics)
+      : requests_(requests), pool_(pool), metrics_(metrics) {}
+
+  void begin(RelayId id, load_balancing::RequestId requestId, ActiveRequest& request);
+  /// The host has sent a piece of the body.
+  void onBody(RelayId id, std::string&& piece, bool last);
+  /// The host's response ended before it was complete. The client's connection is ended so that it can tell.
+  void onTruncated(RelayId id);
+  /// The client has taken all pieces so far.
+  void onWritten(RelayId id);
+  /// The client takes no more.
+  void onAborted(RelayId id);
+
+  std::size_t size() const { return relays_.size(); }
+
+ private:
+  struct Relay {
+    load_balancing::RequestId request = 0;
+    std::weak_ptr<ClientSession> client;
+    bool lastPieceSent = false;
+  };
+
+  void end(RelayId id);
+
+  ActiveRequestTable& requests_;
+  UpstreamPool& pool_;
+  GatewayMetricsCollector& metrics_;
+  std::unordered_map<RelayId, Relay> relays_;
+};
+
+}  // namespace finchstile
--- a/src/net/upgrade_handler.hpp
+++ b/src/net/upgrade_handler.hpp
@@ -1,5 +1,5 @@
-// What takes over a client's connection that leaves HTTP (RFC 9110, 7.8), and the host's with it. Until then
-// it is a request like any other: read, passed through the stages, sent where the module says.
+// Takes over connections of clients that leave HTTP (RFC 9110, 7.8), and the hosts' connections with them.
+// Until then an upgrade is a request like any other: read, passed through the filters, sent to a chosen host.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,47 +9,56 @@
 #include <string>
 #include <vector>
 
-#include "net/client.hpp"
+#include "finchstile/load_balancer.hpp"
+#include "net/client_messages.hpp"
+#include "net/clock.hpp"
 #include "net/request_filter.hpp"
 
 namespace finchstile {
 
-struct PendingUpgrade {  // one that is under way
-  tcp::endpoint from;
+using boost::asio::ip::tcp;
+
+/// A request that asks to leave HTTP, and has not left it yet.
+struct PendingUpgrade {
+  tcp::endpoint from;  ///< The client.
   Time since{};
 };
 
-struct UpgradedConnection {  // both sides have left HTTP, and nobody has told the client yet
+/// Both sides have left HTTP; the client has not been answered yet.
+struct UpgradedConnection {
   load_balancing::RequestId request = 0;
   std::uint32_t attempt = 0;
   load_balancing::HostId host = load_balancing::kNone;
   std::string hostName;
   PendingUpgrade asked;
   tcp::socket client, upstream;
-  std::string fromClient, fromHost;  // read behind the heads
-  std::string head;                  // of the 101, to be written first
-  bool agreed = false;               // as `accepted` had it
+  std::string fromClient, fromHost;  ///< Bytes that were read behind the heads.
+  std::string head;                  ///< Of the 101, to be written to the client first.
+  bool agreed = false;               ///< AcceptedUpgrade::agreed.
 };
 
 class UpgradeHandler {
  public:
   struct AcceptedUpgrade {
-    std::vector<HeaderLine> toClient;
-    bool agreed = false;  // a word of its own for `take`
+    std::vector<HeaderLine> toClient;  ///< Header lines of the 101.
+    bool agreed = false;               ///< For the handler's own use in `takeOverConnection`.
   };
 
   virtual ~UpgradeHandler() = default;
   virtual bool isUpgradeRequest(const ClientRequest& message) const = 0;
-  // The answer to one that may not be; what such clients do not send of a request is added to one that may.
+  /// Returns the response to a request that may not be upgraded. To others it adds the headers that a request
+  /// needs and such clients do not send.
   virtual std::optional<Response> checkRequest(ClientRequest& message) = 0;
-  virtual Duration handshakeTimeout() const = 0;  // that the handshake may take
+  /// How long the handshake may take.
+  virtual Duration handshakeTimeout() const = 0;
   virtual std::vector<HeaderLine> upstreamHeaders(const ClientRequest& message) const = 0;
-  // None: the host's 101 is no answer to this request.
+  /// None: the host's 101 is no response to this request.
   virtual std::optional<AcceptedUpgrade> acceptResponse(const ClientRequest& message,
                                                         const boost::beast::http::fields& answer) const = 0;
+  /// Each request that may be upgraded is followed by one of the two calls below.
   virtual void onUpgradeRequested() = 0;
   virtual void onUpgradeNotEstablished(const PendingUpgrade& asked, RequestResult how) = 0;
-  // From here on it tells the module, as a front does.
+  /// From here on the handler reports to the load balancer, as a ProtocolHandler does.
   virtual void takeOverConnection(UpgradedConnection&& upgraded) = 0;
 };
 
--- a/tests/fuzz/http_framing.cpp
+++ b/tests/fuzz/http_framing.cpp
@@ -23,7 +23,7 @@
 };
 
 template <bool isRequest>
-std::string headOf(const typename MessageReader<isRequest>::Whole& m) {
+std::string headOf(const typename MessageReader<isRequest>::Message& m) {
   std::string out;
   if constexpr (isRequest) out = std::string(m.method_string()) + " " + std::string(m.target());
   else out = std::to_string(m.result_int());
@@ -37,7 +37,7 @@
 Reading read(std::string_view bytes, std::uint32_t seed, bool ends) {
   MessageReader<isRequest> reader;
   reader.restart();
-  boost::beast::flat_buffer buffer(kBufferMost + kReadMost);
+  boost::beast::flat_buffer buffer(kMaxUnparsedBytes + kMaxReadBytes);
   Reading out;
   boost::system::error_code error;
   std::size_t at = 0;
@@ -45,16 +45,16 @@
   using Step = typename MessageReader<isRequest>::Step;
   for (;;) {
     const std::size_t most = seed ? 1 + dice() % 9 : bytes.size();
-    const std::size_t n = std::min({most, bytes.size() - at, kReadMost});
+    const std::size_t n = std::min({most, bytes.size() - at, kMaxReadBytes});
     const auto room = buffer.prepare(n);
     std::copy_n(bytes.data() + at, n, static_cast<char*>(room.data()));
     buffer.commit(n);
     at += n;
     for (bool again = true; again;) switch (reader.step(buffer, error)) {
         case Step::head: break;
-        case Step::bad: out.verdict = 2; return out;
-        case Step::more: again = false; break;
-        case Step::whole: {
+        case Step::malformed: out.verdict = 2; return out;
+        case Step::needsBytes: again = false; break;
+        case Step::complete: {
           out.verdict = 1;
           if (reader.bodyRead() > bytes.size()) std::abort();
           auto m = reader.takeMessage();
@@ -64,12 +64,12 @@
           return out;
         }
       }
-    if (seed && reader.headDone() && dice() % 3 == 0) out.body += reader.takeBody();
-    if (reader.bodyHeld() > bytes.size()) std::abort();
+    if (seed && reader.isHeadComplete() && dice() % 3 == 0) out.body += reader.takeBody();
+    if (reader.bufferedBody() > bytes.size()) std::abort();
     if (at < bytes.size()) continue;
-    if (!ends || !reader.endsWithConnection()) {
+    if (!ends || !reader.completeAtEndOfConnection()) {
       out.left = 0;
-      if (reader.headDone()) out.body += reader.takeBody();
+      if (reader.isHeadComplete()) out.body += reader.takeBody();
       return out;
     }
     ends = false;  // once more round: it is whole now
@@ -86,7 +86,7 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  if (size > kReadMost) return 0;
+  if (size > kMaxReadBytes) return 0;
   check<true>(asText(data, size));
   check<false>(asText(data, size));
   return 0;
--- a/tests/net/ends_test.cpp
+++ b/tests/net/ends_test.cpp
@@ -479,7 +479,7 @@
     host(hold);
     start([&](json& config) { config["limits"]["sockets"] = sockets; });
     const Gateway::DescriptorLimits shares = gateway->descriptorLimits();
-    EXPECT_LE(shares.clients + shares.turnedAway + shares.upstream + 16, static_cast<std::size_t>(sockets));
+    EXPECT_LE(shares.clients + shares.refused + shares.upstream + 16, static_cast<std::size_t>(sockets));
     EXPECT_GE(shares.clients + shares.upstream, static_cast<std::size_t>(sockets) * 7 / 10) << sockets;
     gateway.reset();
   }
