--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -19,7 +19,7 @@
   return "";
 }
 
-TEST(Config, ReadsSettingsAsTheAdapterDoes) {
+TEST(ConfigTest, ReadsSettingsAsTheAdapterDoes) {
   const Clock clock;
   json config = configJson({asio::ip::make_address("127.0.0.1"), 1}, json::array());
   config["settings"]["tenants"] = {{{"name", "acme"}, {"quotaRps", 12.5}, {"portion", 0.5}}};
@@ -53,7 +53,7 @@
   EXPECT_EQ(a.tenants[0].quotaPerSecond, b.tenants[0].quotaPerSecond);
 }
 
-TEST(Config, SaysInOneLineWhatIsWrong) {
+TEST(ConfigTest, NamesWhatIsWrongInOneLine) {
   EXPECT_EQ(complaint([](json&) {}), "");
   EXPECT_NE(complaint([](json& c) { c.erase("settings"); }).find("settings"), std::string::npos);
   EXPECT_NE(complaint([](json& c) { c["seed"] = "xyz"; }).find("xyz"), std::string::npos);
@@ -66,7 +66,28 @@
   EXPECT_EQ(complaint([](json& c) { c["seed"] = ""; }).find('\n'), std::string::npos);
 }
 
-TEST(Config, StartTimesAreTheSameFromListToList) {
+ConfigError::Code codeOf(const std::function<void()>& read) {
+  try {
+    read();
+  } catch (const ConfigError& error) {
+    return error.code();
+  }
+  ADD_FAILURE() << "no ConfigError";
+  return {};
+}
+
+TEST(ConfigTest, ThrowsConfigErrorWithItsCode) {
+  const Clock clock;
+  using Code = ConfigError::Code;
+  EXPECT_EQ(codeOf([&] { loadConfig("/nowhere/gateway.json", clock); }), Code::unreadableFile);
+  EXPECT_EQ(codeOf([&] { readConfig("{", clock); }), Code::malformedDocument);
+  EXPECT_EQ(codeOf([&] { parseHostList("{}", clock); }), Code::malformedDocument);
+  EXPECT_EQ(codeOf([&] { parseHostList(R"({"index":1,"snapshot":true,"endpoints":{}})", clock); }),
+            Code::malformedDocument);
+  EXPECT_EQ(codeOf([] { readEndpoint("nowhere"); }), Code::invalidValue);
+}
+
+TEST(ConfigTest, ReadsEqualStartTimesFromEqualLists) {
   const Clock clock;
   const auto unixNow = std::chrono::duration_cast<std::chrono::milliseconds>(
                            std::chrono::system_clock::now().time_since_epoch())
@@ -87,7 +108,7 @@
 }
 
 // Hard case: as many classes and tenants as the largest deployment may have, and one beyond what is held.
-TEST(Config, AThousandClassesAndTenantsAreRead) {
+TEST(ConfigTest, ReadsAThousandClassesAndTenants) {
   const Clock clock;
   json config = configJson({asio::ip::make_address("127.0.0.1"), 1}, json::array());
   const json grade = config["settings"]["grades"][0];
@@ -105,7 +126,7 @@
 }
 
 // Hard case: the size to design for.
-TEST(Config, TwentySevenThousandTenantsAreRead) {
+TEST(ConfigTest, Reads27000Tenants) {
   const Clock clock;
   json config = configJson({asio::ip::make_address("127.0.0.1"), 1}, json::array());
   for (int i = 0; i < 27000; ++i)
@@ -115,7 +136,7 @@
   EXPECT_EQ(c.settings.tenants.back().name, "t-26999");
 }
 
-TEST(Config, ItemsBeyondTheBoundAreNamedAndNotPassedOver) {
+TEST(ConfigTest, NamesItemsBeyondTheBound) {
   EXPECT_NE(complaint([](json& c) {
               const json grade = c["settings"]["grades"][0];
               for (std::size_t i = 3; i < load_balancing::kMaxClasses + 1; ++i)
--- a/tests/net/request_filter_test.cpp
+++ b/tests/net/request_filter_test.cpp
@@ -1,4 +1,4 @@
-// The phases of a request, over loopback sockets: each in its order, the end once for each that arrived.
+// RequestFilterChain in a gateway, over loopback sockets.
 #include "net/request_filter.hpp"
 
 #include "support/sockets.hpp"
@@ -43,7 +43,7 @@
   std::vector<std::string>& log_;
 };
 
-struct StageTest : ::testing::Test {
+struct RequestFilterTest : ::testing::Test {
   asio::io_context io;
   Clock clock;
   std::vector<std::string> log;
@@ -63,7 +63,7 @@
   std::shared_ptr<Client> client() { return Client::connect(io, gateway->endpoint()); }
 };
 
-TEST_F(StageTest, PhasesComeInOrderAndStagesInTheirs) {
+TEST_F(RequestFilterTest, CallsPhasesAndFiltersInOrder) {
   start();
   const auto c = client();
   c->ask("GET", "/read/1", 2500);
@@ -78,7 +78,7 @@
   EXPECT_EQ(c->answers[0]["X-By-a"], "yes");
 }
 
-TEST_F(StageTest, ARejectedOneNeverReachesModuleOrHost) {
+TEST_F(RequestFilterTest, SendsRejectedRequestNeitherToLoadBalancerNorToHost) {
   start();
   a.reject = true;
   const auto c = client();
@@ -97,7 +97,7 @@
   EXPECT_EQ(c->answers[1].result_int(), 200u);
 }
 
-TEST_F(StageTest, WhatAHostTurnedAwayUnseenHasNotRun) {
+TEST_F(RequestFilterTest, CompletesRequestThatHostsRejectedAsNotRun) {
   host.handler = [](const auto& peer, const Received&) { peer->reply(503, "", "X-Unprocessed: 1\r\n"); };
   start();
   const auto c = client();
@@ -106,7 +106,7 @@
   EXPECT_EQ(log.back(), "b ended 1");  // refused, and nothing may have run
 }
 
-TEST_F(StageTest, AClientThatLeavesEndsItOnce) {
+TEST_F(RequestFilterTest, CompletesRequestOnceWhenClientDisconnects) {
   host.handler = [](const auto&, const Received&) {};
   start();
   auto c = client();
--- /dev/null
+++ b/tests/net/upstream_pool_test.cpp
@@ -0,0 +1,174 @@
+// UpstreamPool against scripted hosts on loopback, without a gateway.
+#include "net/upstream_pool.hpp"
+
+#include "support/gateway_fixture.hpp"
+
+namespace finchstile::testing {
+namespace {
+
+using std::chrono::milliseconds;
+
+struct UpstreamPoolTest : ::testing::Test, UpstreamCallbacks {
+  asio::io_context io;
+  Clock clock;
+  bool wanted = true;
+  std::vector<std::pair<AttemptId, load_balancing::Outcome>> outcomes;
+  bool maySendLastByte(AttemptId) override { return true; }
+  std::optional<OutgoingRequest> composeRequest(AttemptId id, load_balancing::Outcome&) override {
+    if (!wanted) return std::nullopt;
+    return OutgoingRequest{UpstreamRequest(http::verb::get, "/" + std::to_string(id), 11), true};
+  }
+  void onRequestBodyWanted(AttemptId) override {}
+  void onResponseHeaders(AttemptId) override {}
+  void onResponseBegun(AttemptId, UpstreamResponse&&, std::optional<std::uint64_t>) override {}
+  void onResponseBody(AttemptId, std::string&&, bool) override {}
+  void onResponseTruncated(AttemptId) override {}
+  void onUpgraded(AttemptId, tcp::socket&&, std::string&&, const http::fields&) override {}
+  void onOutcome(AttemptId id, load_balancing::Outcome outcome, UpstreamResponse&&) override {
+    outcomes.emplace_back(id, outcome);
+  }
+};
+
+// The wait for a connection may outlast the request or the host's place in the list.
+TEST_F(UpstreamPoolTest, WritesNothingForAttemptThatIsNoLongerWanted) {
+  Server host(io, serveOk);
+  UpstreamPool pool(io, clock, {milliseconds(500), milliseconds(500), milliseconds(30000), 4}, *this);
+  pool.send(1, 0, host.endpoint());
+  wanted = false;
+  ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 1; }));
+  EXPECT_EQ(outcomes[0].second, load_balancing::Outcome::connectFailed);
+  wanted = true;
+  pool.send(2, 0, host.endpoint());
+  ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 2; }));
+  EXPECT_EQ(outcomes[1].second, load_balancing::Outcome::served);
+  ASSERT_EQ(host.received.size(), 1u);
+  EXPECT_EQ(host.received[0].target(), "/2");
+  EXPECT_EQ(host.peers.size(), 1u);  // the connection opened for the first was kept
+}
+
+TEST_F(UpstreamPoolTest, NeverSendsAttemptGivenUpWhileItWaits) {
+  Server host(io, serveOk);
+  UpstreamPool pool(io, clock, {milliseconds(500), milliseconds(500), milliseconds(30000), 4}, *this);
+  pool.send(1, 0, host.endpoint());
+  EXPECT_FALSE(pool.giveUp(1));
+  pool.send(2, 0, host.endpoint());
+  ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 1; }));
+  EXPECT_EQ(outcomes[0].first, 2u);
+  ASSERT_EQ(host.received.size(), 1u);
+  EXPECT_EQ(host.received[0].target(), "/2");
+}
+
+// Held back, the last byte cannot have gone out: what is given up by then has not run.
+TEST_F(UpstreamPoolTest, ReportsAttemptGivenUpBeforeItsLastByteAsNotRun) {
+  Server host(io, hold);
+  UpstreamPool::Limits limits{milliseconds(500), milliseconds(500), milliseconds(30000)};
+  limits.minConnectionCheck = std::chrono::hours(1);
+  UpstreamPool pool(io, clock, limits, *this);
+  pool.send(1, 0, host.endpoint(), true);
+  ASSERT_TRUE(runUntil(io, [&] { return !host.peers.empty() && host.peers[0]->buffer.size() > 0; }));
+  EXPECT_FALSE(pool.giveUp(1));
+  ASSERT_TRUE(runUntil(io, [&] { return host.peers[0]->ended; }));
+  EXPECT_TRUE(host.received.empty());
+}
+
+TEST_F(UpstreamPoolTest, SendsCompleteRequestOnVerifiedConnection) {
+  Server host(io, serveOk);
+  UpstreamPool pool(io, clock, {milliseconds(500), milliseconds(500), milliseconds(30000)}, *this);
+  for (AttemptId id = 1; id <= 3; ++id) {
+    pool.send(id, 0, host.endpoint(), true);
+    ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == id; }));
+    EXPECT_EQ(outcomes.back().second, load_balancing::Outcome::served);
+  }
+  EXPECT_EQ(host.received.size(), 3u);
+  EXPECT_EQ(pool.opened(), 1u);
+}
+
+TEST_F(UpstreamPoolTest, LimitsConnectionsBeingOpenedForManyAttempts) {
+  Server host(io, hold);
+  UpstreamPool pool(io, clock, {milliseconds(500), milliseconds(500), milliseconds(30000), 4}, *this);
+  for (AttemptId id = 1; id <= 30; ++id) pool.send(id, 0, host.endpoint());
+  EXPECT_EQ(pool.opened(), 4u);
+  ASSERT_TRUE(runUntil(io, [&] { return host.received.size() == 30; }));
+  EXPECT_EQ(pool.opened(), 30u);  // all are busy: each needed one, and none was opened beside
+  EXPECT_TRUE(pool.giveUp(1));
+  EXPECT_EQ(pool.connections(), 29u);
+}
+
+TEST_F(UpstreamPoolTest, FailsAttemptsWhoseConnectNeverCompletes) {
+  // A full accept queue that nobody empties: further connects stay unanswered.
+  tcp::acceptor deaf(io);
+  deaf.open(tcp::v4());
+  deaf.bind(loopback());
+  deaf.listen(0);
+  std::vector<tcp::socket> fill;
+  for (int i = 0; i < 4; ++i) {
+    fill.emplace_back(io);
+    fill.back().async_connect(deaf.local_endpoint(), [](error_code) {});
+  }
+  UpstreamPool pool(io, clock, {milliseconds(200), milliseconds(500), milliseconds(30000), 4}, *this);
+  for (AttemptId id = 1; id <= 6; ++id) pool.send(id, 0, deaf.local_endpoint());
+  ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 6; }));
+  for (const auto& [id, outcome] : outcomes) EXPECT_EQ(outcome, load_balancing::Outcome::connectFailed) << id;
+  EXPECT_TRUE(runUntil(io, [&] { return pool.connections() == 0; }));
+}
+
+// A host that takes no more connections still serves on those that it has.
+TEST_F(UpstreamPoolTest, FailsOneAttemptPerFailedConnect) {
+  std::vector<std::shared_ptr<Peer>> held;
+  auto host = std::make_unique<Server>(io, [&](const auto& peer, const Received&) { held.push_back(peer); });
+  UpstreamPool pool(io, clock, {milliseconds(5000), milliseconds(500), milliseconds(30000), 1}, *this);
+  const tcp::endpoint at = host->endpoint();
+  pool.send(1, 0, at);
+  ASSERT_TRUE(runUntil(io, [&] { return held.size() == 1; }));
+  host->stop();
+  for (AttemptId id = 2; id <= 3; ++id) pool.send(id, 0, at);
+  held[0]->reply(200, "ok");  // its connection is free before the second connect has failed
+  ASSERT_TRUE(runUntil(io, [&] { return held.size() == 2; }));
+  held[1]->reply(200, "ok");
+  ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 3; }));
+  std::size_t served = 0;
+  for (const auto& [id, outcome] : outcomes) served += outcome == load_balancing::Outcome::served;
+  EXPECT_EQ(served, 2u);
+}
+
+TEST_F(UpstreamPoolTest, KeepsConnectionsWithinLimitByClosingIdleOnes) {
+  Server one(io, serveOk), two(io, hold);
+  UpstreamPool pool(io, clock, {milliseconds(200), milliseconds(500), milliseconds(30000), 4, 2}, *this);
+  pool.send(1, 0, one.endpoint());
+  ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 1; }));
+  for (AttemptId id = 2; id <= 5; ++id) pool.send(id, 1, two.endpoint());
+  EXPECT_EQ(pool.connections(), 2u);
+  ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 3 && two.received.size() == 2; }));
+  EXPECT_EQ(outcomes[1].second, load_balancing::Outcome::connectFailed);
+  EXPECT_EQ(outcomes[2].second, load_balancing::Outcome::connectFailed);
+  EXPECT_EQ(pool.connections(), 2u);
+  EXPECT_TRUE(runUntil(io, [&] { return one.peers[0]->ended; }));
+}
+
+TEST_F(UpstreamPoolTest, UsesNoConnectionToOldAddressForNewOne) {
+  Server before(io, serveOk), after(io, serveOk);
+  UpstreamPool pool(io, clock, {milliseconds(500), milliseconds(500), milliseconds(30000), 4}, *this);
+  pool.send(1, 0, before.endpoint());
+  ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 1; }));
+  pool.send(2, 0, after.endpoint());
+  ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 2; }));
+  EXPECT_EQ(before.received.size(), 1u);
+  EXPECT_EQ(after.received.size(), 1u);
+  EXPECT_EQ(pool.connections(), 1u);
+}
+
+TEST_F(UpstreamPoolTest, ClosesIdleConnectionsAfterMaxIdleTime) {
+  Server host(io, serveOk);
+  UpstreamPool pool(io, clock, {milliseconds(500), milliseconds(500), milliseconds(1), 4}, *this);
+  pool.send(1, 0, host.endpoint());
+  ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 1; }));
+  EXPECT_EQ(pool.connections(), 1u);
+  ASSERT_TRUE(runUntil(io, [&] {
+    pool.sweep();
+    return host.peers[0]->ended;
+  }));
+  EXPECT_EQ(pool.connections(), 0u);
+}
+
+}  // namespace
+}  // namespace finchstile::testing
