--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -21,8 +21,8 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // of a body that was refused
-constexpr std::size_t kMaxBytesAhead = 16 * 1024;       // of later requests, while one is answered
+constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;  // of a body that was refused
+constexpr std::size_t kMaxBytesAhead = std::size_t{16} * 1024;  // of later requests, while one is answered
 // The slowest rate of a body: half of what slow lines carry. A client below it is taken for silent.
 constexpr double kMinBodyBytesPerSecond = 32 * 1024;
 
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -27,8 +27,10 @@
   if (value.is_structured()) {
     std::size_t index = 0;
     for (const auto& [key, item] : value.items()) {
-      const std::string part = value.is_array() ? std::to_string(index++) : key;
-      forEachLeaf(item, path.empty() ? part : path + "." + part, visit);
+      std::string itemPath = path;
+      if (!itemPath.empty()) itemPath += '.';
+      itemPath += value.is_array() ? std::to_string(index++) : key;
+      forEachLeaf(item, itemPath, visit);
     }
   } else if (value.is_string()) {
     visit(path, value.get_ref<const std::string&>());
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -276,8 +276,8 @@
       return;
     case ActionKind::pollDiscovery: return discovery_.watch();
     case ActionKind::log: std::fprintf(stderr, "%s\n", action.text.c_str()); return;
-    case ActionKind::cancelAttempt: return;  // has been executed ahead of the others
-    case ActionKind::probeHost:              // the gateway's settings offer neither of these two
+    case ActionKind::cancelAttempt:  // has been executed ahead of the others
+    case ActionKind::probeHost:      // the gateway's settings offer neither this one nor the next
     case ActionKind::sendPeerMessage: return;
   }
 }
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -6,6 +6,7 @@
 
 #include <algorithm>
 #include <chrono>
+#include <optional>
 #include <stdexcept>
 #include <string>
 #include <thread>
@@ -149,10 +150,14 @@
 // first.
 bool Listener::shedUnfinishedConnection() {
   const std::size_t before = size_;
-  if (oldestAge(State::fresh) > kMaxRequestTransit) endOldest(State::fresh);
-  else if (oldestAge(State::reading) > kMaxRequestTransit) endOldest(State::reading);
-  else if (!in(State::idle).empty()) endOldest(State::idle);
-  else if (!in(State::fresh).empty()) endOldest(State::fresh);
+  const auto chosen = [this]() -> std::optional<State> {
+    for (const State state : {State::fresh, State::reading})
+      if (oldestAge(state) > kMaxRequestTransit) return state;
+    for (const State state : {State::idle, State::fresh})
+      if (!in(state).empty()) return state;
+    return std::nullopt;
+  }();
+  if (chosen) endOldest(*chosen);
   return size_ < before;
 }
 
