--- a/src/app/gateway_program.cpp
+++ b/src/app/gateway_program.cpp
@@ -123,10 +123,10 @@
   idempotency_ = std::make_unique<idempotency::IdempotencyFilter>(
       clock_, settings, config_.settings.tenants.size(), idempotency::Seed{word(), word()},
       gateway_.filterCallbacks());
-  if (!settings.log.folder.empty())
+  if (!settings.log.directory.empty())
     idempotencyLog_ =
         std::make_unique<IdempotencyLog>(io_, clock_, settings, config_.settings, *idempotency_);
-  if (settings.owners.enabled)
+  if (settings.peerOwnership.enabled)
     idempotencyOwners_ = std::make_unique<IdempotencyOwnership>(io_, clock_, settings, *peers_,
                                                                 config_.settings, *idempotency_);
   gateway_.attach(*idempotency_);
@@ -175,7 +175,8 @@
   if (!config_.adminEndpoint) return;
   adminApi_ = std::make_unique<AdminApi>(io_, clock_, config_, cordonFilePath(config_.name), gateway_);
   adminApi_->additionalMetrics = [this] { return furtherMetrics(); };
-  if (membership_) adminApi_->hostsText = [this](const std::string& host) { return membership_->describeHosts(host); };
+  if (membership_)
+    adminApi_->hostsText = [this](const std::string& host) { return membership_->describeHosts(host); };
 }
 
 void GatewayProgram::attachTraceLog() {
--- a/src/app/idempotency_ownership.cpp
+++ b/src/app/idempotency_ownership.cpp
@@ -26,9 +26,10 @@
       channel_(link.channel()),
       ownership_(ownershipSettings(settings, link, balancerSettings), link.deriveKey("keys"), clock.now()),
       timer_(io) {
-  channel_.setHandler(peer::Topic::keys, [this](peer::GatewayNumber from, std::uint64_t epoch, std::string_view payload) {
-    filter_.onGatewayMessage(from, epoch, payload);
-  });
+  channel_.setHandler(peer::Topic::keys,
+                      [this](peer::GatewayNumber from, std::uint64_t epoch, std::string_view payload) {
+                        filter_.onGatewayMessage(from, epoch, payload);
+                      });
   filter_.enableOwnership(ownership_, *this, names_, settings.peerOwnership.askForEveryKey);
 }
 
--- a/src/base/address.hpp
+++ b/src/base/address.hpp
@@ -30,7 +30,7 @@
     std::string_view text) {
   const std::size_t close = text.rfind("]:");
   const bool bracketed = !text.empty() && text.front() == '[' && close != std::string_view::npos;
-  const auto at =
+  auto at =
       parseAddress(bracketed ? std::string(text.substr(1, close - 1)) + std::string(text.substr(close + 1))
                              : std::string(text));
   if (!at || at->second == 0 || at->first.is_v6() != bracketed) return std::nullopt;
--- a/src/configuration/client.cpp
+++ b/src/configuration/client.cpp
@@ -117,13 +117,13 @@
   // After a failure the next machine may be silent too, and a held poll would delay a change by its full
   // wait. Without a wait the machine has to answer at once, with or without news.
   const Duration maxWait = retryingAfterFailure_ ? Duration{} : settings_.longPollWait;
-  const Watch::Patience patience{maxWait + settings_.silenceTimeout, settings_.silenceTimeout,
-                                 settings_.maxResponseTime};
+  const LongPollClient::Timeouts patience{maxWait + settings_.silenceTimeout, settings_.silenceTimeout,
+                                          settings_.maxResponseTime};
   const PollRequest request{gatewayName_, versionState_, maxWait};
   watch_.call(settings_.endpoints[currentEndpoint_], formatPollTarget(request), patience);
 }
 
-void Client::onWatchLost() { onEndpointFailure(); }
+void Client::onLongPollFailed() { onEndpointFailure(); }
 
 void Client::onEndpointFailure() {
   endpoints_.onFailure(currentEndpoint_, clock_.now(), randomUnit());
@@ -133,7 +133,7 @@
   schedulePoll(clock_.now());
 }
 
-void Client::onWatchResponse(WatchResponse&& response) {
+void Client::onLongPollResponse(LongPollResponse&& response) {
   if (response.status == kStatusUnavailable && response.retryAfter > Duration{}) {
     endpoints_.onRetryAfter(currentEndpoint_, clock_.now(), response.retryAfter, randomUnit());
     schedulePoll(clock_.now());
--- a/src/configuration/client.hpp
+++ b/src/configuration/client.hpp
@@ -18,7 +18,7 @@
 #include "configuration/poll_request.hpp"
 #include "configuration/settings.hpp"
 #include "net/clock.hpp"
-#include "net/watch.hpp"
+#include "net/long_poll_client.hpp"
 
 namespace finchstile::configuration {
 
@@ -26,7 +26,7 @@
 // is written.
 inline constexpr std::size_t kMaxClientDescriptors = 3;
 
-class Client : WatchCallbacks {
+class Client : LongPollCallbacks {
  public:
   struct Statistics {
     Version activeVersion;
@@ -72,8 +72,8 @@
   void loadSnapshotFile();
   void schedulePoll(Time notBefore);
   void poll();
-  void onWatchResponse(WatchResponse&& response) override;
-  void onWatchLost() override;
+  void onLongPollResponse(LongPollResponse&& response) override;
+  void onLongPollFailed() override;
   void processOnWorker(std::string&& body);
   void onUpdateProcessed(const ProcessedUpdate& processed);
   void recordResult(const ProcessedUpdate& processed);
@@ -95,7 +95,7 @@
   // Points to null once this client is destroyed: results of the worker are dropped then.
   std::shared_ptr<Client*> self_;
   VersionState versionState_;
-  Watch watch_;
+  LongPollClient watch_;
   boost::asio::steady_timer pollTimer_;
   boost::asio::steady_timer fileTimer_;
   Time nextFileWriteAt_;
--- a/src/idempotency/filter.cpp
+++ b/src/idempotency/filter.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "idempotency/relative_time.hpp"
-#include "net/request.hpp"
+#include "net/string_view.hpp"
 
 namespace finchstile::idempotency {
 namespace {
