--- a/src/policy/host_picker.cpp
+++ b/src/policy/host_picker.cpp
@@ -36,6 +36,7 @@
   const auto minSize = static_cast<std::size_t>(std::ceil(kMinGatewaysPerHost * hostsPerGateway));
   baseSubsetSize_ = std::max(std::min(kMaxSubset, maxSize), minSize);
   std::vector<std::uint64_t> hashes;
+  hashes.reserve(active.size());
   for (const HostId id : active) hashes.push_back(inputs_.hosts[id].hash);
   const auto places =
       subsetOrder(hashes, inputs_.settings.gatewayIndex, inputs_.settings.gatewayCount, baseSubsetSize_);
