--- a/src/policy/host_picker.cpp
+++ b/src/policy/host_picker.cpp
@@ -186,8 +186,7 @@
 
 // With what the host's last load report adds, as far as such reports have proven worth anything.
 double HostPicker::currentRelativeLatency(const Host& host, Time now) const {
-  return host.traffic.relativeLatency *
-         inputs_.loadReports.latencyFactor(inputs_.loadReports.hintAt(host.reportedLoad, now));
+  return host.traffic.relativeLatency * inputs_.loadReports.latencyFactorAt(host.reportedLoad, now);
 }
 
 double HostPicker::load(const Host& host, Time now) const {
--- a/src/policy/load_probing.cpp
+++ b/src/policy/load_probing.cpp
@@ -116,15 +116,16 @@
 }
 
 void LoadProbing::reportAttemptStarted(Host& host, Time now) {
+  if (!shape_.usesGroupTrackers()) return;
   report(host, {peer::MessageKind::attemptStarted, host.wireHash(), 0, {}, 0}, now);
 }
 
 void LoadProbing::reportAttemptEnded(Host& host, Outcome outcome, double relativeLatency, Time now) {
+  if (!shape_.usesGroupTrackers()) return;
   report(host, {peer::MessageKind::attemptEnded, host.wireHash(), 0, outcome, relativeLatency}, now);
 }
 
 void LoadProbing::report(Host& host, const peer::Message& message, Time now) {
-  if (!shape_.usesGroupTrackers()) return;
   const std::uint32_t tracker = trackerOf(host.probing.group, now);
   if (!isOwnTracker(tracker)) return send(tracker, message);
   if (message.kind == peer::MessageKind::attemptEnded) onAttemptEnded(host, now);
--- a/src/policy/load_report_model.hpp
+++ b/src/policy/load_report_model.hpp
@@ -23,6 +23,7 @@
   std::array<bool, kSignals> isKnown{};
   Time reportedAt{};  // zero: never
 };
+static_assert(ReportedLoad::kSignals == 2);
 
 // A host's report as it stands at one time, for instance when an attempt goes out.
 struct LoadHint {
@@ -40,6 +41,12 @@
   // How many times its relative latency an answer of the host is expected to take; 1: nothing is known.
   double latencyFactor(const LoadHint& hint) const;
 
+  // The factor of a host's report as it stands now. Called for each candidate of each pick.
+  double latencyFactorAt(const ReportedLoad& reported, Time now) const {
+    const bool isReported = reported.isKnown[0] || reported.isKnown[1];
+    return isReported ? latencyFactor(hintAt(reported, now)) : 1;
+  }
+
   // An answer took `ratio` times what the host's relative latency predicted.
   void onAnswer(const LoadHint& hint, double ratio);
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -46,15 +46,6 @@
   return true;
 }
 
-Time RetryPolicy::repeatDeadline(const ActiveRequest& request) const {
-  const ClassSettings& settings = settingsOf(request);
-  Time first = request.earlierAttempt ? request.earlierAttempt->sentAt : Time::max();
-  for (std::uint32_t i = 0; i < request.attemptCount; ++i)
-    if (request.attempts[i].mayHaveRun) first = std::min(first, request.attempts[i].sentAt);
-  if (settings.idempotency != Idempotency::idempotentWithKey || first == Time::max()) return Time::max();
-  return first + settings.deduplicationWindow - 2 * settings_.eventInterval;
-}
-
 bool RetryPolicy::mayReject(const ActiveRequest& request) const {
   const ClassSettings& settings = settingsOf(request);
   bool mayHaveRun = request.earlierAttempt.has_value();
@@ -64,18 +55,6 @@
           settings.deduplicationScope == DeduplicationScope::all && request.pendingAttempts == 0);
 }
 
-Time RetryPolicy::latestUsefulAnswer(const ActiveRequest& request) const {
-  const Time end = request.deadline - 2 * settings_.eventInterval;
-  return request.lateValueFraction > 0 ? end
-                                       : std::min(end, request.objectiveAt - 2 * settings_.eventInterval);
-}
-
-bool RetryPolicy::maySend(const ActiveRequest& request, Time now) const {
-  const std::size_t maxAttempts =
-      std::min<std::size_t>(request.isSingleAttempt ? 1 : settings_.maxAttempts, kMaxAttemptsPerRequest);
-  return latestUsefulAnswer(request) > now && request.attemptCount < maxAttempts;
-}
-
 Duration RetryPolicy::attemptTimeout(const ActiveRequest& request, Time now) const {
   const Duration left = latestUsefulAnswer(request) - now;
   const Duration lost = lossTimeout(request);
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -6,6 +6,9 @@
 // has an idempotency key and the other host drops repeats together with the first one, within the window.
 #pragma once
 
+#include <algorithm>
+#include <cstddef>
+
 #include "policy/active_request.hpp"
 #include "policy/fleet_shape.hpp"
 #include "policy/host_registry.hpp"
@@ -27,7 +30,14 @@
     return isFirst || mayRepeatOn(request, host, now);
   }
   // No byte of another attempt may go out later: the first host may have forgotten the key.
-  Time repeatDeadline(const ActiveRequest& request) const;
+  Time repeatDeadline(const ActiveRequest& request) const {
+    const ClassSettings& settings = settingsOf(request);
+    Time first = request.earlierAttempt ? request.earlierAttempt->sentAt : Time::max();
+    for (std::uint32_t i = 0; i < request.attemptCount; ++i)
+      if (request.attempts[i].mayHaveRun) first = std::min(first, request.attempts[i].sentAt);
+    if (settings.idempotency != Idempotency::idempotentWithKey || first == Time::max()) return Time::max();
+    return first + settings.deduplicationWindow - 2 * settings_.eventInterval;
+  }
   // Whether the client may be told that nothing of the request took effect, and so that it may try again.
   bool mayReject(const ActiveRequest& request) const;
   // An attempt that dies with its connection may have run. What may not run again anywhere is sent only on a
@@ -39,9 +49,17 @@
   // --- Time
 
   // The latest time at which an answer still has value and still reaches the client.
-  Time latestUsefulAnswer(const ActiveRequest& request) const;
+  Time latestUsefulAnswer(const ActiveRequest& request) const {
+    const Time end = request.deadline - 2 * settings_.eventInterval;
+    return request.lateValueFraction > 0 ? end
+                                         : std::min(end, request.objectiveAt - 2 * settings_.eventInterval);
+  }
   // Whether there is time, and an attempt left, to send the request.
-  bool maySend(const ActiveRequest& request, Time now) const;
+  bool maySend(const ActiveRequest& request, Time now) const {
+    const std::size_t maxAttempts =
+        std::min<std::size_t>(request.isSingleAttempt ? 1 : settings_.maxAttempts, kMaxAttemptsPerRequest);
+    return latestUsefulAnswer(request) > now && request.attemptCount < maxAttempts;
+  }
   // How long an attempt that goes out now may take.
   Duration attemptTimeout(const ActiveRequest& request, Time now) const;
 
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -39,15 +39,6 @@
   classes_.push_back({undescribed, 0, 0, {}, 0});
 }
 
-std::uint32_t TrafficStatistics::classIndexOf(const Request& request) const {
-  return std::min(request.classIndex, describedClasses_);
-}
-
-void TrafficStatistics::onArrival(Time now) {
-  arrivals_ += 1;
-  if (firstArrivalAt_ == Time{}) firstArrivalAt_ = now;
-}
-
 double TrafficStatistics::onExpectedWork(TrafficClass& trafficClass, Duration expectedWork) {
   const double work = toSeconds(expectedWork);
   if (work <= 0) return 1.0;
--- a/src/policy/traffic_statistics.hpp
+++ b/src/policy/traffic_statistics.hpp
@@ -5,6 +5,7 @@
 // answer took, divided by the typical latency of its class times the relative work of the request.
 #pragma once
 
+#include <algorithm>
 #include <vector>
 
 #include "policy/active_request.hpp"
@@ -32,11 +33,16 @@
   TrafficStatistics(const Settings& settings, Time now);
 
   // The class of a request, or a stand-in for undescribed ones: never repeated, of lowest priority.
-  std::uint32_t classIndexOf(const Request& request) const;
+  std::uint32_t classIndexOf(const Request& request) const {
+    return std::min(request.classIndex, describedClasses_);
+  }
   std::vector<TrafficClass>& classes() { return classes_; }
   const std::vector<TrafficClass>& classes() const { return classes_; }
 
-  void onArrival(Time now);
+  void onArrival(Time now) {
+    arrivals_ += 1;
+    if (firstArrivalAt_ == Time{}) firstArrivalAt_ = now;
+  }
   // Returns the request's expected work relative to its class, within limits; 1 if the work is not known.
   double onExpectedWork(TrafficClass& trafficClass, Duration expectedWork);
   // Updates the means of what arriving requests are owed and cost. `relativeWork` as above.
