--- a/src/policy/host_picker.cpp
+++ b/src/policy/host_picker.cpp
@@ -36,6 +36,7 @@
   const auto minSize = static_cast<std::size_t>(std::ceil(kMinGatewaysPerHost * hostsPerGateway));
   baseSubsetSize_ = std::max(std::min(kMaxSubset, maxSize), minSize);
   std::vector<std::uint64_t> hashes;
+  hashes.reserve(active.size());
   for (const HostId id : active) hashes.push_back(inputs_.hosts[id].hash);
   const auto places =
       subsetOrder(hashes, inputs_.settings.gatewayIndex, inputs_.settings.gatewayCount, baseSubsetSize_);
@@ -185,8 +186,7 @@
 
 // With what the host's last load report adds, as far as such reports have proven worth anything.
 double HostPicker::currentRelativeLatency(const Host& host, Time now) const {
-  return host.traffic.relativeLatency *
-         inputs_.loadReports.latencyFactor(inputs_.loadReports.hintAt(host.reportedLoad, now));
+  return host.traffic.relativeLatency * inputs_.loadReports.latencyFactorAt(host.reportedLoad, now);
 }
 
 double HostPicker::load(const Host& host, Time now) const {
