--- a/include/finchstile/load_balancer.hpp
+++ b/include/finchstile/load_balancer.hpp
@@ -98,7 +98,7 @@
   double hostStreamRate = 0;            // streams that may begin at one host, a second
   std::uint32_t maxStreamsPerHost = 0;  // held by one host
   std::uint32_t maxStreams = 0;         // held by this gateway
-  Duration streamRetrySpread{};  // rejected streams are told to come back spread over this; 0: as retryAfter
+  Duration streamRetrySpread{};  // rejected streams get a Retry-After spread over this; 0: as retryAfter
 };
 
 // What may change of classes and tenants while requests are active. A class keeps its place, name,
@@ -154,8 +154,8 @@
   RequestId id = 0;
   std::uint32_t classIndex = kNone;   // into Settings::classes
   std::uint32_t tenantIndex = kNone;  // into Settings::tenants
-  Duration timeLeft{};                // until the client gives this attempt up
-  Duration expectedWork{};            // zero: not known
+  Duration timeLeft{};      // until the client stops waiting for this request; its retries are other requests
+  Duration expectedWork{};  // zero: not known
   std::uint64_t affinityKey = 0;
   bool hasAffinityKey = false;
   // Its body is still coming and is passed on as it comes: it can be sent once only, and neither its time nor
@@ -168,8 +168,8 @@
   // Goes to hosts of the local zone as long as they have capacity without any loss of latency.
   bool preferLocalZone = false;
   // Binds this request like an own attempt that may have run: it goes only where repeats are dropped together
-  // with that one's, within the window, and else fails. It is never rejected, since a retry would not be
-  // harmless.
+  // with that one's, within the window, and else fails. Overload alone does not make a retry harmless: it is
+  // rejected only where RetryPolicy finds a retry harmless.
   std::optional<EarlierAttempt> earlierAttempt;
 };
 
@@ -262,9 +262,10 @@
 // --- Actions ---------------------------------------------------------------------------------------------
 
 enum class ActionKind {
-  sendAttempt,      // send the request to a host; its result is owed to onAttemptResult
-  reject,           // end the request: overload, and a retry of the client is harmless
-  fail,             // end the request: it may have taken effect
+  sendAttempt,  // send the request to a host; its result is owed to onAttemptResult
+  reject,  // end the request unserved (overload, no usable host, no time or retry left); a client's retry is
+           // harmless
+  fail,    // end the request: it may have taken effect, or the request itself is invalid
   cancelAttempt,    // its answer is no longer wanted; its result is still owed
   setTimer,         // call onTimer at this time; replaces the timer before
   pollDiscovery,    // poll for the endpoint list
@@ -347,10 +348,11 @@
   // Known, and gets nothing new at present by the load balancer's own choice.
   bool isAvoided(HostId host) const;
   const std::string& hostAddress(HostId host) const;  // throws std::out_of_range if it is not known
-  double admissionCutoff() const;                     // 0 to 100: requests of lower scores are rejected now
-  std::size_t openRequests() const;                   // requests that are active, or have pending attempts
-  std::size_t streamCount(HostId host) const;         // that the host holds or is sent; 0 if it is not known
-  std::size_t streamCount() const;                    // of all hosts
+  double admissionCutoff()
+      const;  // 0 to 100: requests of lower scores are rejected. With load probing more may be rejected
+  std::size_t openRequests() const;            // requests that are active, or have pending attempts
+  std::size_t streamCount(HostId host) const;  // that the host holds or is sent; 0 if it is not known
+  std::size_t streamCount() const;             // of all hosts
 
  private:
   struct Impl;
--- a/src/app/gateway_program.hpp
+++ b/src/app/gateway_program.hpp
@@ -36,8 +36,9 @@
 
 class GatewayProgram {
  public:
-  // Reads both files, opens the listener and holds what the platform handed down. Throws std::exception with
-  // one line, or with all problems of the operator's file, if the gateway cannot start with them.
+  // Reads both files and opens the listener, or takes over the inherited one (LB_INHERITED_FD). Throws
+  // std::exception with one line, or with all problems of the operator's file, if the gateway cannot start
+  // with them.
   explicit GatewayProgram(const RunOptions& options);
 
   // Serves until a drain is over. Signals are taken from here on: SIGTERM and SIGINT drain, SIGHUP reloads.
--- a/src/cross_zone/cross_zone_account.hpp
+++ b/src/cross_zone/cross_zone_account.hpp
@@ -36,8 +36,8 @@
   CrossZoneCounts total() const;
   std::uint64_t localAttempts() const;
 
-  // Log lines: one for each class and zone with attempts, and one with the totals. docs/operators/crossing.md
-  // promises their form:
+  // Log lines: one for each class and zone with attempts, and one with the totals.
+  // docs/operators/cross_zone.md promises their form:
   //   crossing class=log-in zone=cluj attempts=12 forced=0 out=2400 in=960
   std::vector<std::string> report() const;
 
--- a/src/drain/plan.hpp
+++ b/src/drain/plan.hpp
@@ -1,19 +1,20 @@
 // When a gateway that has received the signal to end stops accepting clients, serving them, and waiting for
 // hosts. No I/O.
 //
-// The platform kills the process no sooner than 0.7 s after the longest deadline of a request, counted from
-// the signal; of a longer deadline it counts 3 s. Requests that are unanswered then are lost, so every time
-// is counted back from there:
+// The platform kills the process 0.7 s after the longest deadline of a request, counted from the signal, and
+// no sooner. Deadlines above 3 s count as 3 s. Requests that are unanswered by then are lost.
 //
-//   signalledAt        the signal, as early as it may have come
-//   acceptDeadline     load balancers in front connect until then; after it the process may end once no
-//   client is left serveDeadline      connections stay open until then; from then on a response closes its
-//   connection listenerCloseTime  the connections in the accept queue are accepted, and no others
-//   finalResponseTime  every open request gets its final response at once, even if only a part of it has
-//   arrived exitTime           the process ends killTime           the earliest time at which it is killed
+//   signalledAt        the earliest time at which the signal may have been sent
+//   acceptDeadline     until then clients may still connect; later the process may end once no client is left
+//   serveDeadline      until then responses leave connections open; later each response closes its connection
+//   listenerCloseTime  the accept queue is emptied, and the listener is closed
+//   finalResponseTime  every open request gets its final response, also one that has arrived only in part
+//   exitTime           the process ends
+//   killTime           the earliest time at which the platform kills the process
 //
-// The time between exit and kill is a margin for an event loop that is late. It grows with the lag seen while
-// draining, which moves all times from serveDeadline on forward.
+// The time between exit and kill is a margin for a late event loop. It grows by the worst lag seen while
+// draining, at most 0.2 s: exitTime and finalResponseTime become that much earlier, and the times before them
+// as far as they depend on these. killTime stays.
 #pragma once
 
 #include "finchstile/load_balancer.hpp"
--- a/src/handover/message.hpp
+++ b/src/handover/message.hpp
@@ -13,9 +13,10 @@
 //
 //   kind 1  hello         from the successor: the payload is the gateway's name
 //   kind 2  welcome       the predecessor's answer: the payload is the gateway's name
-//   kind 3  connection    from the predecessor: an idle client connection, whose descriptor is sent along; no
-//   payload kind 4  finished      from the predecessor: no more connections follow; no payload kind 5
-//   learnedState  from the predecessor, after its welcome: what its load balancer has learned
+//   kind 3  connection    from the predecessor: an idle client connection; its descriptor is sent along, no
+//                         payload
+//   kind 4  finished      from the predecessor: no more connections follow; no payload
+//   kind 5  learnedState  from the predecessor, after its welcome: what its load balancer has learned
 //                         (learned_state_text.hpp)
 //
 // A process closes its channel when anything else arrives. Two versions with different formats thus close
--- a/src/idempotency/filter_summary.hpp
+++ b/src/idempotency/filter_summary.hpp
@@ -23,8 +23,9 @@
   std::uint64_t unrecorded = 0;           // ran, or were rejected, without a record in the log
 };
 
-// One line "idempotency name=value ...". Operators and tests read its names, which docs/operators explains,
-// so they keep their form. `journal` and `ownership` are null if they are not enabled.
+// One line "idempotency name=value ...". Operators and tests read its names, which
+// docs/operators/idempotency.md explains, so they keep their form. `journal` and `ownership` are null if they
+// are not enabled.
 std::string summarize(const Store& store, const FilterCounts& counts, const Journal* journal,
                       const KeyOwnership* ownership);
 
--- a/src/idempotency/pending_messages.hpp
+++ b/src/idempotency/pending_messages.hpp
@@ -12,6 +12,7 @@
 
 namespace finchstile::idempotency {
 
+// Identifies one message to another gateway, for its answer; not a load_balancing::RequestId.
 using RequestId = std::uint64_t;
 
 struct PendingMessage {
--- a/src/membership/snapshot_message.hpp
+++ b/src/membership/snapshot_message.hpp
@@ -6,15 +6,13 @@
 //
 // A record is never split, so each chunk is of use without the others. Integers and floats are little-endian:
 //   u8 1, u32 uptime of the gateway in ms, f32 arrivalRate, arrivalSamples, answers, inTimeRate,
-//   meanLatencyObjective,
-//         meanTypicalLatency, unloadedConcurrency, servedFraction
+//         meanLatencyObjective, meanTypicalLatency, unloadedConcurrency, servedFraction
 //   u8 2, u64 class, f32 typicalLatency, meanExpectedWork, lateRetryFraction, u32 typicalTimeLeft in us
 //   u8 3, u64 machine type, f32 provenRate, relativeLatency
 //   u8 4, f32 priorityWeight, recentRequests
 //   u8 5, u64 host, u64 start (Unix ms; 0: long ago), u8 phase, u64 version, u16 age in hundredths of a
-//   second,
-//         f32 relativeLatency, failureRate, answerRate, u16 ejectedFor in hundredths of a second, u8
-//         ejections
+//         second, f32 relativeLatency, failureRate, answerRate, u16 ejectedFor in hundredths of a second,
+//         u8 ejections
 #pragma once
 
 #include <cstdint>
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -31,7 +31,8 @@
 constexpr std::string_view kRefusal =
     "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-// Above 0: bytes lie unread. 0: the end does. Below 0: nothing yet, or an error that errno tells.
+// Looks at the next byte without consuming it. Above 0: there is one. 0: the client has closed its sending
+// side. Below 0: errno is EAGAIN if nothing has come, else the error of the connection.
 ssize_t peek(tcp::socket& socket) {
   char byte = 0;
   return ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -302,7 +303,8 @@
   if (state_ == State::waiting && (!bodyIncomplete_ || !bodyPieceWanted_)) return false;
   const Time now = listener_.clock_.now();
   const Duration timeout = listener_.options_.requestTimeout;
-  // Without this a body that came fast at first would earn its client minutes of silence.
+  // The limit below grows with the bytes received. Without this check a client could send much at first and
+  // then be silent for minutes.
   if (bodyIncomplete_ && now - lastByteAt_ > timeout) return true;
   double bytes = static_cast<double>(reader_.bodyRead());
   if (bodyIncomplete_) bytes -= static_cast<double>(kMaxBufferedBody);
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -24,8 +24,8 @@
 
 constexpr Duration kMaintenanceInterval = milliseconds(250);
 constexpr Duration kMaintenanceIntervalInDrain = milliseconds(20);
-// Fronts notice that the gateway is not ready, and clients that use their connections once more learn of it
-// from the response. Connections that are idle for longer are closed.
+// Within this time the platform's load balancers notice that the gateway is not ready, and clients that send
+// another request learn of it from `Connection: close`. Connections that are idle for longer are closed.
 constexpr Duration kIdleTimeInLameDuck = milliseconds(1200);
 
 }  // namespace
@@ -277,7 +277,9 @@
     case ActionKind::pollDiscovery: return discovery_.watch();
     case ActionKind::log: std::fprintf(stderr, "%s\n", action.text.c_str()); return;
     case ActionKind::cancelAttempt:  // has been executed ahead of the others
-    case ActionKind::probeHost:      // the gateway's settings offer neither this one nor the next
+    // The gateway carries out neither probes nor messages of the decision module: they have no result, and
+    // the pick goes on without them.
+    case ActionKind::probeHost:
     case ActionKind::sendPeerMessage: return;
   }
 }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -92,7 +92,8 @@
   const bool inherited_;
   bool draining_ = false;
   std::function<bool(int)> handOver_;
-  Time closeIdleAt_{};  // 0: not a lame duck
+  Time closeIdleAt_{};  // idle connections are closed from then on, in a lame duck or a drain; 0: they are
+                        // kept
 };
 
 }  // namespace finchstile
--- a/src/net/request_filter.hpp
+++ b/src/net/request_filter.hpp
@@ -6,11 +6,15 @@
 //                    asked. A filter may answer the request here, or hold it and have it answered or admitted
 //                    later through RequestFilterCallbacks.
 //   admitted         The load balancer has chosen a host for it for the first time.
-//   attemptSending   An attempt is composed, right before its first byte. A filter may add headers for the
-//   host. attemptEnded     An attempt has ended, and it is known whether it may have run. responseHeaders The
-//   one final response is known. A filter may add headers for the client. responseSent     The response has
-//   been handed to the client's connection. completed        Nothing more goes out for the request. Comes
-//   once for each request that was received.
+//   attemptSending   An attempt is composed, right before its first byte. A filter may add headers for
+//                    the host.
+//   attemptEnded     An attempt has ended, and it is known whether it may have run. Not called for attempts
+//                    that end after `completed`.
+//   responseHeaders  The one final response is known. A filter may add headers for the client.
+//   responseSent     The response has been handed to the client's connection; of a relayed response,
+//                    its head.
+//   completed        The client has its response, or has gone. Called once for each request that was
+//                    received.
 //
 // In each phase filters are called in the order in which they were attached. A phase that no filter asks for
 // costs one check of an empty list; without any filter nothing is allocated either.
@@ -50,7 +54,8 @@
 }
 
 enum class RequestResult : std::uint8_t {
-  served,             ///< With a host's response, or one of a filter that held it.
+  served,  ///< With a host's response, or with what a filter answered after holding it: its status may be an
+           ///< error.
   rejected,           ///< Never sent, or rejected by hosts: trying again is harmless.
   failed,             ///< By the load balancer or the host.
   rejectedByFilter,   ///< Before the load balancer was asked.
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -77,7 +77,7 @@
   tcp::endpoint endpoint_;
   Time idleSince_{};
   Duration roundTrip_{};  // as the connect took it
-  bool closed_ = false;   // to the pool
+  bool closed_ = false;   // the pool no longer counts it: closed, or given away by an upgrade
   bool connecting_ = true;
   bool watchingIdle_ = false;
   bool watchingEarly_ = false;
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -38,8 +38,8 @@
   virtual void onRequestBodyWanted(AttemptId attempt) = 0;
   /// The head of the final response is here: whatever becomes of the rest, the host has done its work.
   virtual void onResponseHeaders(AttemptId attempt) = 0;
-  /// Called once for each attempt, unless it was given up or its response has begun. Never called from within
-  /// a call of UpstreamPool.
+  /// Called once for each attempt, unless it was given up or its response has begun. May be called from
+  /// within `sendBody`, if a last piece leaves nothing to be written, but from no other call of UpstreamPool.
   virtual void onOutcome(AttemptId attempt, load_balancing::Outcome outcome, UpstreamResponse&& response) = 0;
   /// A served response that is too long to be buffered, with its body as far as it has come. Each further
   /// piece waits for `resumeReading`; the last one, or the truncation, ends the attempt.
@@ -85,7 +85,8 @@
     limits_.maxConnectingPerHost = maxConnectingPerHost;
     limits_.minConnectionCheck = minConnectionCheck;
   }
-  /// Closes connections that are idle for too long. To be called about once a second.
+  /// Closes connections that are idle for too long. To be called a few times a second; calls in between do no
+  /// harm.
   void sweep();
 
   std::size_t connections() const { return connections_; }
--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -50,7 +50,8 @@
   double score = 0;  // 1 to 100
 
   // Load probing.
-  double observedLoad = -1;    // requests that the host of the attempt holds; below 0: not known
+  double observedLoad =
+      -1;  // load of the least loaded host that reported, when the wait ended; below 0: not known
   int awaitedReports = 0;      // probe results or recommendations that have not come
   HostId leastLoaded = kNone;  // among the reports that have come
   double leastLoad = 0;        // requests that host holds
--- a/src/policy/discovery_backoff.hpp
+++ b/src/policy/discovery_backoff.hpp
@@ -1,7 +1,6 @@
-// Decides when discovery is polled again, from failed calls, moves to another discovery and silence. A change
-// counts as known to a gateway 6 s after discovery could be reached, whatever became of the calls. The
-// longest pause here, after a call of 2 s that failed and before an answer that takes 1.5 s, leaves half a
-// second.
+// Decides when discovery is polled again, from failed calls, migrations to another discovery and silence. A
+// gateway must know a change within 6 s of discovery being reachable. Worst case: a call that fails after 2
+// s, a pause of kMaxPause (2 s), and a call that is answered after 1.5 s, 5.5 s in all.
 #pragma once
 
 #include <algorithm>
@@ -16,13 +15,13 @@
   // `settings` must outlive this.
   explicit DiscoveryBackoff(const Settings& settings) : settings_(settings) {}
 
-  // A call failed. Draws once for the pause until the next one, or a fleet would poll together.
+  // A call failed. Draws once for the pause until the next one, or all gateways would poll together.
   void onUnavailable(Time now, RandomSource& random) {
     isPolling_ = false;
     Duration pause = std::min(kFirstPause * (1 << failures_), kMaxPause);
-    failures_ = now < hurryUntil_ ? 0 : std::min(failures_ + 1, kMaxFailures);
-    // After a move discovery rejects calls while it is full: they follow sooner the longer the wait was.
-    if (now < hurryUntil_) pause = (hurryUntil_ - now) / kHurryFraction;
+    failures_ = now < migrationUntil_ ? 0 : std::min(failures_ + 1, kMaxFailures);
+    // After a migration discovery rejects calls while it is full: they follow sooner the longer the wait was.
+    if (now < migrationUntil_) pause = (migrationUntil_ - now) / kMigrationPauseDivisor;
     if (settings_.maxDiscoverySilence > Duration{})
       pause = std::min(pause, settings_.maxDiscoverySilence / 3);
     nextPollAt_ = now + std::max(scaled(pause, random.unit()), kMinPause);
@@ -30,7 +29,7 @@
 
   // The proxy polls another discovery from now on and has a call out.
   void onMoved(Time now) {
-    hurryUntil_ = now + kHurrySpan;
+    migrationUntil_ = now + kMigrationSpan;
     polledAt_ = now;
     isPolling_ = true;
     hasAnswered_ = false;
@@ -40,7 +39,7 @@
   void onAnswer() {
     failures_ = 0;
     hasAnswered_ = true;
-    hurryUntil_ = {};
+    migrationUntil_ = {};
   }
 
   // A list came from elsewhere and may be stale: discovery is polled at once.
@@ -64,15 +63,15 @@
   static constexpr Duration kMaxPause = std::chrono::seconds(2);
   static constexpr Duration kMinPause = std::chrono::milliseconds(50);
   static constexpr int kMaxFailures = 4;
-  static constexpr Duration kHurrySpan = std::chrono::seconds(8);  // twice what a move may take
-  static constexpr int kHurryFraction = 32;                        // of the rest of that span
+  static constexpr Duration kMigrationSpan = std::chrono::seconds(8);  // twice what a migration may take
+  static constexpr int kMigrationPauseDivisor = 32;  // a pause is the rest of that span, divided by this
 
   const Settings& settings_;
   bool isPolling_ = false;    // a call is out, and has not failed
   bool hasAnswered_ = false;  // and has brought a list
   Time polledAt_{};
   Time nextPollAt_{};
-  Time hurryUntil_{};  // discovery has moved and has not sent a list since
+  Time migrationUntil_{};  // discovery has moved and has not sent a list since
   int failures_ = 0;
 };
 
--- a/src/policy/fleet_shape.hpp
+++ b/src/policy/fleet_shape.hpp
@@ -17,9 +17,9 @@
   // Own in-flight counts and rates then say next to nothing of what a host carries.
   bool gatewaysOutnumberHosts() const { return settings_.gatewayCount > hosts_.active().size(); }
 
-  // Not every gateway is to meet every host: there are more gateways than hosts, or than kMaxGatewaysPerHost.
+  // Not every gateway is to meet every host: there are more gateways than hosts, or than kLargeBankGateways.
   bool isLargeBank() const {
-    return settings_.gatewayCount > std::min(hosts_.active().size(), kMaxGatewaysPerHost);
+    return settings_.gatewayCount > std::min(hosts_.active().size(), kLargeBankGateways);
   }
 
   // Load probing stands in for the own in-flight counts.
@@ -38,7 +38,7 @@
   }
 
  private:
-  static constexpr std::size_t kMaxGatewaysPerHost = 32;
+  static constexpr std::size_t kLargeBankGateways = 32;
   const Settings& settings_;
   const HostRegistry& hosts_;
 };
--- a/src/policy/host_picker.hpp
+++ b/src/policy/host_picker.hpp
@@ -45,8 +45,8 @@
   // The host for the next attempt of a request, or kNone.
   HostId pick(const ActiveRequest& request, Time now, RandomSource& random);
 
-  // Whether the host is well, not backing off, not yet tried for the request, and allowed by the rule on
-  // repeats. Its capacity is not looked at.
+  // Whether the host is healthy or open to a trial, not in capacity backoff, not yet tried for the request,
+  // and allowed by the rule on repeats. Slow start and stream limits (hasCapacity) are not checked.
   bool isUsable(const ActiveRequest& request, HostId id, Time now) const;
 
  private:
--- a/src/policy/late_retry_detector.hpp
+++ b/src/policy/late_retry_detector.hpp
@@ -1,8 +1,9 @@
 // Decides how much of its client's patience a request had spent before it came, from the time that the client
 // leaves it. What was spent counts against the latency objective: a late retry earns less.
 //
-// Clients give single attempts one time, and a later attempt what is left of their total wait. So a request
-// whose time is not the typical one of its class, a running median, is taken for a late retry.
+// A client gives a first request a fixed time, and a retry only what is left of its total wait
+// (clientTimeout). So a request whose time is not the typical one of its class, a running median, is taken
+// for a late retry.
 #pragma once
 
 #include <algorithm>
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -79,7 +79,7 @@
     picker.rebuildPreferenceOrder();
   }
 
-  // What was learned of an earlier process of the host is void.
+  // What was learned of an earlier process of the host is void, except a capacity backoff that still runs.
   void onHostStarted(Host& host) {
     OutlierDetector::onHostStarted(host);
     CapacityBackoff::onHostStarted(host);
@@ -103,9 +103,9 @@
     request.score = admission.score(request.priorityWeight, random);
     overload.onArrival(now);
     if (!AdmissionController::admits(request.score, overload.cutoff()))
-      return request.earlierAttempt ? giveUp(request) : reject(request);
+      return request.earlierAttempt ? rejectOrFail(request) : rejectForOverload(request);
     if (!request.isBodyIncomplete) timers.add(request.deadline - settings.eventInterval, request.id);
-    if (!route(request)) giveUp(request);
+    if (!route(request)) rejectOrFail(request);
   }
 
   Duration onRequestBodyComplete(RequestId id) {
@@ -211,7 +211,7 @@
     ActiveRequest* request = find(id);
     if (!request || request->hasEnded || request->hasResponseStarted) return;
     // A result that never comes must not leave the client without an answer.
-    if (now >= request->deadline - settings.eventInterval) return giveUp(*request);
+    if (now >= request->deadline - settings.eventInterval) return rejectOrFail(*request);
     if (request->awaitedReports == 0) return;
     if (!settings.probingEnabled && hosts.contains(request->leastLoaded))
       probing.onTrackerSilent(hosts[request->leastLoaded].probing.group, now);
@@ -290,9 +290,9 @@
         isKnown && hosts[best].entry.phase == HostPhase::active && picker.isUsable(request, best, now);
     if (isRecommended && (isRejected || !isUsable) && isKnown)
       probing.reportAttemptEnded(hosts[best], Outcome::notSent, 0, now);
-    if (isRejected) return reject(request);
+    if (isRejected) return rejectForOverload(request);
     const HostId host = isUsable ? best : picker.pick(request, now, random);
-    if (!send(request, host, isRecommended && isUsable)) giveUp(request);
+    if (!send(request, host, isRecommended && isUsable)) rejectOrFail(request);
   }
 
   bool send(ActiveRequest& request, HostId id, bool isRecommended) {
@@ -327,12 +327,12 @@
     const double highestWeight = admission.highestPriorityWeight(request.priorityWeight);
     const bool retry = outcome != Outcome::notSent && retries.mayRetry(request, highestWeight, now);
     if (retry && route(request)) retries.onRetry();
-    else giveUp(request);
+    else rejectOrFail(request);
   }
 
-  // Ends a request that cannot be served. A rejection promises that a retry is harmless; without a proof of
-  // that the request fails.
-  void giveUp(ActiveRequest& request) {
+  // Ends a request that cannot be served, since no host, time, attempt or retry is left: rejects it if a
+  // client's retry is harmless, otherwise fails it. Only streams get a Retry-After.
+  void rejectOrFail(ActiveRequest& request) {
     if (retries.mayReject(request)) {
       const Duration retryAfter = request.isStream ? admission.retryAfter(request, random) : Duration{};
       actions.push(ActionKind::reject, request.id, 0, kNone, retryAfter);
@@ -343,7 +343,7 @@
   }
 
   // Rejects an unsent request because of overload.
-  void reject(ActiveRequest& request) {
+  void rejectForOverload(ActiveRequest& request) {
     actions.push(ActionKind::reject, request.id, 0, kNone, admission.retryAfter(request, random));
     end(request);
   }
@@ -390,8 +390,7 @@
     return nullptr;
   }
 
-  // --- What results tell
-  // ------------------------------------------------------------------------------------
+  // --- Results ------------------------------------------------------------------------------------------
 
   void learnFromResult(const ActiveRequest& request, const Attempt& attempt, const AttemptResult& result) {
     Host& host = hosts[attempt.host];
@@ -418,7 +417,8 @@
     traffic.onServedOrNot(outcome == Outcome::served);
   }
 
-  // `firstHand`: the attempt was this gateway's own, and not told to it as the tracker of the host's group.
+  // `firstHand`: the attempt was this gateway's own, and not reported to it as the tracker of the host's
+  // group.
   void learnOfHost(Host& host, Outcome outcome, double relativeLatency, bool firstHand) {
     traffic.learnRelativeLatency(host, outcome, relativeLatency, hosts);
     const bool isUnreachable = (outcome == Outcome::connectFailed || outcome == Outcome::reset) &&
@@ -444,8 +444,7 @@
     overload.sweep(now, fastGain);
   }
 
-  // --- After each event
-  // -------------------------------------------------------------------------------------
+  // --- After each event ---------------------------------------------------------------------------------
 
   void pollDiscovery() {
     if (!discovery.isDue(now)) return;
--- a/src/policy/load_probing.hpp
+++ b/src/policy/load_probing.hpp
@@ -4,10 +4,13 @@
 //
 // - probes a few drawn hosts for the requests that they hold, or
 // - asks the tracker of the drawn host's group for a recommendation. The tracker is a gateway, found by hash,
-//   that is told of attempts and outcomes at the hosts of the group.
+//   to which attempts and outcomes at the hosts of the group are reported.
 //
 // Inputs are probe results and peer messages. All of it is advisory: late, lost or wrong, the ordinary pick
 // stands in, and endpoint lists and the rule on repeats always hold.
+//
+// Only the simulator uses it: a gateway carries out neither probes nor messages of the decision module
+// (src/net/gateway.cpp).
 #pragma once
 
 #include <cmath>
--- a/src/policy/overload_estimator.cpp
+++ b/src/policy/overload_estimator.cpp
@@ -28,7 +28,7 @@
 constexpr double kMaxErrorFraction = 0.7;
 // What a subset rejects is rejected whatever its priority, once retries are used up: lower there.
 constexpr double kMaxErrorFractionOfSubset = 0.4;
-constexpr double kRejectionError = 0.5;  // weight of a rejection where load probing chooses by hearsay
+constexpr double kRejectionError = 0.5;  // weight of a rejection where load probing chooses by reported load
 constexpr double kPriorOutcomes = 10;    // attempts assumed good, so that a handful of samples proves nothing
 constexpr int kCutoffLogStep = 20;
 
--- a/src/policy/overload_estimator.hpp
+++ b/src/policy/overload_estimator.hpp
@@ -2,10 +2,10 @@
 // 100 x^3, where x is the larger of two overloads of the pool, each 0 at its threshold and 1 at its maximum:
 //
 // - in-flight overload: attempts of this gateway in flight, against what the pool can hold. By Little's law
-// it
-//   holds `rate x latency objective` at most if answers are to be in time. Where load probing is in use, the
-//   figures of the probed hosts stand in for it (load_probing.hpp).
-// - error overload: the fraction of attempts that fail.
+//   the pool holds `rate x latency objective` at most if answers are to be in time. Where load probing is in
+//   use, the figures of the probed hosts stand in for it (load_probing.hpp).
+// - error overload: the fraction of attempts that were not served, capacity rejections and time-outs
+// included.
 #pragma once
 
 #include <cstddef>
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -38,7 +38,8 @@
     if (settings.idempotency != Idempotency::idempotentWithKey || first == Time::max()) return Time::max();
     return first + settings.deduplicationWindow - 2 * settings_.eventInterval;
   }
-  // Whether the client may be told that nothing of the request took effect, and so that it may try again.
+  // Whether a retry by the client is harmless: no attempt may have run, or the hosts tolerate a repeat
+  // (idempotent, or one deduplication scope for all hosts and nothing pending). Otherwise the request fails.
   bool mayReject(const ActiveRequest& request) const;
   // An attempt that dies with its connection may have run. What may not run again anywhere is sent only on a
   // connection that has shown life; an idempotent request is sent again anyway and spared the wait.
--- a/src/policy/traffic_statistics.hpp
+++ b/src/policy/traffic_statistics.hpp
@@ -78,9 +78,11 @@
   Time startedAt() const { return startedAt_; }
   Duration sweepInterval() const { return sweepInterval_; }
   double answers() const { return answers_; }
-  double arrivalRate() const { return arrivalRate_; }  // arrivals a sweep
-  double inTimeRate() const { return inTimeRate_; }    // answers a second, weighted by work and by lateness
-  double sendRate() const { return sendRate_; }        // attempts a second
+  double arrivalRate() const {
+    return arrivalRate_;
+  }  // arrivals per sweep (sweepInterval(), 100 ms or longer); the other rates are per second
+  double inTimeRate() const { return inTimeRate_; }  // answers a second, weighted by work and by lateness
+  double sendRate() const { return sendRate_; }      // attempts a second
   double provenServedRate() const { return provenServedRate_; }  // answers a second and host, lately at best
   double servedFraction() const { return servedFraction_; }
   double meanLatencyObjective() const { return meanLatencyObjective_; }  // seconds
