--- a/src/app/operator_file_reloader.cpp
+++ b/src/app/operator_file_reloader.cpp
@@ -34,7 +34,7 @@
   });
 }
 
-void OperatorFileReloader::onFinished(std::shared_ptr<LoadedOperatorFile> loaded,
+void OperatorFileReloader::onFinished(const std::shared_ptr<LoadedOperatorFile>& loaded,
                                       const std::string& problems) {
   loading_ = false;
   if (loaded) callbacks_.onLoaded(std::move(*loaded));
--- a/src/app/operator_file_reloader.hpp
+++ b/src/app/operator_file_reloader.hpp
@@ -33,7 +33,7 @@
   static constexpr std::uint64_t kFirstVersion = 1;  // of the file that was read at the start
 
  private:
-  void onFinished(std::shared_ptr<LoadedOperatorFile> loaded, const std::string& problems);
+  void onFinished(const std::shared_ptr<LoadedOperatorFile>& loaded, const std::string& problems);
 
   boost::asio::io_context& io_;
   const std::string path_;
--- a/src/stream/settings.cpp
+++ b/src/stream/settings.cpp
@@ -43,7 +43,7 @@
     r.boolean("enabled", out.enabled);
     r.number("descriptor_share", out.descriptorShare, 0.01, 0.9);
     r.size("most", out.most, 1, 100'000);
-    r.size("buffer_bytes", out.bufferBytes, 64 * 1024, std::size_t{4} << 30);
+    r.size("buffer_bytes", out.bufferBytes, std::size_t{64} * 1024, std::size_t{4} << 30);
     r.size("host_streams", out.hostStreams, 0, 1'000'000);
     r.number("host_rate", out.hostRate, 0, 100'000);
     r.duration("return_within", out.returnWithin, milliseconds(100), hours(1));
--- a/tools/simulated_gateways.cpp
+++ b/tools/simulated_gateways.cpp
@@ -351,7 +351,8 @@
       playFor(milliseconds(500 + engine_() % 1000));
       before(i);
       const WallTime published = std::chrono::steady_clock::now();
-      const auto version = control_.publish({tenant(engine_() % options_.tenants, 1 + engine_() % 100)});
+      const auto version =
+          control_.publish({tenant(engine_() % options_.tenants, static_cast<double>(1 + engine_() % 100))});
       until([&] { return allHave(version.revision); }, "a change");
       for (const HollowGateway& g : gateways_)
         took.values.push_back(secondsSince(published, g.inForceSince.at(version.revision)));
@@ -366,7 +367,8 @@
     Meter meter(*this);
     for (std::size_t i = 0; i < options_.changes; ++i) {
       const WallTime now = std::chrono::steady_clock::now();
-      const auto version = control_.publish({tenant(engine_() % options_.tenants, 1 + engine_() % 100)});
+      const auto version =
+          control_.publish({tenant(engine_() % options_.tenants, static_cast<double>(1 + engine_() % 100))});
       published.emplace_back(version.revision, now);
       playFor(std::chrono::nanoseconds(static_cast<std::int64_t>(1e9 / kBurstPerSecond)));
     }
@@ -384,7 +386,8 @@
     for (std::size_t g = 0; g < gateways_.size(); g += 2) gateways_[g].client->stop();
     configuration::Version version;
     for (std::size_t i = 0; i < kApartChanges; ++i)
-      version = control_.publish({tenant(engine_() % options_.tenants, 1 + engine_() % 100)});
+      version =
+          control_.publish({tenant(engine_() % options_.tenants, static_cast<double>(1 + engine_() % 100))});
     playFor(seconds(3));
     Meter meter(*this);
     const WallTime back = std::chrono::steady_clock::now();
