--- a/tests/net/wire_format_test.cpp
+++ b/tests/net/wire_format_test.cpp
@@ -1,6 +1,4 @@
 // The bytes that the gateway writes to hosts, clients and discovery, against literals.
-#include <regex>
-
 #include "support/gateway_fixture.hpp"
 #include "support/wires.hpp"
 
@@ -10,9 +8,17 @@
 using std::chrono::milliseconds;
 
 // The time left depends on the machine, so its digits are replaced before the comparison.
-std::string withoutTimeLeft(const std::string& bytes) {
-  static const std::regex timeLeft("X-Time-Left-Ms: [0-9]+\r\n");
-  return std::regex_replace(bytes, timeLeft, "X-Time-Left-Ms: N\r\n");
+std::string withoutTimeLeft(std::string bytes) {
+  static constexpr std::string_view kName = "X-Time-Left-Ms: ";
+  std::size_t at = bytes.find(kName);
+  while (at != std::string::npos) {
+    at += kName.size();
+    const std::size_t end = bytes.find_first_not_of("0123456789", at);
+    if (end != std::string::npos && end > at && bytes.compare(end, 2, "\r\n") == 0)
+      bytes.replace(at, end - at, "N");
+    at = bytes.find(kName, at);
+  }
+  return bytes;
 }
 
 struct WireFormatTest : GatewayTest {
