--- a/src/configuration/configuration_store.cpp
+++ b/src/configuration/configuration_store.cpp
@@ -26,7 +26,7 @@
   const std::uint64_t hash = hashAfter(update);
   // Changes that are applied to another set than theirs would lead to a set that nobody has published.
   if (!update.isSnapshot && (versionState_.version == Version{} || hash != update.hash)) {
-    versionState_.wantsSnapshot = true;
+    versionState_.needsSnapshot = true;
     ApplyOutcome outcome;
     outcome.result = ApplyResult::gap;
     return outcome;
@@ -66,14 +66,14 @@
   if (!isActiveVersion) return std::nullopt;
   if (update.hash != state.hash)
     return reject(update, ApplyResult::conflict, {{"hash", "", "is not that of the version in force"}});
-  versionState_.wantsSnapshot = false;
+  versionState_.needsSnapshot = false;
   outcome.result = ApplyResult::unchanged;
   return outcome;
 }
 
 ApplyOutcome ConfigurationStore::reject(const Update& update, ApplyResult result,
                                         std::vector<ValidationError> errors) {
-  if (result == ApplyResult::conflict) versionState_.wantsSnapshot = false;
+  if (result == ApplyResult::conflict) versionState_.needsSnapshot = false;
   versionState_.rejected = {update.version, update.hash, describe(errors)};
   ApplyOutcome outcome;
   outcome.result = result;
--- a/src/configuration/poll_request.cpp
+++ b/src/configuration/poll_request.cpp
@@ -77,7 +77,7 @@
   target += "&epoch=" + std::to_string(state.version.epoch);
   target += "&hash=" + formatHash(state.hash);
   target += "&timeout_ms=" + std::to_string(maxWaitMs);
-  target += (state.wantsSnapshot ? "&in_force=" : "&since=") + std::to_string(state.version.revision);
+  target += (state.needsSnapshot ? "&in_force=" : "&since=") + std::to_string(state.version.revision);
   if (state.rejected) {
     target += "&refused=" + describe(state.rejected->version) + "." + formatHash(state.rejected->hash);
     target += "&reason=" + encodeQueryValue(state.rejected->reason.substr(0, kMaxReasonBytes));
--- a/src/configuration/version.hpp
+++ b/src/configuration/version.hpp
@@ -30,7 +30,7 @@
 struct VersionState {
   Version version;
   std::uint64_t hash = 0;     // of the active set
-  bool wantsSnapshot = true;  // changes relative to `version` can not be applied
+  bool needsSnapshot = true;  // changes relative to `version` can not be applied
   std::optional<RejectedVersion> rejected;
 };
 
--- a/tests/configuration/configuration_store_test.cpp
+++ b/tests/configuration/configuration_store_test.cpp
@@ -77,7 +77,7 @@
   EXPECT_EQ(other.apply(third).result, ApplyResult::gap);
   EXPECT_EQ(other.versionState().version, first.version);
   EXPECT_EQ(other.tenantCount(), 1u);
-  EXPECT_TRUE(other.versionState().wantsSnapshot);
+  EXPECT_TRUE(other.versionState().needsSnapshot);
   EXPECT_EQ(sync(log, other).result, ApplyResult::accepted);
   EXPECT_EQ(other.tenantCount(), 3u);
 }
@@ -86,7 +86,7 @@
   ConfigurationStore store(startSettings());
   const Update changes = parseUpdate(raw({1, 4}, "0000000000000000", false, ""));
   EXPECT_EQ(store.apply(changes).result, ApplyResult::gap);
-  EXPECT_TRUE(store.versionState().wantsSnapshot);
+  EXPECT_TRUE(store.versionState().needsSnapshot);
 }
 
 // A writer that was replaced continues to write.
--- a/tests/configuration/poll_request_test.cpp
+++ b/tests/configuration/poll_request_test.cpp
@@ -16,13 +16,13 @@
   EXPECT_EQ(parsed->gatewayName, request.gatewayName);
   EXPECT_EQ(parsed->state.version, request.state.version);
   EXPECT_EQ(parsed->state.hash, request.state.hash);
-  EXPECT_FALSE(parsed->state.wantsSnapshot);
+  EXPECT_FALSE(parsed->state.needsSnapshot);
   EXPECT_EQ(parsed->maxWait, request.maxWait);
   ASSERT_TRUE(parsed->state.rejected);
   EXPECT_EQ(parsed->state.rejected->version, (Version{3, 42}));
   EXPECT_EQ(parsed->state.rejected->reason, "tenant/a&b: bad = 100%");
-  request.state.wantsSnapshot = true;
-  EXPECT_TRUE(parsePollTarget(formatPollTarget(request))->state.wantsSnapshot);
+  request.state.needsSnapshot = true;
+  EXPECT_TRUE(parsePollTarget(formatPollTarget(request))->state.needsSnapshot);
 }
 
 TEST(PollRequest, RejectsOtherTargets) {
--- a/tests/configuration/wire_format_test.cpp
+++ b/tests/configuration/wire_format_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_EQ(formatPollTarget(poll),
             "/configuration?gateway=gateway%201%26x%3d%25%2b%23&epoch=3&hash=0000000000000abc&timeout_ms="
             "1000&since=41");
-  poll.state.wantsSnapshot = true;
+  poll.state.needsSnapshot = true;
   poll.state.rejected = {{3, 42}, 7, "tenant/a&b: bad = 100%"};
   EXPECT_EQ(formatPollTarget(poll),
             "/configuration?gateway=gateway%201%26x%3d%25%2b%23&epoch=3&hash=0000000000000abc&timeout_ms="
--- a/tools/control_log.hpp
+++ b/tools/control_log.hpp
@@ -76,11 +76,11 @@
     const configuration::VersionState& at = poll.state;
     if (at.rejected && at.rejected->version == version_ && at.rejected->hash == hash_) return std::nullopt;
     if (version_.revision == 0 || at.version > version_) return std::nullopt;
-    if (at.version == version_ && at.hash == hash_ && !at.wantsSnapshot) return std::nullopt;
+    if (at.version == version_ && at.hash == hash_ && !at.needsSnapshot) return std::nullopt;
     const auto known = history_.find(at.version.revision);
     const bool ancestor = known != history_.end() && known->second.epoch == at.version.epoch &&
                           known->second.hash == at.hash && at.version.revision < version_.revision;
-    if (ancestor && !at.wantsSnapshot) return ControlReply{200, changesSince(at.version.revision), 0};
+    if (ancestor && !at.needsSnapshot) return ControlReply{200, changesSince(at.version.revision), 0};
     return whole(now);
   }
   ControlReply noNews() const { return {200, configuration::serializeUpdate(version_, hash_, false, {}), 0}; }
