--- a/src/app/membership_service.cpp
+++ b/src/app/membership_service.cpp
@@ -221,7 +221,7 @@
       break;
     default: break;
   }
-  if (warmStart_) send(warmStart_->drainOutgoing());
+  if (warmStart_) send(warmStart_->takeOutgoing());
   scheduleTimer();
 }
 
@@ -232,11 +232,11 @@
 
 // Makes effective what the messages of other gateways have changed.
 void MembershipService::applyGossip() {
-  for (const Time until : gossip_->drainUnresponsiveUntil()) {
+  for (const Time until : gossip_->takeUnresponsiveUntil()) {
     restrictionEnds_.insert(until);
     filterChanged_ = true;
   }
-  for (const membership::Gossip::AcceptedPhase& accepted : gossip_->drainAcceptedPhases()) {
+  for (const membership::Gossip::AcceptedPhase& accepted : gossip_->takeAcceptedPhases()) {
     const std::string* name = findName(accepted.host);
     const auto* state = findState(accepted.host);
     if (!state || unixMs(state->incarnation) != accepted.startedUnixMs) continue;
@@ -282,7 +282,7 @@
   settings.gatewayCount = link_->gatewayCount();
   warmStart_ =
       std::make_unique<membership::WarmStart>(settings, balancerSettings_.seed ^ kWarmStartSeedMask, now);
-  send(warmStart_->drainOutgoing());
+  send(warmStart_->takeOutgoing());
 }
 
 membership::NameResolver MembershipService::nameResolver() const {
@@ -382,7 +382,7 @@
   if (!warmStart_ || warmStartFinished_) return;
   warmStart_->onTimer(now);
   if (warmStart_->isFinished()) finishWarmStart();
-  send(warmStart_->drainOutgoing());
+  send(warmStart_->takeOutgoing());
 }
 
 void MembershipService::onFilterTimer(Time now) {
--- a/src/membership/gossip.hpp
+++ b/src/membership/gossip.hpp
@@ -85,8 +85,8 @@
   // A quorum of others observed the host as unresponsive, and it has not responded to us since.
   bool isUnresponsiveByQuorum(HostKey host, Time now) const;
   // For each host that became unresponsive by quorum since the last call: until when that lasts.
-  std::vector<Time> drainUnresponsiveUntil() { return std::exchange(newUnresponsiveUntil_, {}); }
-  std::vector<AcceptedPhase> drainAcceptedPhases() { return std::exchange(acceptedPhases_, {}); }
+  std::vector<Time> takeUnresponsiveUntil() { return std::exchange(newUnresponsiveUntil_, {}); }
+  std::vector<AcceptedPhase> takeAcceptedPhases() { return std::exchange(acceptedPhases_, {}); }
 
   bool hasReputation(GatewayNumber from) const {
     return from < reputations_.size() && reputations_[from].isTrusted();
--- a/src/membership/warm_start.hpp
+++ b/src/membership/warm_start.hpp
@@ -46,7 +46,7 @@
  public:
   WarmStart(const WarmStartSettings& settings, std::uint64_t seed, Time now);
 
-  std::vector<OutgoingMessage> drainOutgoing() { return std::exchange(outgoing_, {}); }
+  std::vector<OutgoingMessage> takeOutgoing() { return std::exchange(outgoing_, {}); }
   // True if the payload was a chunk that this gateway had requested.
   bool onMessage(GatewayNumber from, std::string_view payload, Time now);
   void onTimer(Time now);  // to be called at or after `nextTimer`
--- a/tests/membership/gossip_test.cpp
+++ b/tests/membership/gossip_test.cpp
@@ -77,7 +77,7 @@
   gateway.receive(1, {unresponsive(3, milliseconds(400))});
   gateway.receive(2, {unresponsive(3, milliseconds(900))});
   EXPECT_TRUE(gateway.gossip->isUnresponsiveByQuorum(3, gateway.now));
-  EXPECT_EQ(gateway.gossip->drainUnresponsiveUntil().size(), 1u);
+  EXPECT_EQ(gateway.gossip->takeUnresponsiveUntil().size(), 1u);
   gateway.now += milliseconds(100);
   const auto updates = gateway.sentUpdates();
   ASSERT_EQ(updates.size(), 1u);
@@ -145,7 +145,7 @@
   gateway.receive(1, {unresponsive(99), phase(99, GossipUpdate::Kind::removed, 9)});
   gateway.receive(2, {unresponsive(99)});
   EXPECT_FALSE(gateway.gossip->isUnresponsiveByQuorum(99, gateway.now));
-  EXPECT_TRUE(gateway.gossip->drainAcceptedPhases().empty());
+  EXPECT_TRUE(gateway.gossip->takeAcceptedPhases().empty());
   EXPECT_EQ(gateway.gossip->hostCount(), 10u);
 }
 
@@ -158,7 +158,7 @@
       gateway.receive(1, {unresponsive(h),
                           phase(h, GossipUpdate::Kind::removed, 1000 + static_cast<std::uint64_t>(second))});
     for (HostKey h = 1; h <= 10; ++h) EXPECT_FALSE(gateway.gossip->isUnresponsiveByQuorum(h, gateway.now));
-    accepted += gateway.gossip->drainAcceptedPhases().size();
+    accepted += gateway.gossip->takeAcceptedPhases().size();
     gateway.gossip->tick(gateway.now);
     gateway.now += seconds(1);
   }
@@ -169,16 +169,16 @@
   EXPECT_GT(gateway.gossip->statistics().withoutReputation, 0u);
   // The reputation of others does not change.
   gateway.receive(2, {phase(4, GossipUpdate::Kind::draining, 9)});
-  EXPECT_EQ(gateway.gossip->drainAcceptedPhases().size(), 1u);
+  EXPECT_EQ(gateway.gossip->takeAcceptedPhases().size(), 1u);
 }
 
 TEST(Gossip, IgnoresAssertionsOfOlderLists) {
   TestGateway gateway;
   gateway.receive(1, {phase(3, GossipUpdate::Kind::draining, 5)});
   gateway.receive(1, {phase(3, GossipUpdate::Kind::removed, 4)});
-  EXPECT_TRUE(gateway.gossip->drainAcceptedPhases().empty());
+  EXPECT_TRUE(gateway.gossip->takeAcceptedPhases().empty());
   gateway.receive(1, {phase(3, GossipUpdate::Kind::draining, 6)});
-  const auto a = gateway.gossip->drainAcceptedPhases();
+  const auto a = gateway.gossip->takeAcceptedPhases();
   ASSERT_EQ(a.size(), 1u);
   EXPECT_EQ(a[0].phase, HostPhase::draining);
   EXPECT_EQ(a[0].since, gateway.now);
@@ -190,7 +190,7 @@
   for (int i = 0; i < 9; ++i) {
     gateway.receive(1, {phase(3, i < 5 ? GossipUpdate::Kind::draining : GossipUpdate::Kind::removed,
                               6 + static_cast<std::uint64_t>(i))});
-    for (const auto& a : gateway.gossip->drainAcceptedPhases()) EXPECT_EQ(a.since, first);
+    for (const auto& a : gateway.gossip->takeAcceptedPhases()) EXPECT_EQ(a.since, first);
     gateway.now += seconds(1);
   }
   EXPECT_EQ(gateway.gossip->statistics().assertions, 1u);
@@ -200,7 +200,7 @@
   TestGateway gateway([](GossipSettings& s) { s.maxReputation = 2; });
   for (std::uint64_t v = 6; v < 40; v += 2) {  // a peer whose lists are ahead of ours
     gateway.receive(1, {phase(3, GossipUpdate::Kind::draining, v)});
-    EXPECT_EQ(gateway.gossip->drainAcceptedPhases().size(), 1u) << v;
+    EXPECT_EQ(gateway.gossip->takeAcceptedPhases().size(), 1u) << v;
     gateway.now += seconds(2);
     gateway.gossip->onListed(3, 0, HostPhase::draining, v, gateway.now);
     gateway.gossip->onListed(3, 0, HostPhase::active, v + 1, gateway.now);
--- a/tests/membership/warm_start_test.cpp
+++ b/tests/membership/warm_start_test.cpp
@@ -37,7 +37,7 @@
     collect();
   }
   void collect() {
-    for (const auto& o : start->drainOutgoing())
+    for (const auto& o : start->takeOutgoing())
       nonces[o.recipient] = decodeSnapshotRequest(o.payload).value();
   }
   void receiveSnapshot(GatewayNumber from, const StateSnapshot& snapshot) {
