--- a/src/net/upgrade_handler.hpp
+++ b/src/net/upgrade_handler.hpp
@@ -30,18 +30,18 @@
   std::uint32_t attempt = 0;
   load_balancing::HostId host = load_balancing::kNone;
   std::string hostName;
-  PendingUpgrade asked;
+  PendingUpgrade pendingUpgrade;
   tcp::socket client, upstream;
   std::string fromClient, fromHost;  ///< Bytes that were read behind the heads.
   std::string head;                  ///< Of the 101, to be written to the client first.
-  bool agreed = false;               ///< AcceptedUpgrade::agreed.
+  bool extensionNegotiated = false;  ///< AcceptedUpgrade::extensionNegotiated.
 };
 
 class UpgradeHandler {
  public:
   struct AcceptedUpgrade {
     std::vector<HeaderLine> toClient;  ///< Header lines of the 101.
-    bool agreed = false;               ///< For the handler's own use in `takeOverConnection`.
+    bool extensionNegotiated = false;  ///< For the handler's own use in `takeOverConnection`.
   };
 
   virtual ~UpgradeHandler() = default;
@@ -57,7 +57,7 @@
                                                         const boost::beast::http::fields& answer) const = 0;
   /// Each request that may be upgraded is followed by one of the two calls below.
   virtual void onUpgradeRequested() = 0;
-  virtual void onUpgradeNotEstablished(const PendingUpgrade& asked, RequestResult how) = 0;
+  virtual void onUpgradeNotEstablished(const PendingUpgrade& pendingUpgrade, RequestResult how) = 0;
   /// From here on the handler reports to the load balancer, as a ProtocolHandler does.
   virtual void takeOverConnection(UpgradedConnection&& upgraded) = 0;
 };
--- a/src/websocket/web_socket_handler.cpp
+++ b/src/websocket/web_socket_handler.cpp
@@ -82,18 +82,18 @@
 
 void WebSocketHandler::onUpgradeRequested() { table_.account().onTaken(kName); }
 
-void WebSocketHandler::onUpgradeNotEstablished(const PendingUpgrade& asked, RequestResult how) {
+void WebSocketHandler::onUpgradeNotEstablished(const PendingUpgrade& pendingUpgrade, RequestResult how) {
   stream::Begun b;
   b.name = kName;
-  b.from = textOf(asked.from);
-  b.since = asked.since;
+  b.from = textOf(pendingUpgrade.from);
+  b.since = pendingUpgrade.since;
   table_.ended(b, endingOf(how));
 }
 
 void WebSocketHandler::takeOverConnection(UpgradedConnection&& u) {
   CodecRules rules;
   rules.checked = settings_.inspect;
-  rules.deflate = u.agreed;
+  rules.deflate = u.extensionNegotiated;
   rules.frameMost = settings_.frameMost;
   rules.messageMost = settings_.messageMost;
   rules.pingAfter = settings_.pingAfter;
@@ -105,9 +105,9 @@
                            std::move(u.head),
                            settings_.flow,
                            std::make_unique<WebSocketCodec>(rules, draw_)};
-  table_.take(
-      {u.request, u.attempt, u.host, kName, std::move(u.hostName), textOf(u.asked.from), u.asked.since},
-      std::move(parts));
+  table_.take({u.request, u.attempt, u.host, kName, std::move(u.hostName), textOf(u.pendingUpgrade.from),
+               u.pendingUpgrade.since},
+              std::move(parts));
 }
 
 }  // namespace finchstile::websocket
--- a/src/websocket/web_socket_handler.hpp
+++ b/src/websocket/web_socket_handler.hpp
@@ -24,7 +24,7 @@
   std::optional<AcceptedUpgrade> acceptResponse(const ClientRequest& message,
                                                 const boost::beast::http::fields& answer) const override;
   void onUpgradeRequested() override;
-  void onUpgradeNotEstablished(const PendingUpgrade& asked, RequestResult how) override;
+  void onUpgradeNotEstablished(const PendingUpgrade& pendingUpgrade, RequestResult how) override;
   void takeOverConnection(UpgradedConnection&& upgraded) override;
 
  private:
