--- a/tests/app/program_test.cpp
+++ b/tests/app/program_test.cpp
@@ -179,7 +179,7 @@
 
 // Streams and WebSocket by the operator's file alone, and a SIGTERM with both open.
 TEST_F(ProgramTest, StreamsAreCarriedAndEndedBeforeTheProcess) {
-  WireServer worker(io, echo);
+  TcpServer worker(io, echo);
   json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", worker.endpoint())}));
   const tcp::endpoint at = tcp::acceptor(io, loopback()).local_endpoint(),
                       scans = tcp::acceptor(io, loopback()).local_endpoint();
@@ -191,16 +191,18 @@
                "[[streams.listen]]\nname = 'scans'\naddress = '" +
                    text(scans) + "'\nclass = 'book'\n");
   run({"--operator", folder / "o.toml"});
-  const auto scanner = Wire::connect(io, scans);
+  const auto scanner = TcpConnection::connect(io, scans);
   scanner->write("scan");
-  ASSERT_TRUE(until([&] { return scanner->got == "scan" || scanner->over(); })) << program->logged();
+  ASSERT_TRUE(until([&] { return scanner->receivedBytes == "scan" || scanner->over(); }))
+      << program->logged();
   // The echo of a handshake is no 101: refused, and the worker's answer seen as what it is.
-  const auto terminal = Wire::connect(io, at);
+  const auto terminal = TcpConnection::connect(io, at);
   terminal->write(
       "GET /read/live HTTP/1.1\r\nHost: a\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n"
       "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n");
-  ASSERT_TRUE(until([&] { return terminal->got.find("\r\n\r\n") != std::string::npos || terminal->over(); }));
-  EXPECT_EQ(terminal->got.substr(0, 12), "HTTP/1.1 503");
+  ASSERT_TRUE(until(
+      [&] { return terminal->receivedBytes.find("\r\n\r\n") != std::string::npos || terminal->over(); }));
+  EXPECT_EQ(terminal->receivedBytes.substr(0, 12), "HTTP/1.1 503");
   program->signal(SIGTERM);
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_EQ(program->wait(), 0);
@@ -295,7 +297,8 @@
     config["listen"] = "127.0.0.1:0";
     setenv("LB_CONFIG", folder.write("second.json", config.dump()).c_str(), 1);
     Process second(FINCHSTILE_PROGRAM, {"--operator", folder / "o.toml"}, folder / "log2");
-    // Danger: one that got the folder would serve on, and a wait without an end would hold up the whole run.
+    // Danger: one that receivedBytes the folder would serve on, and a wait without an end would hold up the
+    // whole run.
     ASSERT_TRUE(until([&] { return second.ended(); })) << program->logged() << second.logged();
     EXPECT_NE(second.wait(), 0);
     EXPECT_NE(second.logged().find("another process uses it"), std::string::npos) << second.logged();
--- a/tests/net/wire_format_test.cpp
+++ b/tests/net/wire_format_test.cpp
@@ -22,8 +22,8 @@
 }
 
 struct WireFormatTest : GatewayTest {
-  WireServer rawHost{io};
-  WireServer rawDiscovery{io};
+  TcpServer rawHost{io};
+  TcpServer rawDiscovery{io};
 
   void startWithRawHost(const std::function<void(json&)>& change = [](json&) {}) {
     start([&](json& config) {
@@ -34,24 +34,25 @@
   // The host answers a request with `bytes` when it has come with its body, of which `bodySize` bytes are
   // due.
   void answerWith(const std::string& bytes, std::size_t bodySize = 0) {
-    rawHost.onWire = [bytes, bodySize](const std::shared_ptr<Wire>& wire) {
-      wire->onBytes = [bytes, bodySize](Wire& w) {
-        const std::size_t headEnd = w.got.find("\r\n\r\n");
-        if (headEnd == std::string::npos || w.got.size() < headEnd + 4 + bodySize) return;
+    rawHost.onConnection = [bytes, bodySize](const std::shared_ptr<TcpConnection>& wire) {
+      wire->onBytes = [bytes, bodySize](TcpConnection& w) {
+        const std::size_t headEnd = w.receivedBytes.find("\r\n\r\n");
+        if (headEnd == std::string::npos || w.receivedBytes.size() < headEnd + 4 + bodySize) return;
         w.onBytes = {};
         w.write(bytes);
       };
     };
   }
   std::string received(std::size_t connection = 0) const {
-    return connection < rawHost.wires.size() ? rawHost.wires[connection]->got : "";
+    return connection < rawHost.connections.size() ? rawHost.connections[connection]->receivedBytes : "";
   }
   // The bytes that a client gets for `request`, up to `size` of them.
   std::string responseTo(const std::string& request, std::size_t size) {
-    const auto wire = Wire::connect(io, gateway->endpoint());
+    const auto wire = TcpConnection::connect(io, gateway->endpoint());
     wire->write(request);
-    EXPECT_TRUE(until([&] { return wire->got.size() >= size || wire->over(); })) << wire->got;
-    return wire->got;
+    EXPECT_TRUE(until([&] { return wire->receivedBytes.size() >= size || wire->over(); }))
+        << wire->receivedBytes;
+    return wire->receivedBytes;
   }
   void expectResponse(const std::string& request, const std::string& response) {
     EXPECT_EQ(withoutTimeLeft(responseTo(request, response.size())), response) << request;
@@ -60,7 +61,7 @@
 
 TEST_F(WireFormatTest, SendsIdempotentRequestToHostInTheseBytes) {
   startWithRawHost();
-  const auto wire = Wire::connect(io, gateway->endpoint());
+  const auto wire = TcpConnection::connect(io, gateway->endpoint());
   wire->write(
       "GET /read/x%20y?a=1&b=%2f HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 2500\r\n"
       "X-Account: acme\r\nX-Weight-Hint: 5000\r\nCookie: sid=00ff\r\nX-Other: dropped\r\n\r\n");
@@ -72,7 +73,7 @@
 
 TEST_F(WireFormatTest, SendsKeyedRequestToHostInTheseBytes) {
   startWithRawHost();
-  const auto wire = Wire::connect(io, gateway->endpoint());
+  const auto wire = TcpConnection::connect(io, gateway->endpoint());
   wire->write(
       "POST /put HTTP/1.1\r\nHost: api\r\ncontent-type: text/plain\r\nidempotency-key: key-7\r\n"
       "x-correlation-id: id-2\r\nX-Time-Left-Ms: 2500\r\nContent-Length: 3\r\n\r\nabc");
@@ -85,7 +86,7 @@
 
 TEST_F(WireFormatTest, SendsEmptyPostWithContentLengthZero) {
   startWithRawHost();
-  const auto wire = Wire::connect(io, gateway->endpoint());
+  const auto wire = TcpConnection::connect(io, gateway->endpoint());
   wire->write(
       "POST /book HTTP/1.1\r\nX-Correlation-Id: id-3\r\nX-Time-Left-Ms: 2500\r\nContent-Length: 0\r\n\r\n");
   const std::string expected = "POST /book HTTP/1.1\r\nHost: " + text(rawHost.endpoint()) +
@@ -97,7 +98,7 @@
 TEST_F(WireFormatTest, RelaysLongBodyOfKnownLengthWithTheClientsTimeAndLength) {
   startWithRawHost();
   const std::string body = pattern(200000);
-  const auto wire = Wire::connect(io, gateway->endpoint());
+  const auto wire = TcpConnection::connect(io, gateway->endpoint());
   wire->write(
       "POST /book HTTP/1.1\r\nX-Correlation-Id: id-4\r\nX-Time-Left-Ms: 2500\r\nContent-Length: "
       "200000\r\n\r\n" +
@@ -112,7 +113,7 @@
 TEST_F(WireFormatTest, RelaysLongBodyOfUnknownLengthInChunks) {
   startWithRawHost();
   const std::string body = pattern(200000);
-  const auto wire = Wire::connect(io, gateway->endpoint());
+  const auto wire = TcpConnection::connect(io, gateway->endpoint());
   wire->write(
       "POST /book HTTP/1.1\r\nX-Correlation-Id: id-5\r\nX-Time-Left-Ms: 2500\r\nTransfer-Encoding: "
       "chunked\r\n\r\n30d40\r\n" +
@@ -177,12 +178,13 @@
   answerWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + body + "\r\n0\r\n\r\n");
   startWithRawHost();
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  const auto wire = Wire::connect(io, gateway->endpoint());
+  const auto wire = TcpConnection::connect(io, gateway->endpoint());
   wire->write("GET /read HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: 2500\r\n\r\n");
   ASSERT_TRUE(until([&] {
-    return wire->got.size() > body.size() && wire->got.compare(wire->got.size() - 7, 7, "\r\n0\r\n\r\n") == 0;
+    return wire->receivedBytes.size() > body.size() &&
+           wire->receivedBytes.compare(wire->receivedBytes.size() - 7, 7, "\r\n0\r\n\r\n") == 0;
   }));
-  EXPECT_EQ(wire->got.substr(0, head.size()), head);
+  EXPECT_EQ(wire->receivedBytes.substr(0, head.size()), head);
 }
 
 // Rejects every request, with a wait and a header of its own.
@@ -267,34 +269,38 @@
 TEST_F(WireFormatTest, RefusesConnectionBeyondTheLimitInTheseBytes) {
   startWithRawHost([](json& config) { config["limits"]["sockets"] = 32; });
   const std::size_t limit = gateway->descriptorLimits().clients;
-  std::vector<std::shared_ptr<Wire>> open;
+  std::vector<std::shared_ptr<TcpConnection>> open;
   for (std::size_t i = 0; i < limit; ++i) {
-    open.push_back(Wire::connect(io, gateway->endpoint()));
+    open.push_back(TcpConnection::connect(io, gateway->endpoint()));
     open.back()->write("POST /book HTTP/1.1\r\nX-Correlation-Id: w" + std::to_string(i) +
                        "\r\nX-Time-Left-Ms: 2500\r\nContent-Length: 1\r\n\r\nx");
     ASSERT_TRUE(until([&] { return gateway->openRequests() == i + 1; }));
   }
   const std::string full =
       "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-  const auto refused = Wire::connect(io, gateway->endpoint());
-  ASSERT_TRUE(until([&] { return refused->got.size() >= full.size() || refused->over(); }));
-  EXPECT_EQ(refused->got, full);
+  const auto refused = TcpConnection::connect(io, gateway->endpoint());
+  ASSERT_TRUE(until([&] { return refused->receivedBytes.size() >= full.size() || refused->over(); }));
+  EXPECT_EQ(refused->receivedBytes, full);
 }
 
 TEST_F(WireFormatTest, CallsDiscoveryInTheseBytes) {
   startWithRawHost([&](json& config) { config["discovery"] = text(rawDiscovery.endpoint()); });
   const std::string host = " HTTP/1.1\r\nHost: " + text(rawDiscovery.endpoint()) + "\r\n\r\n";
-  ASSERT_TRUE(until([&] { return !rawDiscovery.wires.empty() && !rawDiscovery.wires[0]->got.empty(); }));
-  const auto first = rawDiscovery.wires[0];
-  EXPECT_EQ(first->got, "GET /registry/instances?since=1&timeout_ms=2000" + host);
-  first->got.clear();
+  ASSERT_TRUE(until([&] {
+    return !rawDiscovery.connections.empty() && !rawDiscovery.connections[0]->receivedBytes.empty();
+  }));
+  const auto first = rawDiscovery.connections[0];
+  EXPECT_EQ(first->receivedBytes, "GET /registry/instances?since=1&timeout_ms=2000" + host);
+  first->receivedBytes.clear();
   const std::string list = listJson(7, false, json::array()).dump();
   first->write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list);
-  ASSERT_TRUE(until([&] { return !first->got.empty(); }));
-  EXPECT_EQ(first->got, "GET /registry/instances?since=7&timeout_ms=2000" + host);
+  ASSERT_TRUE(until([&] { return !first->receivedBytes.empty(); }));
+  EXPECT_EQ(first->receivedBytes, "GET /registry/instances?since=7&timeout_ms=2000" + host);
   gateway->requestCompleteList();
-  ASSERT_TRUE(until([&] { return rawDiscovery.wires.size() == 2 && !rawDiscovery.wires[1]->got.empty(); }));
-  EXPECT_EQ(rawDiscovery.wires[1]->got, "GET /registry/instances" + host);
+  ASSERT_TRUE(until([&] {
+    return rawDiscovery.connections.size() == 2 && !rawDiscovery.connections[1]->receivedBytes.empty();
+  }));
+  EXPECT_EQ(rawDiscovery.connections[1]->receivedBytes, "GET /registry/instances" + host);
 }
 
 }  // namespace
--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -15,7 +15,7 @@
 using Steady = std::chrono::steady_clock;
 
 struct StreamTest : GatewayTest {
-  std::vector<std::unique_ptr<WireServer>> workers;
+  std::vector<std::unique_ptr<TcpServer>> workers;
   std::unique_ptr<StreamTable> table;
   std::unique_ptr<TcpProxyHandler> front;
   StreamSettings settings;
@@ -35,8 +35,8 @@
   }
   ~StreamTest() override { gateway.reset(); }
 
-  WireServer& worker(std::function<void(const std::shared_ptr<Wire>&)> on = {}) {
-    return *workers.emplace_back(std::make_unique<WireServer>(io, std::move(on)));
+  TcpServer& worker(std::function<void(const std::shared_ptr<TcpConnection>&)> on = {}) {
+    return *workers.emplace_back(std::make_unique<TcpServer>(io, std::move(on)));
   }
   json entry(std::size_t i, const std::string& status = "active", std::int64_t since = 0) const {
     return hostJson(names.size() > i ? names[i] : "w-" + std::to_string(i), workers[i]->endpoint(), status,
@@ -75,11 +75,11 @@
     call->reply(200, listJson(++listIndex, whole, list).dump());
     ASSERT_TRUE(until([&] { return !calls.empty(); }));  // it has been taken in
   }
-  std::shared_ptr<Wire> open() { return Wire::connect(io, front->endpoint(0)); }
+  std::shared_ptr<TcpConnection> open() { return TcpConnection::connect(io, front->endpoint(0)); }
   std::size_t count(Became b) const { return table->account().ended(b); }
-  std::size_t wires() const {
+  std::size_t connections() const {
     std::size_t n = 0;
-    for (const auto& w : workers) n += w->wires.size();
+    for (const auto& w : workers) n += w->connections.size();
     return n;
   }
   bool hasLine(const std::string& part) const {
@@ -98,14 +98,14 @@
   const auto c = open();
   const std::string bytes = pattern(3'000'000);
   c->write(bytes);
-  ASSERT_TRUE(until([&] { return c->got.size() >= bytes.size(); }));
-  EXPECT_TRUE(c->got == bytes);
+  ASSERT_TRUE(until([&] { return c->receivedBytes.size() >= bytes.size(); }));
+  EXPECT_TRUE(c->receivedBytes == bytes);
   EXPECT_EQ(table->size(), 1u);
-  EXPECT_EQ(workers[0]->wires.size(), 1u);
-  c->finish();
-  ASSERT_TRUE(until([&] { return workers[0]->wires[0]->ended; }));
+  EXPECT_EQ(workers[0]->connections.size(), 1u);
+  c->shutdownSend();
+  ASSERT_TRUE(until([&] { return workers[0]->connections[0]->ended; }));
   EXPECT_FALSE(c->over());  // the other direction goes on
-  workers[0]->wires[0]->finish();
+  workers[0]->connections[0]->shutdownSend();
   ASSERT_TRUE(until([&] { return c->ended && table->idle(); }));
   EXPECT_EQ(count(Became::served), 1u);
   EXPECT_TRUE(hasLine("stream scan served by=client why=finished")) << lines.size();
@@ -121,14 +121,14 @@
   begin();
   const auto c = open();
   c->write("scan 17");
-  c->finish();
-  ASSERT_TRUE(until([&] { return wires() == 1 && workers[0]->wires[0]->ended; }));
-  EXPECT_EQ(workers[0]->wires[0]->got, "scan 17");
-  workers[0]->wires[0]->write(reply);
-  workers[0]->wires[0]->finish();
+  c->shutdownSend();
+  ASSERT_TRUE(until([&] { return connections() == 1 && workers[0]->connections[0]->ended; }));
+  EXPECT_EQ(workers[0]->connections[0]->receivedBytes, "scan 17");
+  workers[0]->connections[0]->write(reply);
+  workers[0]->connections[0]->shutdownSend();
   ASSERT_TRUE(until([&] { return c->over(); }));
   EXPECT_TRUE(c->ended);
-  EXPECT_TRUE(c->got == reply);
+  EXPECT_TRUE(c->receivedBytes == reply);
   ASSERT_TRUE(until([&] { return table->idle(); }));
   EXPECT_EQ(count(Became::served), 1u);
 }
@@ -136,17 +136,17 @@
 TEST_F(StreamTest, TheWorkersHalfClosePassesToo) {
   worker([](const auto& w) {
     w->write("hello");
-    w->finish();
+    w->shutdownSend();
   });
   begin();
   const auto c = open();
   ASSERT_TRUE(until([&] { return c->ended; }));
-  EXPECT_EQ(c->got, "hello");
+  EXPECT_EQ(c->receivedBytes, "hello");
   const std::string late = pattern(2'000'000);
   c->write(late);
-  c->finish();
-  ASSERT_TRUE(until([&] { return workers[0]->wires[0]->ended; }));
-  EXPECT_TRUE(workers[0]->wires[0]->got == late);
+  c->shutdownSend();
+  ASSERT_TRUE(until([&] { return workers[0]->connections[0]->ended; }));
+  EXPECT_TRUE(workers[0]->connections[0]->receivedBytes == late);
   ASSERT_TRUE(until([&] { return table->idle(); }));
   EXPECT_TRUE(hasLine("served by=host why=finished"));
 }
@@ -157,22 +157,23 @@
   begin();
   const auto c = open();
   c->write("half of");
-  ASSERT_TRUE(until([&] { return wires() == 1 && workers[0]->wires[0]->got == "half of"; }));
-  workers[0]->wires[0]->write("an answer");
-  ASSERT_TRUE(until([&] { return c->got == "an answer"; }));
-  workers[0]->wires[0]->abort();
+  ASSERT_TRUE(
+      until([&] { return connections() == 1 && workers[0]->connections[0]->receivedBytes == "half of"; }));
+  workers[0]->connections[0]->write("an answer");
+  ASSERT_TRUE(until([&] { return c->receivedBytes == "an answer"; }));
+  workers[0]->connections[0]->abort();
   ASSERT_TRUE(until([&] { return c->over(); }));
   EXPECT_TRUE(c->reset);  // and not an end in order
   EXPECT_EQ(count(Became::failed), 1u);
   EXPECT_TRUE(hasLine("failed by=host why=reset"));
 
   const auto d = open();
-  ASSERT_TRUE(until([&] { return wires() == 2; }));
+  ASSERT_TRUE(until([&] { return connections() == 2; }));
   d->write("x");
-  ASSERT_TRUE(until([&] { return workers[0]->wires[1]->got == "x"; }));
+  ASSERT_TRUE(until([&] { return workers[0]->connections[1]->receivedBytes == "x"; }));
   d->abort();
-  ASSERT_TRUE(until([&] { return workers[0]->wires[1]->over(); }));
-  EXPECT_TRUE(workers[0]->wires[1]->reset);
+  ASSERT_TRUE(until([&] { return workers[0]->connections[1]->over(); }));
+  EXPECT_TRUE(workers[0]->connections[1]->reset);
   EXPECT_TRUE(hasLine("failed by=client why=reset"));
 }
 
@@ -182,10 +183,10 @@
   begin();
   const auto c = open();
   c->write("x");
-  c->finish();
-  ASSERT_TRUE(until([&] { return wires() == 1 && workers[0]->wires[0]->ended; }));
+  c->shutdownSend();
+  ASSERT_TRUE(until([&] { return connections() == 1 && workers[0]->connections[0]->ended; }));
   c->abort();
-  ASSERT_TRUE(until([&] { return workers[0]->wires[0]->reset || table->idle(); }));
+  ASSERT_TRUE(until([&] { return workers[0]->connections[0]->reset || table->idle(); }));
   ASSERT_TRUE(until([&] { return table->idle(); }));
   EXPECT_TRUE(hasLine("failed by=client why=reset"));
 }
@@ -194,13 +195,13 @@
   worker();
   begin();
   const auto c = open();
-  ASSERT_TRUE(until([&] { return wires() == 1; }));
-  const auto w = workers[0]->wires[0];
+  ASSERT_TRUE(until([&] { return connections() == 1; }));
+  const auto w = workers[0]->connections[0];
   error_code ignored;
   asio::write(w->socket, asio::buffer(pattern(60'000)), ignored);
   w->abort();
   ASSERT_TRUE(until([&] { return c->over(); }));
-  EXPECT_GT(c->got.size(), 0u);
+  EXPECT_GT(c->receivedBytes.size(), 0u);
 }
 
 TEST_F(StreamTest, AHostThatCantBeReachedIsPassedOver) {
@@ -211,9 +212,9 @@
   for (int i = 0; i < 8; ++i) {
     const auto c = open();
     c->write("x");
-    ASSERT_TRUE(until([&] { return c->got == "x"; }));
+    ASSERT_TRUE(until([&] { return c->receivedBytes == "x"; }));
   }
-  EXPECT_EQ(workers[1]->wires.size(), 8u);
+  EXPECT_EQ(workers[1]->connections.size(), 8u);
   EXPECT_EQ(count(Became::failed), 0u);
 }
 
@@ -263,7 +264,7 @@
   list[0]["status"] = "leaving";
   list.push_back(entry(0));
   tell(list);
-  ASSERT_TRUE(until([&] { return c->got == "x"; }));
+  ASSERT_TRUE(until([&] { return c->receivedBytes == "x"; }));
   EXPECT_EQ(count(Became::failed), 0u);
 }
 
@@ -305,7 +306,7 @@
   settings.listen[0].flow.idle = milliseconds(400);
   begin();
   const auto still = open(), moving = open();
-  ASSERT_TRUE(until([&] { return wires() == 2; }));
+  ASSERT_TRUE(until([&] { return connections() == 2; }));
   const auto end = Steady::now() + milliseconds(1500);
   auto next = Steady::now();
   ASSERT_TRUE(until([&] {
@@ -323,7 +324,7 @@
   begin();
   const auto c = open();
   c->write("x");
-  c->finish();
+  c->shutdownSend();
   ASSERT_TRUE(until([&] { return c->over(); }));
   EXPECT_TRUE(c->reset);
   EXPECT_TRUE(hasLine("failed by=gateway why=half_idle"));
@@ -335,15 +336,15 @@
   settings.most = 20;
   settings.bufferBytes = 256 * 1024;
   worker([](const auto& w) {
-    w->onBytes = [](Wire& wire) {
-      if (std::exchange(wire.got, {}) == "flood") wire.write(std::string(16'000'000, 'x'));
+    w->onBytes = [](TcpConnection& wire) {
+      if (std::exchange(wire.receivedBytes, {}) == "flood") wire.write(std::string(16'000'000, 'x'));
       else wire.write("pong");
     };
   });
   begin();
-  std::vector<std::shared_ptr<Wire>> slow;
+  std::vector<std::shared_ptr<TcpConnection>> slow;
   for (int i = 0; i < 10; ++i) {
-    slow.push_back(Wire::connect(io, front->endpoint(0)));
+    slow.push_back(TcpConnection::connect(io, front->endpoint(0)));
     slow.back()->paused = true;
     slow.back()->write("flood");
   }
@@ -351,9 +352,9 @@
   play(milliseconds(200));
   const auto c = open();
   for (int i = 0; i < 20; ++i) {
-    const std::size_t before = c->got.size();
+    const std::size_t before = c->receivedBytes.size();
     c->write("ping");
-    ASSERT_TRUE(until([&] { return c->got.size() == before + 4; }));
+    ASSERT_TRUE(until([&] { return c->receivedBytes.size() == before + 4; }));
   }
   EXPECT_LE(table->buffers().most(), settings.bufferBytes);
   // Held back: what the kernels hold and no more.
@@ -365,7 +366,7 @@
   settings.listen[0].flow.stalled = milliseconds(500);
   worker([](const auto& w) { w->write(std::string(16'000'000, 'x')); });
   begin();
-  const auto c = Wire::connect(io, front->endpoint(0));
+  const auto c = TcpConnection::connect(io, front->endpoint(0));
   c->paused = true;
   ASSERT_TRUE(until([&] { return table->account().ended(Ender::client, Why::stalled) == 1; }));
   EXPECT_EQ(table->buffers().held(), 0u);
@@ -379,10 +380,10 @@
   settings.drainRate = 0;
   worker(), worker();
   begin();
-  std::vector<std::shared_ptr<Wire>> clients;
+  std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 60; ++i) clients.push_back(open());
-  ASSERT_TRUE(until([&] { return wires() == 60; }));
-  const std::size_t there = workers[0]->wires.size();
+  ASSERT_TRUE(until([&] { return connections() == 60; }));
+  const std::size_t there = workers[0]->connections.size();
   ASSERT_GT(there, 20u);
   const auto from = Steady::now();
   tell(json::array({entry(0, "leaving")}));
@@ -397,8 +398,8 @@
   EXPECT_EQ(table->account().ended(Ender::gateway, Why::drain), there);
   EXPECT_EQ(workers[1]->open(), 60 - there);  // the other's stay
   for (int i = 0; i < 20; ++i) clients.push_back(open());
-  ASSERT_TRUE(until([&] { return wires() == 80; }));
-  EXPECT_EQ(workers[0]->wires.size(), there);
+  ASSERT_TRUE(until([&] { return connections() == 80; }));
+  EXPECT_EQ(workers[0]->connections.size(), there);
 }
 
 TEST_F(StreamTest, AWorkerPutBackKeepsTheStreamsThatAreLeft) {
@@ -407,7 +408,7 @@
   worker();
   begin();
   const auto c = open();
-  ASSERT_TRUE(until([&] { return wires() == 1; }));
+  ASSERT_TRUE(until([&] { return connections() == 1; }));
   tell(json::array({entry(0, "leaving")}));
   EXPECT_TRUE(table->drains().size() == 1);
   tell(json::array({entry(0, "active")}));
@@ -421,12 +422,12 @@
   worker(echo);
   begin();
   const auto old = open();
-  ASSERT_TRUE(until([&] { return wires() == 1; }));
+  ASSERT_TRUE(until([&] { return connections() == 1; }));
   names = {"w-new"};
   tell(json::array({entry(0)}), true);
   const auto fresh = open();
   fresh->write("x");
-  ASSERT_TRUE(until([&] { return old->over() && fresh->got == "x"; }));
+  ASSERT_TRUE(until([&] { return old->over() && fresh->receivedBytes == "x"; }));
   play(milliseconds(200));
   EXPECT_FALSE(fresh->over());
   EXPECT_EQ(table->size(), 1u);
@@ -438,13 +439,13 @@
   worker();
   settings.drainWithin = milliseconds(500);
   begin();
-  std::vector<std::shared_ptr<Wire>> clients;
+  std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 40; ++i) clients.push_back(open());
-  ASSERT_TRUE(until([&] { return wires() == 40; }));
+  ASSERT_TRUE(until([&] { return connections() == 40; }));
   bool done = false;
   const tcp::endpoint at = front->endpoint(0);
   gateway->drain([&] { done = true; });
-  const auto late = Wire::connect(io, at);
+  const auto late = TcpConnection::connect(io, at);
   EXPECT_TRUE(late->reset);  // nothing new
   ASSERT_TRUE(until([&] { return done; }));
   EXPECT_TRUE(table->idle());
@@ -466,7 +467,7 @@
   });
   const std::size_t most = table->most();
   EXPECT_EQ(most, 12u);
-  std::vector<std::shared_ptr<Wire>> clients;
+  std::vector<std::shared_ptr<TcpConnection>> clients;
   for (std::size_t i = 0; i < 4 * most; ++i) clients.push_back(open());
   ASSERT_TRUE(until([&] { return count(Became::refused) >= 3 * most; }));
   EXPECT_LE(table->size(), most);
@@ -488,7 +489,7 @@
   for (int i = 0; i < 4; ++i) worker();
   begin([&](json& config) { config["limits"]["sockets"] = 8192; });
   const auto from = Steady::now();
-  std::vector<std::shared_ptr<Wire>> clients;
+  std::vector<std::shared_ptr<TcpConnection>> clients;
   std::size_t asked = 0;
   // As they come: 2,000 over a second, in bunches.
   while (asked < 2000) {
@@ -508,9 +509,9 @@
   const double took = std::chrono::duration<double>(Steady::now() - from).count();
   std::size_t least = 2000, most = 0;
   for (const auto& w : workers) {
-    least = std::min(least, w->wires.size());
-    most = std::max(most, w->wires.size());
-    EXPECT_LE(static_cast<double>(w->wires.size()), 40 * (took + 0.25) + 2);
+    least = std::min(least, w->connections.size());
+    most = std::max(most, w->connections.size());
+    EXPECT_LE(static_cast<double>(w->connections.size()), 40 * (took + 0.25) + 2);
   }
   EXPECT_GE(least, 20u);
   EXPECT_LE(most - least, 12u);
@@ -532,11 +533,15 @@
     play(milliseconds(1));
   }
   c->write("payload");
-  ASSERT_TRUE(until([&] { return wires() == 1 && workers[0]->wires[0]->got.size() >= header.size() + 7; }));
-  EXPECT_EQ(workers[0]->wires[0]->got, header + "payload");  // passed on to the host as it came
+  ASSERT_TRUE(until([&] {
+    return connections() == 1 && workers[0]->connections[0]->receivedBytes.size() >= header.size() + 7;
+  }));
+  EXPECT_EQ(workers[0]->connections[0]->receivedBytes,
+            header + "payload");  // passed on to the host as it came
   const auto together = open();
   together->write(header + "at once");
-  ASSERT_TRUE(until([&] { return wires() == 2 && workers[0]->wires[1]->got == header + "at once"; }));
+  ASSERT_TRUE(until(
+      [&] { return connections() == 2 && workers[0]->connections[1]->receivedBytes == header + "at once"; }));
   c->abort();
   ASSERT_TRUE(until([&] { return hasLine("from=192.0.2.7:4711"); }));
 }
@@ -550,7 +555,7 @@
   wrong->write("GET / HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(until([&] { return wrong->over() && silent->over(); }));
   EXPECT_TRUE(wrong->reset);
-  EXPECT_EQ(wires(), 0u);
+  EXPECT_EQ(connections(), 0u);
   EXPECT_EQ(table->account().ended(Ender::client, Why::header), 2u);
   EXPECT_TRUE(front->isIdle());
 }
@@ -572,12 +577,12 @@
   begin();
   for (int i = 0; i < 50; ++i) {
     const auto c = open();
-    ASSERT_TRUE(until([&] { return wires() == static_cast<std::size_t>(i + 1); }));
-    const auto w = workers[0]->wires.back();
+    ASSERT_TRUE(until([&] { return connections() == static_cast<std::size_t>(i + 1); }));
+    const auto w = workers[0]->connections.back();
     switch (i % 4) {
-      case 0: c->finish(), w->finish(); break;
-      case 1: c->abort(), w->finish(); break;
-      case 2: c->finish(), w->abort(); break;
+      case 0: c->shutdownSend(), w->shutdownSend(); break;
+      case 1: c->abort(), w->shutdownSend(); break;
+      case 2: c->shutdownSend(), w->abort(); break;
       default: c->abort(), w->abort(); break;
     }
     ASSERT_TRUE(until([&] { return table->idle(); })) << i;
--- a/tests/support/wires.hpp
+++ b/tests/support/wires.hpp
@@ -12,13 +12,13 @@
 
 namespace finchstile::testing {
 
-struct Wire : std::enable_shared_from_this<Wire> {
+struct TcpConnection : std::enable_shared_from_this<TcpConnection> {
   using tcp = boost::asio::ip::tcp;
   using error_code = boost::system::error_code;
-  explicit Wire(tcp::socket s) : socket(std::move(s)) {}
+  explicit TcpConnection(tcp::socket s) : socket(std::move(s)) {}
 
-  static std::shared_ptr<Wire> connect(boost::asio::io_context& io, const tcp::endpoint& to) {
-    const auto w = std::make_shared<Wire>(tcp::socket(io));
+  static std::shared_ptr<TcpConnection> connect(boost::asio::io_context& io, const tcp::endpoint& to) {
+    const auto w = std::make_shared<TcpConnection>(tcp::socket(io));
     error_code error;
     w->socket.connect(to, error);
     if (error) w->reset = true;
@@ -33,7 +33,7 @@
                              else if (error) reset = true;
                              if (error) return;
                              count += n;
-                             if (keep) got.append(buffer_, n);
+                             if (keep) receivedBytes.append(buffer_, n);
                              if (const auto on = onBytes)
                                on(*this);  // a copy: it may put another in its place
                              read();
@@ -48,7 +48,7 @@
     out_.push_back(std::move(bytes));
     if (out_.size() == 1) writeOn();
   }
-  void finish() {  // its FIN, behind what is still to be written
+  void shutdownSend() {  // its FIN, behind what is still to be written
     finishing_ = true;
     if (out_.empty()) shut();
   }
@@ -64,10 +64,10 @@
   bool over() const { return ended || reset; }
 
   tcp::socket socket;
-  std::string got;
+  std::string receivedBytes;
   std::uint64_t count = 0;
   bool keep = true, paused = false, ended = false, reset = false;
-  std::function<void(Wire&)> onBytes;
+  std::function<void(TcpConnection&)> onBytes;
 
  private:
   void writeOn() {
@@ -88,32 +88,33 @@
   char buffer_[16 * 1024];
 };
 
-// A worker that carries streams: each connection is kept, and `onWire` says what is done with it.
-class WireServer {
+// A worker that carries streams: each connection is kept, and `onConnection` says what is done with it.
+class TcpServer {
  public:
   using tcp = boost::asio::ip::tcp;
-  explicit WireServer(boost::asio::io_context& io, std::function<void(const std::shared_ptr<Wire>&)> on = {},
-                      const tcp::endpoint& at = {boost::asio::ip::address_v4::loopback(), 0})
-      : onWire(std::move(on)), acceptor_(io, at), endpoint_(acceptor_.local_endpoint()) {
+  explicit TcpServer(boost::asio::io_context& io,
+                     std::function<void(const std::shared_ptr<TcpConnection>&)> on = {},
+                     const tcp::endpoint& at = {boost::asio::ip::address_v4::loopback(), 0})
+      : onConnection(std::move(on)), acceptor_(io, at), endpoint_(acceptor_.local_endpoint()) {
     accept();
   }
   tcp::endpoint endpoint() const { return endpoint_; }
   void stop() { acceptor_.close(); }
   std::size_t open() const {
     std::size_t n = 0;
-    for (const auto& w : wires) n += !w->over();
+    for (const auto& w : connections) n += !w->over();
     return n;
   }
-  std::vector<std::shared_ptr<Wire>> wires;
-  std::function<void(const std::shared_ptr<Wire>&)> onWire;
+  std::vector<std::shared_ptr<TcpConnection>> connections;
+  std::function<void(const std::shared_ptr<TcpConnection>&)> onConnection;
 
  private:
   void accept() {
     acceptor_.async_accept([this](boost::system::error_code error, tcp::socket s) {
       if (error) return;
-      wires.push_back(std::make_shared<Wire>(std::move(s)));
-      if (onWire) onWire(wires.back());
-      wires.back()->read();
+      connections.push_back(std::make_shared<TcpConnection>(std::move(s)));
+      if (onConnection) onConnection(connections.back());
+      connections.back()->read();
       accept();
     });
   }
@@ -121,8 +122,8 @@
   tcp::endpoint endpoint_;
 };
 
-inline void echo(const std::shared_ptr<Wire>& w) {
-  w->onBytes = [](Wire& wire) { wire.write(std::exchange(wire.got, {})); };
+inline void echo(const std::shared_ptr<TcpConnection>& w) {
+  w->onBytes = [](TcpConnection& wire) { wire.write(std::exchange(wire.receivedBytes, {})); };
 }
 
 // Bytes that tell their place, so that one lost, doubled or moved is seen.
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -32,7 +32,7 @@
 }
 
 struct WebSocketTest : GatewayTest {
-  std::vector<std::unique_ptr<WireServer>> workers;
+  std::vector<std::unique_ptr<TcpServer>> workers;
   std::vector<std::string> heads;  // of handshakes, as workers had them
   std::unique_ptr<StreamTable> table;
   std::unique_ptr<TcpProxyHandler> tcp;
@@ -48,16 +48,17 @@
   }
   ~WebSocketTest() override { gateway.reset(); }
 
-  // `answer` gives what a worker writes to a handshake; what comes after it stays in `got`.
-  WireServer& worker(std::function<std::string(const std::string& head)> answer =
-                         [](const std::string& head) { return accepted(head); }) {
-    return *workers.emplace_back(std::make_unique<WireServer>(io, [this, answer](const auto& w) {
-      w->onBytes = [this, answer](Wire& wire) {
-        const std::size_t end = wire.got.find("\r\n\r\n");
+  // `answer` gives what a worker writes to a handshake; what comes after it stays in `receivedBytes`.
+  TcpServer& worker(std::function<std::string(const std::string& head)> answer = [](const std::string& head) {
+    return accepted(head);
+  }) {
+    return *workers.emplace_back(std::make_unique<TcpServer>(io, [this, answer](const auto& w) {
+      w->onBytes = [this, answer](TcpConnection& wire) {
+        const std::size_t end = wire.receivedBytes.find("\r\n\r\n");
         if (end == std::string::npos) return;
         wire.onBytes = {};
-        heads.push_back(wire.got.substr(0, end + 2));
-        wire.got.erase(0, end + 4);
+        heads.push_back(wire.receivedBytes.substr(0, end + 2));
+        wire.receivedBytes.erase(0, end + 4);
         wire.write(answer(heads.back()));
       };
     }));
@@ -101,25 +102,29 @@
            "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " +
            kClientKey + "\r\n" + more + "\r\n";
   }
-  std::shared_ptr<Wire> wire() { return Wire::connect(io, gateway->endpoint()); }
+  std::shared_ptr<TcpConnection> wire() { return TcpConnection::connect(io, gateway->endpoint()); }
   // A stream that has begun; its head is taken off.
-  std::shared_ptr<Wire> open() {
+  std::shared_ptr<TcpConnection> open() {
     const auto c = wire();
     c->write(ask());
-    EXPECT_TRUE(until([&] { return c->got.find("\r\n\r\n") != std::string::npos || c->over(); }));
+    EXPECT_TRUE(until([&] { return c->receivedBytes.find("\r\n\r\n") != std::string::npos || c->over(); }));
     EXPECT_EQ(statusOf(*c), 101);
-    c->got.erase(0, c->got.find("\r\n\r\n") + 4);
+    c->receivedBytes.erase(0, c->receivedBytes.find("\r\n\r\n") + 4);
     return c;
   }
-  static int statusOf(const Wire& w) {
+  static int statusOf(const TcpConnection& w) {
     int status = 0;
-    if (w.got.size() > 12) std::from_chars(w.got.data() + 9, w.got.data() + 12, status);
+    if (w.receivedBytes.size() > 12)
+      std::from_chars(w.receivedBytes.data() + 9, w.receivedBytes.data() + 12, status);
     return status;
   }
-  bool got(const std::shared_ptr<Wire>& w, const std::string& bytes) {
-    return until([&] { return w->got.size() >= bytes.size() || w->over(); }) && w->got == bytes;
+  bool receivedBytes(const std::shared_ptr<TcpConnection>& w, const std::string& bytes) {
+    return until([&] { return w->receivedBytes.size() >= bytes.size() || w->over(); }) &&
+           w->receivedBytes == bytes;
+  }
+  const std::shared_ptr<TcpConnection>& last(std::size_t worker = 0) {
+    return workers[worker]->connections.back();
   }
-  const std::shared_ptr<Wire>& last(std::size_t worker = 0) { return workers[worker]->wires.back(); }
   bool hasLine(const std::string& part) const {
     return std::any_of(lines.begin(), lines.end(),
                        [&](const std::string& l) { return l.find(part) != std::string::npos; });
@@ -144,17 +149,17 @@
       bytesOf(false, {1, "he", false}) + bytesOf(false, {9, "p"}) + bytesOf(false, {0, "llo"});
   c->write(up);
   last()->write(down);
-  EXPECT_TRUE(got(last(), up));
-  EXPECT_TRUE(got(c, down));
+  EXPECT_TRUE(receivedBytes(last(), up));
+  EXPECT_TRUE(receivedBytes(c, down));
   EXPECT_EQ(table->size(), 1u);
-  c->got.clear(), last()->got.clear();
+  c->receivedBytes.clear(), last()->receivedBytes.clear();
   c->write(closed(true, 1000, "bye"));
-  EXPECT_TRUE(got(last(), closed(true, 1000, "bye")));
+  EXPECT_TRUE(receivedBytes(last(), closed(true, 1000, "bye")));
   last()->write(closed(false, 1000, ""));
-  last()->finish();
-  EXPECT_TRUE(got(c, closed(false, 1000, "")));
+  last()->shutdownSend();
+  EXPECT_TRUE(receivedBytes(c, closed(false, 1000, "")));
   ASSERT_TRUE(until([&] { return c->ended; }));
-  c->finish();
+  c->shutdownSend();
   ASSERT_TRUE(until([&] { return table->idle(); }));
   EXPECT_EQ(count(Became::served), 1u);
   EXPECT_TRUE(hasLine("stream websocket served by=client why=finished"));
@@ -168,14 +173,17 @@
   begin();
   const auto c = wire();
   c->write(ask() + ahead + ahead.substr(0, 1));
-  ASSERT_TRUE(until([&] { return c->got.size() > early.size() && c->got.find(early) != std::string::npos; }));
+  ASSERT_TRUE(until([&] {
+    return c->receivedBytes.size() > early.size() && c->receivedBytes.find(early) != std::string::npos;
+  }));
   EXPECT_EQ(statusOf(*c), 101);
-  EXPECT_NE(c->got.find("Sec-WebSocket-Accept: " + acceptOf(kClientKey) + "\r\n"), std::string::npos);
+  EXPECT_NE(c->receivedBytes.find("Sec-WebSocket-Accept: " + acceptOf(kClientKey) + "\r\n"),
+            std::string::npos);
   c->write(ahead.substr(1));
   last()->write(early.substr(3));
-  ASSERT_TRUE(until([&] { return last()->got.size() >= 2 * ahead.size(); }));
-  EXPECT_EQ(last()->got, ahead + ahead);
-  ASSERT_TRUE(until([&] { return c->got.find(early + early) != std::string::npos; }));
+  ASSERT_TRUE(until([&] { return last()->receivedBytes.size() >= 2 * ahead.size(); }));
+  EXPECT_EQ(last()->receivedBytes, ahead + ahead);
+  ASSERT_TRUE(until([&] { return c->receivedBytes.find(early + early) != std::string::npos; }));
 }
 
 // Hard case: a client that sends its handshake one byte at a time, and its frames.
@@ -188,7 +196,9 @@
     c->write(std::string(1, one));
     for (int i = 0; i < 3; ++i) io.restart(), io.poll();
   }
-  EXPECT_TRUE(until([&] { return heads.size() == 1 && last()->got == bytesOf(true, {1, "slow"}); }));
+  EXPECT_TRUE(until([&] {
+    return heads.size() == 1 && last()->receivedBytes == bytesOf(true, {1, "slow"});
+  }));
 }
 
 TEST_F(WebSocketTest, WhatMayNotBeAskedIsAnsweredWithoutAHost) {
@@ -199,7 +209,8 @@
     const auto c = wire();
     c->write(request);
     EXPECT_TRUE(until([&] { return c->ended; }));
-    if (statusOf(*c) == 426) EXPECT_NE(c->got.find("Sec-WebSocket-Version: 13\r\n"), std::string::npos);
+    if (statusOf(*c) == 426)
+      EXPECT_NE(c->receivedBytes.find("Sec-WebSocket-Version: 13\r\n"), std::string::npos);
     return statusOf(*c);
   };
   std::string old = ask("Origin: https://yard\r\n");
@@ -247,7 +258,7 @@
   d->write(ask());
   ASSERT_TRUE(until([&] { return statusOf(*d) == 101; }));
   EXPECT_EQ(rule.status, 101u);
-  EXPECT_NE(d->got.find("X-Tag: seen\r\n"), std::string::npos);
+  EXPECT_NE(d->receivedBytes.find("X-Tag: seen\r\n"), std::string::npos);
   EXPECT_EQ(rule.ends, (std::vector<RequestResult>{RequestResult::rejectedByFilter, RequestResult::served}));
   gateway.reset();  // before the rule
 }
@@ -262,9 +273,9 @@
   begin();
   for (int i = 0; i < 6; ++i) {
     const auto c = open();
-    EXPECT_EQ(workers[1]->wires.size(), static_cast<std::size_t>(i + 1));
+    EXPECT_EQ(workers[1]->connections.size(), static_cast<std::size_t>(i + 1));
   }
-  EXPECT_GT(workers[0]->wires.size(), 0u);
+  EXPECT_GT(workers[0]->connections.size(), 0u);
   EXPECT_EQ(table->size(), 6u);
 }
 
@@ -275,9 +286,9 @@
   begin();
   const auto c = wire();
   c->write(ask());
-  ASSERT_TRUE(until([&] { return c->got.find("\r\n\r\n") != std::string::npos; }));
+  ASSERT_TRUE(until([&] { return c->receivedBytes.find("\r\n\r\n") != std::string::npos; }));
   EXPECT_EQ(statusOf(*c), 503);
-  EXPECT_NE(c->got.find("Retry-After: "), std::string::npos);
+  EXPECT_NE(c->receivedBytes.find("Retry-After: "), std::string::npos);
   EXPECT_EQ(count(Became::refused), 1u);
 }
 
@@ -292,8 +303,8 @@
   worker();
   json list = json::array({entry(0, "leaving"), entry(1)});
   tell(list);
-  workers[1]->onWire = [](const auto& w) {
-    w->onBytes = [](Wire& x) { x.write("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"); };
+  workers[1]->onConnection = [](const auto& w) {
+    w->onBytes = [](TcpConnection& x) { x.write("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"); };
   };
   const auto d = wire();
   d->write(ask());
@@ -319,11 +330,11 @@
   const auto c = wire();
   c->write(ask());
   ASSERT_TRUE(until([&] { return c->ended || c->reset; }));
-  const std::string frames = c->got.substr(c->got.find("\r\n\r\n") + 4);
+  const std::string frames = c->receivedBytes.substr(c->receivedBytes.find("\r\n\r\n") + 4);
   EXPECT_EQ(frames, closed(false, 1014, "protocol"));
   EXPECT_TRUE(hasLine("failed by=host why=protocol"));
   ASSERT_TRUE(until([&] { return last()->over(); }));
-  EXPECT_EQ(last()->got.substr(0, 2), std::string("\x88\x8a", 2));  // a masked close of ten bytes
+  EXPECT_EQ(last()->receivedBytes.substr(0, 2), std::string("\x88\x8a", 2));  // a masked close of ten bytes
 }
 
 TEST_F(WebSocketTest, AClientThatBreaksTheRulesIsToldAndSoIsItsHost) {
@@ -331,17 +342,17 @@
   begin();
   const auto c = open();
   c->write(bytesOf(true, {1, "fine"}) + bytesOf(true, {1, "\xff"}));
-  ASSERT_TRUE(until([&] { return c->got.size() > 0; }));
-  EXPECT_EQ(c->got, closed(false, 1007, "protocol"));
+  ASSERT_TRUE(until([&] { return c->receivedBytes.size() > 0; }));
+  EXPECT_EQ(c->receivedBytes, closed(false, 1007, "protocol"));
   EXPECT_TRUE(until([&] { return table->idle(); }));
   EXPECT_TRUE(hasLine("failed by=client why=protocol"));
 
   const auto d = open();
   d->write(bytesOf(true, {1, "fine"}) + bytesOf(true, {5, "x"}));
-  ASSERT_TRUE(got(d, closed(false, 1002, "protocol")));
+  ASSERT_TRUE(receivedBytes(d, closed(false, 1002, "protocol")));
   // The host had whole frames only, and then its own word.
-  ASSERT_TRUE(until([&] { return last()->got.size() >= bytesOf(true, {1, "fine"}).size() + 16; }));
-  EXPECT_EQ(last()->got, bytesOf(true, {1, "fine"}) + closed(true, 1001, "protocol"));
+  ASSERT_TRUE(until([&] { return last()->receivedBytes.size() >= bytesOf(true, {1, "fine"}).size() + 16; }));
+  EXPECT_EQ(last()->receivedBytes, bytesOf(true, {1, "fine"}) + closed(true, 1001, "protocol"));
 }
 
 // Hard case: a frame of 2^63 bytes.
@@ -350,11 +361,11 @@
   begin();
   const auto c = open();
   c->write(bytesOf(true, {2, "", true, 0, {}, 8, std::uint64_t{1} << 63}));
-  EXPECT_TRUE(got(c, closed(false, 1002, "protocol")));
+  EXPECT_TRUE(receivedBytes(c, closed(false, 1002, "protocol")));
   const auto d = open();
   d->write(bytesOf(true, {2, "", true, 0, {}, 8, (std::uint64_t{1} << 63) - 1}));
-  EXPECT_TRUE(got(d, closed(false, 1009, "too_big")));
-  EXPECT_TRUE(last()->got.empty() || last()->got[0] == '\x88');
+  EXPECT_TRUE(receivedBytes(d, closed(false, 1009, "too_big")));
+  EXPECT_TRUE(last()->receivedBytes.empty() || last()->receivedBytes[0] == '\x88');
 }
 
 // Hard case: a worker dies mid-frame. Words of ours would be read as part of the frame: a reset it is.
@@ -363,11 +374,11 @@
   begin();
   const auto c = open();
   last()->write(bytesOf(false, {1, std::string(100, 'x')}).substr(0, 50));
-  ASSERT_TRUE(until([&] { return c->got.size() == 50; }));
+  ASSERT_TRUE(until([&] { return c->receivedBytes.size() == 50; }));
   last()->abort();
   ASSERT_TRUE(until([&] { return c->over(); }));
   EXPECT_TRUE(c->reset);
-  EXPECT_EQ(c->got.size(), 50u);
+  EXPECT_EQ(c->receivedBytes.size(), 50u);
   EXPECT_TRUE(hasLine("failed by=host why=reset"));
 }
 
@@ -378,7 +389,7 @@
     const auto c = open();
     if (abort) last()->abort();
     else last()->close();
-    ASSERT_TRUE(got(c, closed(false, 1014, "reset"))) << abort;
+    ASSERT_TRUE(receivedBytes(c, closed(false, 1014, "reset"))) << abort;
     c->write(closed(true, 1014, ""));
     ASSERT_TRUE(until([&] { return c->over() && table->idle(); }));
   }
@@ -390,7 +401,7 @@
   begin();
   const auto c = open();
   c->abort();
-  ASSERT_TRUE(got(last(), closed(true, 1001, "reset")));
+  ASSERT_TRUE(receivedBytes(last(), closed(true, 1001, "reset")));
   ASSERT_TRUE(until([&] { return table->idle(); }));
   EXPECT_TRUE(hasLine("failed by=client why=reset"));
 }
@@ -402,9 +413,9 @@
   const auto c = open();
   c->write(closed(true, 1000, ""));
   last()->write(closed(false, 1001, ""));
-  EXPECT_TRUE(got(c, closed(false, 1001, "")));
-  EXPECT_TRUE(got(last(), closed(true, 1000, "")));
-  last()->finish(), c->finish();
+  EXPECT_TRUE(receivedBytes(c, closed(false, 1001, "")));
+  EXPECT_TRUE(receivedBytes(last(), closed(true, 1000, "")));
+  last()->shutdownSend(), c->shutdownSend();
   ASSERT_TRUE(until([&] { return table->idle(); }));
   EXPECT_EQ(count(Became::served), 1u);
   EXPECT_EQ(lines.size(), 1u);
@@ -416,7 +427,7 @@
   begin();
   const auto c = open();
   c->write(closed(true, 1000, ""));
-  ASSERT_TRUE(got(last(), closed(true, 1000, "")));
+  ASSERT_TRUE(receivedBytes(last(), closed(true, 1000, "")));
   last()->write(closed(false, 1000, ""));
   ASSERT_TRUE(until([&] { return c->ended && last()->ended && table->idle(); }));
   EXPECT_EQ(count(Became::served), 1u);
@@ -428,21 +439,21 @@
   streams.drainWithin = milliseconds(200);
   worker(), worker();
   begin();
-  std::vector<std::shared_ptr<Wire>> clients;
+  std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 20; ++i) clients.push_back(open());
-  const std::size_t there = workers[0]->wires.size();
+  const std::size_t there = workers[0]->connections.size();
   ASSERT_GT(there, 4u);
   tell(json::array({entry(0, "leaving")}));
   const std::string bye = closed(false, 1001, "drain");
   ASSERT_TRUE(until([&] {
     std::size_t told = 0;
     for (const auto& c : clients) {
-      if (c->got == bye && !c->over()) c->got += ' ', c->write(closed(true, 1001, ""));
-      told += c->got.substr(0, bye.size()) == bye;
+      if (c->receivedBytes == bye && !c->over()) c->receivedBytes += ' ', c->write(closed(true, 1001, ""));
+      told += c->receivedBytes.substr(0, bye.size()) == bye;
     }
     return told == there && workers[0]->open() == 0;
   }));
-  for (const auto& w : workers[0]->wires) EXPECT_EQ(w->got, closed(true, 1001, "drain"));
+  for (const auto& w : workers[0]->connections) EXPECT_EQ(w->receivedBytes, closed(true, 1001, "drain"));
   EXPECT_EQ(count(Became::served), there);
   EXPECT_EQ(table->size(), 20 - there);
   EXPECT_TRUE(hasLine("served by=gateway why=drain"));
@@ -456,26 +467,27 @@
   const auto c = open();
   const std::string frame = bytesOf(false, {1, std::string(1000, 'x')}), next = bytesOf(false, {1, "next"});
   last()->write(frame.substr(0, 500));
-  ASSERT_TRUE(until([&] { return c->got.size() == 500; }));
+  ASSERT_TRUE(until([&] { return c->receivedBytes.size() == 500; }));
   tell(json::array({entry(0, "leaving")}));
-  ASSERT_TRUE(until([&] { return last()->got == closed(true, 1001, "drain"); }));  // that way is free
-  EXPECT_EQ(c->got.size(), 500u);
+  ASSERT_TRUE(
+      until([&] { return last()->receivedBytes == closed(true, 1001, "drain"); }));  // that way is free
+  EXPECT_EQ(c->receivedBytes.size(), 500u);
   last()->write(frame.substr(500) + next);
-  EXPECT_TRUE(got(c, frame + closed(false, 1001, "drain")));
+  EXPECT_TRUE(receivedBytes(c, frame + closed(false, 1001, "drain")));
 }
 
 TEST_F(WebSocketTest, ADrainedGatewayTellsAllOfThem) {
   worker();
   streams.drainWithin = milliseconds(300);
   begin();
-  std::vector<std::shared_ptr<Wire>> clients;
+  std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 20; ++i) clients.push_back(open());
   bool done = false;
   gateway->drain([&] { done = true; });
   ASSERT_TRUE(until([&] { return done; }));
   for (const auto& c : clients) {
     ASSERT_TRUE(until([&] { return c->over(); }));
-    EXPECT_EQ(c->got, closed(false, 1001, "drain"));
+    EXPECT_EQ(c->receivedBytes, closed(false, 1001, "drain"));
   }
   EXPECT_TRUE(table->idle());
 }
@@ -491,11 +503,11 @@
   const std::string ping = bytesOf(false, {9, ""});
   // The client answers its pings; the worker says nothing.
   ASSERT_TRUE(until([&] {
-    if (c->got == ping) c->got.clear(), c->write(bytesOf(true, {10, ""}));
+    if (c->receivedBytes == ping) c->receivedBytes.clear(), c->write(bytesOf(true, {10, ""}));
     return table->account().ended(Ender::host, Why::silent) == 1 || c->over();
   }));
-  EXPECT_EQ(c->got.substr(0, 2), closed(false, 1014, "silent").substr(0, 2));
-  EXPECT_NE(last()->got.find(bytesOf(true, {9, ""})), std::string::npos);
+  EXPECT_EQ(c->receivedBytes.substr(0, 2), closed(false, 1014, "silent").substr(0, 2));
+  EXPECT_NE(last()->receivedBytes.find(bytesOf(true, {9, ""})), std::string::npos);
   EXPECT_TRUE(hasLine("failed by=host why=silent"));
 }
 
@@ -508,11 +520,12 @@
   std::size_t pings = 0;
   const auto end = Steady::now() + milliseconds(1500);
   ASSERT_TRUE(until([&] {
-    for (; c->got.size() >= 2; c->got.erase(0, 2))  // the gateway's pings, and pongs of the worker
-      if (c->got[0] == '\x89') ++pings, c->write(bytesOf(true, {10, ""}));
+    for (; c->receivedBytes.size() >= 2;
+         c->receivedBytes.erase(0, 2))  // the gateway's pings, and pongs of the worker
+      if (c->receivedBytes[0] == '\x89') ++pings, c->write(bytesOf(true, {10, ""}));
     // What comes at the worker is the client's pongs and the gateway's pings.
-    if (last()->got.find(bytesOf(true, {9, ""})) != std::string::npos)
-      last()->got.clear(), last()->write(bytesOf(false, {10, ""}));
+    if (last()->receivedBytes.find(bytesOf(true, {9, ""})) != std::string::npos)
+      last()->receivedBytes.clear(), last()->write(bytesOf(false, {10, ""}));
     return Steady::now() >= end;
   }));
   EXPECT_FALSE(c->over());
@@ -531,7 +544,7 @@
                : accepted(head);
   });
   begin();
-  std::vector<std::shared_ptr<Wire>> clients;
+  std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 200; ++i) {
     clients.push_back(wire());
     clients.back()->write(ask());
@@ -547,9 +560,9 @@
       continue;
     }
     EXPECT_EQ(statusOf(*c), 503);
-    const std::size_t at = c->got.find("Retry-After: ");
+    const std::size_t at = c->receivedBytes.find("Retry-After: ");
     ASSERT_NE(at, std::string::npos);
-    const double after = std::strtod(c->got.c_str() + at + 13, nullptr);
+    const double after = std::strtod(c->receivedBytes.c_str() + at + 13, nullptr);
     least = std::min(least, after);
     most = std::max(most, after);
   }
@@ -573,9 +586,9 @@
   const auto c = open();
   const std::string odd = bytesOf(true, {5, "\xff", false, 7});
   c->write(odd);
-  EXPECT_TRUE(got(last(), odd));
+  EXPECT_TRUE(receivedBytes(last(), odd));
   tell(json::array({entry(0, "leaving")}));
-  EXPECT_TRUE(got(c, closed(false, 1001, "drain")));
+  EXPECT_TRUE(receivedBytes(c, closed(false, 1001, "drain")));
 }
 
 // Switched off, it is a request like any other, as before.
