--- a/src/net/attempt_manager.cpp
+++ b/src/net/attempt_manager.cpp
@@ -217,7 +217,7 @@
                               std::move(released->unread),
                               std::move(early),
                               switchingProtocolsHead(accepted->toClient),
-                              accepted->agreed};
+                              accepted->extensionNegotiated};
   requests_.finish(attempt.request, *request, RequestResult::served);
   requests_.table().releaseIfDone(attempt.request);
   upgrades->takeOverConnection(std::move(upgraded));
