--- a/src/app/idempotency_ownership.cpp
+++ b/src/app/idempotency_ownership.cpp
@@ -30,7 +30,7 @@
                       [this](peer::GatewayNumber from, std::uint64_t epoch, std::string_view payload) {
                         filter_.onGatewayMessage(from, epoch, payload);
                       });
-  filter_.enableOwnership(ownership_, *this, names_, settings.peerOwnership.askForEveryKey);
+  filter_.enableOwnership(ownership_, *this, names_, settings.peerOwnership.awaitOwnersForEveryKey);
 }
 
 void IdempotencyOwnership::send(idempotency::GatewayNumber to, std::string_view payload) {
--- a/src/idempotency/filter.cpp
+++ b/src/idempotency/filter.cpp
@@ -49,11 +49,11 @@
 }
 
 void IdempotencyFilter::enableOwnership(KeyOwnership& ownership, GatewayLink& link,
-                                        const TenantAndClassNames& names, bool askForEveryKey) {
+                                        const TenantAndClassNames& names, bool awaitOwnersForEveryKey) {
   ownership_ = &ownership;
   link_ = &link;
   names_ = &names;
-  askForEveryKey_ = askForEveryKey;
+  askForEveryKey_ = awaitOwnersForEveryKey;
   store_.addObserver(*this);
 }
 
--- a/src/idempotency/filter.hpp
+++ b/src/idempotency/filter.hpp
@@ -33,10 +33,10 @@
   JournalRecovery recover(Journal& journal);
 
   // Has the owners of a key asked before its repeats run. To be called before the first request. All
-  // references must outlive the filter. `askForEveryKey`: every request waits for the owners; otherwise only
-  // those that clients mark as repeats do, and the owners are merely notified of the others.
+  // references must outlive the filter. `awaitOwnersForEveryKey`: every request waits for the owners;
+  // otherwise only those that clients mark as repeats do, and the owners are merely notified of the others.
   void enableOwnership(KeyOwnership& ownership, GatewayLink& link, const TenantAndClassNames& names,
-                       bool askForEveryKey);
+                       bool awaitOwnersForEveryKey);
   void onGatewayMessage(GatewayNumber from, std::uint64_t epoch, std::string_view payload);
   void onTimer();
 
--- a/src/idempotency/settings.cpp
+++ b/src/idempotency/settings.cpp
@@ -43,7 +43,7 @@
   reader.boolean("enabled", out.enabled);
   std::string ask = "repeats";
   reader.choice("ask", ask, {"repeats", "all"});
-  out.askForEveryKey = ask == "all";
+  out.awaitOwnersForEveryKey = ask == "all";
   OwnershipSettings& ownership = out.ownership;
   reader.size("copies", ownership.ownersPerKey, 1, 5);
   reader.duration("patience", ownership.retransmitAfter, milliseconds(1), milliseconds(30));
--- a/src/idempotency/settings.hpp
+++ b/src/idempotency/settings.hpp
@@ -20,7 +20,8 @@
 
 struct PeerOwnershipSettings {
   bool enabled = false;
-  bool askForEveryKey = false;  // whether the owners are asked before every run, or only for marked repeats
+  bool awaitOwnersForEveryKey =
+      false;  // whether the owners are asked before every run, or only for marked repeats
   OwnershipSettings ownership;
 };
 
