--- a/src/idempotency/filter.cpp
+++ b/src/idempotency/filter.cpp
@@ -65,7 +65,7 @@
   return static_cast<const RequestState&>(*request.filterStates[place()]);
 }
 
-// Tenants that the settings do not name share one index.
+// All tenants without settings of their own share one index.
 std::uint32_t IdempotencyFilter::tenantOf(const RequestContext& request) const {
   return std::min(request.tenantIndex, namedTenants_);
 }
@@ -87,7 +87,8 @@
 
 FilterDecision IdempotencyFilter::onRequestReceived(RequestContext& request) {
   if (request.idempotency != load_balancing::Idempotency::idempotentWithKey) return {};
-  // A body that is not complete cannot be compared, so the request is forwarded without the store.
+  // A fingerprint needs the whole body. A request whose body exceeds the buffer is forwarded without the
+  // store.
   if (!request.bodyComplete) {
     ++counts_.bodyTooLarge;
     return {};
@@ -111,7 +112,7 @@
       decision.response = plainResponse(http::status::unprocessable_entity);
       return decision;
     case Admission::tooManyWaiters:
-      // Not a rejection, since the request that runs may have been executed.
+      // A failure rather than a rejection, since the request that runs may have been executed.
       ++counts_.tooManyWaiters;
       decision.response = plainResponse(http::status::bad_gateway);
       return decision;
@@ -137,8 +138,8 @@
   return decision;
 }
 
-// Continues a run that has started in the store: it is sent now, or once its record is synced and the owners
-// of its key have decided, or not at all.
+// Continues a run that has started in the store. It is admitted now, or once its record is synced and the
+// owners of its key have decided, or it is rejected.
 IdempotencyFilter::StartResult IdempotencyFilter::startRun(RequestContext& request,
                                                            const Store::AdmissionResult& result) {
   RequestState& state = stateOf(request);
@@ -148,7 +149,7 @@
   if (state.isRetry) request.earlierAttempt = *result.earlierAttempt;
   state.run = lastRun_;
   const bool recorded = !journal_ || journal_->lastRunRecorded();
-  // The records that the log has lost may have been of this key.
+  // A record of this key may be among those that the log has lost.
   if (journal_ && !state.isRetry && clock_.now() < uncertainUntil_) assumeUncertain(request, state);
   if (!recorded) {
     ++counts_.unrecorded;
@@ -158,14 +159,14 @@
     state.awaitsSync = true;
     syncWaiters_.add(journal_->appendedRecords(), request);
   }
-  state.awaitsDecision = askOwners(request, state);
-  // While the owners are asked, a run of another gateway may be executed.
+  state.awaitsDecision = claimAtOwners(request, state);
+  // Until the owners have decided, another gateway may be executing a run of the key.
   request.heldBeforeExecution = state.awaitsSync && !state.awaitsDecision && !state.isRetry;
-  // The calls below may end the waiting at once, through onSynced() or onDecision(). The request is held even
-  // so, and admitted by a callback.
+  // The calls below may clear both flags through onSynced() or onDecision(), which then admit the request by
+  // a callback. It has to be reported as held in that case too.
   const bool held = state.awaitsSync || state.awaitsDecision;
   if (state.awaitsSync) journal_->awaitSync(clock_.now());
-  exchangeWithOwners();
+  dispatchOwnershipOutput();
   return held ? StartResult::held : StartResult::admitted;
 }
 
@@ -177,10 +178,11 @@
 }
 
 // Claims the key at its owners. Returns whether the request has to wait for their decision.
-bool IdempotencyFilter::askOwners(RequestContext& request, RequestState& state) {
+bool IdempotencyFilter::claimAtOwners(RequestContext& request, RequestState& state) {
   if (!ownership_) return false;
   const ClientRequest& message = *request.message;
-  // A repeat that is uncertain here waits as well, since another gateway may be running it again.
+  // A repeat of a key that is uncertain in this gateway waits as well, since another gateway may be running
+  // it.
   const bool awaitDecision = askForEveryKey_ || view(message[kRepeatHeader]) == kIsRepeat;
   if (awaitDecision) decisionWaiters_[state.run] = &request;
   const SharedKey key = ownership_->keyOf(
@@ -195,8 +197,8 @@
   if (!state.awaitsDecision && !state.awaitsSync) callbacks_.admitHeld(request.id);
 }
 
-// For a run that must not be sent without a record. It is a failure if an earlier run may have been executed,
-// and a rejection otherwise.
+// The response to a run that must not be sent because it is not recorded: a failure if an earlier run may
+// have been executed, and a rejection otherwise.
 Response IdempotencyFilter::unrecordedResponse(const RequestState& state) const {
   return plainResponse(state.isRetry ? http::status::bad_gateway : http::status::service_unavailable);
 }
@@ -226,15 +228,15 @@
 
 void IdempotencyFilter::onGatewayMessage(GatewayNumber from, std::uint64_t epoch, std::string_view payload) {
   ownership_->onMessage(clock_.now(), from, epoch, payload);
-  exchangeWithOwners();
+  dispatchOwnershipOutput();
 }
 
 void IdempotencyFilter::onTimer() {
   ownership_->onTimer(clock_.now());
-  exchangeWithOwners();
+  dispatchOwnershipOutput();
 }
 
-void IdempotencyFilter::exchangeWithOwners() {
+void IdempotencyFilter::dispatchOwnershipOutput() {
   if (!ownership_) return;
   for (const KeyOwnership::Outgoing& outgoing : ownership_->takeOutgoing())
     link_->send(outgoing.to, outgoing.payload);
@@ -280,37 +282,38 @@
   if (state(request)) store_.onAttemptSettled(stateOf(request).entry, mayHaveRun);
 }
 
-// The response is recorded before the client gets it: no client knows of a response that the next process
-// does not.
+// The response is recorded before it is sent to the client, so that the next process can replay every
+// response that a client has received.
 void IdempotencyFilter::onResponseHeaders(RequestContext& request, const ResponseHead& head,
                                           std::vector<HeaderLine>&) {
   if (!state(request)) return;
-  RequestState& known = stateOf(request);
-  if (known.awaitsRun) return;
+  RequestState& requestState = stateOf(request);
+  if (requestState.awaitsRun) return;
   if (!head.bodyComplete) return finishWithoutResponse(request);
   if (head.fromUpstream) {
     CachedResponse response{head.status, std::string(head.contentType), std::string(head.body)};
     return finishWithResponse(request, std::move(response));
   }
-  if (known.hasPeerResponse) finishWithResponse(request, std::move(known.response));
+  if (requestState.hasPeerResponse) finishWithResponse(request, std::move(requestState.response));
 }
 
-// The run was executed, and its response is too long to be cached: repeats are bound to the attempt.
+// The run was executed, and its response is too long to be cached: the key becomes uncertain, and repeats
+// are bound to the attempt.
 void IdempotencyFilter::finishWithoutResponse(RequestContext& request) {
-  const RequestState& known = stateOf(request);
-  const Store::EntryId entry = known.entry;
-  stopWaiting(request, known);
+  const RequestState& requestState = stateOf(request);
+  const Store::EntryId entry = requestState.entry;
+  stopWaiting(request, requestState);
   runsWithoutClient_.erase(entry);
   state(request).reset();
   onRunEnded(store_.finishRun(clock_.now(), entry, Store::RunOutcome::mayHaveExecuted), nullptr);
-  exchangeWithOwners();
+  dispatchOwnershipOutput();
 }
 
 void IdempotencyFilter::finishWithResponse(RequestContext& request, CachedResponse&& response) {
-  const RequestState& known = stateOf(request);
-  const Store::EntryId entry = known.entry;
+  const RequestState& requestState = stateOf(request);
+  const Store::EntryId entry = requestState.entry;
   // Another gateway's response may arrive before the record of this run is synced.
-  if (known.awaitsSync) syncWaiters_.remove(request.id);
+  if (requestState.awaitsSync) syncWaiters_.remove(request.id);
   runsWithoutClient_.erase(entry);
   CachedResponse cached = std::move(response);
   state(request).reset();
@@ -318,14 +321,14 @@
   if (store_.hasWaiters(entry)) forWaiters = cached;
   const auto outcome = Store::RunOutcome::responded;
   onRunEnded(store_.finishRun(clock_.now(), entry, outcome, std::move(cached)), &forWaiters);
-  exchangeWithOwners();
+  dispatchOwnershipOutput();
 }
 
 bool IdempotencyFilter::continuesWithoutClient(RequestContext& request) {
   if (!state(request)) return false;
-  const RequestState& known = stateOf(request);
-  if (known.awaitsRun || !store_.hasWaiters(known.entry)) return false;
-  runsWithoutClient_[known.entry] = request.id;
+  const RequestState& requestState = stateOf(request);
+  if (requestState.awaitsRun || !store_.hasWaiters(requestState.entry)) return false;
+  runsWithoutClient_[requestState.entry] = request.id;
   ++counts_.keptWithoutClient;
   return true;
 }
@@ -337,17 +340,17 @@
 
 void IdempotencyFilter::onRequestCompleted(RequestContext& request, RequestResult) {
   if (!state(request)) return;
-  const RequestState& known = stateOf(request);
-  stopWaiting(request, known);
-  if (known.awaitsRun) return onWaiterCompleted(request, known);
-  runsWithoutClient_.erase(known.entry);
+  const RequestState& requestState = stateOf(request);
+  stopWaiting(request, requestState);
+  if (requestState.awaitsRun) return onWaiterCompleted(request, requestState);
+  runsWithoutClient_.erase(requestState.entry);
   const auto outcome =
       request.mayHaveRun ? Store::RunOutcome::mayHaveExecuted : Store::RunOutcome::notExecuted;
-  onRunEnded(store_.finishRun(clock_.now(), known.entry, outcome), nullptr);
-  exchangeWithOwners();
+  onRunEnded(store_.finishRun(clock_.now(), requestState.entry, outcome), nullptr);
+  dispatchOwnershipOutput();
 }
 
-// A run whose own client has disconnected is abandoned with its last waiter.
+// A run whose own client has disconnected is abandoned when its last waiter has left.
 void IdempotencyFilter::onWaiterCompleted(RequestContext& request, const RequestState& state) {
   waiters_.erase(request.id);
   store_.removeWaiter(state.entry, request.id);
@@ -357,8 +360,8 @@
   runsWithoutClient_.erase(run);
 }
 
-// The waiters get the response, or one of them runs and the others wait for that one. `response`: null if
-// there is none.
+// Answers the waiters with the response. If there is none (null), the first of them runs and the others wait
+// for it.
 void IdempotencyFilter::onRunEnded(const std::vector<Store::Waiter>& waiters,
                                    const CachedResponse* response) {
   for (const Store::Waiter waiter : waiters) {
@@ -376,8 +379,8 @@
   }
 }
 
-// The waiter is admitted to the store anew. It keeps its own deadline and priority, by which the load
-// balancer admits or rejects it like any other request.
+// Admits a waiter to the store again. It keeps its own deadline and priority, by which the load balancer
+// admits or rejects it like any other request.
 void IdempotencyFilter::promoteWaiter(RequestContext& request) {
   const Store::AdmissionResult result = store_.admit(clock_.now(), keyedRequest(request));
   if (result.admission == Admission::joinRunning) {
@@ -386,7 +389,7 @@
   }
   waiters_.erase(request.id);
   ++counts_.promoted;
-  // There is no room for the key any more, and the request runs unremembered.
+  // The store has no room for the key any more: the request runs without it.
   if (result.entry == Store::kNone) {
     state(request).reset();
     callbacks_.admitHeld(request.id);
--- a/src/idempotency/filter.hpp
+++ b/src/idempotency/filter.hpp
@@ -1,6 +1,6 @@
-// Requests with an idempotency key in the phases of the gateway. A repeat waits for the request that runs, or
-// is answered with its cached response, and the key of a run that may have been executed binds where repeats
-// are sent.
+// Deduplicates requests that have an idempotency key (header Idempotency-Key). While a request with a key
+// runs, repeats of it wait for its response; later ones are answered with the cached response. If a run may
+// have been executed and left no response, repeats are sent only to hosts that recognize them.
 #pragma once
 
 #include <string>
@@ -23,21 +23,24 @@
 
 class IdempotencyFilter : public RequestFilter, StoreObserver {
  public:
-  // `tenants`: the number of tenants that the settings name. `callbacks` answers and admits held requests.
-  // All references must outlive the filter.
+  // `tenants`: the number of tenants in the settings. `callbacks` answers and admits held requests. All
+  // references must outlive the filter.
   IdempotencyFilter(const Clock& clock, const IdempotencySettings& settings, std::size_t tenants,
                     const Seed& seed, RequestFilterCallbacks& callbacks);
 
-  // Restores what earlier processes recorded, and records every run from then on. To be called before the
-  // first request. `journal` must outlive the filter.
+  // Restores the keys that earlier processes recorded, and records every run from then on. Must be called
+  // before the first request. `journal` must outlive the filter.
   JournalRecovery recover(Journal& journal);
 
-  // Has the owners of a key asked before its repeats run. To be called before the first request. All
-  // references must outlive the filter. `awaitOwnersForEveryKey`: every request waits for the owners;
-  // otherwise only those that clients mark as repeats do, and the owners are merely notified of the others.
+  // Coordinates runs with other gateways (see KeyOwnership). Must be called before the first request. All
+  // references must outlive the filter. `awaitOwnersForEveryKey`: every request waits for the decision of
+  // its key's owners; otherwise only requests that clients mark as repeats (X-Repeat: 1) do, and the owners
+  // are merely notified of the others.
   void enableOwnership(KeyOwnership& ownership, GatewayLink& link, const TenantAndClassNames& names,
                        bool awaitOwnersForEveryKey);
+  // Handles a message from another gateway. `epoch`: increases with each start of that gateway.
   void onGatewayMessage(GatewayNumber from, std::uint64_t epoch, std::string_view payload);
+  // Must be called at the time passed to GatewayLink::scheduleTimer().
   void onTimer();
 
   const Store& store() const { return store_; }
@@ -56,12 +59,12 @@
  private:
   struct RequestState : RequestFilterState {
     Store::EntryId entry = Store::kNone;
-    bool awaitsRun = false;        // it is a waiter of the request that runs
-    bool awaitsSync = false;       // of its record
+    bool awaitsRun = false;        // for the response of the request that runs
+    bool awaitsSync = false;       // of its record in the log
     bool awaitsDecision = false;   // of the owners of its key
     bool isRetry = false;          // an earlier run may have been executed
-    std::uint64_t run = 0;         // unless it awaits another run
-    bool hasPeerResponse = false;  // `response` is another gateway's
+    std::uint64_t run = 0;         // the run's number; unset while awaitsRun
+    bool hasPeerResponse = false;  // `response` was fetched from another gateway
     CachedResponse response;
   };
   enum class StartResult : std::uint8_t { admitted, held, rejected };
@@ -81,12 +84,12 @@
   FilterDecision admissionDecision(RequestContext& request, const Store::AdmissionResult& result);
   StartResult startRun(RequestContext& request, const Store::AdmissionResult& result);
   void assumeUncertain(RequestContext& request, RequestState& state);
-  bool askOwners(RequestContext& request, RequestState& state);
+  bool claimAtOwners(RequestContext& request, RequestState& state);
   void admitIfReady(const RequestContext& request);
   Response unrecordedResponse(const RequestState& state) const;
   void onSynced();
   void onDecision(const KeyOwnership::Decision& decision);
-  void exchangeWithOwners();
+  void dispatchOwnershipOutput();
 
   void stopWaiting(RequestContext& request, const RequestState& state);
   void onWaiterCompleted(RequestContext& request, const RequestState& state);
@@ -101,10 +104,10 @@
   RequestFilterCallbacks& callbacks_;
   Store store_;
   FilterCounts counts_;
-  std::uint64_t lastRun_ = 0;  // the number of the run that started last
+  std::uint64_t lastRun_ = 0;  // number of the most recently started run
 
   std::unordered_map<Store::Waiter, RequestContext*> waiters_;  // until their onRequestCompleted()
-  // Runs whose own client has disconnected, by entry. They are abandoned with their last waiter.
+  // Runs whose own client has disconnected, by entry. Each is abandoned when its last waiter has left.
   std::unordered_map<Store::EntryId, load_balancing::RequestId> runsWithoutClient_;
 
   Journal* journal_ = nullptr;
--- a/src/idempotency/filter_summary.cpp
+++ b/src/idempotency/filter_summary.cpp
@@ -55,7 +55,7 @@
   append(line, "differed", counts.decidedMismatch);
   append(line, "polls", counts.polls);
   append(line, "untold", counts.noMajority);
-  append(line, "late", counts.learnedTooLate);
+  append(line, "late", counts.lateConflicts);
   append(line, "resent", counts.retransmissions);
   append(line, "silent", counts.unanswered);
   append(line, "dropped", counts.notSent);
--- a/src/idempotency/gateway_link.hpp
+++ b/src/idempotency/gateway_link.hpp
@@ -1,10 +1,11 @@
-// How the idempotency filter reaches other gateways.
+// The interface through which the idempotency filter sends messages to other gateways and schedules its
+// timer.
 #pragma once
 
 #include <optional>
 #include <string_view>
 
-#include "idempotency/ownership_ring.hpp"
+#include "idempotency/owner_selector.hpp"
 
 namespace finchstile::idempotency {
 
@@ -15,7 +16,7 @@
   // Sends a datagram, which may be lost.
   virtual void send(GatewayNumber to, std::string_view payload) = 0;
 
-  // Has IdempotencyFilter::onTimer() called at that time, in place of any earlier request; not at all without
+  // Schedules IdempotencyFilter::onTimer() for that time, replacing any earlier schedule; cancels it without
   // a time.
   virtual void scheduleTimer(std::optional<Time> at) = 0;
 };
--- a/src/idempotency/journal.cpp
+++ b/src/idempotency/journal.cpp
@@ -6,7 +6,7 @@
 namespace finchstile::idempotency {
 namespace {
 
-// A response is recorded only if it takes at most this part of the space that is left in the log.
+// A response body is recorded only if it takes at most one part in so many of the space left in the log.
 constexpr std::size_t kMaxResponseDivisor = 32;
 
 }  // namespace
@@ -18,8 +18,9 @@
 JournalRecovery Journal::recover(Time now, Store& store) {
   JournalRecovery recovery;
   LogReplay replay(store, names_, timeBase_, now, settings_.retention);
-  // The first segment of this process begins after the replay has set the store's seed to the log's. With
-  // different seeds no fingerprint of a new request would match that of a recorded one.
+  // The preamble is encoded when the first segment of this process begins, after the replay has set the
+  // store's seed to that of the log. With another seed no fingerprint of a new request would match a
+  // recorded one.
   log_.setPreamble([&] { return encode(Session{store.seed(), timeBase_}); });
   const auto onRecord = [&](std::string_view record) { replay.onRecord(record); };
   recovery.writable = log_.recover(onRecord, recovery.log);
@@ -61,8 +62,8 @@
   started.className = names_.classes[request.classIndex];
   started.key = std::string(request.key);
   if (earlierAttempt) started.earlierAttempt = *earlierAttempt;
-  // New runs leave room for the ends of those that run. Without its end in the log an answered key would be
-  // uncertain for the next process.
+  // The last part of the log is reserved for the ends of runs that have started. Without its end in the log
+  // an answered key would be uncertain in the next process.
   lastRunRecorded_ = !log_.nearlyFull() && append(started, at);
   if (!lastRunRecorded_ && log_.nearlyFull()) ++writeFailures_;
 }
@@ -75,7 +76,7 @@
 
 void Journal::onRunFinished(std::uint64_t run, Time at, KeyState state, const CachedResponse& response,
                             const EarlierAttempt* /*executed*/) {
-  // Large responses would take the room that the ends of other runs need. Without its response the key is
+  // Large responses would use up the space that the ends of other runs need. Without its response the key is
   // recorded as uncertain.
   const bool completed = state == KeyState::completed;
   const bool withResponse = completed && response.body.size() <= log_.remainingBytes() / kMaxResponseDivisor;
@@ -90,12 +91,13 @@
 void Journal::awaitSync(Time now) {
   awaitedRecords_ = log_.appendedRecords();
   startSync(now);
-  // If the log has failed, no sync will come that could end the waiting.
+  // After a failure of the log no sync begins whose end could release the run.
   if (log_.failed() && !syncing_ && onSynced) onSynced();
 }
 
 void Journal::removeExpiredSegments(Time now) {
-  // A run that started last in a segment may take as long as any request, and its key is retained after that.
+  // The last run that started in a segment may take the longest request duration, and its key is retained
+  // after its end.
   const Duration lifetime = settings_.maxRequestDuration + settings_.retention;
   while (!closedSegments_.empty() && closedSegments_.front().lastRecordAt + lifetime <= now) {
     log_.removeSegmentsThrough(closedSegments_.front().number);
@@ -106,7 +108,7 @@
 void Journal::tick(Time now) {
   const bool due = settings_.sync != SyncPolicy::never && now - lastSyncAt_ >= settings_.syncInterval;
   removeExpiredSegments(now);
-  if (due || log_.needsSync()) startSync(now);
+  if (due || log_.hasUnsyncedClosedSegment()) startSync(now);
 }
 
 void Journal::startSync(Time now) {
--- a/src/idempotency/journal.hpp
+++ b/src/idempotency/journal.hpp
@@ -1,6 +1,7 @@
-// Records the runs of a store in a log, so that the next process knows them. Each step is appended before it
-// takes effect, syncs follow a policy, and segments are removed once every key in them has expired. Decides
-// when to write and to sync; the I/O is done by the log's directory and a wal::SyncRunner.
+// Records the runs of a store in a write-ahead log, from which the next process restores them. Each step is
+// appended before it takes effect, syncs follow a policy, and a segment is removed once every key in it has
+// expired. The journal decides when to write and to sync; the I/O is done by the log's directory and a
+// wal::SyncRunner.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +17,10 @@
 
 namespace finchstile::idempotency {
 
-// What a crash of the machine may lose. Under every policy all records outlive the end of the process.
+// Which records a crash of the machine may lose. Under every policy all records survive the end of the
+// process.
 enum class SyncPolicy : std::uint8_t {
-  never,      // whatever the operating system has not written yet
+  never,      // all that the operating system has not written back yet
   interval,   // the records of the last interval
   beforeSend  // no record of a request that was sent
 };
@@ -26,7 +28,7 @@
 struct JournalSettings {
   SyncPolicy sync = SyncPolicy::interval;
   Duration syncInterval = std::chrono::seconds(1);
-  Duration retention{};  // as in the store
+  Duration retention{};  // as in StoreLimits
   Duration maxRequestDuration{};
 };
 
@@ -34,7 +36,8 @@
   wal::RecoveryReport log;
   ReplaySummary replay;
   bool writable = false;  // the log accepts records
-  // If records were lost, any unknown key may have run, and counts as uncertain until then; zero otherwise.
+  // If records were lost, a key without a record may have run and counts as uncertain until then; zero
+  // otherwise.
   Time uncertainUntil{};
 };
 
@@ -44,11 +47,11 @@
   Journal(wal::Log& log, const JournalSettings& settings, const TenantAndClassNames& names,
           const TimeBase& timeBase, wal::SyncRunner& runner);
 
-  // To be called once, before anything else, with an empty store: replays the log into it, takes the log's
-  // seed for it, and observes it from then on.
+  // Replays the log into `store`, which must be empty, sets the store's seed to that of the log, and
+  // observes the store from then on. Must be called once, before any other function.
   JournalRecovery recover(Time now, Store& store);
 
-  // Whether the run that started last is in the log.
+  // Whether the most recently started run is in the log.
   bool lastRunRecorded() const { return lastRunRecorded_; }
 
   // Whether a run must not be sent before syncedRecords() reaches the value that appendedRecords() had at its
@@ -59,19 +62,19 @@
 
   bool logFailed() const { return log_.failed(); }
   std::size_t bytes() const { return log_.bytes(); }
-  std::uint64_t writeFailures() const { return writeFailures_; }  // steps that are not in the log
-  std::uint64_t responsesOmitted() const {
-    return responsesOmitted_;
-  }  // finished runs recorded without response
+  std::uint64_t writeFailures() const { return writeFailures_; }  // steps that could not be recorded
+  // Finished runs that were recorded without their response.
+  std::uint64_t responsesOmitted() const { return responsesOmitted_; }
   std::uint64_t syncs() const { return syncs_; }
 
-  // Called when a sync has ended, whether it succeeded or not.
+  // Called when a sync has ended, whether it succeeded or not, and by awaitSync() if the log has failed.
   std::function<void()> onSynced;
 
-  // A run waits until all records appended so far are synced. To be called right after its start.
+  // Requests a sync of all records appended so far; onSynced() reports its end. Must be called right after
+  // the start of a run that waits for it.
   void awaitSync(Time now);
 
-  // To be called regularly: syncs by interval and removes old segments.
+  // Must be called periodically: starts the syncs that are due and removes expired segments.
   void tick(Time now);
 
   void onRunStarted(std::uint64_t run, Time at, const Store::KeyedRequest& request,
@@ -100,7 +103,7 @@
   std::uint64_t currentSegment_ = 0;
   Time lastRecordAt_{};
   Time lastSyncAt_{};
-  std::uint64_t awaitedRecords_ = 0;  // a run waits until so many are synced
+  std::uint64_t awaitedRecords_ = 0;  // runs wait until this many are synced
   bool lastRunRecorded_ = false;
   bool syncing_ = false;
   std::uint64_t writeFailures_ = 0, responsesOmitted_ = 0, syncs_ = 0;
--- a/src/idempotency/key_ownership.cpp
+++ b/src/idempotency/key_ownership.cpp
@@ -8,7 +8,7 @@
 namespace finchstile::idempotency {
 namespace {
 
-// Of the poll interval, for the gateway that yields its claims to the other one.
+// By which the poll interval is multiplied at the gateway that yields its claims to another one.
 constexpr int kYieldingPollFactor = 3;
 
 constexpr std::uint64_t kNoRun = 0;
@@ -18,17 +18,19 @@
 
 KeyOwnership::KeyOwnership(const OwnershipSettings& settings, const SipKey& secret, Time now)
     : settings_(settings),
-      ring_(settings.gateways, settings.ownersPerKey, secret),
-      ownedKeys_(settings_, ring_, counts_, now),
+      ownerSelector_(settings.gateways, settings.ownersPerKey, secret),
+      ownedKeys_(settings_, ownerSelector_, counts_, now),
       sharedResponses_(settings_),
       pending_(settings_) {}
 
 SharedKey KeyOwnership::keyOf(std::string_view tenant, std::string_view className, std::string_view key,
                               std::string_view method, std::string_view target, std::string_view body) const {
-  return ring_.keyOf(tenant, className, key, method, target, body);
+  return ownerSelector_.keyOf(tenant, className, key, method, target, body);
 }
 
-std::vector<GatewayNumber> KeyOwnership::ownersOf(const SipHash128& id) const { return ring_.ownersOf(id); }
+std::vector<GatewayNumber> KeyOwnership::ownersOf(const SipHash128& id) const {
+  return ownerSelector_.ownersOf(id);
+}
 
 void KeyOwnership::claimKey(Time now, std::uint64_t run, const SharedKey& key, bool awaitDecision) {
   ++counts_.claims;
@@ -39,7 +41,7 @@
   claimed.claimNumber = ++lastClaimNumber_;
   claimed.awaitsDecision = awaitDecision;
   claimed.runner = settings_.ownNumber;
-  for (const GatewayNumber owner : ring_.ownersOf(key.id)) {
+  for (const GatewayNumber owner : ownerSelector_.ownersOf(key.id)) {
     Vote vote;
     vote.owner = owner;
     claimed.votes.push_back(std::move(vote));
@@ -52,13 +54,13 @@
     vote.settled = false;
     vote.unanswered = false;
   }
-  // Answers to earlier claims of this run no longer count.
+  // Answers to earlier claims of this run are ignored from here on.
   cancelRequests(claimed);
   for (Vote& vote : claimed.votes) {
     Claim claim;
     claim.key = claimed.key;
     claim.run = claimed.claimNumber;
-    claim.membershipHash = ring_.membershipHash();
+    claim.membershipHash = ownerSelector_.membershipHash();
     claim.responseUnavailable = claimed.responseUnavailable;
     if (vote.owner != settings_.ownNumber) {
       send(now, PendingMessage::Kind::claim, run, vote.owner, claim);
@@ -75,27 +77,27 @@
   const auto it = runs_.find(run);
   if (it == runs_.end()) return;
   ClaimedRun& claimed = it->second;
-  const bool known = !unanswered && response.knowledge != KeyKnowledge::unused &&
-                     response.knowledge != KeyKnowledge::ownerFull;
+  const bool known =
+      !unanswered && response.result != ClaimResult::unused && response.result != ClaimResult::ownerFull;
   for (Vote& vote : claimed.votes) {
     if (vote.owner != from || vote.settled) continue;
     vote.settled = true;
     vote.unanswered = unanswered;
     vote.response = response;
-    if (!claimed.awaitsDecision && known) ++counts_.learnedTooLate;
+    if (!claimed.awaitsDecision && keyInUse) ++counts_.lateConflicts;
   }
   evaluateVotes(now, run, claimed);
 }
 
 void KeyOwnership::evaluateVotes(Time now, std::uint64_t run, ClaimedRun& claimed) {
   if (!claimed.awaitsDecision || claimed.pollAt || claimed.runner != settings_.ownNumber) return;
-  const auto voteFor = [&claimed](KeyKnowledge knowledge) -> const ClaimResponse* {
+  const auto voteFor = [&claimed](ClaimResult result) -> const ClaimResponse* {
     for (const Vote& vote : claimed.votes)
-      if (vote.settled && !vote.unanswered && vote.response.knowledge == knowledge) return &vote.response;
+      if (vote.settled && !vote.unanswered && vote.response.result == result) return &vote.response;
     return nullptr;
   };
-  if (voteFor(KeyKnowledge::mismatch)) return decide(run, claimed, Decision::Kind::fingerprintMismatch);
-  if (const ClaimResponse* const completed = voteFor(KeyKnowledge::completed)) {
+  if (voteFor(ClaimResult::mismatch)) return decide(run, claimed, Decision::Kind::fingerprintMismatch);
+  if (const ClaimResponse* const completed = voteFor(ClaimResult::completed)) {
     if (completed->runner >= settings_.gateways) return onResponseUnavailable(now, run, claimed);
     claimed.runner = completed->runner;
     claimed.validUntil = deadlineAfter(now, completed->remainingMs, settings_.retention);
@@ -103,18 +105,17 @@
   }
   const auto isSettled = [](const Vote& vote) { return vote.settled; };
   if (!std::all_of(claimed.votes.begin(), claimed.votes.end(), isSettled)) return;
-  if (const ClaimResponse* const running = voteFor(KeyKnowledge::running))
+  if (const ClaimResponse* const running = voteFor(ClaimResult::running))
     return pollLater(now, run, claimed, running->runner);
-  // Owners that cannot tell may hide a run. That the key is unused, or that no other gateway runs it now,
-  // takes a majority of owners that can.
-  const auto canTell = [](const Vote& vote) {
+  // A run may be known only to owners that do not answer or have no reliable information. A majority of
+  // informed owners is needed to conclude that the key is unused, or that no other gateway runs it now.
+  const auto isInformed = [](const Vote& vote) {
     return !vote.unanswered && vote.response.senderIsOwner && !vote.response.senderIsNew &&
-           (vote.response.knowledge == KeyKnowledge::unused ||
-            vote.response.knowledge == KeyKnowledge::uncertain);
+           (vote.response.result == ClaimResult::unused || vote.response.result == ClaimResult::uncertain);
   };
-  const auto telling = std::count_if(claimed.votes.begin(), claimed.votes.end(), canTell);
-  const bool majority = static_cast<std::size_t>(telling) > claimed.votes.size() / 2;
-  if (voteFor(KeyKnowledge::uncertain)) {
+  const auto informed = std::count_if(claimed.votes.begin(), claimed.votes.end(), isInformed);
+  const bool majority = static_cast<std::size_t>(informed) > claimed.votes.size() / 2;
+  if (voteFor(ClaimResult::uncertain)) {
     mergeUncertainVotes(now, claimed);
     if (!majority) claimed.attempt = {};
     return decide(run, claimed, Decision::Kind::uncertain);
@@ -123,11 +124,12 @@
   decideWithoutMajority(now, run, claimed);
 }
 
-// Another gateway runs the key: the owners are asked again later.
+// Another gateway runs the key: the owners are polled with another claim later.
 void KeyOwnership::pollLater(Time now, std::uint64_t run, ClaimedRun& claimed, GatewayNumber runner) {
   ++counts_.polls;
-  // Two gateways that each hold one owner would wait for one another until both are given up. The one with
-  // the higher number releases its claims, and claims the key again after the other one has done so.
+  // Two gateways that claim the key at the same time may each be the runner at one of its owners and would
+  // wait for each other until both requests time out. The one with the higher number releases its claims,
+  // and claims the key again after the other one has done so.
   const bool yields = settings_.ownNumber > runner;
   claimed.pollAt = now + settings_.pollInterval * (yields ? kYieldingPollFactor : 1);
   polls_.emplace(*claimed.pollAt, run);
@@ -140,7 +142,7 @@
   claimed.validUntil = now;
   bool first = true;
   for (const Vote& vote : claimed.votes) {
-    if (vote.unanswered || vote.response.knowledge != KeyKnowledge::uncertain) continue;
+    if (vote.unanswered || vote.response.result != ClaimResult::uncertain) continue;
     const EarlierAttempt attempt = toEarlierAttempt(now, vote.response.attempt);
     claimed.attempt = first ? attempt : mergeEarlierAttempts(claimed.attempt, attempt);
     const Time until = deadlineAfter(now, vote.response.remainingMs, settings_.retention);
@@ -153,7 +155,7 @@
   ++counts_.noMajority;
   claimed.attempt = {};
   claimed.validUntil = now + settings_.retention;
-  decide(run, claimed, settings_.runWhenOwnersSilent ? Decision::Kind::run : Decision::Kind::uncertain);
+  decide(run, claimed, settings_.runWithoutMajority ? Decision::Kind::run : Decision::Kind::uncertain);
 }
 
 void KeyOwnership::decide(std::uint64_t run, ClaimedRun& claimed, Decision::Kind kind,
@@ -202,7 +204,7 @@
 void KeyOwnership::requestChunk(Time now, std::uint64_t run, ClaimedRun& claimed) {
   ResponseRequest request;
   request.key = claimed.key;
-  request.offset = static_cast<std::uint16_t>(claimed.fetched.size());
+  request.offset = static_cast<std::uint16_t>(claimed.fetchedBytes.size());
   send(now, PendingMessage::Kind::responseRequest, run, claimed.runner, request);
 }
 
@@ -211,28 +213,28 @@
   if (it == runs_.end() || !it->second.awaitsDecision) return;
   ClaimedRun& claimed = it->second;
   const bool usable = chunk.totalBytes > 0 && chunk.totalBytes <= settings_.maxResponseBytes &&
-                      !chunk.bytes.empty() && chunk.offset == claimed.fetched.size();
+                      !chunk.bytes.empty() && chunk.offset == claimed.fetchedBytes.size();
   if (!usable) return onResponseUnavailable(now, run, claimed);
-  claimed.fetched += chunk.bytes;
-  if (claimed.fetched.size() < chunk.totalBytes) return requestChunk(now, run, claimed);
-  auto response = parseResponse(claimed.fetched);
+  claimed.fetchedBytes += chunk.bytes;
+  if (claimed.fetchedBytes.size() < chunk.totalBytes) return requestChunk(now, run, claimed);
+  auto response = parseResponse(claimed.fetchedBytes);
   if (!response) return onResponseUnavailable(now, run, claimed);
   decide(run, claimed, Decision::Kind::response, std::move(*response));
 }
 
-// The run claims the key once more, since its owners have to know that it runs again without the response.
+// The run claims the key once more, so that its owners record that the key runs again without the response.
 void KeyOwnership::onResponseUnavailable(Time now, std::uint64_t run, ClaimedRun& claimed) {
   if (std::exchange(claimed.responseUnavailable, true))
     return decide(run, claimed, Decision::Kind::uncertain);
   claimed.runner = settings_.ownNumber;
-  claimed.fetched.clear();
+  claimed.fetchedBytes.clear();
   sendClaims(now, run, claimed);
 }
 
 void KeyOwnership::send(Time now, PendingMessage::Kind kind, std::uint64_t run, GatewayNumber to,
                         OwnerMessage&& message) {
   const RequestId id = ++lastRequestId_;
-  std::visit([id](auto& known) { known.requestId = id; }, message);
+  std::visit([id](auto& typed) { typed.requestId = id; }, message);
   PendingMessage pending{kind, run, to, encode(message)};
   if (pending_.isFull()) {
     ++counts_.notSent;
@@ -257,7 +259,7 @@
       if (it != runs_.end() && it->second.awaitsDecision) onResponseUnavailable(now, message.run, it->second);
       return;
     }
-    // The owner turns the run into an uncertain one by itself once its time is up.
+    // The owner makes the key uncertain by itself when the longest request duration has passed.
     case PendingMessage::Kind::runFinishedNotice: return;
   }
 }
@@ -268,11 +270,11 @@
     ++counts_.malformed;
     return;
   }
-  std::visit([&](const auto& known) { handle(now, from, epoch, known); }, *message);
+  std::visit([&](const auto& typed) { handle(now, from, epoch, typed); }, *message);
 }
 
 void KeyOwnership::handle(Time now, GatewayNumber from, std::uint64_t epoch, const Claim& claim) {
-  if (claim.membershipHash != ring_.membershipHash()) ++counts_.membershipMismatches;
+  if (claim.membershipHash != ownerSelector_.membershipHash()) ++counts_.membershipMismatches;
   reply(from, ownedKeys_.onClaim(now, from, epoch, claim));
 }
 
--- a/src/idempotency/key_ownership.hpp
+++ b/src/idempotency/key_ownership.hpp
@@ -1,7 +1,8 @@
-// The agreement of several gateways on who runs an idempotency key. Each key has a few owners
-// (OwnershipRing). A gateway claims a key at its owners before a repeat runs, and notifies them when the run
-// has finished. Messages may be lost, delayed or duplicated; gateways restart and may be configured
-// differently. docs/design/owners.md lists what each of these leads to. No I/O.
+// Coordinates the runs of an idempotency key between gateways, so that a repeat that reaches another gateway
+// does not run the key a second time. Each key has a few owner gateways (OwnerSelector). A gateway claims a
+// key at its owners when a run begins, may wait for their decision before it sends the run, and notifies
+// them when the run has finished. Messages may be lost, delayed or duplicated; gateways may restart and may
+// be configured differently. docs/design/owners.md lists the effect of each of these faults. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,7 @@
 #include <vector>
 
 #include "idempotency/owned_keys.hpp"
-#include "idempotency/ownership_ring.hpp"
+#include "idempotency/owner_selector.hpp"
 #include "idempotency/ownership_settings.hpp"
 #include "idempotency/pending_messages.hpp"
 #include "idempotency/shared_responses.hpp"
@@ -30,21 +31,22 @@
     std::string payload;
   };
 
-  // What becomes of a claimed run that waited.
+  // The decision on a claimed run that waits for it.
   struct Decision {
     enum class Kind : std::uint8_t {
-      run,                 // as the first of its key
-      uncertain,           // as a retry: an earlier run may have been executed
+      run,                 // it runs as the first of its key
+      uncertain,           // it runs as a retry: an earlier run may have been executed
       response,            // it is answered with another gateway's response
       fingerprintMismatch  // the key belongs to another request
     } kind = Kind::run;
     std::uint64_t run = 0;
-    EarlierAttempt earlierAttempt;  // for uncertain; an unknown attempt if no owner can tell
-    Time validUntil{};              // for uncertain and response: until when that counts
+    EarlierAttempt earlierAttempt;  // for uncertain; default: an unknown attempt
+    Time validUntil{};              // for uncertain and response: when the key expires
     CachedResponse response;        // for response
   };
 
-  // `secret`: the same in all gateways. An owner that has just started counts as new for the retention.
+  // `secret` must be the same in all gateways. `now`: the start of this gateway, from which it counts as a
+  // new owner for a time (see OwnedKeys).
   KeyOwnership(const OwnershipSettings& settings, const SipKey& secret, Time now);
   KeyOwnership(const KeyOwnership&) = delete;
   KeyOwnership& operator=(const KeyOwnership&) = delete;
@@ -53,23 +55,24 @@
                   std::string_view method, std::string_view target, std::string_view body) const;
   std::vector<GatewayNumber> ownersOf(const SipHash128& id) const;
 
-  // A run of this gateway begins. `awaitDecision`: it must not be sent before there is a Decision for it.
+  // Claims the key of a run that begins at this gateway. `awaitDecision`: the run must not be sent before
+  // takeDecisions() has returned a Decision for it.
   void claimKey(Time now, std::uint64_t run, const SharedKey& key, bool awaitDecision);
 
-  // The run has finished. If it waits for its decision, there will be none. `state`: what the run itself did;
-  // `unused` if it was answered by another gateway's response or was not sent. `until`: how long that counts.
-  // `response`: may be null; read for `completed` only.
+  // Ends a run and notifies the owners. A decision that is still pending is dropped. `state`: the state in
+  // which the run itself left the key; `unused` if it was answered with another gateway's response or was
+  // not sent. `until`: when that state expires. `response`: may be null; read for `completed` only.
   void finishRun(Time now, std::uint64_t run, KeyState state, const EarlierAttempt& attempt, Time until,
                  const CachedResponse* response);
 
-  // `epoch`: increases with each start of the gateway `from`.
+  // Handles a message from another gateway. `epoch`: increases with each start of the gateway `from`.
   void onMessage(Time now, GatewayNumber from, std::uint64_t epoch, std::string_view payload);
 
-  // To be called at or after nextTimer().
+  // Must be called at or after nextTimer().
   void onTimer(Time now);
   std::optional<Time> nextTimer() const;
 
-  // What has accumulated since the last call.
+  // Return what has accumulated since the last call.
   std::vector<Outgoing> takeOutgoing() { return std::exchange(outgoing_, {}); }
   std::vector<Decision> takeDecisions() { return std::exchange(decisions_, {}); }
 
@@ -81,8 +84,8 @@
   // The answer of one owner to a claim.
   struct Vote {
     GatewayNumber owner = 0;
-    bool settled = false;     // it has answered, or is given up
-    bool unanswered = false;  // it is given up
+    bool settled = false;     // it has answered, or the claim was given up
+    bool unanswered = false;  // the claim was given up
     ClaimResponse response;
   };
 
@@ -92,11 +95,11 @@
     bool awaitsDecision = false;
     std::vector<Vote> votes;
     std::vector<RequestId> requests;  // pending messages about this run
-    std::optional<Time> pollAt;       // another gateway runs the key; when the owners are asked again
-    GatewayNumber runner = 0;         // from whom the response is fetched; this gateway if none is
-    std::string fetched;              // of the response
+    std::optional<Time> pollAt;       // set while another gateway runs the key: time of the next claim
+    GatewayNumber runner = 0;         // the gateway that the response is fetched from; this one: none
+    std::string fetchedBytes;         // of the response, so far
     bool responseUnavailable = false;
-    EarlierAttempt attempt;  // what may have been executed
+    EarlierAttempt attempt;  // that may have been executed
     Time validUntil{};
   };
 
@@ -131,7 +134,7 @@
   void handle(Time now, GatewayNumber from, std::uint64_t epoch, const ResponseChunk& chunk);
 
   const OwnershipSettings settings_;
-  const OwnershipRing ring_;
+  const OwnerSelector ownerSelector_;
   OwnershipCounts counts_;
   OwnedKeys ownedKeys_;
   SharedResponses sharedResponses_;
--- a/src/idempotency/log_record.hpp
+++ b/src/idempotency/log_record.hpp
@@ -1,5 +1,6 @@
-// The records of the idempotency log and their encoding. The encoding is fixed by this file: a later one gets
-// a new version in `Session` and is read beside this one.
+// The records of the idempotency log and their encoding. The encoding is stable, since a log outlives the
+// program version that wrote it: a changed encoding gets a new `Session::kVersion`, and both versions are
+// read.
 //
 // A record is a u8 kind followed by its fields in the order in which they are declared. Integers are
 // little-endian, a string is a u16 length and its bytes (a body: u32). Times are nanoseconds of the clock of
@@ -16,16 +17,16 @@
 
 namespace finchstile::idempotency {
 
-// Relates a clock that begins with its process to clocks that a later process can read. Within one boot of
-// the machine the steady clock is used, which calendar steps do not change. Across boots only the calendar is
-// left.
+// Relates the clock of a process, which starts with it, to clocks that a later process can read. Within one
+// boot of the machine the steady clock is used, which calendar steps do not change. Across boots only the
+// calendar is available.
 struct TimeBase {
-  std::string bootId;  // differs for each boot; empty: not known, so no two processes share a boot
+  std::string bootId;  // differs for each boot; empty: unknown, and no two processes count as in one boot
   std::int64_t steadyEpochNs = 0;  // the machine's steady clock at the zero of the process' clock
   std::int64_t unixEpochNs = 0;    // ns since 1970 at that zero, by the calendar as of the process' start
 };
 
-// Kind 1, the first record of each segment: what the records after it need to be read.
+// Kind 1, the first record of each segment: the data needed to read the records after it.
 struct Session {
   static constexpr std::uint8_t kVersion = 1;  // a u8 before the fields
   Seed seed;                                   // of the fingerprints
@@ -39,10 +40,11 @@
   Fingerprint fingerprint;
   // Tenant and class by name, since indexes change with the settings.
   std::string tenant, className, key;
-  std::optional<EarlierAttempt> earlierAttempt;  // a u8, 0 or 1, says whether it follows
+  std::optional<EarlierAttempt> earlierAttempt;  // preceded by a u8: 1 if present, else 0
 };
 
-// Kind 3: the first attempt of the run that may execute is about to be sent.
+// Kind 3: an attempt of the run is about to be sent, or another gateway has reported one. Repeats are bound
+// to it unless an AttemptNotExecuted follows.
 struct AttemptSent {
   std::uint64_t run = 0;
   EarlierAttempt attempt;
@@ -64,7 +66,7 @@
 using LogRecord = std::variant<Session, RunStarted, AttemptSent, AttemptNotExecuted, RunFinished>;
 
 // Strings longer than their length field can express are truncated. Callers stay within it: HTTP/1.1 fields
-// have at most 8 KiB here and bodies at most StoreLimits::maxResponseBytes.
+// have at most 8 KiB in this gateway and bodies at most StoreLimits::maxResponseBytes.
 std::string encode(const LogRecord& record);
 
 // Returns nothing unless `bytes` is exactly one valid record.
--- a/src/idempotency/log_replay.cpp
+++ b/src/idempotency/log_replay.cpp
@@ -28,24 +28,24 @@
 
 void LogReplay::onRecord(std::string_view record) {
   auto decoded = decode(record);
-  // Without the session the times of a record cannot be read.
+  // Without a session record the times of other records cannot be converted.
   if (!decoded || (!session_ && !std::holds_alternative<Session>(*decoded))) {
     ++summary_.unreadable;
     return;
   }
-  std::visit([this](auto& known) { (*this)(std::move(known)); }, *decoded);
+  std::visit([this](auto& typed) { (*this)(std::move(typed)); }, *decoded);
 }
 
 Time LogReplay::toLocalTime(Time recorded) const {
-  const TimeBase& theirs = session_->timeBase;
-  const std::int64_t shiftNs = sameBoot_ ? theirs.steadyEpochNs - localTimeBase_.steadyEpochNs
-                                         : theirs.unixEpochNs - localTimeBase_.unixEpochNs;
+  const TimeBase& recordedTimeBase = session_->timeBase;
+  const std::int64_t shiftNs = sameBoot_ ? recordedTimeBase.steadyEpochNs - localTimeBase_.steadyEpochNs
+                                         : recordedTimeBase.unixEpochNs - localTimeBase_.unixEpochNs;
   return Time(recorded.count() + shiftNs);
 }
 
 EarlierAttempt LogReplay::toLocalTime(const EarlierAttempt& recorded) const {
-  // After a reboot no host still recognizes a repeat, and the calendar may have stepped: the attempt is
-  // unknown.
+  // After a reboot the hosts' deduplication window counts as over, and the calendar may have stepped: the
+  // attempt is unknown.
   if (recorded.sentAt == Time{} || !sameBoot_) return {};
   return {recorded.zone, recorded.cell, std::max(toLocalTime(recorded.sentAt), Time{})};
 }
@@ -89,22 +89,23 @@
   const auto it = unfinishedRuns_.find(sent.run);
   if (it == unfinishedRuns_.end() || it->second.earlierAttempt) return;
   it->second.earlierAttempt = toLocalTime(sent.attempt);
-  it->second.attemptOpen = true;
+  it->second.attemptUnsettled = true;
 }
 
 void LogReplay::operator()(AttemptNotExecuted&& notExecuted) {
   const auto it = unfinishedRuns_.find(notExecuted.run);
-  if (it == unfinishedRuns_.end() || !it->second.attemptOpen) return;
-  it->second.attemptOpen = false;
+  if (it == unfinishedRuns_.end() || !it->second.attemptUnsettled) return;
+  it->second.attemptUnsettled = false;
   it->second.earlierAttempt.reset();
 }
 
 void LogReplay::operator()(RunFinished&& finished) {
   const auto it = unfinishedRuns_.find(finished.run);
-  if (it == unfinishedRuns_.end()) return;  // it began in a segment that has been removed, and has expired
+  if (it == unfinishedRuns_.end()) return;  // it began in a segment that was removed, so it has expired
   UnfinishedRun run = std::move(it->second);
   unfinishedRuns_.erase(it);
-  // A run that was not executed leaves the key as it was before: unknown, or known by an earlier record.
+  // A run that was not executed leaves the key in its previous state: without an entry, or with that of an
+  // earlier record.
   if (finished.state == KeyState::unused) return;
   restore(std::move(run.started), finished.state, std::move(finished.response),
           run.earlierAttempt.value_or(EarlierAttempt{}), toLocalTime(finished.finishedAt) + retention_);
--- a/src/idempotency/log_replay.hpp
+++ b/src/idempotency/log_replay.hpp
@@ -1,5 +1,4 @@
-// Replays the records of an idempotency log into a store, so that a process knows the keys of the one before
-// it. No I/O.
+// Rebuilds a store from the records of an idempotency log that earlier processes wrote. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +11,8 @@
 
 namespace finchstile::idempotency {
 
-// Maps tenants and classes between their names, which the log has, and their indexes under the settings in
-// force.
+// Maps tenants and classes between their names, which the log records, and their indexes in the current
+// settings.
 struct TenantAndClassNames {
   std::vector<std::string> tenants;  // the index after the last stands for all unnamed tenants
   std::vector<std::string> classes;
@@ -29,9 +28,9 @@
 
 struct ReplaySummary {
   std::size_t completed = 0, uncertain = 0;  // entries in the store after the replay
-  std::size_t running = 0;                   // of the uncertain: were running when the process ended
+  std::size_t running = 0;                   // part of `uncertain`: running when their process ended
   std::size_t expired = 0;                   // past their retention, or of a class that no longer exists
-  std::size_t evicted = 0;                   // dropped before their time: the store is smaller than it was
+  std::size_t evicted = 0;                   // not restored, since the store had no room
   std::size_t unreadable = 0;                // records that could not be decoded
 };
 
@@ -42,12 +41,13 @@
   LogReplay(Store& store, const TenantAndClassNames& names, const TimeBase& timeBase, Time now,
             Duration retention);
 
-  // Takes the records of the log in their order.
+  // Must be called with the records of the log in their order.
   void onRecord(std::string_view record);
 
-  // Turns the runs that have no end in the log into uncertain entries, whose retention begins now. Returns
-  // these runs, which have to be logged as finished. `logComplete`: nothing was truncated or damaged, so the
-  // last recorded attempt of a run is its last one and repeats can be sent by it.
+  // Restores the runs that have no end in the log as uncertain entries, whose retention begins now. Returns
+  // the numbers of these runs, which the caller has to log as finished. `logComplete`: nothing was truncated
+  // or damaged, so the recorded attempt of a run is known to be the one that repeats are bound to; otherwise
+  // the attempt counts as unknown.
   std::vector<std::uint64_t> finish(bool logComplete);
 
   const ReplaySummary& summary() const { return summary_; }
@@ -56,7 +56,7 @@
   struct UnfinishedRun {
     RunStarted started;
     std::optional<EarlierAttempt> earlierAttempt;
-    bool attemptOpen = false;  // `earlierAttempt` may still prove not to have been executed
+    bool attemptUnsettled = false;  // `earlierAttempt` may still prove not to have been executed
     bool sameBoot = false;
   };
 
--- a/src/idempotency/owned_keys.cpp
+++ b/src/idempotency/owned_keys.cpp
@@ -7,9 +7,9 @@
 
 namespace finchstile::idempotency {
 
-OwnedKeys::OwnedKeys(const OwnershipSettings& settings, const OwnershipRing& ring, OwnershipCounts& counts,
-                     Time now)
-    : settings_(settings), ring_(ring), counts_(counts), startedAt_(now) {}
+OwnedKeys::OwnedKeys(const OwnershipSettings& settings, const OwnerSelector& ownerSelector,
+                     OwnershipCounts& counts, Time now)
+    : settings_(settings), ownerSelector_(ownerSelector), counts_(counts), startedAt_(now) {}
 
 void OwnedKeys::store(const SipHash128& id, Entry&& entry) {
   remove(id);
@@ -36,7 +36,8 @@
     Entry entry = std::move(entries_.at(expiry.id));
     remove(expiry.id);
     if (entry.state != KeyState::running) continue;
-    // The runner has been silent for longer than a request may take, so the run may have been executed.
+    // The runner has not reported the end of the run within the longest request duration: the run may have
+    // been executed.
     entry.state = KeyState::uncertain;
     entry.mayHaveExecuted = true;
     entry.validUntil = expiry.at + settings_.retention;
@@ -49,7 +50,7 @@
   ClaimResponse response;
   response.requestId = claim.requestId;
   response.senderIsNew = now - startedAt_ < settings_.retention + settings_.maxRequestDuration;
-  const auto owners = ring_.ownersOf(claim.key.id);
+  const auto owners = ownerSelector_.ownersOf(claim.key.id);
   response.senderIsOwner = std::find(owners.begin(), owners.end(), settings_.ownNumber) != owners.end();
   return response;
 }
@@ -61,7 +62,7 @@
   const auto it = entries_.find(claim.key.id);
   if (it == entries_.end()) {
     if (isFull()) {
-      response.knowledge = KeyKnowledge::ownerFull;
+      response.result = ClaimResult::ownerFull;
       return response;
     }
     startRun(now, from, epoch, claim, {}, response);
@@ -69,19 +70,19 @@
   }
   Entry entry = it->second;
   if (entry.state != KeyState::unused && entry.fingerprint != claim.key.fingerprint) {
-    response.knowledge = KeyKnowledge::mismatch;
+    response.result = ClaimResult::mismatch;
     return response;
   }
-  // A runner that claims its own key has forgotten it or has restarted, so only others are told of the
-  // response.
+  // A runner that claims a key that it has completed no longer has the response, since it evicted the key or
+  // restarted. Only other gateways are directed to the response.
   if (entry.state == KeyState::completed && entry.runner != from && !claim.responseUnavailable) {
-    response.knowledge = KeyKnowledge::completed;
+    response.result = ClaimResult::completed;
     response.runner = entry.runner;
     response.remainingMs = remainingMilliseconds(now, entry.validUntil, settings_.retention);
     return response;
   }
   if (entry.state == KeyState::running && entry.runner != from) {
-    response.knowledge = KeyKnowledge::running;
+    response.result = ClaimResult::running;
     response.runner = entry.runner;
     return response;
   }
@@ -91,8 +92,8 @@
   const bool stale =
       sameProcess ? claim.run < entry.run || finished : entry.runner == from && epoch < entry.epoch;
   if (stale) return response;
-  // The runner has begun another run or has restarted without reporting the end of the last one, which may
-  // have been executed.
+  // The runner has begun another run or has restarted, without reporting the end of its previous run, which
+  // may have been executed.
   if (entry.state == KeyState::running && (!sameProcess || claim.run > entry.run)) {
     entry.mayHaveExecuted = true;
     entry.attempt = {};
@@ -102,13 +103,14 @@
   return response;
 }
 
-// Gives the key to the claimer, and says in `response` whether an earlier run may have been executed.
+// Makes the claimer the runner of the key, and reports in `response` whether an earlier run may have been
+// executed.
 void OwnedKeys::startRun(Time now, GatewayNumber from, std::uint64_t epoch, const Claim& claim, Entry&& entry,
                          ClaimResponse& response) {
   entry.fingerprint = claim.key.fingerprint;
   entry.mayHaveExecuted = entry.mayHaveExecuted && entry.validUntil > now;
   if (entry.mayHaveExecuted) {
-    response.knowledge = KeyKnowledge::uncertain;
+    response.result = ClaimResult::uncertain;
     response.attempt = toLocation(now, entry.attempt);
     response.remainingMs = remainingMilliseconds(now, entry.validUntil, settings_.retention);
   }
@@ -133,16 +135,16 @@
     const bool sameProcess = entry.runner == from && entry.epoch == epoch;
     const bool currentRun = sameProcess && entry.run <= notice.run;
     if (!currentRun && (entry.state == KeyState::running || notice.state == KeyState::unused)) {
-      // A delayed notice of the runner's previous run, which may have been executed. All others say nothing
-      // new.
+      // Only a delayed notice of the runner's previous run, which may have been executed, has new
+      // information.
       if (!sameProcess || notice.state == KeyState::unused) return;
       entry.mayHaveExecuted = true;
       entry.attempt = toEarlierAttempt(now, notice.attempt);
       entry.validUntil = deadlineAfter(now, notice.remainingMs, settings_.retention);
       return store(notice.key.id, std::move(entry));
     }
-    // A gateway that took its response from the runner knows less than is known here. Its notice only
-    // prolongs the time for which that counts.
+    // A gateway that fetched the response from the runner has less information than this entry. Its notice
+    // only extends the entry's validity.
     if (entry.state == KeyState::completed && !currentRun) {
       const Time until = deadlineAfter(now, notice.remainingMs, settings_.retention);
       entry.validUntil = std::max(entry.expiresAt, until);
@@ -160,16 +162,17 @@
 
 void OwnedKeys::finishRun(Time now, const RunFinishedNotice& notice, Entry& entry) const {
   if (notice.state == KeyState::unused) {
-    // The entry stays for a while, since the claim of this run may still arrive, or arrive again.
+    // The entry is retained for the longest request duration, since the claim of this run may be delayed or
+    // duplicated.
     entry.mayHaveExecuted = entry.mayHaveExecuted && entry.validUntil > now;
     entry.state = entry.mayHaveExecuted ? KeyState::uncertain : KeyState::unused;
     entry.expiresAt = entry.mayHaveExecuted ? entry.validUntil : now + settings_.maxRequestDuration;
     return;
   }
-  // A run that was not sent, or took its response from another gateway, may know of a shorter time than the
-  // owner.
-  const Time known = entry.mayHaveExecuted ? entry.validUntil : Time{};
-  entry.validUntil = std::max(known, deadlineAfter(now, notice.remainingMs, settings_.retention));
+  // A run that was not sent, or was answered with another gateway's response, may report an earlier expiry
+  // than the owner has recorded.
+  const Time recordedUntil = entry.mayHaveExecuted ? entry.validUntil : Time{};
+  entry.validUntil = std::max(recordedUntil, deadlineAfter(now, notice.remainingMs, settings_.retention));
   entry.expiresAt = entry.validUntil;
   entry.state = notice.state;
   entry.mayHaveExecuted = true;
--- a/src/idempotency/owned_keys.hpp
+++ b/src/idempotency/owned_keys.hpp
@@ -1,6 +1,6 @@
-// The keys that this gateway owns: it answers the claims of all gateways for them and learns when their runs
-// finish. Claims and notices may be lost, delayed or duplicated, and gateways restart; docs/design/owners.md
-// lists what each of these leads to. No I/O.
+// The owner's side of KeyOwnership: answers the claims of all gateways for the keys that this gateway owns,
+// and records when their runs finish. Claims and notices may be lost, delayed or duplicated, and gateways
+// may restart; docs/design/owners.md lists the effect of each of these faults. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,19 @@
 
 class OwnedKeys {
  public:
-  // `settings`, `ring` and `counts` must outlive this object. For the first retention after `now` the owner
-  // is new: it may have missed runs, and says so.
-  OwnedKeys(const OwnershipSettings& settings, const OwnershipRing& ring, OwnershipCounts& counts, Time now);
+  // `settings`, `ownerSelector` and `counts` must outlive this object. From `now` on, for the retention and
+  // the longest request duration, the owner is new: it may have missed runs, and its responses report that.
+  OwnedKeys(const OwnershipSettings& settings, const OwnerSelector& ownerSelector, OwnershipCounts& counts,
+            Time now);
 
   // Answers a claim. `epoch`: increases with each start of the gateway `from`.
   ClaimResponse onClaim(Time now, GatewayNumber from, std::uint64_t epoch, const Claim& claim);
 
-  // Takes a notice that a run of the gateway `from` has finished.
+  // Handles a notice that a run of the gateway `from` has finished.
   void onRunFinished(Time now, GatewayNumber from, std::uint64_t epoch, const RunFinishedNotice& notice);
 
-  // A run whose end is not reported within the longest duration of a request becomes uncertain; other keys
-  // are forgotten when they expire.
+  // Removes expired keys. A run whose end was not reported within the longest request duration becomes
+  // uncertain.
   void expire(Time now);
 
   std::size_t size() const { return entries_.size(); }
@@ -37,9 +38,9 @@
     KeyState state = KeyState::running;
     GatewayNumber runner = 0;
     std::uint64_t epoch = 0;  // of the runner
-    std::uint64_t run = 0;    // the runner's number of the claim
-    bool mayHaveExecuted =
-        false;  // an earlier run may have executed, at `attempt`, which counts until `validUntil`
+    std::uint64_t run = 0;    // Claim::run of the runner
+    // An earlier run may have been executed, by `attempt`, which is valid until `validUntil`.
+    bool mayHaveExecuted = false;
     EarlierAttempt attempt;
     Time validUntil{};
     Time expiresAt{};
@@ -61,7 +62,7 @@
   void finishRun(Time now, const RunFinishedNotice& notice, Entry& entry) const;
 
   const OwnershipSettings& settings_;
-  const OwnershipRing& ring_;
+  const OwnerSelector& ownerSelector_;
   OwnershipCounts& counts_;
   const Time startedAt_;
   std::unordered_map<SipHash128, Entry, SharedKeyIdHash> entries_;
--- a/src/idempotency/owner_message.cpp
+++ b/src/idempotency/owner_message.cpp
@@ -29,7 +29,8 @@
 }
 
 FieldWriter& writeLocation(FieldWriter& writer, const AttemptLocation& location) {
-  // A truncated zone name could be the name of another zone. Without a zone and an age no repeat is sent.
+  // A truncated zone name could be the name of another zone. Without a zone and an age the receiver sends no
+  // repeat.
   const bool fits = location.zone.size() <= kMaxZoneNameBytes;
   return writer.text<std::uint8_t>(fits ? location.zone : "")
       .number(location.cell)
@@ -73,7 +74,7 @@
   std::string operator()(const ClaimResponse& response) const {
     FieldWriter writer = writerFor(MessageKind::claimResponse);
     writer.number(response.requestId)
-        .number(static_cast<std::uint8_t>(response.knowledge))
+        .number(static_cast<std::uint8_t>(response.result))
         .number(response.runner)
         .number(flagsOf(response));
     return writeLocation(writer, response.attempt).number(response.remainingMs).take();
@@ -121,9 +122,9 @@
 ClaimResponse readClaimResponse(FieldReader& reader) {
   ClaimResponse response;
   response.requestId = reader.number<std::uint64_t>();
-  const auto knowledge = reader.number<std::uint8_t>();
-  reader.within(knowledge <= static_cast<std::uint8_t>(KeyKnowledge::ownerFull));
-  response.knowledge = static_cast<KeyKnowledge>(knowledge);
+  const auto result = reader.number<std::uint8_t>();
+  reader.within(result <= static_cast<std::uint8_t>(ClaimResult::ownerFull));
+  response.result = static_cast<ClaimResult>(result);
   response.runner = reader.number<std::uint16_t>();
   const auto flags = reader.number<std::uint8_t>();
   reader.within(flags <= (kSenderIsOwner | kSenderIsNew));
--- a/src/idempotency/owner_message.hpp
+++ b/src/idempotency/owner_message.hpp
@@ -1,6 +1,7 @@
-// The messages in which gateways agree on idempotency keys, as payloads of peer datagrams
-// (peer/datagram.hpp). The encoding is fixed by this file: a u8 kind followed by the fields in the order in
-// which they are declared, integers little-endian, a string as a u8 length and its bytes. No I/O.
+// The messages that gateways exchange to coordinate idempotency keys, as payloads of peer datagrams
+// (peer/datagram.hpp). The encoding is stable, since gateways of different versions run side by side: a u8
+// kind followed by the fields in the order in which they are declared, integers little-endian, a string as a
+// u8 length and its bytes. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -30,26 +31,30 @@
   std::uint32_t ageMs = kUnknownAge;
 };
 
-// Kind 1: a request of the sender has the key. Answered by a ClaimResponse and retransmitted until then.
+// Kind 1: the sender begins a run of the key. Answered by a ClaimResponse and retransmitted until then.
 struct Claim {
   std::uint64_t requestId = 0;
   SharedKey key;
   std::uint64_t run = 0;             // unique for each claim of the sender
-  std::uint32_t membershipHash = 0;  // of the number of gateways and owners that the sender is configured for
-  bool responseUnavailable = false;  // the cached response could not be fetched: the run counts as uncertain
+  std::uint32_t membershipHash = 0;  // OwnerSelector::membershipHash() of the sender
+  // The cached response could not be fetched, so the earlier run counts as uncertain.
+  bool responseUnavailable = false;
 };
 
-enum class KeyKnowledge : std::uint8_t { unused, running, completed, uncertain, mismatch, ownerFull };
+// The state of a claimed key at its owner. `mismatch`: the key belongs to another request. `ownerFull`: the
+// owner has no room for the key.
+enum class ClaimResult : std::uint8_t { unused, running, completed, uncertain, mismatch, ownerFull };
 
-// Kind 2: what the owner knows of the key. After `unused` and `uncertain` the claimer holds the key.
+// Kind 2: the owner's answer to a claim. With `unused` and `uncertain` the claimer becomes the runner of the
+// key.
 struct ClaimResponse {
   std::uint64_t requestId = 0;
-  KeyKnowledge knowledge = KeyKnowledge::unused;
-  std::uint16_t runner = 0;       // the gateway that has the key; for running and completed
-  bool senderIsOwner = true;      // by its own configuration the sender owns the key
-  bool senderIsNew = false;       // the sender has run for less than the retention and may have missed runs
+  ClaimResult result = ClaimResult::unused;
+  std::uint16_t runner = 0;       // for running and completed: the gateway that runs or ran the key
+  bool senderIsOwner = true;      // according to its own configuration
+  bool senderIsNew = false;       // it started recently and may have missed runs (see OwnedKeys)
   AttemptLocation attempt;        // for uncertain
-  std::uint32_t remainingMs = 0;  // for uncertain and completed: how much longer that holds
+  std::uint32_t remainingMs = 0;  // for uncertain and completed: until that state expires
 };
 
 // Kind 3: a run has finished. Answered by a FinishedAcknowledgement and retransmitted until then.
@@ -59,7 +64,7 @@
   std::uint64_t run = 0;
   KeyState state = KeyState::unused;  // or completed, or uncertain
   AttemptLocation attempt;
-  std::uint32_t remainingMs = 0;  // how long the state holds
+  std::uint32_t remainingMs = 0;  // until the state expires
 };
 
 // Kind 4.
@@ -67,7 +72,7 @@
   std::uint64_t requestId = 0;
 };
 
-// Kind 5: asks the gateway that has the cached response for a part of it. Answered by a ResponseChunk.
+// Kind 5: requests a part of the cached response from the gateway that has it. Answered by a ResponseChunk.
 struct ResponseRequest {
   std::uint64_t requestId = 0;
   SharedKey key;
@@ -86,7 +91,7 @@
                                   ResponseRequest, ResponseChunk>;
 
 inline constexpr std::size_t kMaxChunkBytes = 190;
-inline constexpr std::size_t kMaxZoneNameBytes = 64;  // longer zone names are left out
+inline constexpr std::size_t kMaxZoneNameBytes = 64;  // a longer zone name is omitted
 
 std::string encode(const OwnerMessage& message);
 
--- a/src/idempotency/ownership_ring.cpp
+++ b/src/idempotency/owner_selector.cpp
@@ -1,4 +1,4 @@
-#include "idempotency/ownership_ring.hpp"
+#include "idempotency/owner_selector.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-OwnershipRing::OwnershipRing(GatewayNumber gateways, std::size_t ownersPerKey, const SipKey& secret)
+OwnerSelector::OwnerSelector(GatewayNumber gateways, std::size_t ownersPerKey, const SipKey& secret)
     : gateways_(gateways),
       ownersPerKey_(ownersPerKey),
       secret_(secret),
       membershipHash_(hashMembership(gateways, ownersPerKey, secret)) {}
 
-SharedKey OwnershipRing::keyOf(std::string_view tenant, std::string_view className, std::string_view key,
+SharedKey OwnerSelector::keyOf(std::string_view tenant, std::string_view className, std::string_view key,
                                std::string_view method, std::string_view target,
                                std::string_view body) const {
   SharedKey shared;
@@ -31,7 +31,7 @@
   return shared;
 }
 
-std::uint64_t OwnershipRing::weightOf(const SipHash128& id, GatewayNumber gateway) const {
+std::uint64_t OwnerSelector::weightOf(const SipHash128& id, GatewayNumber gateway) const {
   return SipHasher(secret_)
       .add("owner")
       .add(std::to_string(id.low))
@@ -41,7 +41,7 @@
       .low;
 }
 
-std::vector<GatewayNumber> OwnershipRing::ownersOf(const SipHash128& id) const {
+std::vector<GatewayNumber> OwnerSelector::ownersOf(const SipHash128& id) const {
   std::vector<std::pair<std::uint64_t, GatewayNumber>> weights;
   for (GatewayNumber gateway = 0; gateway < gateways_; ++gateway)
     weights.emplace_back(weightOf(id, gateway), gateway);
--- a/src/idempotency/ownership_ring.hpp
+++ b/src/idempotency/owner_selector.hpp
@@ -1,5 +1,6 @@
-// Which gateways own an idempotency key, by rendezvous hashing (Thaler and Ravishankar, 1998): every gateway
-// computes the same owners without communication, and an additional gateway takes over few keys. No I/O.
+// Selects the gateways that own an idempotency key by rendezvous hashing (Thaler and Ravishankar, 1998):
+// every gateway computes the same owners without communication, and an additional gateway takes over few
+// keys. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -17,18 +18,18 @@
   std::size_t operator()(const SipHash128& id) const { return static_cast<std::size_t>(id.low); }
 };
 
-class OwnershipRing {
+class OwnerSelector {
  public:
-  // `secret` and the other arguments have to be the same in all gateways.
-  OwnershipRing(GatewayNumber gateways, std::size_t ownersPerKey, const SipKey& secret);
+  // All arguments must be the same in all gateways.
+  OwnerSelector(GatewayNumber gateways, std::size_t ownersPerKey, const SipKey& secret);
 
   SharedKey keyOf(std::string_view tenant, std::string_view className, std::string_view key,
                   std::string_view method, std::string_view target, std::string_view body) const;
 
-  // The owners of a key in the order of their weights.
+  // The owners of a key in descending order of their weights.
   std::vector<GatewayNumber> ownersOf(const SipHash128& id) const;
 
-  // Differs between gateways that are configured for different rings.
+  // A hash of the constructor's arguments. Differs between gateways that are configured differently.
   std::uint32_t membershipHash() const { return membershipHash_; }
 
  private:
--- a/src/idempotency/pending_messages.hpp
+++ b/src/idempotency/pending_messages.hpp
@@ -12,7 +12,7 @@
 
 namespace finchstile::idempotency {
 
-// Identifies one message to another gateway, for its answer; not a load_balancing::RequestId.
+// Identifies a message to another gateway and its answer; not a load_balancing::RequestId.
 using RequestId = std::uint64_t;
 
 struct PendingMessage {
@@ -25,10 +25,10 @@
 
 class PendingMessages {
  public:
-  // What is to be done with a message whose answer has not arrived in time.
+  // A message whose answer has not arrived in time.
   struct Overdue {
     PendingMessage message;
-    bool givenUp = false;  // no longer pending; otherwise it is to be sent once more
+    bool givenUp = false;  // no longer pending; otherwise the caller retransmits it
   };
 
   // `settings` must outlive this object.
@@ -37,11 +37,11 @@
   std::size_t size() const { return messages_.size(); }
   bool isFull() const { return messages_.size() >= settings_.maxPendingMessages; }
 
-  // The message has been sent for the first time. Not while isFull().
+  // Adds a message that has been sent for the first time. Must not be called while isFull().
   void add(Time now, RequestId id, PendingMessage&& message);
 
-  // Removes and returns the message that an answer of that kind from that gateway belongs to. Nothing if it
-  // was answered before, or was asked of another gateway.
+  // Removes and returns the message that is answered: the one with that id, if it is of that kind and was
+  // sent to `from`. Returns nothing if there is none or it was answered before.
   std::optional<PendingMessage> takeAnswered(RequestId id, GatewayNumber from, PendingMessage::Kind kind);
 
   void cancel(RequestId id);
--- a/src/idempotency/process_clock.cpp
+++ b/src/idempotency/process_clock.cpp
@@ -8,7 +8,8 @@
 namespace finchstile::idempotency {
 namespace {
 
-constexpr Duration kEndAfterTimeout = std::chrono::seconds(1);
+// Within which a request that is sent right before its client's timeout has ended.
+constexpr Duration kCompletionMargin = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -18,7 +19,7 @@
 }
 
 Duration maxRequestDuration(const load_balancing::Settings& settings) {
-  return longestClientTimeout(settings) + kEndAfterTimeout;
+  return longestClientTimeout(settings) + kCompletionMargin;
 }
 
 }  // namespace finchstile::idempotency
--- a/src/idempotency/process_clock.hpp
+++ b/src/idempotency/process_clock.hpp
@@ -1,4 +1,4 @@
-// What the log and the ownership of keys need to know of this process' times.
+// Time values of this process that the idempotency log and key ownership need.
 #pragma once
 
 #include <string>
@@ -9,11 +9,11 @@
 
 namespace finchstile::idempotency {
 
-// How a later process can read the times of `clock`. `bootId`: see TimeBase.
+// The time base by which a later process converts the times of `clock`. `bootId`: see TimeBase.
 TimeBase clockTimeBase(const Clock& clock, std::string bootId);
 
-// The longest time from the start of a run to its end. A request that is sent right before its client's
-// timeout ends a little after it.
+// The longest time from the start of a run to its end: the longest client timeout and a margin for a request
+// that is sent right before it.
 Duration maxRequestDuration(const load_balancing::Settings& settings);
 
 }  // namespace finchstile::idempotency
--- a/src/idempotency/relative_time.hpp
+++ b/src/idempotency/relative_time.hpp
@@ -1,5 +1,5 @@
-// Times in messages between gateways, which share no clock: an attempt travels with its age, and a deadline
-// with the time that remains. No I/O.
+// Times in messages between gateways, which share no clock: the time of an attempt is sent as its age, and a
+// deadline as the time that remains. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,9 @@
 
 namespace finchstile::idempotency {
 
-// An attempt whose time is unknown, or whose age the message cannot express, becomes a location without
-// either. The age includes the longest time that a datagram may take, so that the receiver never sends a
-// repeat too late.
+// An attempt whose time is unknown, or whose age the field cannot express, becomes an AttemptLocation of
+// unknown age. The age includes the longest delay of a datagram, so that the receiver does not send a repeat
+// after the hosts' deduplication window.
 AttemptLocation toLocation(Time now, const EarlierAttempt& attempt);
 EarlierAttempt toEarlierAttempt(Time now, const AttemptLocation& location);
 
@@ -19,8 +19,8 @@
 // At most `retention` from now.
 Time deadlineAfter(Time now, std::uint32_t remainingMs, Duration retention);
 
-// Combines what two sources know of one key. They may know of different attempts: if zone or cell differ, the
-// result is an unknown attempt, else the earlier one.
+// Combines the attempts that two sources report for one key. If zone or cell differ, they report different
+// attempts, and the result is an unknown attempt; otherwise it is the earlier one.
 EarlierAttempt mergeEarlierAttempts(const EarlierAttempt& a, const EarlierAttempt& b);
 
 }  // namespace finchstile::idempotency
--- a/src/idempotency/settings.cpp
+++ b/src/idempotency/settings.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kGibibyte = 1024 * kMebibyte;
 constexpr std::size_t kMaxPathBytes = 1024;
 constexpr std::size_t kMaxStoreEntries = 5'000'000;
-constexpr std::size_t kMinSegments = 4;  // that the log has to hold
+constexpr std::size_t kMinSegments = 4;  // that a log can hold
 
 SyncPolicy syncPolicy(const std::string& name) {
   if (name == "never") return SyncPolicy::never;
@@ -22,7 +22,8 @@
 }
 
 void readLog(SettingReader& reader, const std::string& directory, LogSettings& out) {
-  reader.require("folder", "where the log is kept, on a disk that lasts, as in \"/var/lib/finchstile/keys\"");
+  reader.require("folder",
+                 "the directory of the log on persistent storage, as in \"/var/lib/finchstile/keys\"");
   if (reader.text("folder", out.directory, kMaxPathBytes))
     out.directory = resolvePath(directory, out.directory);
   std::string sync = "interval";
@@ -32,7 +33,7 @@
   reader.size("segment_bytes", out.segments.maxSegmentBytes, 64 * kKibibyte, kGibibyte);
   reader.size("total_bytes", out.segments.maxTotalBytes, kMebibyte, 64 * kGibibyte);
   if (out.segments.maxTotalBytes / kMinSegments < out.segments.maxSegmentBytes)
-    reader.error("total_bytes", "must hold four segments at least, which are " +
+    reader.error("total_bytes", "must hold at least four segments, which take " +
                                     std::to_string(kMinSegments * out.segments.maxSegmentBytes) + " bytes");
   std::string onFailure = "pass";
   reader.choice("on_failure", onFailure, {"pass", "refuse"});
@@ -41,9 +42,9 @@
 
 void readOwners(SettingReader& reader, PeerOwnershipSettings& out) {
   reader.boolean("enabled", out.enabled);
-  std::string ask = "repeats";
-  reader.choice("ask", ask, {"repeats", "all"});
-  out.awaitOwnersForEveryKey = ask == "all";
+  std::string awaitedRequests = "repeats";
+  reader.choice("ask", awaitedRequests, {"repeats", "all"});
+  out.awaitOwnersForEveryKey = awaitedRequests == "all";
   OwnershipSettings& ownership = out.ownership;
   reader.size("copies", ownership.ownersPerKey, 1, 5);
   reader.duration("patience", ownership.retransmitAfter, milliseconds(1), milliseconds(30));
@@ -53,7 +54,7 @@
   reader.size("answer_bytes", ownership.maxCacheBytes, 0, kGibibyte);
   std::string onSilence = "fail";
   reader.choice("on_silence", onSilence, {"fail", "run"});
-  ownership.runWhenOwnersSilent = onSilence == "run";
+  ownership.runWithoutMajority = onSilence == "run";
 }
 
 }  // namespace
--- a/src/idempotency/settings.hpp
+++ b/src/idempotency/settings.hpp
@@ -11,29 +11,28 @@
 namespace finchstile::idempotency {
 
 struct LogSettings {
-  std::string directory;  // empty: there is no log, and no key outlives the process
+  std::string directory;  // empty: there is no log, and no key survives the process
   SyncPolicy sync = SyncPolicy::interval;
   Duration syncInterval = std::chrono::seconds(1);
   wal::LogOptions segments;
-  bool rejectUnrecorded = false;  // whether requests that cannot be recorded are rejected, or run unrecorded
+  bool rejectUnrecorded = false;  // reject requests that cannot be recorded; otherwise they run
 };
 
 struct PeerOwnershipSettings {
   bool enabled = false;
-  bool awaitOwnersForEveryKey =
-      false;  // whether the owners are asked before every run, or only for marked repeats
+  bool awaitOwnersForEveryKey = false;  // before every run; otherwise only before marked repeats
   OwnershipSettings ownership;
 };
 
 struct IdempotencySettings {
   bool enabled = false;
   StoreLimits limits;
-  bool rejectWhenFull = false;  // whether keys that find no room are rejected, or run unremembered
+  bool rejectWhenFull = false;  // reject keys that do not fit into the store; otherwise they run without it
   LogSettings log;
   PeerOwnershipSettings peerOwnership;
 };
 
-// Reads the table into `out`; `root` collects the errors. Relative paths begin at `directory`, which is that
+// Reads the table into `out`; `root` collects the errors. Relative paths are relative to `directory`, that
 // of the operator's file.
 void readIdempotencySettings(SettingReader& root, const std::string& directory, IdempotencySettings& out);
 
--- a/src/idempotency/shared_responses.hpp
+++ b/src/idempotency/shared_responses.hpp
@@ -1,5 +1,5 @@
-// The responses of this gateway's runs that other gateways may fetch, in chunks that fit into a datagram.
-// Bounded in bytes; the oldest are dropped first. No I/O.
+// Holds the responses of this gateway's runs that other gateways may fetch, in chunks that fit into a
+// datagram. The total size is bounded; the oldest responses are dropped first. No I/O.
 #pragma once
 
 #include <deque>
@@ -16,10 +16,10 @@
   // `settings` must outlive this object.
   explicit SharedResponses(const OwnershipSettings& settings) : settings_(settings) {}
 
-  // Keeps the response for the retention, unless it is too large.
+  // Holds the response for the retention, unless it is too large.
   void add(Time now, const SipHash128& id, const CachedResponse& response);
 
-  // The requested part; a chunk with no total if there is no such response.
+  // Returns the requested chunk; its `totalBytes` is 0 if there is no such response or offset.
   ResponseChunk chunkFor(Time now, const ResponseRequest& request) const;
 
  private:
--- a/src/idempotency/store.cpp
+++ b/src/idempotency/store.cpp
@@ -15,18 +15,18 @@
   std::string key;
   CachedResponse response;
   std::optional<EarlierAttempt> earlierAttempt;
-  std::uint64_t run = 0;     // its number while it runs
-  bool isRetry = false;      // it was uncertain before, until `expiresAt`
-  bool isBound = false;      // other gateways know of an earlier attempt
-  bool attemptSent = false;  // by this run
-  bool attemptOpen = false;  // `earlierAttempt` is under way and may prove not to have been executed
+  std::uint64_t run = 0;          // number of the current run
+  bool isRetry = false;           // the key was uncertain before the run, until `expiresAt`
+  bool isBound = false;           // by bindToEarlierAttempt()
+  bool attemptSent = false;       // by this run
+  bool attemptUnsettled = false;  // `earlierAttempt` is in flight and may turn out not to be executed
   Time expiresAt{};
   std::size_t bytes = 0;
   std::vector<Waiter> waiters;
   EntryId nextInBucket = Store::kNone;                                   // or the next free entry
   EntryId olderCompleted = Store::kNone, newerCompleted = Store::kNone;  // of its tenant
   EntryId previousInSlot = Store::kNone, nextInSlot = Store::kNone;      // of the timer wheel
-  std::int32_t slot = -1;                                                // below 0: it has no expiry
+  std::int32_t slot = -1;                                                // negative: it has no expiry
 };
 
 Store::Store(const StoreLimits& limits, std::uint32_t tenants, const Seed& seed, std::uint64_t hashMask)
@@ -154,8 +154,8 @@
   return largest;
 }
 
-// A tenant evicts its own entries before those of others. Without a limit for each tenant the requests of one
-// could evict the responses that the repeats of all others need.
+// A tenant evicts its own entries before those of others. Without a limit for each tenant, the requests of
+// one could evict the responses that repeats of all others need.
 bool Store::makeRoom(std::uint32_t tenant, std::size_t entries, std::size_t bytes) {
   if (!makeRoomWithinTenant(tenant, entries, bytes)) return false;
   while (used_ + entries > limits_.maxEntries || bytes_ + bytes > limits_.maxBytes)
@@ -166,10 +166,12 @@
 void Store::unlinkCompleted(EntryId id) {
   Entry& entry = at(id);
   EntryList& list = tenants_[entry.tenant].completed;
-  EntryId& fromOlder = entry.olderCompleted == kNone ? list.first : at(entry.olderCompleted).newerCompleted;
-  EntryId& fromNewer = entry.newerCompleted == kNone ? list.last : at(entry.newerCompleted).olderCompleted;
-  fromOlder = entry.newerCompleted;
-  fromNewer = entry.olderCompleted;
+  EntryId& linkFromOlder =
+      entry.olderCompleted == kNone ? list.first : at(entry.olderCompleted).newerCompleted;
+  EntryId& linkFromNewer =
+      entry.newerCompleted == kNone ? list.last : at(entry.newerCompleted).olderCompleted;
+  linkFromOlder = entry.newerCompleted;
+  linkFromNewer = entry.olderCompleted;
   entry.olderCompleted = kNone;
   entry.newerCompleted = kNone;
 }
@@ -178,8 +180,8 @@
   Entry& entry = at(id);
   EntryList& list = tenants_[entry.tenant].completed;
   entry.olderCompleted = list.last;
-  EntryId& fromOlder = list.last == kNone ? list.first : at(list.last).newerCompleted;
-  fromOlder = id;
+  EntryId& linkFromOlder = list.last == kNone ? list.first : at(list.last).newerCompleted;
+  linkFromOlder = id;
   list.last = id;
 }
 
@@ -200,8 +202,8 @@
   entry.slot = static_cast<std::int32_t>((expiresAt / tick_ + 1) % static_cast<std::int64_t>(kWheelSlots));
   EntryList& list = wheel_[static_cast<std::size_t>(entry.slot)];
   entry.previousInSlot = list.last;
-  EntryId& fromPrevious = list.last == kNone ? list.first : at(list.last).nextInSlot;
-  fromPrevious = id;
+  EntryId& linkFromPrevious = list.last == kNone ? list.first : at(list.last).nextInSlot;
+  linkFromPrevious = id;
   list.last = id;
 }
 
@@ -209,10 +211,11 @@
   Entry& entry = at(id);
   if (entry.slot < 0) return;
   EntryList& list = wheel_[static_cast<std::size_t>(entry.slot)];
-  EntryId& fromPrevious = entry.previousInSlot == kNone ? list.first : at(entry.previousInSlot).nextInSlot;
-  EntryId& fromNext = entry.nextInSlot == kNone ? list.last : at(entry.nextInSlot).previousInSlot;
-  fromPrevious = entry.nextInSlot;
-  fromNext = entry.previousInSlot;
+  EntryId& linkFromPrevious =
+      entry.previousInSlot == kNone ? list.first : at(entry.previousInSlot).nextInSlot;
+  EntryId& linkFromNext = entry.nextInSlot == kNone ? list.last : at(entry.nextInSlot).previousInSlot;
+  linkFromPrevious = entry.nextInSlot;
+  linkFromNext = entry.previousInSlot;
   entry.previousInSlot = kNone;
   entry.nextInSlot = kNone;
   entry.slot = -1;
@@ -272,12 +275,12 @@
 Store::AdmissionResult Store::admit(Time now, const KeyedRequest& request) {
   expire(now);
   const std::uint64_t hash = hashOf(request);
-  const EntryId known = find(hash, request);
-  if (known != kNone) {
+  const EntryId existing = find(hash, request);
+  if (existing != kNone) {
     // The wheel removes an entry up to a tick after its expiry.
-    const bool expired = at(known).slot >= 0 && now >= at(known).expiresAt;
-    if (!expired) return admitKnown(now, known, request);
-    remove(known);
+    const bool expired = at(existing).slot >= 0 && now >= at(existing).expiresAt;
+    if (!expired) return admitKnown(now, existing, request);
+    remove(existing);
   }
   const auto inserted = insert(hash, request, KeyState::running);
   if (!inserted) return {};
@@ -290,14 +293,14 @@
   entry.attemptSent = true;
   if (entry.earlierAttempt) return;
   entry.earlierAttempt = attempt;
-  entry.attemptOpen = true;
+  entry.attemptUnsettled = true;
   for (StoreObserver* observer : observers_) observer->onAttemptSent(entry.run, attempt);
 }
 
 void Store::onAttemptSettled(EntryId id, bool mayHaveRun) {
   Entry& entry = at(id);
-  if (!entry.attemptOpen) return;
-  entry.attemptOpen = false;
+  if (!entry.attemptUnsettled) return;
+  entry.attemptUnsettled = false;
   if (mayHaveRun) return;
   entry.earlierAttempt.reset();
   for (StoreObserver* observer : observers_) observer->onAttemptNotExecuted(entry.run);
@@ -335,7 +338,7 @@
   Entry& entry = at(id);
   std::vector<Waiter> waiters = takeWaiters(entry);
   // A retry that was not sent does not renew the retention. Otherwise a client that repeats often enough
-  // could keep its key uncertain for good.
+  // could keep its key uncertain indefinitely.
   const bool keepsExpiry =
       entry.isRetry && !entry.attemptSent && (outcome == RunOutcome::notExecuted || entry.isBound);
   const Time expiresAt = keepsExpiry ? entry.expiresAt : now + limits_.retention;
@@ -345,8 +348,8 @@
     remove(id);
     return waiters;
   }
-  entry.attemptOpen = false;
-  // An attempt with no zone and no time: it binds the key, and no host qualifies for a repeat.
+  entry.attemptUnsettled = false;
+  // An unknown attempt, without zone and time: the key is bound, and no host qualifies for a repeat.
   if (!entry.earlierAttempt) entry.earlierAttempt = EarlierAttempt{};
   // The entry still counts as running here, so making room cannot evict it.
   const bool cached = outcome == RunOutcome::responded && response.body.size() <= limits_.maxResponseBytes &&
@@ -380,8 +383,8 @@
 bool Store::restore(Time now, RestoredEntry&& restored) {
   expire(now);
   erase(restored.request);
-  // If the calendar stepped back between two processes, the recorded expiry may lie beyond the retention,
-  // which is longer than promised and longer than the wheel reaches.
+  // If the calendar stepped back between two processes, the recorded expiry may be more than one retention
+  // from now, which is beyond the span of the wheel and longer than a key is to be retained.
   const Time expiresAt = std::min(restored.expiresAt, now + limits_.retention);
   const std::uint64_t hash = hashOf(restored.request);
   if (expiresAt <= now || find(hash, restored.request) != kNone) return false;
--- a/src/idempotency/store.hpp
+++ b/src/idempotency/store.hpp
@@ -1,6 +1,7 @@
-// What one gateway remembers of requests with an idempotency key: which of them run, which have been
-// answered, and which may have been executed without an answer. No I/O and no clock of its own. Entries and
-// bytes are bounded, and every call takes constant time apart from the removal of expired entries.
+// The idempotency keys of one gateway's requests: which of them run, which have a cached response, and which
+// may have been executed without one. No I/O and no clock of its own. Entries and bytes are bounded. A call
+// takes constant time, apart from the removal of expired entries and, in a full store, an eviction, which
+// looks at each tenant.
 //
 // Terms follow the IETF draft "The Idempotency-Key HTTP Header Field". docs/design/idempotency.md lists the
 // transitions of a key.
@@ -22,8 +23,8 @@
 using load_balancing::Duration;
 using load_balancing::Time;
 
-// Hashes are keyed with a secret seed, so that no client can make two requests look alike or fill one chain
-// of the hash table.
+// Hashes are keyed with a secret seed, so that no client can construct requests with equal fingerprints or
+// keys that share a bucket of the hash table.
 using Seed = SipKey;
 using Fingerprint = SipHash128;
 using Hasher = SipHasher;
@@ -41,7 +42,8 @@
   std::string contentType, body;
 };
 
-// The first attempt of a key that may have been executed. It decides where and how long repeats may be sent.
+// The first attempt of a key that may have been executed. It determines where, and for how long, repeats may
+// be sent.
 using EarlierAttempt = load_balancing::EarlierAttempt;
 
 struct StoreLimits {
@@ -59,13 +61,13 @@
 
 // What happens to a request with an idempotency key.
 enum class Admission : std::uint8_t {
-  firstRun,             // it runs as the first of its key; the caller owes a finishRun()
+  firstRun,             // it runs as the first of its key; the caller must call finishRun()
   joinRunning,          // it waits for the response of the request that runs
   replayResponse,       // it is answered with the cached response
-  retryUncertain,       // it runs although an earlier run may have executed; the caller owes a finishRun()
+  retryUncertain,       // it runs after a run that may have executed; the caller must call finishRun()
   fingerprintMismatch,  // the key belongs to another request: 422, and it never runs
-  tooManyWaiters,       // failed rather than rejected, since the first request may have been executed
-  storeFull             // the operator's settings decide whether it is rejected or runs unremembered
+  tooManyWaiters,       // it fails rather than being rejected, since the first request may have been executed
+  storeFull             // the caller rejects it or runs it without the store
 };
 
 class StoreObserver;
@@ -113,24 +115,25 @@
 
   AdmissionResult admit(Time now, const KeyedRequest& request);
 
-  // An attempt of a running entry is about to be sent. Attempts of one entry follow one another. The first
-  // that may have been executed is the one that repeats have to go by.
+  // Must be called before an attempt of a running entry is sent. An entry has one attempt at a time. Repeats
+  // are bound to the first attempt that may have been executed.
   void onAttemptSent(EntryId id, const EarlierAttempt& attempt);
 
-  // The attempt that was sent last has ended.
+  // Must be called when the attempt that was sent last has ended.
   void onAttemptSettled(EntryId id, bool mayHaveRun);
 
-  // Tells a run that has just begun that another gateway knows of an earlier attempt, which counts until
-  // `until`. The run is treated as a retry of an uncertain one from here on. If it finishes unsent, with
-  // another gateway's response or none, the key is remembered until that time.
+  // Binds a run that has just begun to an earlier attempt that another gateway has reported, or that a
+  // damaged log may have lost. It is valid until `until`. The run is treated as a retry of an uncertain one
+  // from then on. If it finishes unsent, with another gateway's response or none, the key is retained until
+  // that time.
   void bindToEarlierAttempt(EntryId id, const EarlierAttempt& attempt, Time until);
 
-  // A waiter is gone, or was answered by other means.
+  // Removes a waiter that has disconnected or has been answered.
   void removeWaiter(EntryId id, Waiter waiter);
   bool hasWaiters(EntryId id) const;
 
-  // Ends a run and returns its waiters in order; the caller answers them or admits them anew. A response that
-  // is too large to be cached leaves the key uncertain: hosts still recognize a repeat. A retry of an
+  // Ends a run and returns its waiters in order; the caller answers them or admits them again. A response
+  // that is too large to be cached leaves the key uncertain: hosts still recognize a repeat. A retry of an
   // uncertain key that was not sent leaves the key uncertain until the time it was before.
   std::vector<Waiter> finishRun(Time now, EntryId id, RunOutcome outcome, CachedResponse&& response = {});
 
@@ -141,13 +144,14 @@
   void addObserver(StoreObserver& observer) { observers_.push_back(&observer); }
 
   const Seed& seed() const { return seed_; }
-  void setSeed(const Seed& seed);         // ignored unless the store is empty
-  void setMinNextRun(std::uint64_t run);  // runs that begin from now on have this number or a higher one
+  void setSeed(const Seed& seed);         // no effect unless the store is empty
+  void setMinNextRun(std::uint64_t run);  // later runs have this number or a higher one
 
-  // Replaces what is known of that key unless it runs. Returns false if there is no room or it has expired.
+  // Replaces the entry of that key. Returns false if the key is running, the new entry has expired or there
+  // is no room.
   bool restore(Time now, RestoredEntry&& entry);
 
-  // Forgets that key unless it runs.
+  // Removes the entry of that key unless it is running.
   void erase(const KeyedRequest& request);
 
   std::size_t entries() const { return used_; }
--- a/src/idempotency/store_observer.hpp
+++ b/src/idempotency/store_observer.hpp
@@ -7,8 +7,8 @@
 
 namespace finchstile::idempotency {
 
-// Each call comes before the step that it reports takes effect: a record written in onAttemptSent() stands
-// before the attempt is sent. Runs are numbered in ascending order.
+// Each function is called before the step that it reports takes effect: a record appended by onAttemptSent()
+// precedes the sending of the attempt. Runs are numbered in ascending order.
 class StoreObserver {
  public:
   virtual ~StoreObserver() = default;
@@ -17,10 +17,10 @@
   virtual void onRunStarted(std::uint64_t run, Time at, const Store::KeyedRequest& request,
                             const EarlierAttempt* earlierAttempt) = 0;
 
-  // The attempt that repeats have to go by.
+  // Repeats are bound to `attempt` unless onAttemptNotExecuted() follows.
   virtual void onAttemptSent(std::uint64_t run, const EarlierAttempt& attempt) = 0;
 
-  // That attempt was not executed.
+  // The attempt of the last onAttemptSent() was not executed.
   virtual void onAttemptNotExecuted(std::uint64_t run) = 0;
 
   // `at`: the start of the retention; the key expires one retention later. `executed`: the attempt of this
--- a/src/idempotency/sync_waiters.hpp
+++ b/src/idempotency/sync_waiters.hpp
@@ -17,11 +17,11 @@
     bool synced = false;  // false: the log has failed, and the record may be lost
   };
 
-  // `position`: the number of records that have to be synced, ascending from call to call. `request` must
-  // stay valid until it is returned or removed.
+  // `position`: the number of records that must be synced before the request is ready; not lower than in the
+  // previous call. `request` must stay valid until it is returned or removed.
   void add(std::uint64_t position, RequestContext& request);
 
-  // The request no longer waits.
+  // Removes a request that no longer waits.
   void remove(load_balancing::RequestId id) { requests_.erase(id); }
 
   // Removes and returns the next request whose record is synced. Once the log has failed all requests are
--- a/src/wal/log.cpp
+++ b/src/wal/log.cpp
@@ -38,7 +38,7 @@
     addOlderSegment(segment.number, segment.bytes);
   if (!durable) return fail();
   segmentNumber_ = recovery.nextNumber();
-  const SegmentHeader header{recovery.segments().empty(), recovery.countedBytesOfLast()};
+  const SegmentHeader header{recovery.segments().empty(), recovery.validBytesOfLast()};
   writer_ = beginSegment(segmentName(segmentNumber_), header);
   if (!writer_ || !writer_->sync() || !directory_.syncDirectory()) return fail();
   return true;
--- a/src/wal/log.hpp
+++ b/src/wal/log.hpp
@@ -72,7 +72,7 @@
   bool sync();
   // Whether a closed segment waits to be synced. Until it is, a crash that tears it cuts off all segments
   // after it.
-  bool needsSync() const { return !unsyncedSegments_.empty(); }
+  bool hasUnsyncedClosedSegment() const { return !unsyncedSegments_.empty(); }
 
   bool failed() const { return failed_; }
 
--- a/src/wal/log_recovery.cpp
+++ b/src/wal/log_recovery.cpp
@@ -44,7 +44,7 @@
     const std::string bytes = contentOf(segment);
     segment.contents = readSegment(bytes, ignoreRecord);
     segment.bytes = bytes.size();
-    segment.countedBytes = bytes.size();
+    segment.validBytes = bytes.size();
     const auto& marks = segment.contents.syncedSegments;
     knownSyncedSegments_.insert(marks.begin(), marks.end());
   }
@@ -87,11 +87,11 @@
   // Records lost from an older segment make all later ones worthless, unless it is known that the older one
   // was synced to its end before the later ones were written.
   const bool wasSynced = knownSyncedSegments_.count(segment.number) > 0 ||
-                         (nextFollows && next->contents.header.previousBytes != kUnknownBytes);
-  if (nextFollows && next->contents.header.previousBytes < segment.bytes) {
-    segment.countedBytes = next->contents.header.previousBytes;
+                         (nextFollows && next->contents.header.previousValidBytes != kUnknownBytes);
+  if (nextFollows && next->contents.header.previousValidBytes < segment.bytes) {
+    segment.validBytes = next->contents.header.previousValidBytes;
     const std::string bytes = contentOf(segment);
-    segment.contents = readSegment(std::string_view(bytes).substr(0, segment.countedBytes), ignoreRecord);
+    segment.contents = readSegment(std::string_view(bytes).substr(0, segment.validBytes), ignoreRecord);
   }
   if (next && !nextFollows) {
     report_.damaged = true;
@@ -103,8 +103,8 @@
     describe(segment, ": damaged behind byte ", segment.contents.readableBytes);
     return;
   }
-  report_.truncatedBytes += segment.countedBytes - segment.contents.readableBytes;
-  segment.countedBytes = segment.contents.readableBytes;
+  report_.truncatedBytes += segment.validBytes - segment.contents.readableBytes;
+  segment.validBytes = segment.contents.readableBytes;
   describe(segment, ": cut at byte ", segment.contents.readableBytes);
   removedTail_ = next != nullptr;
   removeFrom(index + 1);
@@ -126,7 +126,7 @@
 void LogRecovery::deliver(const OnRecord& onRecord) {
   for (const Segment& segment : segments_) {
     const std::string bytes = contentOf(segment);
-    readSegment(std::string_view(bytes).substr(0, segment.countedBytes), [&](std::string_view record) {
+    readSegment(std::string_view(bytes).substr(0, segment.validBytes), [&](std::string_view record) {
       ++report_.records;
       onRecord(record);
     });
@@ -138,10 +138,10 @@
   return segments_.empty() ? newestNumber_ + 1 : segments_.back().number + 1;
 }
 
-std::uint64_t LogRecovery::countedBytesOfLast() const {
+std::uint64_t LogRecovery::validBytesOfLast() const {
   if (segments_.empty()) return kAllBytes;
   const Segment& last = segments_.back();
-  return last.countedBytes == last.bytes ? kAllBytes : last.countedBytes;
+  return last.validBytes == last.bytes ? kAllBytes : last.validBytes;
 }
 
 }  // namespace finchstile::wal
--- a/src/wal/log_recovery.hpp
+++ b/src/wal/log_recovery.hpp
@@ -26,7 +26,7 @@
     std::string name;
     SegmentContents contents;
     std::size_t bytes = 0;
-    std::size_t countedBytes = 0;  // that count; the rest is a torn tail
+    std::size_t validBytes = 0;  // that count; the rest is a torn tail
   };
 
   // Both references must outlive the recovery.
@@ -48,7 +48,7 @@
   // number of a removed segment may be used again.
   std::uint64_t nextNumber() const;
   // How many bytes of the last selected segment count, for the header of the next one.
-  std::uint64_t countedBytesOfLast() const;
+  std::uint64_t validBytesOfLast() const;
 
  private:
   void findSegments();
--- a/src/wal/segment_format.cpp
+++ b/src/wal/segment_format.cpp
@@ -17,14 +17,14 @@
 std::string encodeSegmentHeader(const SegmentHeader& header) {
   std::string record(kMagic);
   record += static_cast<char>(header.snapshot ? 1 : 0);
-  putLittleEndian(record, header.previousBytes);
+  putLittleEndian(record, header.previousValidBytes);
   return record;
 }
 
 bool decodeSegmentHeader(std::string_view record, SegmentHeader& header) {
   if (record.size() != kHeaderBytes || record.substr(0, kMagic.size()) != kMagic) return false;
   header.snapshot = record[kMagic.size()] == 1;
-  header.previousBytes = getLittleEndian<std::uint64_t>(record.substr(kMagic.size() + 1));
+  header.previousValidBytes = getLittleEndian<std::uint64_t>(record.substr(kMagic.size() + 1));
   return true;
 }
 
--- a/src/wal/segment_format.hpp
+++ b/src/wal/segment_format.hpp
@@ -38,7 +38,7 @@
 
 struct SegmentHeader {
   bool snapshot = false;
-  std::uint64_t previousBytes = kAllBytes;  // of the previous segment that count
+  std::uint64_t previousValidBytes = kAllBytes;  // of the previous segment that count
 };
 
 std::string encodeSegmentHeader(const SegmentHeader& header);
--- a/tests/idempotency/filter_test.cpp
+++ b/tests/idempotency/filter_test.cpp
@@ -761,7 +761,7 @@
 }
 
 TEST_F(OwnersOverSockets, RunsRepeatWithoutOwnersBySetting) {
-  start([](OwnershipSettings& o) { o.runWhenOwnersSilent = true; });
+  start([](OwnershipSettings& o) { o.runWithoutMajority = true; });
   cutOff = true;
   const auto c = put(1, "k", true);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
--- a/tests/idempotency/key_ownership_test.cpp
+++ b/tests/idempotency/key_ownership_test.cpp
@@ -226,7 +226,7 @@
 TEST(KeyOwnership, SilentOwnersLeaveKeyUncertainOrRunItBySetting) {
   for (const bool runs : {false, true}) {
     Net net(4);
-    net.settings.runWhenOwnersSilent = runs;
+    net.settings.runWithoutMajority = runs;
     net.start(1);
     net.run(net.settings.retention + net.settings.maxRequestDuration);
     net.lost = 1;
@@ -399,14 +399,14 @@
   EXPECT_TRUE(d);
   return d ? *d : KeyOwnership::Decision{};
 }
-ClaimResponse says(KeyKnowledge known, const std::string& zone = "", bool mine = true) {
+ClaimResponse says(ClaimResult known, const std::string& zone = "", bool mine = true) {
   return {0, known, 1, mine, false, {zone, 1, zone.empty() ? AttemptLocation::kUnknownAge : 50}, 5000};
 }
 
 TEST(KeyOwnership, MajorityOfInformedOwnersDecides) {
-  const ClaimResponse free = says(KeyKnowledge::unused), east = says(KeyKnowledge::uncertain, "east"),
-                      west = says(KeyKnowledge::uncertain, "west"), full = says(KeyKnowledge::ownerFull),
-                      other = says(KeyKnowledge::unused, "",
+  const ClaimResponse free = says(ClaimResult::unused), east = says(ClaimResult::uncertain, "east"),
+                      west = says(ClaimResult::uncertain, "west"), full = says(ClaimResult::ownerFull),
+                      other = says(ClaimResult::unused, "",
                                    false);  // by its own configuration it is not an owner
   EXPECT_EQ(decisionOn({free, free, free}).kind, Kind::run);
   EXPECT_EQ(decisionOn({free, free}).kind, Kind::run);
@@ -414,7 +414,7 @@
   EXPECT_EQ(decisionOn({free, other, other}).kind, Kind::uncertain);
   EXPECT_EQ(decisionOn({free, full}).kind, Kind::uncertain);
   EXPECT_EQ(decisionOn({free, free, other}).kind, Kind::run);
-  EXPECT_EQ(decisionOn({free, says(KeyKnowledge::mismatch)}).kind, Kind::fingerprintMismatch);
+  EXPECT_EQ(decisionOn({free, says(ClaimResult::mismatch)}).kind, Kind::fingerprintMismatch);
   EXPECT_EQ(decisionOn({east, free, free}).earlierAttempt.zone, "east");
   EXPECT_EQ(decisionOn({east, free}).earlierAttempt.zone, "east");
   EXPECT_EQ(decisionOn({east}).earlierAttempt.sentAt,
@@ -434,17 +434,17 @@
     net[0].onMessage(net.now, from, 1, encode(Claim{1, k, run, 0, false}));
     return std::get<ClaimResponse>(*decodeOwnerMessage(net[0].takeOutgoing().back().payload));
   };
-  EXPECT_EQ(ruled(1, 1).knowledge, KeyKnowledge::unused);
-  EXPECT_EQ(ruled(1, 1).knowledge, KeyKnowledge::unused);  // a duplicate
-  const auto next = ruled(1, 2);                           // the end of the first run is not known yet
-  EXPECT_EQ(next.knowledge, KeyKnowledge::uncertain);
+  EXPECT_EQ(ruled(1, 1).result, ClaimResult::unused);
+  EXPECT_EQ(ruled(1, 1).result, ClaimResult::unused);  // a duplicate
+  const auto next = ruled(1, 2);                       // the end of the first run is not known yet
+  EXPECT_EQ(next.result, ClaimResult::uncertain);
   EXPECT_EQ(next.attempt.ageMs, AttemptLocation::kUnknownAge);
   net[0].onMessage(net.now, 1, 1,
                    encode(RunFinishedNotice{2, k, 1, KeyState::uncertain, {"west", 3, 50}, 5000}));
-  EXPECT_EQ(ruled(2, 9).knowledge, KeyKnowledge::running);
+  EXPECT_EQ(ruled(2, 9).result, ClaimResult::running);
   net[0].onMessage(net.now, 1, 1, encode(RunFinishedNotice{3, k, 2, KeyState::unused, {}, 0}));
   const auto after = ruled(2, 9);
-  EXPECT_EQ(after.knowledge, KeyKnowledge::uncertain);
+  EXPECT_EQ(after.result, ClaimResult::uncertain);
   EXPECT_EQ(after.attempt.zone, "west");
 }
 
@@ -486,7 +486,7 @@
   net[0].onMessage(net.now, 1, 5, "\x01 cut");
   net[0].onMessage(
       net.now, 1, 5,
-      encode(ClaimResponse{99, KeyKnowledge::unused, 0, true, false, {}, 0}));  // answers no claim
+      encode(ClaimResponse{99, ClaimResult::unused, 0, true, false, {}, 0}));  // answers no claim
   EXPECT_EQ(net[0].counts().malformed, 2u);
   EXPECT_TRUE(net[0].takeOutgoing().empty());
 }
--- a/tests/idempotency/owner_message_test.cpp
+++ b/tests/idempotency/owner_message_test.cpp
@@ -15,7 +15,7 @@
   const std::string zone(kMaxZoneNameBytes, 'z');
   for (const OwnerMessage& m : std::vector<OwnerMessage>{
            Claim{7, k, 9, 11, true},
-           ClaimResponse{7, KeyKnowledge::uncertain, 513, true, true, {zone, -4, 120}, 5000},
+           ClaimResponse{7, ClaimResult::uncertain, 513, true, true, {zone, -4, 120}, 5000},
            RunFinishedNotice{8, k, 9, KeyState::completed, {zone, 1, 120}, 5000}, FinishedAcknowledgement{8},
            ResponseRequest{9, k, 190}, ResponseChunk{9, 400, 190, std::string(kMaxChunkBytes, 'p')}}) {
     const std::string bytes = encode(m);
@@ -28,7 +28,7 @@
     EXPECT_FALSE(decodeOwnerMessage(bytes + "x"));
   }
   const auto ruling = decodeOwnerMessage(
-      encode(ClaimResponse{7, KeyKnowledge::running, 513, false, true, {"east", -4, 120}, 5}));
+      encode(ClaimResponse{7, ClaimResult::running, 513, false, true, {"east", -4, 120}, 5}));
   const ClaimResponse& r = std::get<ClaimResponse>(*ruling);
   EXPECT_EQ(r.runner, 513);
   EXPECT_FALSE(r.senderIsOwner);
@@ -72,7 +72,7 @@
        "0900000000000000"
        "0b000000"
        "01"},
-      {ClaimResponse{7, KeyKnowledge::uncertain, 513, true, true, {"east", -4, 120}, 5000},
+      {ClaimResponse{7, ClaimResult::uncertain, 513, true, true, {"east", -4, 120}, 5000},
        "02"
        "0700000000000000"
        "03"
--- a/tests/wal/log_test.cpp
+++ b/tests/wal/log_test.cpp
@@ -202,9 +202,9 @@
       first = log.currentSegment();
       for (int i = 0; i < 100; ++i) ASSERT_TRUE(log.append(std::string(1000, 'a')));
       EXPECT_EQ(log.currentSegment(), first + 1);
-      EXPECT_TRUE(log.needsSync());
+      EXPECT_TRUE(log.hasUnsyncedClosedSegment());
       if (synced) ASSERT_TRUE(log.sync());
-      EXPECT_EQ(log.needsSync(), !synced);
+      EXPECT_EQ(log.hasUnsyncedClosedSegment(), !synced);
       EXPECT_EQ(log.syncedRecords(), synced ? 100u : 0u);
     }
     const auto name = folder.contents().begin()->first;
@@ -235,7 +235,7 @@
       ASSERT_TRUE(log.append(std::string(kBlockBytes - 28 - left, 'b')));
       ASSERT_TRUE(log.sync());
       o.maxSegmentBytes = 1 << 20;
-      ASSERT_FALSE(log.needsSync());
+      ASSERT_FALSE(log.hasUnsyncedClosedSegment());
     }
     {
       Log log(folder, o);
--- a/tests/wal/segment_format_test.cpp
+++ b/tests/wal/segment_format_test.cpp
@@ -22,7 +22,7 @@
   SegmentHeader header;
   ASSERT_TRUE(decodeSegmentHeader(bytes, header));
   EXPECT_TRUE(header.snapshot);
-  EXPECT_EQ(header.previousBytes, 513u);
+  EXPECT_EQ(header.previousValidBytes, 513u);
   for (std::size_t size = 0; size < bytes.size(); ++size)
     EXPECT_FALSE(decodeSegmentHeader(bytes.substr(0, size), header)) << size;
   EXPECT_FALSE(decodeSegmentHeader(bytes + "x", header));
