--- a/src/idempotency/key_ownership.cpp
+++ b/src/idempotency/key_ownership.cpp
@@ -77,7 +77,7 @@
   const auto it = runs_.find(run);
   if (it == runs_.end()) return;
   ClaimedRun& claimed = it->second;
-  const bool known =
+  const bool keyInUse =
       !unanswered && response.result != ClaimResult::unused && response.result != ClaimResult::ownerFull;
   for (Vote& vote : claimed.votes) {
     if (vote.owner != from || vote.settled) continue;
--- a/src/trace/line_rate_limiter.hpp
+++ b/src/trace/line_rate_limiter.hpp
@@ -1,5 +1,5 @@
-// Limits the lines that the attempt log writes in a second, so that a burst of requests does not make logging
-// expensive, and counts the lines that are dropped. A token bucket. No I/O.
+// A token bucket that limits the lines written to the attempt log per second, so that a burst of requests
+// does not make logging expensive, and counts the dropped lines. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
   LineRateLimiter(double linesPerSecond, load_balancing::Time now)
       : linesPerSecond_(linesPerSecond), tokens_(linesPerSecond), refilledAt_(now) {}
 
-  // Whether a line may be written now. Counts the line as dropped if not.
+  // Returns whether a line may be written now; if not, counts it as dropped.
   bool tryAcquire(load_balancing::Time now);
 
   // Counts lines that were dropped for another reason.
--- a/src/trace/log_auditor.cpp
+++ b/src/trace/log_auditor.cpp
@@ -89,7 +89,8 @@
                " ms after its client's time of " + std::to_string(request.timeLeftMs) + " ms");
   }
 
-  // A process that ended in order owes each request an answer, unless its log has gaps.
+  // A process that shut down in order must have answered each request. With gaps in its log the record of
+  // the answer may be missing.
   void checkAnswerMissing(const AttemptLine& attempt) {
     const GatewayProcess* const process = processAt(processes_, attempt.gateway, attempt.chosenAtUs);
     if (process == nullptr || process->stoppedAtUs == 0 || process->hasGap) return;
@@ -104,7 +105,7 @@
                " ms after it was " + name(request.end));
   }
 
-  // A rejection tells the client that nothing ran.
+  // A rejection is a promise to the client that nothing was executed.
   void checkRejection(const AttemptLine& attempt, const RequestLine& request) {
     if (request.end != RequestEnd::rejected || attempt.execution == Execution::no) return;
     if (isRepeatSafeEverywhere(attempt)) return;
--- a/src/trace/log_auditor.hpp
+++ b/src/trace/log_auditor.hpp
@@ -1,5 +1,6 @@
-// Checks merged attempt logs against the rules of the service. A rule is judged only by records that are
-// present: records that a gap or the death of a process may have removed lead to no finding. No I/O.
+// Checks merged attempt logs against the rules that gateways must keep (Finding::Kind). Only records that
+// are present are checked: missing records, after a gap or the crash of a process, lead to no finding. No
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -19,24 +20,23 @@
 struct Finding {
   enum class Kind {
     answeredTwice,           // two final answers to one arrival of a request
-    answeredAfterDeadline,   // the final answer came after the client's deadline
+    answeredAfterDeadline,   // the final answer was sent after the client's deadline
     sentAfterAnswer,         // an attempt was sent after the request's final answer
-    noAnswer,                // attempts without a final answer, in a process that ended in order
-    openAtShutdown,          // a process ended in order while requests were open
+    noAnswer,                // attempts without a final answer, in a process that shut down in order
+    openAtShutdown,          // a process shut down in order while requests were open
     concurrentAttempts,      // an attempt was sent while an earlier one was in flight
     unsafeRetry,             // sent again though an earlier attempt may have run and repeats are not dropped
     rejectedAfterExecution,  // reported as safe to retry though an attempt may have run
-    sentToDrainingHost       // sent later than the grace after this gateway knew that the host drains or is
-                             // removed
+    sentToDrainingHost       // sent after the grace since the host was recorded as draining or removed
   };
   Kind kind = Kind::answeredTwice;
   std::string gateway;
   std::string id;         // of the request; empty for findings about a process
   std::int64_t atUs = 0;  // when it happened, Unix time in microseconds
-  std::string text;       // what the records show, with the figures
+  std::string text;       // the details, with the figures from the records
 };
 
-// The name of a finding in the output of `finchstile trace --audit`, which docs/operators/trace.md refers to.
+// The name of a finding in the output of `finchstile trace --audit`, documented in docs/operators/trace.md.
 const char* name(Finding::Kind kind);
 
 // All findings, in order of time.
--- a/src/trace/log_merger.hpp
+++ b/src/trace/log_merger.hpp
@@ -1,5 +1,5 @@
-// Merges the attempt logs of many gateways: the history of each request, the processes of each gateway and
-// the phases of hosts that each gateway knew. Lines may be added in any order. No I/O.
+// Merges the attempt logs of several gateways into the history of each request, the processes of each
+// gateway and the host phases that each gateway recorded. Lines may be added in any order. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,16 @@
 // One process of a gateway. Times are Unix time in microseconds.
 struct GatewayProcess {
   std::int64_t startedAtUs = 0;
-  std::int64_t stoppedAtUs = 0;    // 0: no orderly end is known
+  std::int64_t stoppedAtUs = 0;    // 0: no orderly end is recorded
   std::uint64_t openRequests = 0;  // at the orderly end
-  bool hasGap = false;             // lines of it are missing
+  bool hasGap = false;             // lines of its log are missing
 };
 
 // The processes of each gateway, by its name and in order of their start.
 using GatewayProcesses = std::map<std::string, std::vector<GatewayProcess>>;
 
-// The process that `gateway` was at a time; null if no earlier start is known. The result points into
-// `processes`.
+// The latest process of `gateway` that started at or before that time; null if there is none. The result
+// points into `processes`.
 const GatewayProcess* processAt(const GatewayProcesses& processes, const std::string& gateway,
                                 std::int64_t atUs);
 
@@ -39,18 +39,18 @@
   std::size_t lineCount() const { return lineCount_; }
   // Lines that gap records report as dropped.
   std::uint64_t missingLines() const { return missingLines_; }
-  // The earliest time of a line, Unix time in microseconds; 0 without lines.
+  // The time of the earliest line, Unix time in microseconds; 0 if there are no lines.
   std::int64_t firstLineAtUs() const { return firstLineAtUs_; }
 
   // All histories; their records are unsorted.
   const RequestHistories& histories() const { return histories_; }
-  // The sorted history of one request; empty if no line names it.
+  // The sorted history of one request; empty if no line has its id.
   RequestHistory history(const std::string& id) const;
 
   GatewayProcesses processes() const;
 
-  // The latest phase record of `host` that `gateway` wrote until then; null if there is none. Records of an
-  // earlier process count, since the next process writes all phases anew at its start.
+  // The latest phase record of `host` that `gateway` wrote at or before that time; null if there is none.
+  // Records of an earlier process count, since the next process writes all phases again at its start.
   const HostLine* hostPhaseAt(const std::string& gateway, const std::string& host, std::int64_t atUs) const;
 
  private:
--- a/src/trace/log_totals.cpp
+++ b/src/trace/log_totals.cpp
@@ -25,7 +25,7 @@
   return attempt.className;
 }
 
-// `groupBy` must not be the host: a request has none.
+// `groupBy` must not be `host`: a request record has no host.
 std::string groupOf(const LogMerger& log, GroupBy groupBy, const RequestLine& request) {
   if (groupBy == GroupBy::second) return secondOf(log, request.arrivedAtUs);
   return groupBy == GroupBy::gateway ? request.gateway : request.className;
--- a/src/trace/request_history.hpp
+++ b/src/trace/request_history.hpp
@@ -9,12 +9,13 @@
 namespace finchstile::trace {
 
 struct RequestHistory {
-  std::vector<AttemptLine> attempts;  // once sorted: by the time when the host was chosen
-  std::vector<RequestLine>
-      requests;  // once sorted: by arrival; one for each time that a gateway received the id
+  // Once sorted: by the time at which the host was chosen.
+  std::vector<AttemptLine> attempts;
+  // One for each time that a gateway received the id. Once sorted: by arrival.
+  std::vector<RequestLine> requests;
 };
 
-// Puts the records into their order, whatever order they were added in.
+// Returns the history with its records in the order stated above.
 RequestHistory sorted(RequestHistory history);
 
 // Whether a byte of the attempt was sent to its host.
@@ -24,8 +25,8 @@
 // `history` must be sorted. The result points into it.
 const RequestLine* requestOf(const RequestHistory& history, const AttemptLine& attempt);
 
-// One line per event, in order of time. Times are milliseconds since the first event. Empty for an empty
-// history, which must be sorted.
+// Returns one line per event, in order of time, with the milliseconds since the first event. Empty for an
+// empty history. `history` must be sorted.
 std::string formatTimeline(const RequestHistory& history);
 
 // Microseconds as milliseconds with one decimal place.
--- a/src/trace/request_sampling.cpp
+++ b/src/trace/request_sampling.cpp
@@ -9,9 +9,9 @@
 
 constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325ULL;
 constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
-constexpr double kTwoToMinus53 = 0x1.0p-53;  // a double's mantissa has 53 bits
+constexpr double kTwoToMinus53 = 0x1.0p-53;  // a double has a 53-bit significand
 
-// FNV-1a. std::hash may differ from machine to machine.
+// FNV-1a, since std::hash may differ between builds of gateways.
 std::uint64_t hashOf(std::string_view id) {
   std::uint64_t hash = kFnvOffsetBasis;
   for (const unsigned char byte : id) hash = (hash ^ byte) * kFnvPrime;
--- a/src/trace/settings.hpp
+++ b/src/trace/settings.hpp
@@ -1,5 +1,5 @@
-// The settings of the attempt log: [trace] of the operator's file. docs/operators/trace.md has a line on
-// each.
+// The settings of the attempt log: the table [trace] of the operator's file, documented in
+// docs/operators/trace.md.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 struct TraceSettings {
   bool enabled = false;
-  std::string file;              // empty: standard error
-  double sampleFraction = 1;     // of the requests, chosen by their ids: all gateways choose the same ones
-  double linesPerSecond = 5000;  // lines beyond this rate are dropped and counted
+  std::string file;                                   // empty: standard error
+  double sampleFraction = 1;                          // of the requests (see isSampled())
+  double linesPerSecond = 5000;                       // lines beyond this rate are dropped and counted
   std::size_t maxFileBytes = std::size_t{256} << 20;  // a larger file is renamed to FILE.1
-  std::size_t maxQueuedBytes = std::size_t{4}
-                               << 20;  // queued for a slow disk; lines beyond are dropped and counted
+  // Of lines queued for a slow disk; lines beyond are dropped and counted.
+  std::size_t maxQueuedBytes = std::size_t{4} << 20;
 };
 
-// Reads the table [trace] of `root`, which collects the errors. `folder` is that of the operator's file,
-// where relative paths start. Settings that are absent keep their values in `out`.
+// Reads the table [trace] of `root`, which collects the errors. Relative paths are relative to `folder`,
+// that of the operator's file. Settings that are absent keep their values in `out`.
 void readTraceSettings(SettingReader& root, const std::string& folder, TraceSettings& out);
 
 }  // namespace finchstile::trace
--- a/src/trace/trace_line.hpp
+++ b/src/trace/trace_line.hpp
@@ -16,7 +16,7 @@
 using load_balancing::Idempotency;
 using load_balancing::Outcome;
 
-// An age of this value means that the event never happened.
+// The age of an event that never happened.
 inline constexpr std::int64_t kNever = -1;
 
 // Whether the host executed an attempt.
@@ -24,16 +24,16 @@
 
 // What ended an attempt.
 enum class EndReason {
-  host,          // the host or its connection; the outcome tells the details
+  host,          // the host or its connection; see the outcome
   timeLimit,     // its time limit expired
-  requestEnded,  // its request ended: it was answered, or the client disconnected
-  abandoned      // given up in favour of another attempt, or before it was sent
+  requestEnded,  // its request was answered, or the client disconnected
+  abandoned      // cancelled in favour of another attempt, or before it was sent
 };
 
 // How a request ended at a gateway.
 enum class RequestEnd { served, rejected, failed, rejectedByFilter, clientDisconnected };
 
-// What the records of attempts and requests have in common.
+// The fields that attempt and request records share.
 struct RequestIdentity {
   std::string gateway;
   std::string id;  // chosen by the client; any bytes
@@ -41,7 +41,7 @@
   Idempotency idempotency = Idempotency::nonIdempotent;
 };
 
-// One attempt. Times are Unix time in microseconds.
+// An attempt. Times are Unix time in microseconds.
 struct AttemptLine : RequestIdentity {
   std::string host;
   std::string zone;
@@ -50,20 +50,21 @@
   std::int64_t firstByteAtUs = 0;   // 0: no byte was sent
   std::uint32_t attemptNumber = 0;  // from 0
   std::int64_t cell = 0;
-  // Of classes with idempotency keys: which hosts drop repeats of each other's requests, and for how long.
+  // For classes with idempotency keys: the group of hosts that recognize repeats of each other's requests,
+  // and for how long they do.
   DeduplicationScope deduplicationScope = DeduplicationScope::all;
   std::int64_t deduplicationWindowMs = 0;
   Outcome outcome = Outcome::notSent;
   EndReason endReason = EndReason::host;
   Execution execution = Execution::no;
-  // What the gateway knew of the host when it chose it.
-  std::int64_t listingAgeMs = kNever;   // since the endpoint list last named the host
-  std::int64_t responseAgeMs = kNever;  // since the host last responded to this gateway
+  // The state of the host in the gateway when the host was chosen.
+  std::int64_t listingAgeMs = kNever;   // since the host was last in an endpoint list
+  std::int64_t responseAgeMs = kNever;  // since the last response of the host to this gateway
   std::int64_t uptimeMs = 0;            // since the host started; 0: long ago or unknown
   bool avoided = false;                 // whether the load balancer avoided the host
 };
 
-// One request at one gateway. Times are Unix time in microseconds.
+// A request at one gateway. Times are Unix time in microseconds.
 struct RequestLine : RequestIdentity {
   std::int64_t arrivedAtUs = 0;
   std::int64_t endedAtUs = 0;
--- a/src/trace/trace_line_codec.hpp
+++ b/src/trace/trace_line_codec.hpp
@@ -1,6 +1,6 @@
-// Writes and reads the text form of the attempt log, which docs/operators/trace.md defines: the word `trace`,
-// the kind of the record and its fields as key=value, separated by one space. Logs last longer than a
-// version, so the keys and values stay as they are; the names of this code are mapped to them here alone. No
+// Writes and reads the text form of the attempt log, which docs/operators/trace.md defines: `trace`, the
+// kind of the record and its fields as key=value, separated by one space. Logs outlive the version that
+// wrote them, so keys and values must not change. Only this module maps the names of the code to them. No
 // I/O.
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace finchstile::trace {
 
-// The values as they stand in a log.
+// The values as they are written in a log.
 const char* name(Outcome outcome);
 const char* name(EndReason reason);
 const char* name(Execution execution);
@@ -19,7 +19,7 @@
 const char* name(Idempotency idempotency);
 const char* name(HostPhase phase);
 
-// Appends the line and its line feed to `text`. Names may hold any bytes: all but visible ASCII is
+// Appends the line and its line feed to `text`. Names may have any bytes: all but visible ASCII is
 // percent-encoded.
 void appendLine(std::string& text, const TraceLine& line);
 
--- a/src/wal/log.cpp
+++ b/src/wal/log.cpp
@@ -88,8 +88,8 @@
 
 bool Log::endSync(const SyncTask& task, bool succeeded) {
   syncing_ = false;
-  // After a failed sync the system may have dropped what it could not write. Another sync could succeed
-  // without it, so none is tried.
+  // After a failed sync the operating system may have dropped the data that it could not write. Another sync
+  // could succeed without that data, so none is attempted.
   if (failed_ || !succeeded) return fail();
   syncedRecords_ = std::max(syncedRecords_, task.throughRecord);
   while (!unsyncedSegments_.empty() && unsyncedSegments_.front().number <= task.throughSegment) {
@@ -133,7 +133,7 @@
   }
   const std::uint64_t lastReplaced = segmentNumber_;
   replaceSegments(std::move(snapshot));
-  // Were the old segments removed before the new name is durable, a crash could leave neither.
+  // If the old segments were removed before the new name is durable, a crash could leave neither.
   if (!directory_.syncDirectory()) return fail();
   removeSegmentFilesThrough(lastReplaced);
   return true;
--- a/src/wal/log.hpp
+++ b/src/wal/log.hpp
@@ -1,7 +1,8 @@
-// An append-only log of records, in segments with checksums (segment_format.hpp) and of a bounded total size.
-// Its recovery tells a tail that a crash has torn from damage. The meaning of the records is up to the owner.
+// An append-only log of records, in segments with checksums (segment_format.hpp) and of a bounded total
+// size. Recovery distinguishes a tail that a crash has torn from damage. The contents of the records are up
+// to the owner of the log.
 //
-// The log belongs to one thread, except that SyncTask::run() may be called on another.
+// A log is used by one thread, except that SyncTask::run() may be called on another.
 #pragma once
 
 #include <algorithm>
@@ -29,7 +30,7 @@
 
 class Log {
  public:
-  // Makes everything that was appended before beginSync() outlive a crash of the machine.
+  // Makes everything that was appended before beginSync() durable: it survives a crash of the machine.
   struct SyncTask {
     std::vector<std::shared_ptr<LogFile>> files;  // in the order of their segments
     LogDirectory* directory = nullptr;            // synced as well unless null
@@ -40,50 +41,51 @@
     bool run() const;
   };
 
-  // Writes one record of a snapshot; given to the caller of writeSnapshot().
+  // Appends one record to a snapshot; passed to the callback of writeSnapshot().
   using PutRecord = std::function<void(std::string_view record)>;
 
   // `directory` must outlive the log.
   Log(LogDirectory& directory, const LogOptions& options);
   ~Log();
 
-  // To be called once, before anything else. Calls `onRecord` for each record in order and begins a new
-  // segment; segments of earlier processes are not appended to. Returns false if the log accepts no records
-  // (failed()); the recovered ones are good all the same.
+  // Must be called once, before any other function except setPreamble(). Calls `onRecord` for each record in
+  // order and begins a new segment; segments of earlier processes are not appended to. Returns false if the
+  // log accepts no records (failed()); the recovered records are valid in that case too.
   bool recover(const OnRecord& onRecord, RecoveryReport& report);
 
-  // `record` returns a record that each segment begins with, which the records after it need to be read. It
-  // is called when a segment is begun. To be set before recover().
+  // Sets the function that returns the first record of each segment, with the data needed to read the
+  // records after it. It is called when a segment is begun. Must be set before recover().
   void setPreamble(std::function<std::string()> record) { preamble_ = std::move(record); }
 
-  // Returns true if the record outlives this process; it outlives a crash of the machine after the next
-  // successful sync. Returns false if there is no room, which removeSegmentsThrough() or a snapshot makes, or
-  // if the log has failed. Then the record may or may not be there at the next recovery, and the log accepts
-  // no more.
+  // Returns true if the record survives the end of this process; it survives a crash of the machine after
+  // the next successful sync. Returns false if the record is too long, if there is no room for it
+  // (removeSegmentsThrough() and snapshots free space), or if the log has failed. A failed log accepts no
+  // more records, and the next recovery may or may not find the one that failed.
   bool append(std::string_view record);
   std::uint64_t appendedRecords() const { return appendedRecords_; }  // by this object
-  std::uint64_t syncedRecords() const { return syncedRecords_; }      // that outlive a crash of the machine
+  std::uint64_t syncedRecords() const { return syncedRecords_; }      // that survive a crash of the machine
 
-  // One sync at a time: beginSync(), SyncTask::run() on any thread, endSync() with its result. beginSync()
-  // returns nothing if all is synced, a sync is under way, or the log has failed.
+  // A sync consists of beginSync(), SyncTask::run() on any thread, and endSync() with its result. There is
+  // one at a time. beginSync() returns nothing if there is nothing to sync, a sync is in progress, or the
+  // log has failed.
   std::optional<SyncTask> beginSync();
   bool endSync(const SyncTask& task, bool succeeded);
-  // All three. Returns false on failure, or if a sync is under way.
+  // Performs all three steps. Returns false on failure, or if a sync is in progress.
   bool sync();
-  // Whether a closed segment waits to be synced. Until it is, a crash that tears it cuts off all segments
+  // Whether a closed segment has not been synced. Until it is, a crash that tears it discards all segments
   // after it.
   bool hasUnsyncedClosedSegment() const { return !unsyncedSegments_.empty(); }
 
   bool failed() const { return failed_; }
 
-  // The number of the segment that is written.
+  // The number of the segment that is appended to.
   std::uint64_t currentSegment() const { return segmentNumber_; }
-  // Removes the segments up to that number, except the current one. Segments that cannot be removed are tried
-  // again by the next call.
+  // Removes the segments up to that number, except the current one. The next call retries segments that
+  // cannot be removed.
   void removeSegmentsThrough(std::uint64_t segment);
 
-  // Replaces all segments by the records that `writeRecords` puts. Returns false if the old segments stay;
-  // the log goes on then, unless it has failed.
+  // Replaces all segments by the records that `writeRecords` passes to `put`. Returns false if the old
+  // segments are kept; they are appended to as before, unless the log has failed.
   bool needsSnapshot() const { return bytes() > options_.maxTotalBytes / 2; }
   bool writeSnapshot(const std::function<void(const PutRecord& put)>& writeRecords);
 
@@ -91,7 +93,8 @@
   std::size_t remainingBytes() const {
     return options_.maxTotalBytes - std::min(bytes(), options_.maxTotalBytes);
   }
-  // Less than a tenth of the size remains, which is for records that must not be left out.
+  // Whether less than a tenth of the size remains. The owner may reserve that part for records that must not
+  // be omitted.
   bool nearlyFull() const { return remainingBytes() < options_.maxTotalBytes / 10; }
 
  private:
@@ -116,8 +119,8 @@
   std::function<std::string()> preamble_;
   std::unique_ptr<SegmentWriter> writer_;
   std::uint64_t segmentNumber_ = 0;
-  std::deque<OlderSegment> olderSegments_;        // closed, oldest first
-  std::deque<UnsyncedSegment> unsyncedSegments_;  // of these: not synced to their end
+  std::deque<OlderSegment> olderSegments_;        // closed; oldest first
+  std::deque<UnsyncedSegment> unsyncedSegments_;  // those of olderSegments_ that are not synced to their end
   std::size_t olderBytes_ = 0;
   std::uint64_t appendedRecords_ = 0, syncedRecords_ = 0;
   bool directoryChanged_ = false;  // since it was synced
--- a/src/wal/log_directory.cpp
+++ b/src/wal/log_directory.cpp
@@ -39,18 +39,18 @@
   Descriptor fd_;
 };
 
-// Reads up to `size` bytes. Returns fewer if the file is shorter, and nothing on an error.
+// Reads up to `size` bytes. Returns fewer if the file is shorter, and nothing on a read error.
 std::optional<std::string> readBytes(const Descriptor& file, std::size_t size) {
   std::string bytes(size, '\0');
-  std::size_t have = 0;
-  while (have < size) {
-    const ssize_t got = ::read(file.get(), bytes.data() + have, size - have);
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) return std::nullopt;
-    if (got == 0) break;
-    have += static_cast<std::size_t>(got);
+  std::size_t bytesRead = 0;
+  while (bytesRead < size) {
+    const ssize_t count = ::read(file.get(), bytes.data() + bytesRead, size - bytesRead);
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) return std::nullopt;
+    if (count == 0) break;
+    bytesRead += static_cast<std::size_t>(count);
   }
-  bytes.resize(have);
+  bytes.resize(bytesRead);
   return bytes;
 }
 
@@ -112,8 +112,8 @@
     fail(Code::cannotCreate, std::strerror(errno));
   Descriptor fd(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (fd.get() < 0) fail(Code::cannotOpen, std::strerror(errno));
-  // Two processes that write the same segments would destroy the records of both. The system releases the
-  // lock with the descriptor, however the process ends.
+  // Two processes that write the same segments would destroy the records of both. The operating system
+  // releases the lock with the descriptor, however the process ends.
   if (::flock(fd.get(), LOCK_EX | LOCK_NB) != 0) {
     if (errno == EWOULDBLOCK) fail(Code::inUse, "another process uses it");
     fail(Code::cannotLock, std::strerror(errno));
--- a/src/wal/log_directory.hpp
+++ b/src/wal/log_directory.hpp
@@ -1,4 +1,4 @@
-// The part of a file system that a log uses. An interface, so that tests can make every operation fail.
+// The file system operations that a log uses, as an interface, so that tests can make each of them fail.
 #pragma once
 
 #include <memory>
@@ -14,37 +14,43 @@
  public:
   virtual ~LogFile() = default;
 
-  // Returns false on failure. Any part of the bytes may be in the file then, and nothing more can be relied
-  // on.
+  // Returns false on failure. Any part of the bytes may be in the file then, and the file must not be used
+  // any more.
   virtual bool append(std::string_view bytes) = 0;
 
-  // Returns true if everything that was appended outlives a crash of the machine.
+  // Returns true if everything that was appended now survives a crash of the machine.
   virtual bool sync() = 0;
 };
 
-// The files of one directory, by their plain names. syncDirectory() and LogFile::sync() may run on another
-// thread at the same time as the other calls.
+// The files of one directory, by their names without a path. syncDirectory() and LogFile::sync() may run on
+// another thread at the same time as the other calls.
 class LogDirectory {
  public:
   virtual ~LogDirectory() = default;
 
-  // Makes an empty file, in place of one of that name. Returns null on failure.
+  // Creates an empty file, replacing one of that name. Returns null on failure.
   virtual std::unique_ptr<LogFile> create(const std::string& name) = 0;
+
+  // Returns the contents of a file, or nothing on failure.
   virtual std::optional<std::string> read(const std::string& name) = 0;
 
   // Like LogFile::sync(), for a file that any process has written.
   virtual bool sync(const std::string& name) = 0;
+
+  // Returns the names of all files; none on failure.
   virtual std::vector<std::string> list() = 0;
 
-  // Replaces the file `to` if there is one.
+  // Replaces the file `to` if there is one. Returns false on failure.
   virtual bool rename(const std::string& from, const std::string& to) = 0;
+
+  // Returns false on failure.
   virtual bool remove(const std::string& name) = 0;
 
-  // Returns true if all creations, renames and removals so far outlive a crash of the machine.
+  // Returns true if all creations, renames and removals so far survive a crash of the machine.
   virtual bool syncDirectory() = 0;
 };
 
-// Says why a directory cannot be used. The text names the path and the cause.
+// Thrown if a directory cannot be used. The text is the path and the cause.
 class LogDirectoryError : public std::runtime_error {
  public:
   enum class Code { cannotCreate, cannotOpen, inUse, cannotLock };
--- a/src/wal/log_recovery.cpp
+++ b/src/wal/log_recovery.cpp
@@ -14,7 +14,7 @@
   readSegments();
   removeUnstartedSegments();
   removeSegmentsBeforeSnapshot();
-  // A check may remove the segments after the one that it is about.
+  // The check of a segment may remove those after it.
   for (std::size_t i = 0; i < segments_.size(); ++i) checkSegment(i);
 }
 
@@ -37,8 +37,8 @@
   return directory_.read(segment.name).value_or("");
 }
 
-// One segment at a time is in memory. All are read before any is judged, since whether an unreadable part is
-// a torn tail shows in later segments.
+// Only one segment at a time is held in memory. All are read before any is checked, since later segments
+// show whether an unreadable part is a torn tail.
 void LogRecovery::readSegments() {
   for (Segment& segment : segments_) {
     const std::string bytes = contentOf(segment);
@@ -58,7 +58,7 @@
   }
 }
 
-// A segment whose header is not complete was being begun at the crash, and none of its records was relied on.
+// A segment whose header is incomplete was being created at the crash, and none of its records was synced.
 void LogRecovery::removeUnstartedSegments() {
   while (!segments_.empty()) {
     const SegmentContents& contents = segments_.back().contents;
@@ -84,8 +84,8 @@
   Segment& segment = segments_[index];
   const Segment* const next = index + 1 < segments_.size() ? &segments_[index + 1] : nullptr;
   const bool nextFollows = next && next->number == segment.number + 1;
-  // Records lost from an older segment make all later ones worthless, unless it is known that the older one
-  // was synced to its end before the later ones were written.
+  // If records at the end of an older segment are lost, all later segments are discarded, unless the older
+  // one is known to have been synced to its end: then the loss is damage.
   const bool wasSynced = knownSyncedSegments_.count(segment.number) > 0 ||
                          (nextFollows && next->contents.header.previousValidBytes != kUnknownBytes);
   if (nextFollows && next->contents.header.previousValidBytes < segment.bytes) {
@@ -95,27 +95,27 @@
   }
   if (next && !nextFollows) {
     report_.damaged = true;
-    describe(segment, ": none follows it, missing is ", segment.number + 1);
+    describe(segment, ": next segment missing: number ", segment.number + 1);
   }
   if (!segment.contents.unreadable) return;
   if (segment.contents.readableAfterUnreadable || (next && (wasSynced || !nextFollows))) {
     report_.damaged = true;
-    describe(segment, ": damaged behind byte ", segment.contents.readableBytes);
+    describe(segment, ": damaged after byte ", segment.contents.readableBytes);
     return;
   }
   report_.truncatedBytes += segment.validBytes - segment.contents.readableBytes;
   segment.validBytes = segment.contents.readableBytes;
-  describe(segment, ": cut at byte ", segment.contents.readableBytes);
+  describe(segment, ": truncated at byte ", segment.contents.readableBytes);
   removedTail_ = next != nullptr;
   removeFrom(index + 1);
 }
 
 bool LogRecovery::makeDurable() {
-  // On a file system that does not order the two, a removed segment could come back after a crash, behind a
-  // new one that uses its number.
+  // A file system may reorder removals and creations: a removed segment could reappear after a crash and
+  // follow a new segment that reuses a removed number.
   if (removedTail_ && !directory_.syncDirectory()) return false;
-  // What a killed process has written may be in memory only. It must not be lost in a crash once later
-  // records are synced.
+  // Data that a killed process has written may be in the page cache only. It must not be lost in a crash
+  // once later records are synced.
   for (const Segment& segment : segments_) {
     if (knownSyncedSegments_.count(segment.number) > 0) continue;
     if (!directory_.sync(segment.name)) return false;
--- a/src/wal/log_recovery.hpp
+++ b/src/wal/log_recovery.hpp
@@ -1,5 +1,5 @@
-// Finds out which segments of a log count after the end of a process, and up to which byte. Tells a torn
-// tail, which a crash leaves behind the last sync, from damage within what was synced.
+// Determines which segments of a log are valid after the end of a process, and up to which byte.
+// Distinguishes a torn tail, which a crash leaves after the last sync, from damage to synced data.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
   std::size_t records = 0, segments = 0;
   std::size_t truncatedBytes = 0;  // of a torn tail and all segments after it; none of them were synced
   bool damaged = false;            // synced records are lost
-  std::string description;         // for the operator: which segments are torn or damaged, and where
+  std::string description;         // for the operator: the torn and damaged segments, and where
 };
 
 class LogRecovery {
@@ -26,17 +26,17 @@
     std::string name;
     SegmentContents contents;
     std::size_t bytes = 0;
-    std::size_t validBytes = 0;  // that count; the rest is a torn tail
+    std::size_t validBytes = 0;  // the rest is a torn tail
   };
 
   // Both references must outlive the recovery.
   LogRecovery(LogDirectory& directory, RecoveryReport& report) : directory_(directory), report_(report) {}
 
-  // To be called first, once. Removes segments that do not count, and describes what is torn or damaged.
+  // Must be called once, before the other functions. Removes segments that are not valid, and reports what
+  // is torn or damaged.
   void selectSegments();
 
-  // Makes the removals and the segments that were never synced outlive a crash of the machine. Returns false
-  // on failure.
+  // Makes the removals and the segments that were never synced durable. Returns false on failure.
   bool makeDurable();
 
   // Calls `onRecord` for each record of the selected segments in order.
@@ -44,10 +44,11 @@
 
   const std::vector<Segment>& segments() const { return segments_; }
 
-  // The number for the next segment. It follows the last selected one, which its header refers to, so the
-  // number of a removed segment may be used again.
+  // The number for the next segment. It follows the last selected one, to which its header refers, so the
+  // number of a removed segment may be reused.
   std::uint64_t nextNumber() const;
-  // How many bytes of the last selected segment count, for the header of the next one.
+  // The valid bytes of the last selected segment, for the header of the next one; kAllBytes if that is all
+  // of them.
   std::uint64_t validBytesOfLast() const;
 
  private:
@@ -63,7 +64,7 @@
   LogDirectory& directory_;
   RecoveryReport& report_;
   std::vector<Segment> segments_;                // by number
-  std::set<std::uint64_t> knownSyncedSegments_;  // by sync marks
+  std::set<std::uint64_t> knownSyncedSegments_;  // according to sync marks
   std::uint64_t newestNumber_ = 0;               // of all segments found
   bool removedTail_ = false;                     // segments after a torn tail have been removed
 };
--- a/src/wal/segment_format.hpp
+++ b/src/wal/segment_format.hpp
@@ -1,16 +1,17 @@
-// The bytes of a log segment, the file `log-NNNNNNNN`.
+// The format of a log segment, the file `log-NNNNNNNN`.
 //
 // A segment consists of blocks of 32 KiB. A record is divided into fragments, none of which crosses the end
 // of a block:
 //   u32 CRC-32 of all that follows in the fragment, u16 payload length, u8 kind, payload
-// so that reading can continue at the next block after damage. A rest of a block that is too short for a
-// fragment's header is filled with zeros. Integers are little-endian.
+// so that reading can continue at the next block after damage. If the rest of a block is too short for a
+// fragment's header, it is filled with zeros. Integers are little-endian.
 //
-// The first record is the segment's header: "FWAL1", u8 1 for a snapshot, which replaces all segments before
-// it, else 0, and u64 the number of bytes of the previous segment that count, since a torn tail stays in its
-// file. kAllBytes: all of them. kUnknownBytes: the previous segment was not synced when this one was begun; a
-// fragment of kind `syncMark` with its u64 number follows once it has been. Only from then on is an
-// unreadable part of it damage rather than a tail that a crash has torn.
+// The first record is the segment's header: "FWAL1", a u8 that is 1 for a snapshot, which replaces all
+// segments before it, else 0, and a u64: the number of valid bytes of the previous segment, since a torn
+// tail is not removed from its file. kAllBytes: all of them. kUnknownBytes: the previous segment was not
+// synced when this one was begun; once it has been, a fragment of kind `syncMark` with its u64 number
+// follows. Only from then on does an unreadable part of it count as damage; before, it is a tail that a
+// crash has torn.
 #pragma once
 
 #include <cstddef>
@@ -38,7 +39,7 @@
 
 struct SegmentHeader {
   bool snapshot = false;
-  std::uint64_t previousValidBytes = kAllBytes;  // of the previous segment that count
+  std::uint64_t previousValidBytes = kAllBytes;  // of the previous segment
 };
 
 std::string encodeSegmentHeader(const SegmentHeader& header);
--- a/src/wal/segment_reader.cpp
+++ b/src/wal/segment_reader.cpp
@@ -10,7 +10,7 @@
 namespace finchstile::wal {
 namespace {
 
-constexpr std::size_t kLengthOffset = sizeof(std::uint32_t);  // behind the checksum
+constexpr std::size_t kLengthOffset = sizeof(std::uint32_t);  // after the checksum
 constexpr std::size_t kKindOffset = kLengthOffset + sizeof(std::uint16_t);
 
 struct Fragment {
@@ -25,7 +25,7 @@
   std::size_t bytes() const { return kFragmentHeaderBytes + payload.size(); }
 };
 
-// `block`: the rest of a block. Returns nothing unless it begins with a fragment whose checksum is right.
+// `block`: the rest of a block. Returns nothing unless it begins with a fragment whose checksum matches.
 std::optional<Fragment> parseFragment(std::string_view block) {
   if (block.size() < kFragmentHeaderBytes) return std::nullopt;
   const std::size_t length = getLittleEndian<std::uint16_t>(block.substr(kLengthOffset));
@@ -51,7 +51,7 @@
   void readNext() {
     const std::size_t spaceInBlock = kBlockBytes - position_ % kBlockBytes;
     const std::size_t nextBlock = position_ + spaceInBlock;
-    if (spaceInBlock < kFragmentHeaderBytes) {  // zeros
+    if (spaceInBlock < kFragmentHeaderBytes) {  // zero padding
       position_ = nextBlock;
       return;
     }
@@ -75,7 +75,8 @@
   void skip(const std::optional<Fragment>& fragment, std::size_t nextBlock) {
     contents_.unreadable = true;
     record_.clear();
-    // A fragment that begins another record ends one whose rest is lost. Reading continues at that fragment.
+    // If a fragment begins another record, the rest of the current one is lost. Reading continues at that
+    // fragment.
     const bool beginsAnother = fragment && withinRecord_ && fragment->beginsRecord();
     if (!beginsAnother) position_ = fragment ? position_ + fragment->bytes() : nextBlock;
     withinRecord_ = false;
@@ -107,7 +108,7 @@
   const OnRecord& onRecord_;
   SegmentContents contents_;
   std::size_t position_ = 0;
-  std::string record_;         // the fragments of it that have been read
+  std::string record_;         // those of its fragments that have been read
   bool withinRecord_ = false;  // its last fragment has not been read
 };
 
--- a/src/wal/segment_reader.hpp
+++ b/src/wal/segment_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the records of a segment, past torn and damaged parts.
+// Reads the records of a segment and skips torn and damaged parts.
 #pragma once
 
 #include <cstddef>
@@ -16,11 +16,11 @@
 struct SegmentContents {
   bool hasHeader = false;
   SegmentHeader header;
-  std::size_t readableBytes = 0;  // up to the end of the last record before anything unreadable
-  bool unreadable = false;        // some part cannot be read
-  bool readableAfterUnreadable =
-      false;  // that part is followed by readable records, so it is not a torn tail
-  std::vector<std::uint64_t> syncedSegments;  // by the marks in this segment
+  std::size_t readableBytes = 0;  // up to the end of the last record before any unreadable part
+  bool unreadable = false;        // a part cannot be read
+  // An unreadable part is followed by readable records, so it is not a torn tail.
+  bool readableAfterUnreadable = false;
+  std::vector<std::uint64_t> syncedSegments;  // according to sync marks in this segment
 };
 
 // Calls `onRecord` for each readable record except the header, in order.
--- a/src/wal/segment_writer.cpp
+++ b/src/wal/segment_writer.cpp
@@ -10,8 +10,8 @@
 bool SegmentWriter::appendSyncMark(std::uint64_t segment) {
   std::string record;
   putLittleEndian(record, segment);
-  // A mark is a single fragment. If it does not fit into the block, the rest of the block becomes a mark of
-  // another length, which readers skip.
+  // A mark is a single fragment. If it does not fit into the block, the rest of the block is filled with a
+  // mark of another length, which readers ignore.
   const std::size_t space = spaceInBlock();
   if (space >= kFragmentHeaderBytes && space < kFragmentHeaderBytes + record.size()) {
     const std::string filler(space - kFragmentHeaderBytes, '\0');
--- a/src/wal/segment_writer.hpp
+++ b/src/wal/segment_writer.hpp
@@ -13,10 +13,10 @@
 
 class SegmentWriter {
  public:
-  // `file`: empty. It is shared with syncs that may outlast the writer.
+  // `file` must be empty. It is shared with sync tasks, which may outlive the writer.
   explicit SegmentWriter(std::shared_ptr<LogFile> file) : file_(std::move(file)) {}
 
-  // Both return false on failure. Nothing more can be written then.
+  // Return false on failure. Nothing more may be written then.
   bool append(std::string_view record) { return append(record, FragmentKind::wholeRecord); }
   // Records that the segment of that number has been synced to its end.
   bool appendSyncMark(std::uint64_t segment);
@@ -31,7 +31,7 @@
   std::size_t spaceInBlock() const { return kBlockBytes - bytes_ % kBlockBytes; }
 
   std::shared_ptr<LogFile> file_;
-  std::string buffer_;  // of one call
+  std::string buffer_;  // of one append()
   std::size_t bytes_ = 0;
 };
 
--- a/src/wal/sync_thread.hpp
+++ b/src/wal/sync_thread.hpp
@@ -1,5 +1,4 @@
-// Runs sync tasks on a thread of its own, since a disk may take seconds for one and an event loop must not
-// wait.
+// Runs sync tasks on a thread of its own, since a sync may take seconds and must not block an event loop.
 #pragma once
 
 #include <condition_variable>
@@ -14,9 +13,9 @@
 
 class SyncThread : public SyncRunner {
  public:
-  // `post` passes a call to the owner's thread. It is called on the sync thread.
+  // `post` schedules a function on the owner's thread. It is called on the sync thread.
   explicit SyncThread(std::function<void(std::function<void()>)> post);
-  // Waits for the task that runs. Its `done` may not be called any more.
+  // Waits for the task in progress. Its `done` may not be called any more.
   ~SyncThread() override;
   SyncThread(const SyncThread&) = delete;
   SyncThread& operator=(const SyncThread&) = delete;
--- a/tests/wal/log_test.cpp
+++ b/tests/wal/log_test.cpp
@@ -296,7 +296,7 @@
   std::size_t n = 0;
   ASSERT_TRUE(log.recover([&](std::string_view) { ++n; }, r));
   EXPECT_TRUE(r.damaged);
-  EXPECT_NE(r.description.find("missing is 2"), std::string::npos) << r.description;
+  EXPECT_NE(r.description.find("next segment missing: number 2"), std::string::npos) << r.description;
   EXPECT_GT(n, 150u);
 }
 
