--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -24,7 +24,7 @@
   });
   root.table("upstream", [&](SettingReader& r) {
     r.size("connecting", t.maxConnectingPerHost, 1, 64);
-    r.duration("proof_least", t.minConnectionCheck, milliseconds(0), milliseconds(100));
+    r.duration("proof_least", t.minVerificationTime, milliseconds(0), milliseconds(100));
     r.number("descriptor_share", t.upstreamDescriptorFraction, 0.05, 0.9);
     if (t.clientDescriptorFraction + t.upstreamDescriptorFraction > 0.95)
       r.error("descriptor_share", "and clients.descriptor_share must be 0.95 together at most");
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -85,7 +85,7 @@
 
 void Gateway::setOptions(const GatewayOptions& options) {
   listener_.setOptions(options.clients);
-  pool_.setConnectionOptions(options.maxConnectingPerHost, options.minConnectionCheck);
+  pool_.setConnectionOptions(options.maxConnectingPerHost, options.minVerificationTime);
 }
 
 void Gateway::restoreLearnedState(const load_balancing::LearnedState& learned) {
--- a/src/net/gateway_limits.cpp
+++ b/src/net/gateway_limits.cpp
@@ -63,7 +63,7 @@
           scaled(config.upstreamIdleTimeout, kIdleFractionOfHostTimeout),
           config.options.maxConnectingPerHost,
           descriptorShare(config, config.options.upstreamDescriptorFraction),
-          config.options.minConnectionCheck};
+          config.options.minVerificationTime};
 }
 
 Discovery::Timeouts discoveryTimeouts(const load_balancing::Settings& settings) {
--- a/src/net/gateway_options.hpp
+++ b/src/net/gateway_options.hpp
@@ -32,7 +32,7 @@
   std::size_t maxConnectingPerHost = 4;
   /// The least time in which a connection's end has to show before a last byte. A busy machine needs it to
   /// run the other side, where the network needs none.
-  load_balancing::Duration minConnectionCheck = std::chrono::milliseconds(1);
+  load_balancing::Duration minVerificationTime = std::chrono::milliseconds(1);
 };
 
 }  // namespace finchstile
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -170,7 +170,7 @@
 // From the connect: the kernel's own measure counts late acknowledgements, tens of milliseconds, as round
 // trips.
 Duration UpstreamConnection::verificationTime() const {
-  return std::max(pool_.limits_.minConnectionCheck,
+  return std::max(pool_.limits_.minVerificationTime,
                   std::min(kVerificationRoundTrips * roundTrip_, kMaxVerificationTime));
 }
 
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -62,7 +62,7 @@
     std::size_t maxConnectingPerHost = 4;
     std::size_t maxConnections = 256;  ///< In all.
     /// A last byte that waits for the verification of its connection waits at least so long.
-    Duration minConnectionCheck = std::chrono::milliseconds(1);
+    Duration minVerificationTime = std::chrono::milliseconds(1);
   };
 
   UpstreamPool(boost::asio::io_context& io, const Clock& clock, Limits limits, UpstreamCallbacks& callbacks);
@@ -81,9 +81,9 @@
   void setOpen(load_balancing::HostId host, bool open);
   /// Drops the host's record. False: an attempt or a connection still needs it.
   bool forget(load_balancing::HostId host);
-  void setConnectionOptions(std::size_t maxConnectingPerHost, Duration minConnectionCheck) {
+  void setConnectionOptions(std::size_t maxConnectingPerHost, Duration minVerificationTime) {
     limits_.maxConnectingPerHost = maxConnectingPerHost;
-    limits_.minConnectionCheck = minConnectionCheck;
+    limits_.minVerificationTime = minVerificationTime;
   }
   /// Closes connections that are idle for too long. To be called a few times a second; calls in between do no
   /// harm.
--- a/tests/app/operator_file_test.cpp
+++ b/tests/app/operator_file_test.cpp
@@ -22,7 +22,7 @@
   EXPECT_EQ(is.clients.idleTimeout, was.clients.idleTimeout);
   EXPECT_EQ(is.clients.requestTimeout, was.clients.requestTimeout);
   EXPECT_EQ(is.maxConnectingPerHost, was.maxConnectingPerHost);
-  EXPECT_EQ(is.minConnectionCheck, was.minConnectionCheck);
+  EXPECT_EQ(is.minVerificationTime, was.minVerificationTime);
   EXPECT_EQ(is.clientDescriptorFraction, was.clientDescriptorFraction);
 }
 
--- a/tests/net/end_interleavings_test.cpp
+++ b/tests/net/end_interleavings_test.cpp
@@ -185,7 +185,7 @@
     read.options.clients.requestTimeout = milliseconds(500);
     read.options.clients.writeTimeout = milliseconds(500);
     read.options.drainServeTime = Duration{};
-    read.options.minConnectionCheck = where() == Where::lastByteHeld ? milliseconds(150) : milliseconds(20);
+    read.options.minVerificationTime = where() == Where::lastByteHeld ? milliseconds(150) : milliseconds(20);
     gateway = std::make_unique<Gateway>(io, clock, std::move(read));
     static Holder holder;  // it outlives all gateways
     holder.where = where();
--- a/tests/net/upstream_pool_test.cpp
+++ b/tests/net/upstream_pool_test.cpp
@@ -62,7 +62,7 @@
 TEST_F(UpstreamPoolTest, ReportsAttemptGivenUpBeforeItsLastByteAsNotRun) {
   Server host(io, hold);
   UpstreamPool::Limits limits{milliseconds(500), milliseconds(500), milliseconds(30000)};
-  limits.minConnectionCheck = std::chrono::hours(1);
+  limits.minVerificationTime = std::chrono::hours(1);
   UpstreamPool pool(io, clock, limits, *this);
   pool.send(1, 0, host.endpoint(), true);
   ASSERT_TRUE(runUntil(io, [&] { return !host.peers.empty() && host.peers[0]->buffer.size() > 0; }));
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -27,7 +27,7 @@
     json config = configJson(discovery.endpoint(), listed());
     change(config);
     GatewayConfig read = readConfig(config.dump(), clock);
-    if (proofLeast > Duration{}) read.options.minConnectionCheck = proofLeast;
+    if (proofLeast > Duration{}) read.options.minVerificationTime = proofLeast;
     if (serveDraining) read.options.drainServeTime = *serveDraining;
     gateway = std::make_unique<Gateway>(io, clock, std::move(read));
     gateway->start();
