--- a/tests/app/membership_service_test.cpp
+++ b/tests/app/membership_service_test.cpp
@@ -105,12 +105,12 @@
     });
   }
   // Sends requests one after the other and returns how many were served.
-  std::size_t ask(Node& n, std::size_t times, int leftMs = 2500) {
+  std::size_t sendRequest(Node& n, std::size_t times, int leftMs = 2500) {
     const auto c = Client::connect(io, n.gateway.endpoint());
     std::size_t served = 0;
     for (std::size_t i = 0; i < times; ++i) {
       const std::size_t before = c->answers.size();
-      c->ask("GET", "/read", leftMs);
+      c->sendRequest("GET", "/read", leftMs);
       if (!until([&] { return c->answers.size() > before || c->ended; }) || c->ended) break;
       served += c->answers.back().result_int() == 200;
     }
@@ -129,16 +129,16 @@
 TEST_F(MembershipServiceTest, EmptyListLosesNoRequest) {
   for (int i = 0; i < 3; ++i) host(ok);
   Node& n = node(listed());
-  EXPECT_EQ(ask(n, 10), 10u);
+  EXPECT_EQ(sendRequest(n, 10), 10u);
   n.list(2, true, json::array());
   ASSERT_TRUE(until([&] {  // a complete list is requested at once
     return n.service->listPolicy().isHolding() &&
            n.discovery.received.back().target() == "/registry/instances";
   }));
-  EXPECT_EQ(ask(n, 10), 10u);
+  EXPECT_EQ(sendRequest(n, 10), 10u);
   n.list(3, true, listed());
   ASSERT_TRUE(until([&] { return !n.service->listPolicy().isHolding(); }));
-  EXPECT_EQ(ask(n, 10), 10u);
+  EXPECT_EQ(sendRequest(n, 10), 10u);
   EXPECT_EQ(n.service->listPolicy().statistics().withdrawn, 1u);
 }
 
@@ -146,13 +146,13 @@
 TEST_F(MembershipServiceTest, UncontradictedEmptyListBecomesEffective) {
   for (int i = 0; i < 2; ++i) host(ok);
   Node& n = node(listed());
-  EXPECT_EQ(ask(n, 4), 4u);
+  EXPECT_EQ(sendRequest(n, 4), 4u);
   const auto sentAt = std::chrono::steady_clock::now();
   n.list(2, true, json::array());
   ASSERT_TRUE(until([&] { return n.service->listPolicy().statistics().expired == 1; }));
   EXPECT_LT(std::chrono::steady_clock::now() - sentAt, seconds(5));  // 300 ms, and what a busy machine adds
   const auto before = received();
-  EXPECT_EQ(ask(n, 4), 0u);
+  EXPECT_EQ(sendRequest(n, 4), 0u);
   EXPECT_EQ(received(), before);
 }
 
@@ -165,7 +165,7 @@
   ASSERT_TRUE(until([&] { return !n.calls.empty(); }));
   n.list(7, true, listed());
   ASSERT_TRUE(until([&] { return n.service->listPolicy().statistics().older == 1; }));
-  EXPECT_EQ(ask(n, 20), 20u);
+  EXPECT_EQ(sendRequest(n, 20), 20u);
   EXPECT_EQ(received()[0], 0u);
 }
 
@@ -179,7 +179,7 @@
   ASSERT_TRUE(drains(b, "s-0"));
   EXPECT_EQ(b.service->gossip()->statistics().assertions, 1u);
   auto before = received();
-  EXPECT_EQ(ask(b, 20), 20u);
+  EXPECT_EQ(sendRequest(b, 20), 20u);
   EXPECT_EQ(received()[0], before[0]);
   const std::string text = b.service->describeHosts("s-0").value_or("");
   EXPECT_NE(text.find("now=draining"), std::string::npos) << text;
@@ -188,7 +188,7 @@
   b.list(6, false, json::array({hostJson("s-0", hosts[0]->endpoint())}));
   ASSERT_TRUE(until([&] { return !b.calls.empty(); }));
   before = received();
-  EXPECT_EQ(ask(b, 40), 40u);
+  EXPECT_EQ(sendRequest(b, 40), 40u);
   EXPECT_GT(received()[0], before[0]);
   EXPECT_FALSE(b.service->describeHosts("s-9"));
 }
@@ -207,12 +207,12 @@
   for (int i = 0; i < 3; ++i)
     for (int tries = 0;
          tries < 60 && nodes[static_cast<std::size_t>(i)]->service->gossip()->statistics().sent == 0; ++tries)
-      ask(*nodes[static_cast<std::size_t>(i)], 1, 200);
+      sendRequest(*nodes[static_cast<std::size_t>(i)], 1, 200);
   Node& fourth = *nodes[3];
   ASSERT_TRUE(drains(fourth, "s-0"));
   EXPECT_EQ(fourth.service->gossip()->unresponsiveHostCount(), 1u);
   const auto before = received();
-  EXPECT_EQ(ask(fourth, 30, 200), 30u);
+  EXPECT_EQ(sendRequest(fourth, 30, 200), 30u);
   EXPECT_EQ(received()[0], before[0]);
   EXPECT_NE(fourth.service->describeHosts("s-0")->find("peers: silent"), std::string::npos);
 }
@@ -279,12 +279,12 @@
     std::vector<std::size_t> answered(8, 0);
     std::size_t sent = 0;
     for (int i = 0; i < 8; ++i) clients.push_back(Client::connect(io, n.gateway.endpoint()));
-    for (const auto& c : clients) c->ask("GET", "/read", 2500), ++sent;
+    for (const auto& c : clients) c->sendRequest("GET", "/read", 2500), ++sent;
     EXPECT_TRUE(until([&] {
       for (std::size_t i = 0; i < clients.size(); ++i)
         if (clients[i]->answers.size() > answered[i]) {
           answered[i] = clients[i]->answers.size();
-          if (sent < requests) clients[i]->ask("GET", "/read", 2500), ++sent;
+          if (sent < requests) clients[i]->sendRequest("GET", "/read", 2500), ++sent;
         }
       return std::accumulate(answered.begin(), answered.end(), std::size_t{0}) == requests;
     }));
@@ -352,7 +352,7 @@
   settings.warmStart.start.peerTimeout = seconds(5);
   settings.warmStart.start.deadline = seconds(10);
   Node& n = node(known(false));
-  EXPECT_EQ(ask(n, 5), 5u);
+  EXPECT_EQ(sendRequest(n, 5), 5u);
   EXPECT_FALSE(n.service->warmStart()->isFinished());
 }
 
--- a/tests/app/program_test.cpp
+++ b/tests/app/program_test.cpp
@@ -111,7 +111,7 @@
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 60; ++i) {
     clients.push_back(Client::connect(io, at));
-    clients.back()->ask("GET", "/read", 2900);
+    clients.back()->sendRequest("GET", "/read", 2900);
   }
   // Shares are 24 for clients, 21 for hosts: all of both are taken.
   ASSERT_TRUE(until([&] { return host.received.size() >= 20; }));
@@ -241,9 +241,9 @@
   hook("reject(403, \"one\");");
   run({"--operator", folder / "o.toml"});
   const auto c = Client::connect(io, at);
-  const auto ask = [&] {
+  const auto sendRequest = [&] {
     const std::size_t before = c->answers.size();
-    c->ask("GET", "/read/1", 2500);
+    c->sendRequest("GET", "/read/1", 2500);
     return until([&] { return c->answers.size() > before; }) ? c->answers.back().body() : "none";
   };
   const auto hangup = [&](const std::string& line, std::size_t times) {
@@ -255,19 +255,19 @@
       return n == times;
     });
   };
-  EXPECT_EQ(ask(), "one");
+  EXPECT_EQ(sendRequest(), "one");
   hook("rejct(403, \"two\");");
   ASSERT_TRUE(hangup("there is no action 'rejct'; did you mean 'reject'?", 1)) << program->logged();
-  EXPECT_EQ(ask(), "one");
+  EXPECT_EQ(sendRequest(), "one");
   hook("reject(403, \"two\"); } expect \"passes\" { then pass;");
   ASSERT_TRUE(hangup("'passes' does not hold: it rejects with 403", 1)) << program->logged();
-  EXPECT_EQ(ask(), "one");
+  EXPECT_EQ(sendRequest(), "one");
   hook("reject(403, \"three\");");
   ASSERT_TRUE(hangup("operator's file reloaded", 1)) << program->logged();
-  EXPECT_EQ(ask(), "three");
+  EXPECT_EQ(sendRequest(), "three");
   folder.write("o.toml", "");  // all hooks gone
   ASSERT_TRUE(hangup("operator's file reloaded", 2)) << program->logged();
-  EXPECT_EQ(ask(), "ok");
+  EXPECT_EQ(sendRequest(), "ok");
   EXPECT_FALSE(program->ended());
 }
 
@@ -284,15 +284,15 @@
     folder.write("config.json", config.dump());
     folder.write("o.toml", std::string("[idempotency]\nenabled = true\n[idempotency.log]\nfolder = 'keys-") +
                                sync + "'\nsync = '" + sync + "'\n");
-    const auto ask = [&](const std::string& key) {
+    const auto sendRequest = [&](const std::string& key) {
       const auto c = Client::connect(io, at);
-      c->ask("POST", "/put/1", 2500, "b", "Idempotency-Key: " + key + "\r\n");
+      c->sendRequest("POST", "/put/1", 2500, "b", "Idempotency-Key: " + key + "\r\n");
       EXPECT_TRUE(until([&] { return !c->answers.empty(); })) << program->logged();
       return c->answers.empty() ? "none" : c->answers[0].body();
     };
     run({"--operator", folder / "o.toml"});
-    EXPECT_EQ(ask("one"), "answer 1");
-    EXPECT_EQ(ask("two"), "answer 2");
+    EXPECT_EQ(sendRequest("one"), "answer 1");
+    EXPECT_EQ(sendRequest("two"), "answer 2");
     // The folder is this one's alone.
     config["listen"] = "127.0.0.1:0";
     setenv("LB_CONFIG", folder.write("second.json", config.dump()).c_str(), 1);
@@ -306,9 +306,9 @@
     program->wait();
     calls.clear();
     run({"--operator", folder / "o.toml"});
-    EXPECT_EQ(ask("one"), "answer 1") << sync;
-    EXPECT_EQ(ask("two"), "answer 2") << sync;
-    EXPECT_EQ(ask("new"), "answer 3") << sync;
+    EXPECT_EQ(sendRequest("one"), "answer 1") << sync;
+    EXPECT_EQ(sendRequest("two"), "answer 2") << sync;
+    EXPECT_EQ(sendRequest("new"), "answer 3") << sync;
     EXPECT_NE(program->logged().find("answered=2 uncertain=0"), std::string::npos) << program->logged();
     program->signal(SIGTERM);
     ASSERT_TRUE(until([&] { return program->ended(); }));
@@ -350,16 +350,16 @@
     ASSERT_TRUE(until([&] { return calls.size() == at.size() || gateways.back()->ended(); }));
     ASSERT_EQ(calls.size(), at.size()) << gateways.back()->logged();
   }
-  const auto ask = [&](int gateway, const std::string& headers) {
+  const auto sendRequest = [&](int gateway, const std::string& headers) {
     const auto c = Client::connect(io, at[static_cast<std::size_t>(gateway)]);
-    c->ask("POST", "/put/1", 2500, "b", headers);
+    c->sendRequest("POST", "/put/1", 2500, "b", headers);
     EXPECT_TRUE(until([&] { return !c->answers.empty(); }));
     return c->answers.empty() ? "none" : c->answers[0].body();
   };
-  EXPECT_EQ(ask(0, "Idempotency-Key: k\r\n"), "run 1");
-  EXPECT_EQ(ask(1, "Idempotency-Key: k\r\nX-Repeat: 1\r\n"), "run 1");
-  EXPECT_EQ(ask(1, "Idempotency-Key: other\r\nX-Repeat: 1\r\n"), "run 2");
-  EXPECT_EQ(ask(0, "Idempotency-Key: other\r\nX-Repeat: 1\r\n"), "run 2");
+  EXPECT_EQ(sendRequest(0, "Idempotency-Key: k\r\n"), "run 1");
+  EXPECT_EQ(sendRequest(1, "Idempotency-Key: k\r\nX-Repeat: 1\r\n"), "run 1");
+  EXPECT_EQ(sendRequest(1, "Idempotency-Key: other\r\nX-Repeat: 1\r\n"), "run 2");
+  EXPECT_EQ(sendRequest(0, "Idempotency-Key: other\r\nX-Repeat: 1\r\n"), "run 2");
   EXPECT_EQ(host.received.size(), 2u);
 }
 
@@ -407,10 +407,10 @@
   bool becomesReady(const tcp::endpoint& at) {
     return until([&] { return call(at, "GET /api/ready").first == 200; });
   }
-  void ask(const std::shared_ptr<Client>& c, int times) {
+  void sendRequest(const std::shared_ptr<Client>& c, int times) {
     for (int i = 0; i < times; ++i) {
       const std::size_t before = c->answers.size();
-      c->ask("GET", "/read", 2500);
+      c->sendRequest("GET", "/read", 2500);
       ASSERT_TRUE(until([&] { return c->answers.size() > before || c->ended; }));
       ASSERT_GT(c->answers.size(), before);
       EXPECT_EQ(c->answers.back().result_int(), 200u);
@@ -424,13 +424,13 @@
   ASSERT_TRUE(becomesReady(ops)) << program->logged();
   const auto c = Client::connect(io, kept.local_endpoint()),
              resting = Client::connect(io, kept.local_endpoint());
-  ask(c, 20);
-  ask(resting, 1);
+  sendRequest(c, 20);
+  sendRequest(resting, 1);
   EXPECT_EQ(call(ops, "PUT /api/exclude/s-9").first, 404u);
   EXPECT_EQ(call(ops, "PUT /api/exclude/s-0").first, 200u);
   EXPECT_EQ(call(ops, "PUT /api/exclude/s-0").first, 200u);  // arrives twice
   const std::size_t before = hosts[0]->received.size();
-  ask(c, 20);
+  sendRequest(c, 20);
   const std::string figures = call(ops, "GET /api/telemetry").second;
   EXPECT_NE(figures.find("lb_transactions_total{group=\"read\",state=\"answered\"} 41\n"), std::string::npos)
       << figures;
@@ -443,10 +443,10 @@
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_EQ(program->wait(), 0);
   EXPECT_FALSE(c->ended || resting->ended) << program->logged() << next->logged();
-  ask(c, 20);  // over the same connection, now at the next process
-  ask(resting, 1);
+  sendRequest(c, 20);  // over the same connection, now at the next process
+  sendRequest(resting, 1);
   const auto fresh = Client::connect(io, kept.local_endpoint());
-  ask(fresh, 5);
+  sendRequest(fresh, 5);
   EXPECT_EQ(hosts[0]->received.size(), before);                  // out by hand, at the next process too
   EXPECT_EQ(call(opsNext, "PUT /api/include/s-0").first, 200u);  // one call back undoes both
   EXPECT_NE(call(opsNext, "GET /api/telemetry").second.find("lb_cluster_unhealthy 0\n"), std::string::npos);
@@ -462,7 +462,7 @@
   const std::string file = folder.write("o.toml", "[membership]\nenabled = true\n");
   program = launch(ops, "first", {"--operator", file});
   ASSERT_TRUE(becomesReady(ops)) << program->logged();
-  ask(Client::connect(io, kept.local_endpoint()), 20);
+  sendRequest(Client::connect(io, kept.local_endpoint()), 20);
   const auto all = call(ops, "GET /api/hosts");
   EXPECT_EQ(all.first, 200u);
   EXPECT_EQ(all.second.substr(0, 16), "list version 1, ") << all.second;
@@ -495,18 +495,18 @@
   program = launch(ops, "first");
   ASSERT_TRUE(becomesReady(ops));
   const auto c = Client::connect(io, kept.local_endpoint());
-  ask(c, 2);
+  sendRequest(c, 2);
   const tcp::endpoint opsNext = freePort(), opsThird = freePort();
   next = launch(opsNext, "second");
   ASSERT_TRUE(becomesReady(opsNext));
   next.reset();  // killed
-  ask(c, 2);
+  sendRequest(c, 2);
   next = launch(opsThird, "third");
   ASSERT_TRUE(becomesReady(opsThird));
   program->signal(SIGTERM);
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_FALSE(c->ended) << program->logged();
-  ask(c, 2);
+  sendRequest(c, 2);
 }
 
 TEST_F(OperatedTest, ADescriptorThatIsNoListenerEndsTheStartWithALineThatSaysWhy) {
--- a/tests/app/trace_log_test.cpp
+++ b/tests/app/trace_log_test.cpp
@@ -57,9 +57,9 @@
     return readLogs(folder / "trace-n_1");
   }
   // Sends a request and waits for the answer. Returns its status, or 0 without an answer.
-  int ask(Client& c, const char* method, const char* path, const std::string& body = {}) {
+  int sendRequest(Client& c, const char* method, const char* path, const std::string& body = {}) {
     const std::size_t before = c.answers.size();
-    c.ask(method, path, 1000, body);
+    c.sendRequest(method, path, 1000, body);
     if (!until([&] { return c.answers.size() > before || c.ended; }) || c.ended) return 0;
     return static_cast<int>(c.answers.back().result_int());
   }
@@ -80,7 +80,7 @@
   std::map<int, std::size_t> statuses;
   for (int i = 0; i < 60; ++i) {
     const auto c = client();
-    const int status = i % 2 ? ask(*c, "GET", "/read") : ask(*c, "POST", "/book", "x");
+    const int status = i % 2 ? sendRequest(*c, "GET", "/read") : sendRequest(*c, "POST", "/book", "x");
     ++statuses[status];
   }
   ASSERT_TRUE(until([&] { return gateway->openRequests() == 0; }));
@@ -112,12 +112,12 @@
   host(hold);
   startTraced();
   const auto gone = client();
-  gone->ask("GET", "/read", 1000);
+  gone->sendRequest("GET", "/read", 1000);
   ASSERT_TRUE(until([&] { return hosts[0]->received.size() == 1; }));
   gone->close();
   ASSERT_TRUE(until([&] { return gateway->openRequests() == 0; }));
   const auto late = client();
-  EXPECT_NE(ask(*late, "POST", "/book", "x"), 200);  // its deadline passes
+  EXPECT_NE(sendRequest(*late, "POST", "/book", "x"), 200);  // its deadline passes
   ASSERT_TRUE(until([&] { return gateway->openRequests() == 0; }));
   std::vector<trace::AttemptLine> attempts;
   std::vector<trace::RequestLine> requests;
@@ -162,7 +162,7 @@
   settings.linesPerSecond = 20;
   startTraced();
   const auto c = client();
-  for (int i = 0; i < 100; ++i) ASSERT_EQ(ask(*c, "GET", "/read"), 200);
+  for (int i = 0; i < 100; ++i) ASSERT_EQ(sendRequest(*c, "GET", "/read"), 200);
   Logs all = endLog();
   EXPECT_EQ(all.bad, 0u);
   EXPECT_GT(all.log.missingLines(), 0u);
@@ -177,7 +177,7 @@
   settings.sampleFraction = 0;
   startTraced();
   const auto c = client();
-  for (int i = 0; i < 20; ++i) ASSERT_EQ(ask(*c, "GET", "/read"), 200);
+  for (int i = 0; i < 20; ++i) ASSERT_EQ(sendRequest(*c, "GET", "/read"), 200);
   const Logs all = endLog();
   EXPECT_EQ(all.log.requestCount(), 0u);
   EXPECT_EQ(all.log.missingLines(), 0u);
--- a/tests/configuration/gateway_test.cpp
+++ b/tests/configuration/gateway_test.cpp
@@ -66,8 +66,8 @@
   bool inForce(const Version& version) {
     return until([&] { return client->statistics().activeVersion == version; });
   }
-  void ask(TestClient& c, const std::string& tenant) {
-    c.ask("GET", "/read", 2500, "", "X-Account: " + tenant + "\r\n");
+  void sendRequest(TestClient& c, const std::string& tenant) {
+    c.sendRequest("GET", "/read", 2500, "", "X-Account: " + tenant + "\r\n");
   }
 };
 
@@ -84,7 +84,7 @@
   for (; changes.size() < kChanges; ++round) {
     ASSERT_LT(round, 5000);
     const std::string name = "tenant-" + std::to_string(round % 7);
-    for (auto& c : clients) ask(*c, name);
+    for (auto& c : clients) sendRequest(*c, name);
     machine.publish(
         {round % 3 == 0 ? noTenant(name) : tenant(name, round), classOf("read", 1 + round % 5, 1000)});
     ASSERT_TRUE(until([&] {
@@ -105,7 +105,7 @@
   auto& held = host(hold);
   startConfigured();
   const auto c = TestClient::connect(io, gateway->endpoint());
-  ask(*c, "acme");
+  sendRequest(*c, "acme");
   ASSERT_TRUE(until([&] { return held.received.size() == 1; }));
   machine.publish({tenant("other", 1)});  // a snapshot without acme
   ASSERT_TRUE(inForce({1, 1}));
@@ -113,11 +113,11 @@
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
   held.handler = serveOk;
-  ask(*c, "acme");
+  sendRequest(*c, "acme");
   ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
   machine.publish({tenant("acme", 7)});
   ASSERT_TRUE(inForce({1, 2}));
-  ask(*c, "acme");
+  sendRequest(*c, "acme");
   ASSERT_TRUE(until([&] { return c->answers.size() == 3; }));
   EXPECT_EQ(tenants.arrived, (std::vector<std::string>{"acme", "", "acme"}));
   ASSERT_TRUE(until([&] { return tenants.ended.size() == 3; }));
@@ -142,7 +142,7 @@
     for (int i = 0; i < rounds; ++i)
       for (const std::string name : {"heavy", "heavy", "light"}) {
         const std::size_t before = c->answers.size();
-        ask(*c, name);
+        sendRequest(*c, name);
         ASSERT_TRUE(until([&] { return c->answers.size() > before; }));
         refused[name] += c->answers.back().result_int() == 503;
       }
@@ -165,11 +165,11 @@
   const auto c = TestClient::connect(io, gateway->endpoint());
   while (client->statistics().activeVersion != Version{1, 1}) {
     const std::size_t before = c->answers.size();
-    ask(*c, "tenant-26999");
+    sendRequest(*c, "tenant-26999");
     ASSERT_TRUE(until([&] { return c->answers.size() > before; }));
     ASSERT_EQ(c->answers.back().result_int(), 200u);
   }
-  ask(*c, "tenant-26999");
+  sendRequest(*c, "tenant-26999");
   ASSERT_TRUE(until([&] { return tenants.ended.size() == c->answers.size() && tenants.ended.back() != ""; }));
   EXPECT_EQ(client->statistics().tenantCount, 27000u);
 }
@@ -184,7 +184,7 @@
   const auto c = TestClient::connect(io, gateway->endpoint());
   for (const char* name : {"good", "later"}) {
     const std::size_t before = c->answers.size();
-    ask(*c, name);
+    sendRequest(*c, name);
     ASSERT_TRUE(until([&] { return c->answers.size() > before; }));
   }
   EXPECT_EQ(tenants.arrived, (std::vector<std::string>{"good", ""}));
--- a/tests/cross_zone/cross_zone_filter_test.cpp
+++ b/tests/cross_zone/cross_zone_filter_test.cpp
@@ -40,11 +40,11 @@
     for (std::size_t i = home; i < hosts.size(); ++i) n += hosts[i]->received.size();
     return n;
   }
-  void ask(int times) {
+  void sendRequest(int times) {
     const auto c = client();
     for (int i = 0; i < times; ++i) {
       const std::size_t before = c->answers.size();
-      c->ask("POST", "/book", 2500, std::string(100, 'x'));
+      c->sendRequest("POST", "/book", 2500, std::string(100, 'x'));
       ASSERT_TRUE(until([&] { return c->answers.size() > before; }));
       ASSERT_EQ(c->answers.back().result_int(), 200u);
     }
@@ -53,7 +53,7 @@
 
 TEST_F(CrossZoneFilterTest, AccountsForRequestsThatCrossWithinTheBudget) {
   begin(2, 2, 1e9);
-  ask(60);
+  sendRequest(60);
   EXPECT_GT(crossed(), 3u);  // the local zone is only preferred
   const auto total = filter->account().total();
   EXPECT_EQ(total.attempts, crossed());
@@ -67,7 +67,7 @@
 
 TEST_F(CrossZoneFilterTest, KeepsRequestsLocalWithoutBudgetWhileTheZoneHasCapacity) {
   begin(2, 2, 0);
-  ask(60);
+  sendRequest(60);
   EXPECT_EQ(crossed(), 0u);
   EXPECT_EQ(filter->account().localAttempts(), 60u);
 }
@@ -76,7 +76,7 @@
 TEST_F(CrossZoneFilterTest, KeepsToTheBudgetUnderLightLoad) {
   begin(1, 3, 500);  // the full budget is 5,000 bytes
   const auto began = clock.now();
-  ask(120);  // each of some 620 bytes with its response
+  sendRequest(120);  // each of some 620 bytes with its response
   const double time = std::chrono::duration<double>(clock.now() - began).count();
   const auto total = filter->account().total();
   EXPECT_GT(total.attempts, 0u);
@@ -87,11 +87,11 @@
 // The local zone loses all its hosts: only other zones can serve.
 TEST_F(CrossZoneFilterTest, ServesAllRequestsOverBudgetWhenTheLocalZoneIsLost) {
   begin(2, 2, 0);
-  ask(10);
+  sendRequest(10);
   ASSERT_TRUE(until([&] { return !calls.empty(); }));
   calls.back()->reply(200, listJson(9, true, zoned(0)).dump());
   ASSERT_TRUE(until([&] { return !gateway->isListed("s-0"); }));
-  ask(20);
+  sendRequest(20);
   EXPECT_EQ(crossed(), 20u);
   EXPECT_EQ(filter->account().total().attemptsOverBudget, 20u);
   EXPECT_NE(filter->summary().back().find("forced=20"), std::string::npos);
@@ -103,7 +103,7 @@
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 10; ++i) {
     clients.push_back(client());
-    clients.back()->ask("GET", "/read", 2900);
+    clients.back()->sendRequest("GET", "/read", 2900);
     ASSERT_TRUE(until([&] { return received() == static_cast<std::size_t>(i) + 1; }));
   }
   EXPECT_GT(hosts[0]->received.size(), 1u);  // the local host is preferred,
--- a/tests/hook/hook_filter_test.cpp
+++ b/tests/hook/hook_filter_test.cpp
@@ -43,11 +43,11 @@
   }
   std::shared_ptr<Client> client() { return Client::connect(io, gateway->endpoint()); }
   // Sends a request and returns its answer, or a response of status 0 if there is none.
-  http::response<http::string_body> ask(const std::shared_ptr<Client>& c, const std::string& method,
-                                        const std::string& path, const std::string& headers = "",
-                                        int left = 2500) {
+  http::response<http::string_body> sendRequest(const std::shared_ptr<Client>& c, const std::string& method,
+                                                const std::string& path, const std::string& headers = "",
+                                                int left = 2500) {
     const std::size_t before = c->answers.size();
-    c->ask(method, path, left, method == "POST" ? "body" : "", headers);
+    c->sendRequest(method, path, left, method == "POST" ? "body" : "", headers);
     if (!runUntil(io, [&] { return c->answers.size() > before || c->ended; }) || c->answers.size() == before)
       return {};
     EXPECT_EQ(c->answers.size(), before + 1);
@@ -66,12 +66,12 @@
       settings);
   start();
   const auto c = client();
-  const auto refused = ask(c, "GET", "/read/1");
+  const auto refused = sendRequest(c, "GET", "/read/1");
   EXPECT_EQ(refused.result_int(), 422u);
   EXPECT_EQ(refused.body(), "no yard code");
   EXPECT_EQ(refused["X-Saw"], "422");
   EXPECT_TRUE(host.received.empty());
-  const auto served = ask(c, "GET", "/read/1?q=a%20b", "X-Yard: B\r\n");  // on one connection
+  const auto served = sendRequest(c, "GET", "/read/1?q=a%20b", "X-Yard: B\r\n");  // on one connection
   EXPECT_EQ(served.result_int(), 200u);
   EXPECT_EQ(served["X-Saw"], "h200");
   ASSERT_EQ(host.received.size(), 1u);
@@ -93,7 +93,7 @@
   const auto c = client();
   for (const int left : {20, 50, 100, 500, 2500}) {
     const auto begin = std::chrono::steady_clock::now();
-    EXPECT_EQ(ask(c, "GET", "/read/1", "", left).result_int(), 200u) << left;
+    EXPECT_EQ(sendRequest(c, "GET", "/read/1", "", left).result_int(), 200u) << left;
     EXPECT_LT(std::chrono::steady_clock::now() - begin, milliseconds(2500));
   }
   const HookCounts& n = *hooks.chain().counts("loop");
@@ -106,7 +106,7 @@
   install({spec("hook \"late\";\non answer { reject(503, \"again\"); }\n", true)});
   start();
   const auto c = client();
-  const auto answer = ask(c, "POST", "/book/1");
+  const auto answer = sendRequest(c, "POST", "/book/1");
   EXPECT_EQ(answer.result_int(), 200u);
   EXPECT_EQ(answer.body(), "ok");
   EXPECT_EQ(host.received.size(), 1u);
@@ -120,7 +120,7 @@
   start();
   const auto c = client();
   for (int i = 0; i < 2000; ++i)
-    ASSERT_EQ(ask(c, "GET", i % 1000 == 500 ? "/read/1?n=0" : "/read/1?n=3").result_int(), 200u) << i;
+    ASSERT_EQ(sendRequest(c, "GET", i % 1000 == 500 ? "/read/1?n=0" : "/read/1?n=3").result_int(), 200u) << i;
   EXPECT_EQ(hooks.chain().counts("rare")->faults, 2u);
   ASSERT_EQ(lines.size(), 2u);
   EXPECT_NE(lines[1].find("fault 2"), std::string::npos);
@@ -133,8 +133,8 @@
   install({s});
   start();
   const auto c = client();
-  EXPECT_EQ(ask(c, "POST", "/book/1").result_int(), 503u);
-  const auto answer = ask(c, "POST", "/book/1");
+  EXPECT_EQ(sendRequest(c, "POST", "/book/1").result_int(), 503u);
+  const auto answer = sendRequest(c, "POST", "/book/1");
   EXPECT_EQ(answer.result_int(), 503u);
   EXPECT_EQ(answer["Retry-After"], "1.000");  // the maximum of the settings
   EXPECT_TRUE(host.received.empty());
@@ -157,7 +157,7 @@
   for (int i = 0; i < 8; ++i) clients.push_back(client());
   for (int v = 1; v <= 100; ++v) {
     // The next version is installed while the host has all requests.
-    for (const auto& c : clients) c->ask("GET", "/read/1", 2500);
+    for (const auto& c : clients) c->sendRequest("GET", "/read/1", 2500);
     // On a slow machine the load balancer may reject a request because of the host's latency; it is answered
     // then.
     ASSERT_TRUE(runUntil(io, [&] {
@@ -192,7 +192,7 @@
   install(all);
   start();
   const auto c = client();
-  for (int i = 0; i < 50; ++i) ASSERT_EQ(ask(c, "GET", "/read/1").result_int(), 200u);
+  for (int i = 0; i < 50; ++i) ASSERT_EQ(sendRequest(c, "GET", "/read/1").result_int(), 200u);
   for (std::size_t i = 0; i < kMaxHooks; ++i)
     EXPECT_EQ(hooks.chain().counts("h" + std::to_string(i))->counted.at("n"), 50u);
 }
@@ -204,7 +204,7 @@
   gateway = std::make_unique<Gateway>(io, clock, readConfig(config.dump(), clock));
   gateway->start();
   const auto c = client();
-  c->ask("GET", "/read/1", 2500);
+  c->sendRequest("GET", "/read/1", 2500);
   ASSERT_TRUE(runUntil(io, [&] { return held.size() == 1; }));
   install({spec("hook \"a\";\non answer { set header(\"X-Saw\", \"1\"); }\n")});
   gateway->attach(hooks);
@@ -212,7 +212,7 @@
   ASSERT_TRUE(runUntil(io, [&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0]["X-Saw"], "");
   host.handler = [](const auto& peer, const Received&) { peer->reply(200, "ok"); };
-  EXPECT_EQ(ask(c, "GET", "/read/1")["X-Saw"], "1");
+  EXPECT_EQ(sendRequest(c, "GET", "/read/1")["X-Saw"], "1");
 }
 
 // The limit of what a hook may read of a body does not cut the body that the host receives.
@@ -224,7 +224,7 @@
       settings);
   start();
   const auto c = client();
-  EXPECT_EQ(ask(c, "POST", "/book/1").result_int(), 200u);
+  EXPECT_EQ(sendRequest(c, "POST", "/book/1").result_int(), 200u);
   EXPECT_EQ(host.received.at(0)["X-Read"], "bo4");
   EXPECT_EQ(host.received.at(0).body(), "body");
 }
--- a/tests/idempotency/filter_test.cpp
+++ b/tests/idempotency/filter_test.cpp
@@ -73,7 +73,7 @@
   bool until(const std::function<bool()>& reached) { return runUntil(io, reached); }
   std::shared_ptr<Client> put(const std::string& key, int left = 2500, const std::string& body = "b") {
     const auto c = Client::connect(io, gateway->endpoint());
-    c->ask("POST", "/put/1", left, body, "Idempotency-Key: " + key + "\r\n");
+    c->sendRequest("POST", "/put/1", left, body, "Idempotency-Key: " + key + "\r\n");
     return c;
   }
   static unsigned status(const std::shared_ptr<Client>& c) {
@@ -333,7 +333,7 @@
 TEST_F(IdempotencyTest, IgnoresClassesWithoutIdempotencyKeys) {
   start();
   const auto c = Client::connect(io, gateway->endpoint());
-  c->ask("GET", "/read/1", 2500);
+  c->sendRequest("GET", "/read/1", 2500);
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
   held[0]->reply(200, "ok");
   ASSERT_TRUE(answered(c));
@@ -631,8 +631,8 @@
   std::shared_ptr<Client> put(GatewayNumber at, const std::string& key, bool repeat,
                               const std::string& body = "b", int left = 2500) {
     const auto c = Client::connect(io, nodes[at]->gateway->endpoint());
-    c->ask("POST", "/put/1", left, body,
-           "Idempotency-Key: " + key + "\r\n" + (repeat ? "X-Repeat: 1\r\n" : ""));
+    c->sendRequest("POST", "/put/1", left, body,
+                   "Idempotency-Key: " + key + "\r\n" + (repeat ? "X-Repeat: 1\r\n" : ""));
     return c;
   }
   bool answered(const std::shared_ptr<Client>& c) {
--- a/tests/idempotency/run_test.cpp
+++ b/tests/idempotency/run_test.cpp
@@ -194,7 +194,7 @@
         p.at = now;
         return;
       case Person::State::pausing:
-        if (now >= p.at) ask(p);
+        if (now >= p.at) sendRequest(p);
         return;
       case Person::State::asking: {
         const std::size_t got = p.client->answers.size() - p.before;
@@ -213,12 +213,12 @@
       }
     }
   }
-  void ask(Person& p) {
+  void sendRequest(Person& p) {
     if (!p.client || p.client->ended) p.client = Client::connect(io_, gateway_->endpoint());
     p.ofLife = tally_.restarts;
     const int left = 150 + static_cast<int>(rng_() % 300);
     p.before = p.client->answers.size();
-    p.client->ask("POST", "/put/1", left, "log " + p.key, "Idempotency-Key: " + p.key + "\r\n");
+    p.client->sendRequest("POST", "/put/1", left, "log " + p.key, "Idempotency-Key: " + p.key + "\r\n");
     p.impatient = rng_() % 20 == 0;
     p.at = Steady::now() + milliseconds(p.impatient ? rng_() % 10 : left);
     p.state = Person::State::asking;
--- a/tests/net/bodies_test.cpp
+++ b/tests/net/bodies_test.cpp
@@ -106,14 +106,14 @@
   start();
   for (int round = 0; round < 2; ++round) {  // the second one over the same connections
     const auto c = client();
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == 1 || c->ended; }));
     ASSERT_EQ(c->answers.size(), 1u);
     EXPECT_EQ(c->answers[0].body().size(), body.size());
     EXPECT_TRUE(c->answers[0].body() == body);
     EXPECT_EQ(c->answers[0][http::field::content_type], "a/b");
     EXPECT_TRUE(c->answers[0].keep_alive());
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
     EXPECT_TRUE(c->answers[1].body() == body);
   }
@@ -142,7 +142,7 @@
   for (const std::size_t size : {std::size_t(97), std::size_t(65536), std::size_t(300'000), body.size()}) {
     chunk = size;
     const std::size_t before = c->answers.size();
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() > before || c->ended; }));
     ASSERT_GT(c->answers.size(), before) << size;
     EXPECT_TRUE(c->answers.back().body() == body) << size;
@@ -228,7 +228,7 @@
   for (const std::string& which : {small, large}) {
     body = which;
     const std::size_t before = c->answers.size();
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() > before || c->ended; }));
     ASSERT_GT(c->answers.size(), before);
     EXPECT_EQ(c->answers.back().result_int(), 200u);
@@ -237,7 +237,7 @@
   reset = true;
   body = small;
   const std::size_t before = c->answers.size();
-  c->ask("POST", "/book", 2500, "x");
+  c->sendRequest("POST", "/book", 2500, "x");
   ASSERT_TRUE(until([&] { return c->answers.size() > before; }));
   EXPECT_EQ(c->answers.back().result_int(), 502u);  // it may have run, and what came is not whole
 }
@@ -247,7 +247,7 @@
   host(hold);
   start();  // a pause of 500 ms at the most: the connect time-out
   const auto c = client();
-  c->ask("GET", "/read", 2900);
+  c->sendRequest("GET", "/read", 2900);
   ASSERT_TRUE(until([&] { return received() == 1; }));
   const std::string all = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789";
   std::size_t at = 0;
@@ -264,7 +264,7 @@
   EXPECT_EQ(c->answers[0].result_int(), 200u);
   EXPECT_EQ(c->answers[0].body(), "0123456789");
   EXPECT_GE(at, all.size());
-  c->ask("POST", "/book", 2900, "x");
+  c->sendRequest("POST", "/book", 2900, "x");
   ASSERT_TRUE(until([&] { return received() == 2; }));
   const auto began = std::chrono::steady_clock::now();
   hosts[0]->peers[0]->write(all.substr(0, 40));
@@ -283,7 +283,7 @@
     });
   start();
   const auto c = client();
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].body(), "good");
 }
--- a/tests/net/end_interleavings_test.cpp
+++ b/tests/net/end_interleavings_test.cpp
@@ -382,7 +382,7 @@
     // It goes on serving, and what an ended attempt left behind is nobody's answer.
     const auto next = client();
     for (int i = 0; i < 4; ++i) {
-      next->ask("POST", "/book", 2500, "x");
+      next->sendRequest("POST", "/book", 2500, "x");
       ASSERT_TRUE(
           until([&] { return next->answers.size() == static_cast<std::size_t>(i) + 1 || next->ended; }));
       ASSERT_EQ(next->answers.size(), static_cast<std::size_t>(i) + 1);
--- a/tests/net/ends_test.cpp
+++ b/tests/net/ends_test.cpp
@@ -116,7 +116,7 @@
   proofLeast = milliseconds(200);
   start([](json& config) { config["settings"]["ceilings"]["cancel"] = false; });
   const auto c = client();
-  c->ask("POST", "/book", 2500, "x");
+  c->sendRequest("POST", "/book", 2500, "x");
   ASSERT_TRUE(until([&] { return hosts[0]->peers.size() == 1; }));
   ASSERT_TRUE(after(milliseconds(20)));
   c->close();
@@ -171,7 +171,7 @@
     config["settings"]["grades"][2]["windowNs"] = 600'000'000;
   });
   const auto c = client();
-  c->ask("POST", "/put", 2500, "", "Idempotency-Key: k1\r\n");
+  c->sendRequest("POST", "/put", 2500, "", "Idempotency-Key: k1\r\n");
   ASSERT_TRUE(until([&] { return received() == 1 && calls.size() == 1; }));
   // The late host is listed once the first attempt is out at the other one, which has run it and goes.
   calls[0]->reply(200, listJson(2, false, json::array({hostJson("late", late.endpoint())})).dump());
@@ -198,7 +198,7 @@
   proofLeast = milliseconds(400);
   start([](json& config) { config["settings"]["grades"][2]["windowNs"] = 700'000'000; });
   const auto c = client();
-  c->ask("POST", "/put", 2500, "", "Idempotency-Key: k2\r\n");
+  c->sendRequest("POST", "/put", 2500, "", "Idempotency-Key: k2\r\n");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 502u);
   EXPECT_EQ(ran, 1);
@@ -215,7 +215,7 @@
   proofLeast = milliseconds(100);
   start([](json& config) { config["settings"]["grades"][2]["windowNs"] = 700'000'000; });
   const auto c = client();
-  c->ask("POST", "/put", 2500, "", "Idempotency-Key: k3\r\n");
+  c->sendRequest("POST", "/put", 2500, "", "Idempotency-Key: k3\r\n");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
   EXPECT_EQ(ran, 2);
@@ -229,7 +229,7 @@
   host(serveOk);
   start();
   const auto c = client();
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   ASSERT_TRUE(after(milliseconds(5)));
   gateway->enterLameDuck();  // connections at rest are closed soon
@@ -256,7 +256,7 @@
   std::vector<std::shared_ptr<Client>> asking;
   for (std::size_t i = 0; i < 10; ++i) {
     asking.push_back(client());
-    asking.back()->ask("GET", "/read", 2900);
+    asking.back()->sendRequest("GET", "/read", 2900);
     ASSERT_TRUE(until([&] { return gateway->openRequests() == i + 1; }));
   }
   const auto late = client();
@@ -272,7 +272,7 @@
   // However many come so, none takes a place, nor the place of one that was turned away.
   for (int i = 0; i < 4; ++i) {
     const auto another = client();
-    another->ask("GET", "/read", 2900);
+    another->sendRequest("GET", "/read", 2900);
     ASSERT_TRUE(until([&] { return another->answers.size() == 1; }));
     EXPECT_EQ(another->answers[0].result_int(), 503u);
     EXPECT_EQ(gateway->openRequests(), 10u);
@@ -295,7 +295,7 @@
   }
   ASSERT_TRUE(after(milliseconds(150)));
   const auto other = client();
-  other->ask("GET", "/read", 2500);
+  other->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return other->answers.size() == 1; }));
   EXPECT_EQ(other->answers[0].result_int(), 200u);
   ASSERT_TRUE(until([&] { return half[0]->ended; }));
@@ -312,7 +312,7 @@
   ASSERT_TRUE(until([&] { return fresh[0]->ended; }));
   ASSERT_EQ(fresh[0]->answers.size(), 1u);
   EXPECT_EQ(fresh[0]->answers[0].result_int(), 503u);
-  fresh[10]->ask("GET", "/read", 2500);
+  fresh[10]->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return fresh[10]->answers.size() == 1; }));
   EXPECT_EQ(fresh[10]->answers[0].result_int(), 200u);
 }
@@ -341,7 +341,7 @@
   const auto answered = [&](const std::string& what) {
     bytes = what;
     const std::size_t before = c->answers.size();
-    c->ask("POST", "/book", 2500, "x");
+    c->sendRequest("POST", "/book", 2500, "x");
     EXPECT_TRUE(until([&] { return c->answers.size() > before || c->ended; }));
     return c->answers.size() > before ? c->answers.back().result_int() : 0u;
   };
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -24,7 +24,8 @@
   const std::vector<std::shared_ptr<Client>> clients{client(), client()};
   std::size_t served = 0;
   for (std::size_t round = 1; round <= 60; ++round) {
-    for (const auto& c : clients) c->ask("POST", "/book", 2500, "x");  // a lost one could not be sent again
+    for (const auto& c : clients)
+      c->sendRequest("POST", "/book", 2500, "x");  // a lost one could not be sent again
     ASSERT_TRUE(until([&] {
       return clients[0]->answers.size() == round && clients[1]->answers.size() == round;
     })) << round;
@@ -50,17 +51,17 @@
     config["known"]["endpoints"].push_back(hostJson("s-gone", nobody));
   });
   const auto c = client();
-  const auto ask = [&](std::size_t n) {
-    c->ask("POST", "/book", 2500, "x");
+  const auto sendRequest = [&](std::size_t n) {
+    c->sendRequest("POST", "/book", 2500, "x");
     ASSERT_TRUE(until([&] { return c->answers.size() == n; }));
     EXPECT_EQ(c->answers.back().result_int(), 200u);
   };
-  for (std::size_t n = 1; n <= 40; ++n) ask(n);
+  for (std::size_t n = 1; n <= 40; ++n) sendRequest(n);
   EXPECT_EQ(calls.size(), 1u);
   EXPECT_TRUE(gateway->isListed("s-gone"));
   calls[0]->reply(200, listJson(2, true, listed()).dump());
   ASSERT_TRUE(until([&] { return !gateway->isListed("s-gone") && calls.size() == 2; }));
-  ask(41);
+  sendRequest(41);
   EXPECT_EQ(received(), 41u);
 }
 
@@ -77,12 +78,12 @@
   calls[1]->reply(200, listJson(3, true, json::array()).dump());
   ASSERT_TRUE(until([&] { return calls.size() == 3; }));
   const auto c = client();
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 503u) << "nobody could be asked";
   calls[2]->reply(200, listJson(4, true, listed()).dump());
   ASSERT_TRUE(until([&] { return calls.size() == 4; }));
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
   EXPECT_EQ(c->answers[1].result_int(), 200u);
 }
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -13,7 +13,7 @@
   host([&](const auto& peer, const Received&) { peer->reply(200, odd + "!"); });
   start();
   const auto c = client();
-  c->ask("POST", "/put/x%20y?a=1&b=%2f", 2500, odd, "Idempotency-Key: key-7\r\nX-Account: acme\r\n");
+  c->sendRequest("POST", "/put/x%20y?a=1&b=%2f", 2500, odd, "Idempotency-Key: key-7\r\nX-Account: acme\r\n");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
   EXPECT_EQ(c->answers[0].body(), odd + "!");
@@ -81,7 +81,7 @@
   }
   EXPECT_EQ(received(), 0u);
   const auto c = client();  // the largest body that is allowed
-  c->ask("POST", "/book", 2500, std::string(65536, 'x'));
+  c->sendRequest("POST", "/book", 2500, std::string(65536, 'x'));
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
 }
@@ -113,7 +113,7 @@
   const auto silent = client(), half = client(), dribbling = client(), later = client(), body = client();
   half->write("GET /re");
   body->write("POST /book HTTP/1.1\r\nX-Correlation-Id: b\r\nContent-Length: 9\r\n\r\nx");
-  later->ask("GET", "/read", 2500);
+  later->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return later->answers.size() == 1; }));
   const auto begun = std::chrono::steady_clock::now();
   later->write("GET /re");  // the second request of a connection
@@ -142,9 +142,9 @@
     host(hold);
     start();
     auto c = client();
-    c->ask("GET", "/read", 2900);
+    c->sendRequest("GET", "/read", 2900);
     ASSERT_TRUE(until([&] { return hosts[0]->received.size() == 1; }));
-    for (std::size_t i = 0; i < ahead; ++i) c->ask("GET", "/read", 2900);
+    for (std::size_t i = 0; i < ahead; ++i) c->sendRequest("GET", "/read", 2900);
     c->close();
     ASSERT_TRUE(until([&] { return hosts[0]->peers[0]->ended; }));
     EXPECT_EQ(gateway->openRequests(), 0u);
@@ -230,7 +230,7 @@
     serve(*usual, 20);
     const std::size_t before = received();
     const auto c = client();
-    c->ask("POST", "/book", 2500, "x");
+    c->sendRequest("POST", "/book", 2500, "x");
     ASSERT_TRUE(until([&] { return c->answers.size() == 1; })) << at;
     EXPECT_EQ(c->answers[0].result_int(), 502u) << at;
     EXPECT_EQ(received(), before + 1) << at;
@@ -275,7 +275,7 @@
   for (std::size_t i = 0; i < kinds.size(); ++i)
     for (const int before = dead.resets; dead.resets == before;) {  // until the draw falls on it
       const auto c = client();
-      c->ask("POST", kinds[i].first, 2900, "body", kinds[i].second);
+      c->sendRequest("POST", kinds[i].first, 2900, "body", kinds[i].second);
       ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
       EXPECT_EQ(c->answers[0].result_int(), 200u) << kinds[i].first;
       EXPECT_EQ(hosts[0]->received.back()["X-Correlation-Id"], c->id);
@@ -296,18 +296,18 @@
   start();
   const auto c = client();
   for (std::size_t i = 1; i <= 40; ++i) {
-    c->ask("GET", "/read", 2900);
+    c->sendRequest("GET", "/read", 2900);
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
   }
   losing = true;  // these are given up when their time is over
   std::vector<std::shared_ptr<Client>> many;
   for (int i = 0; i < 12; ++i) many.push_back(client());
-  for (const auto& m : many) m->ask("GET", "/read", 300);
+  for (const auto& m : many) m->sendRequest("GET", "/read", 300);
   ASSERT_TRUE(until([&] {
     return std::all_of(many.begin(), many.end(), [](const auto& m) { return m->answers.size() == 1; });
   }));
   const std::size_t before = lost;
-  c->ask("GET", "/read", 2900);
+  c->sendRequest("GET", "/read", 2900);
   ASSERT_TRUE(until([&] { return lost > before; }));
   losing = false;
   ASSERT_TRUE(until([&] { return c->answers.size() == 41; }));
@@ -364,7 +364,7 @@
     good = false;
     const std::size_t before = received(), kept = gateway->upstreamConnections();
     const auto c = client();
-    c->ask("POST", "/book", 2500, "x");
+    c->sendRequest("POST", "/book", 2500, "x");
     ASSERT_TRUE(until([&] { return c->answers.size() == 1; })) << at;
     EXPECT_EQ(c->answers[0].result_int(), 502u) << at;
     EXPECT_EQ(received(), before + 1) << at;
@@ -383,7 +383,7 @@
     });
   start([](json& config) { config["settings"]["ceilings"]["connectTimeoutNs"] = 50000000; });
   const auto c = client();
-  c->ask("GET", "/read", 2900);
+  c->sendRequest("GET", "/read", 2900);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].body(), "second");
 }
@@ -397,7 +397,7 @@
   start();
   const auto c = client();
   for (std::size_t i = 1; i <= 5; ++i) {
-    c->ask("GET", "/read/" + std::to_string(i), 2500);
+    c->sendRequest("GET", "/read/" + std::to_string(i), 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
     EXPECT_EQ(c->answers.back().body(), "/read/" + std::to_string(i));
   }
@@ -412,14 +412,14 @@
   start();
   const auto c = client();
   for (std::size_t i = 1; i <= 20; ++i) {
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
     EXPECT_EQ(c->answers.back().result_int(), 422u);
     EXPECT_EQ(received(), i);
   }
   reject = false;
   for (std::size_t i = 21; i <= 40; ++i) {
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
     EXPECT_EQ(c->answers.back().result_int(), 200u);
   }
@@ -436,7 +436,7 @@
     });
   start();
   const auto c = client();
-  c->ask("POST", "/book", 2500, "x");
+  c->sendRequest("POST", "/book", 2500, "x");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].body(), "second");
   EXPECT_EQ(hosts[0]->received.size(), 1u);
@@ -449,7 +449,7 @@
   start();
   const auto c = client();
   const auto begun = std::chrono::steady_clock::now();
-  c->ask("POST", "/book", 2900, "x");
+  c->sendRequest("POST", "/book", 2900, "x");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 503u);
   // Half of the client's time is far more than this takes, and far less than holding it back would.
@@ -462,7 +462,7 @@
   start([&](json& config) { config["known"]["endpoints"].push_back(hostJson("s-gone", nobody)); });
   const auto c = client();
   for (std::size_t i = 1; i <= 12; ++i) {
-    c->ask("POST", "/book", 2500, "x");
+    c->sendRequest("POST", "/book", 2500, "x");
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
     EXPECT_EQ(c->answers.back().result_int(), 200u);
   }
@@ -475,7 +475,7 @@
   start();
   const auto c = client();
   for (std::size_t i = 1; i <= 3; ++i) {
-    c->ask("POST", "/book", 2500, "x");
+    c->sendRequest("POST", "/book", 2500, "x");
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
     EXPECT_EQ(c->answers.back().result_int(), 200u);
     hosts[0]->peers.back()->close();  // no turn of the loop between this and the next request
@@ -488,7 +488,7 @@
   start();
   const auto c = client();
   for (std::size_t i = 1; i <= 10; ++i) {
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
   }
   EXPECT_EQ(hosts[0]->peers.size(), 1u);
@@ -498,7 +498,7 @@
   host(hold);
   start();
   const auto c = client();
-  c->ask("POST", "/book", 300, "x");
+  c->sendRequest("POST", "/book", 300, "x");
   ASSERT_TRUE(until([&] { return hosts[0]->received.size() == 1; }));
   bool endedFirst = false;
   ASSERT_TRUE(until([&] {
@@ -516,7 +516,7 @@
   host(hold);
   start();
   auto c = client();
-  c->ask("GET", "/read", 2900);
+  c->sendRequest("GET", "/read", 2900);
   ASSERT_TRUE(until([&] { return hosts[0]->received.size() == 1; }));
   c->close();
   ASSERT_TRUE(until([&] { return hosts[0]->peers[0]->ended; }));
@@ -531,7 +531,7 @@
   });
   start();
   const auto c = client();
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].body(), "final");
 }
@@ -549,7 +549,7 @@
   EXPECT_EQ(discovery.peers.size(), 1u);  // on the same connection
   const auto c = client();
   for (std::size_t i = 1; i <= 12; ++i) {
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
   }
   EXPECT_EQ(hosts[0]->received.size(), 0u);
@@ -558,7 +558,7 @@
   calls[1]->reply(200, listJson(3, true, json::array({hostJson("s-0", hosts[0]->endpoint())})).dump());
   ASSERT_TRUE(until([&] { return calls.size() == 3; }));
   for (std::size_t i = 13; i <= 24; ++i) {
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
   }
   EXPECT_EQ(hosts[0]->received.size(), 12u);
@@ -572,7 +572,7 @@
   const auto c = client();
   for (int i = 1; i <= 60; ++i) {
     ASSERT_TRUE(until([&] { return calls.size() == static_cast<std::size_t>(i); }));
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == static_cast<std::size_t>(i); }));
     json list = json::array({hostJson("n-" + std::to_string(i), hosts[0]->endpoint())});
     if (i % 2 == 0) list.push_back(hostJson("n-" + std::to_string(i - 1), hosts[0]->endpoint(), "left"));
@@ -601,7 +601,7 @@
   ASSERT_TRUE(until([&] { return calls.size() == failures.size() + 1; }));
   EXPECT_NE(discovery.received.back().target().find("since=1"), boost::beast::string_view::npos);
   const auto c = client();  // the old list stands
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
 }
@@ -623,7 +623,7 @@
   start([&](json& config) { config["known"]["endpoints"].erase(1); });  // only s-0 is known
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   const auto c = client(), held = client();
-  held->ask("POST", "/book", 2900, "x");
+  held->sendRequest("POST", "/book", 2900, "x");
   ASSERT_TRUE(until([&] { return received() == 1; }));
   json moved = configJson(other.endpoint(), json::array());
   gateway->reload(readConfig(moved.dump(), clock));
@@ -632,7 +632,7 @@
   for (const Received& r : other.received) EXPECT_EQ(r.target(), "/registry/instances");
   // The known hosts serve until the list comes, though the new file named none.
   hosts[0]->handler = serveOk;
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
   EXPECT_EQ(hosts[0]->received.size(), 2u);
@@ -641,7 +641,7 @@
   ASSERT_TRUE(until(
       [&] { return other.received.size() >= 2 && other.received.back().target() != "/registry/instances"; }));
   EXPECT_NE(other.received.back().target().find("since=0&"), boost::beast::string_view::npos);
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
   EXPECT_EQ(hosts[1]->received.size(), 1u);
   hosts[0]->peers[0]->reply(200, "held");
@@ -728,7 +728,7 @@
   start([](json& config) { config["settings"]["registryMode"] = "push"; });
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   const auto c = client();
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   bool done = false;
   gateway->drain([&] { done = true; });
@@ -767,7 +767,7 @@
   };
   start(short_);
   const auto c = client();
-  c->ask("GET", "/read", 500);
+  c->sendRequest("GET", "/read", 500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   bool done = false;
   gateway->drain([&] { done = true; });
@@ -775,7 +775,7 @@
   std::size_t kept = 1;
   while (!c->ended) {
     const std::size_t before = c->answers.size();
-    c->ask("GET", "/read", 500);
+    c->sendRequest("GET", "/read", 500);
     if (!until([&] { return c->answers.size() > before || c->ended; }) || c->ended) break;
     kept += c->answers.back().keep_alive();
   }
@@ -800,7 +800,7 @@
   const auto begun = std::chrono::steady_clock::now();
   gateway->drain([&] { done = true; });
   ASSERT_TRUE(until([&] { return std::chrono::steady_clock::now() - begun > milliseconds(900); }));
-  c->ask("POST", "/book", 1500, "x");  // its client waits for longer than the process lasts
+  c->sendRequest("POST", "/book", 1500, "x");  // its client waits for longer than the process lasts
   ASSERT_TRUE(until([&] { return c->answers.size() == 1 || done; }));
   ASSERT_EQ(c->answers.size(), 1u);
   EXPECT_EQ(c->answers[0].result_int(), 502u);
@@ -815,7 +815,7 @@
     for (json& g : c["settings"]["grades"]) g["giveUpNs"] = 9'000'000'000;
   });
   const auto c = client();
-  c->ask("POST", "/book", 9000, "x");
+  c->sendRequest("POST", "/book", 9000, "x");
   ASSERT_TRUE(until([&] { return hosts[0]->received.size() == 1; }));
   bool done = false;
   const auto begun = std::chrono::steady_clock::now();
@@ -833,7 +833,7 @@
   serveDraining = Duration{};  // clients are sent away at once
   start();
   const auto held = client(), idle = client();
-  held->ask("GET", "/read", 2900);
+  held->sendRequest("GET", "/read", 2900);
   idle->write("GET /health/ready HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(until([&] { return hosts[0]->received.size() == 1 && idle->answers.size() == 1; }));
   EXPECT_EQ(idle->answers[0].result_int(), 200u);
@@ -841,7 +841,7 @@
   gateway->drain([&] { ++done; });
   hosts[0]->handler = serveOk;
   const auto late = client();  // fronts go on connecting for a while
-  late->ask("GET", "/read", 2500);
+  late->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return late->answers.size() == 1; }));
   EXPECT_EQ(late->answers[0].result_int(), 200u);
   EXPECT_FALSE(late->answers[0].keep_alive());
@@ -869,7 +869,7 @@
   std::vector<std::shared_ptr<Client>> asking, silent;
   for (int i = 0; i < 4; ++i) {
     asking.push_back(client());
-    asking.back()->ask("GET", "/read", 2900);
+    asking.back()->sendRequest("GET", "/read", 2900);
   }
   ASSERT_TRUE(until([&] { return received() == 4; }));
   for (int i = 0; i < 60; ++i) silent.push_back(client());
@@ -883,11 +883,11 @@
   hosts[0]->handler = hold;
   for (int i = 0; i < 8; ++i) {
     asking.push_back(client());
-    asking.back()->ask("GET", "/read", 2900);
+    asking.back()->sendRequest("GET", "/read", 2900);
     ASSERT_TRUE(until([&] { return received() == static_cast<std::size_t>(5 + i); }));
   }
   const auto late = client();
-  late->ask("GET", "/read", 2900);
+  late->sendRequest("GET", "/read", 2900);
   ASSERT_TRUE(until([&] { return late->ended; }));
   ASSERT_EQ(late->answers.size(), 1u);
   EXPECT_EQ(late->answers[0].result_int(), 503u);
@@ -900,7 +900,7 @@
   std::vector<std::shared_ptr<Client>> once;
   for (int i = 0; i < 25; ++i) {
     once.push_back(client());
-    once.back()->ask("GET", "/read", 2500);
+    once.back()->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return once.back()->answers.size() == 1; }));
     EXPECT_EQ(once.back()->answers[0].result_int(), 200u);
   }
@@ -946,7 +946,7 @@
   EXPECT_LE(gateway->clientConnections(), 10u);
   ASSERT_GT(left(), 0);
   Client& alive = **std::find_if(many.begin(), many.end(), [](const auto& c) { return !c->ended; });
-  alive.ask("GET", "/read", 2500);
+  alive.sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return alive.answers.size() == 1; }));
   EXPECT_EQ(alive.answers[0].result_int(), 200u);
 }
--- a/tests/net/limits_test.cpp
+++ b/tests/net/limits_test.cpp
@@ -50,7 +50,7 @@
   tell(5, true, listed());
   EXPECT_EQ(gateway->metrics().listedHosts, 1u);
   const auto c = client();
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
   ASSERT_TRUE(until([&] { return gateway->trackedHosts() == 1; }));  // nothing is kept of 1,650
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -22,29 +22,29 @@
   host(serveOk);
   start();
   const auto resting = client(), using_ = client();
-  resting->ask("GET", "/read", 2500);
-  using_->ask("GET", "/read", 2500);
+  resting->sendRequest("GET", "/read", 2500);
+  using_->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return resting->answers.size() == 1 && using_->answers.size() == 1; }));
   gateway->enterLameDuck();
   gateway->enterLameDuck();  // twice is once
   EXPECT_FALSE(gateway->ready());
   EXPECT_EQ(health(), 503u);
-  using_->ask("GET", "/read", 2500);  // still served, and told to go
+  using_->sendRequest("GET", "/read", 2500);  // still served, and told to go
   ASSERT_TRUE(until([&] { return using_->answers.size() == 2; }));
   EXPECT_EQ(using_->answers[1].result_int(), 200u);
   EXPECT_FALSE(using_->answers[1].keep_alive());
   ASSERT_TRUE(until([&] { return resting->ended && using_->ended; }));
   const auto late = client();  // who comes all the same is served
-  late->ask("GET", "/read", 2500);
+  late->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return late->answers.size() == 1 && late->ended; }));
   EXPECT_EQ(late->answers[0].result_int(), 200u);
   gateway->leaveLameDuck();
   EXPECT_EQ(health(), 200u);
   const auto again = client();
-  again->ask("GET", "/read", 2500);
+  again->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return again->answers.size() == 1; }));
   EXPECT_TRUE(again->answers[0].keep_alive());
-  again->ask("GET", "/read", 2500);
+  again->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return again->answers.size() == 2; }));
 }
 
@@ -52,7 +52,7 @@
   host(hold);
   start();
   const auto c = client();
-  c->ask("GET", "/read", 2900);
+  c->sendRequest("GET", "/read", 2900);
   ASSERT_TRUE(until([&] { return received() == 1; }));
   gateway->enterLameDuck();
   const auto resting = client();
@@ -75,7 +75,7 @@
   start();
   const auto c = client();
   for (std::size_t i = 1; i <= reports.size(); ++i) {
-    c->ask("POST", "/book", 2500, "x");  // unsafe: one attempt each
+    c->sendRequest("POST", "/book", 2500, "x");  // unsafe: one attempt each
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
   }
   EXPECT_EQ(gateway->metrics().loadReports, 2u);
@@ -106,7 +106,7 @@
   gateway->setHostObserver(ear);
   gateway->start();
   const auto c = client();
-  c->ask("GET", "/read", 2900);
+  c->sendRequest("GET", "/read", 2900);
   ASSERT_TRUE(until([&] { return hosts[0]->received.size() == 1 && !calls.empty(); }));
   const auto now =
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count() +
@@ -120,7 +120,7 @@
   hosts[0]->peers[0]->reply(200, "old", "X-Backend-Load: queue=70\r\n");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].body(), "old");
-  c->ask("GET", "/read", 2900);
+  c->sendRequest("GET", "/read", 2900);
   ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
   EXPECT_EQ(c->answers[1].body(), "new");
   EXPECT_EQ(ear.queues, std::vector<double>{2});
@@ -174,12 +174,12 @@
   start();
   const auto c = client();
   for (int i = 0; i < 4; ++i) {
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == static_cast<std::size_t>(i) + 1; }));
   }
   const auto held = client(), left = client();
-  held->ask("POST", "/book", 300, "x");
-  left->ask("POST", "/book", 2500, "x");
+  held->sendRequest("POST", "/book", 300, "x");
+  left->sendRequest("POST", "/book", 2500, "x");
   ASSERT_TRUE(until([&] { return received() == 6; }));
   GatewayMetrics f = gateway->metrics();
   ASSERT_EQ(f.classes.size(), 3u);
@@ -209,13 +209,13 @@
   gateway = make("first");
   gateway->start();
   const auto resting = Client::connect(io, kept.local_endpoint());
-  resting->ask("GET", "/read", 2500);
+  resting->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return resting->answers.size() == 1; }));
   int done = 0;
   gateway->drain([&] { ++done; });
   const auto queued = Client::connect(io, kept.local_endpoint());
-  queued->ask("GET", "/read", 2500);
-  resting->ask("GET", "/read", 2500);  // still served by the first, and told to go
+  queued->sendRequest("GET", "/read", 2500);
+  resting->sendRequest("GET", "/read", 2500);  // still served by the first, and told to go
   ASSERT_TRUE(until([&] { return resting->ended && done == 1; }));
   EXPECT_EQ(resting->answers.size(), 2u);
   EXPECT_EQ(queued->answers.size(), 0u);
@@ -246,11 +246,11 @@
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 5; ++i) {
     clients.push_back(Client::connect(io, kept.local_endpoint()));
-    clients[i]->ask("GET", "/read", 2500);
+    clients[i]->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return clients[i]->answers.size() == 1; }));
   }
   const auto fresh = Client::connect(io, kept.local_endpoint());
-  clients[4]->ask("GET", "/read/held", 2900);
+  clients[4]->sendRequest("GET", "/read/held", 2900);
   ASSERT_TRUE(until([&] { return received() == 6 && gateway->clientConnections() == 6; }));
   const auto next = make();  // serves beside it, but its listener is not asked yet
   int done = 0;
@@ -261,7 +261,7 @@
     next->adoptClient(::dup(fd));
     return true;
   });
-  clients[0]->ask("GET", "/read", 2500);  // under way as it drains: answered here, and left open
+  clients[0]->sendRequest("GET", "/read", 2500);  // under way as it drains: answered here, and left open
   ASSERT_TRUE(until([&] { return clients[0]->answers.size() == 2; }));
   EXPECT_TRUE(clients[0]->answers[1].keep_alive());
   full = false;
@@ -269,8 +269,8 @@
   EXPECT_EQ(gateway->clientConnections(), 1u);  // the one whose answer is still owed
   EXPECT_EQ(done, 0);
   next->start();
-  for (int i = 0; i < 4; ++i) clients[i]->ask("GET", "/read", 2500);
-  fresh->ask("GET", "/read", 2500);
+  for (int i = 0; i < 4; ++i) clients[i]->sendRequest("GET", "/read", 2500);
+  fresh->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return fresh->answers.size() == 1 && next->metrics().classes[0].succeeded == 5; }));
   for (const auto& peer : hosts[0]->peers)
     if (peer == holder) peer->reply(200, "late");
@@ -290,13 +290,13 @@
   gateway = std::make_unique<Gateway>(io, clock, std::move(config));
   gateway->start();
   const auto resting = client(), busy = client();
-  busy->ask("GET", "/read", 2500);
+  busy->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return busy->answers.size() == 1 && gateway->clientConnections() == 2; }));
   int done = 0;
   gateway->drain([&] { ++done; });
   gateway->handOverClients([](int) { return false; });
   gateway->handOverClients({});
-  busy->ask("GET", "/read", 2500);
+  busy->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return busy->answers.size() == 2; }));
   EXPECT_FALSE(busy->answers[1].keep_alive());
   ASSERT_TRUE(until([&] { return resting->ended && busy->ended && done == 1; }));
--- a/tests/net/request_filter_test.cpp
+++ b/tests/net/request_filter_test.cpp
@@ -66,7 +66,7 @@
 TEST_F(RequestFilterTest, CallsPhasesAndFiltersInOrder) {
   start();
   const auto c = client();
-  c->ask("GET", "/read/1", 2500);
+  c->sendRequest("GET", "/read/1", 2500);
   ASSERT_TRUE(runUntil(io, [&] { return c->answers.size() == 1; }));
   EXPECT_EQ(log, (std::vector<std::string>{"a arrived read", "b arrived read", "a admitted", "b admitted",
                                            "a sent may have run", "b sent may have run",
@@ -82,7 +82,7 @@
   start();
   a.reject = true;
   const auto c = client();
-  c->ask("GET", "/read/1", 2500);
+  c->sendRequest("GET", "/read/1", 2500);
   ASSERT_TRUE(runUntil(io, [&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 422u);
   EXPECT_EQ(c->answers[0]["X-By-b"], "yes");
@@ -101,7 +101,7 @@
   host.handler = [](const auto& peer, const Received&) { peer->reply(503, "", "X-Unprocessed: 1\r\n"); };
   start();
   const auto c = client();
-  c->ask("POST", "/book/1", 400, "x");
+  c->sendRequest("POST", "/book/1", 400, "x");
   ASSERT_TRUE(runUntil(io, [&] { return c->answers.size() == 1; }));
   EXPECT_EQ(log.back(), "b ended 1");  // refused, and nothing may have run
 }
@@ -110,7 +110,7 @@
   host.handler = [](const auto&, const Received&) {};
   start();
   auto c = client();
-  c->ask("GET", "/read/1", 2500);
+  c->sendRequest("GET", "/read/1", 2500);
   ASSERT_TRUE(runUntil(io, [&] { return host.received.size() == 1; }));
   c->close();
   ASSERT_TRUE(runUntil(io, [&] { return gateway->openRequests() == 0; }));
--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -474,7 +474,7 @@
   EXPECT_EQ(table->account().taken(), 4 * most);
   for (int i = 0; i < 10; ++i) {
     const auto c = client();
-    c->ask("GET", "/read", 2500);
+    c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   }
 }
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -39,7 +39,7 @@
              const std::string& body = "") {
     for (int i = 0; i < times; ++i) {
       const std::size_t before = c.answers.size();
-      c.ask(method, path, 2500, body);
+      c.sendRequest(method, path, 2500, body);
       ASSERT_TRUE(until([&] { return c.answers.size() > before; }));
       EXPECT_EQ(c.answers.back().result_int(), 200u);
     }
--- a/tests/support/sockets.hpp
+++ b/tests/support/sockets.hpp
@@ -102,8 +102,8 @@
   }
   explicit Client(asio::io_context& io) : socket(io) {}
   void write(const std::string& bytes) { asio::write(socket, asio::buffer(bytes)); }
-  void ask(const std::string& method, const std::string& path, int leftMs, const std::string& body = "",
-           const std::string& headers = "") {
+  void sendRequest(const std::string& method, const std::string& path, int leftMs,
+                   const std::string& body = "", const std::string& headers = "") {
     static int asked = 0;
     id = "id-" + std::to_string(++asked);  // new with every request
     write(method + " " + path + " HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: " + id +
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -96,7 +96,7 @@
     call->reply(200, listJson(++listIndex, false, list).dump());
     ASSERT_TRUE(until([&] { return !calls.empty(); }));
   }
-  static std::string ask(const std::string& more = "", const std::string& path = "/read/live") {
+  static std::string sendRequest(const std::string& more = "", const std::string& path = "/read/live") {
     return "GET " + path +
            " HTTP/1.1\r\nHost: api\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n"
            "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " +
@@ -106,7 +106,7 @@
   // A stream that has begun; its head is taken off.
   std::shared_ptr<TcpConnection> open() {
     const auto c = wire();
-    c->write(ask());
+    c->write(sendRequest());
     EXPECT_TRUE(until([&] { return c->receivedBytes.find("\r\n\r\n") != std::string::npos || c->over(); }));
     EXPECT_EQ(statusOf(*c), 101);
     c->receivedBytes.erase(0, c->receivedBytes.find("\r\n\r\n") + 4);
@@ -172,7 +172,7 @@
   worker([&](const std::string& head) { return accepted(head, early + early.substr(0, 3)); });
   begin();
   const auto c = wire();
-  c->write(ask() + ahead + ahead.substr(0, 1));
+  c->write(sendRequest() + ahead + ahead.substr(0, 1));
   ASSERT_TRUE(until([&] {
     return c->receivedBytes.size() > early.size() && c->receivedBytes.find(early) != std::string::npos;
   }));
@@ -191,7 +191,7 @@
   worker();
   begin();
   const auto c = wire();
-  const std::string bytes = ask() + bytesOf(true, {1, "slow"});
+  const std::string bytes = sendRequest() + bytesOf(true, {1, "slow"});
   for (const char one : bytes) {
     c->write(std::string(1, one));
     for (int i = 0; i < 3; ++i) io.restart(), io.poll();
@@ -213,14 +213,15 @@
       EXPECT_NE(c->receivedBytes.find("Sec-WebSocket-Version: 13\r\n"), std::string::npos);
     return statusOf(*c);
   };
-  std::string old = ask("Origin: https://yard\r\n");
+  std::string old = sendRequest("Origin: https://yard\r\n");
   old.replace(old.find("Version: 13"), 11, "Version: 8");
-  EXPECT_EQ(status(ask()), 403);
-  EXPECT_EQ(status(ask("Origin: https://elsewhere\r\n")), 403);
+  EXPECT_EQ(status(sendRequest()), 403);
+  EXPECT_EQ(status(sendRequest("Origin: https://elsewhere\r\n")), 403);
   EXPECT_EQ(status(old), 426);
-  EXPECT_EQ(status(ask("Origin: https://yard\r\nContent-Length: 3\r\n") + "abc"), 400);
-  EXPECT_EQ(status(ask("Origin: https://yard\r\n", "/nothing")), 404);
-  EXPECT_EQ(status(ask("Origin: https://yard\r\n", "/book/1")), 405);  // a class that may not run twice
+  EXPECT_EQ(status(sendRequest("Origin: https://yard\r\nContent-Length: 3\r\n") + "abc"), 400);
+  EXPECT_EQ(status(sendRequest("Origin: https://yard\r\n", "/nothing")), 404);
+  EXPECT_EQ(status(sendRequest("Origin: https://yard\r\n", "/book/1")),
+            405);  // a class that may not run twice
   EXPECT_TRUE(heads.empty());
 }
 
@@ -249,13 +250,13 @@
   begin();
   gateway->attach(rule);
   const auto c = wire();
-  c->write(ask("", "/read/closed"));
+  c->write(sendRequest("", "/read/closed"));
   ASSERT_TRUE(until([&] { return statusOf(*c) != 0; }));
   EXPECT_EQ(statusOf(*c), 403);
   EXPECT_TRUE(heads.empty());
   EXPECT_EQ(count(Became::refused), 1u);
   const auto d = wire();
-  d->write(ask());
+  d->write(sendRequest());
   ASSERT_TRUE(until([&] { return statusOf(*d) == 101; }));
   EXPECT_EQ(rule.status, 101u);
   EXPECT_NE(d->receivedBytes.find("X-Tag: seen\r\n"), std::string::npos);
@@ -285,7 +286,7 @@
   });
   begin();
   const auto c = wire();
-  c->write(ask());
+  c->write(sendRequest());
   ASSERT_TRUE(until([&] { return c->receivedBytes.find("\r\n\r\n") != std::string::npos; }));
   EXPECT_EQ(statusOf(*c), 503);
   EXPECT_NE(c->receivedBytes.find("Retry-After: "), std::string::npos);
@@ -296,7 +297,7 @@
   worker([](const std::string&) { return "HTTP/1.1 403 X\r\nContent-Length: 0\r\n\r\n"; });
   begin();
   const auto c = wire();
-  c->write(ask());
+  c->write(sendRequest());
   ASSERT_TRUE(until([&] { return statusOf(*c) != 0; }));
   EXPECT_EQ(statusOf(*c), 403);
   EXPECT_EQ(count(Became::failed), 1u);
@@ -307,7 +308,7 @@
     w->onBytes = [](TcpConnection& x) { x.write("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"); };
   };
   const auto d = wire();
-  d->write(ask());
+  d->write(sendRequest());
   ASSERT_TRUE(until([&] { return statusOf(*d) != 0; }));
   EXPECT_EQ(statusOf(*d), 503);
 }
@@ -317,7 +318,7 @@
   worker([](const std::string& head) { return accepted(head); });
   begin();
   const auto c = client();
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_NE(c->answers[0].result_int(), 101u);
   EXPECT_NE(c->answers[0].result_int(), 200u);
@@ -328,7 +329,7 @@
   worker([](const std::string& head) { return accepted(head, "\xff\xff garbage"); });
   begin();
   const auto c = wire();
-  c->write(ask());
+  c->write(sendRequest());
   ASSERT_TRUE(until([&] { return c->ended || c->reset; }));
   const std::string frames = c->receivedBytes.substr(c->receivedBytes.find("\r\n\r\n") + 4);
   EXPECT_EQ(frames, closed(false, 1014, "protocol"));
@@ -547,7 +548,7 @@
   std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 200; ++i) {
     clients.push_back(wire());
-    clients.back()->write(ask());
+    clients.back()->write(sendRequest());
   }
   ASSERT_TRUE(until([&] {
     return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return statusOf(*c) != 0; });
@@ -572,7 +573,7 @@
   EXPECT_LT(least, 3);
   EXPECT_GT(most, 7);
   const auto c = client();
-  c->ask("GET", "/read", 2500);
+  c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
 }
@@ -597,7 +598,7 @@
   host(serveOk);
   start();
   const auto c = client();
-  c->ask("GET", "/read", 2500, "", "Connection: Upgrade\r\nUpgrade: websocket\r\n");
+  c->sendRequest("GET", "/read", 2500, "", "Connection: Upgrade\r\nUpgrade: websocket\r\n");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
 }
