--- a/src/app/membership_text.cpp
+++ b/src/app/membership_text.cpp
@@ -161,7 +161,7 @@
   const membership::GossipStatistics& gossip = gossip_->statistics();
   appendCounters(line, {{"told", gossip.sent},
                         {"heard", gossip.received},
-                        {"convinced", gossip.convinced},
+                        {"convinced", gossip.unresponsiveByQuorum},
                         {"contradicted", gossip.contradicted},
                         {"claims", gossip.assertions},
                         {"lapsed_claims", gossip.expired},
@@ -196,7 +196,7 @@
                   {"bytes", gossip.bytes},
                   {"received", gossip.received},
                   {"malformed", gossip.malformed},
-                  {"convinced", gossip.convinced},
+                  {"convinced", gossip.unresponsiveByQuorum},
                   {"contradicted", gossip.contradicted},
                   {"claims", gossip.assertions},
                   {"borne", gossip.confirmed},
--- a/src/membership/gossip.cpp
+++ b/src/membership/gossip.cpp
@@ -146,7 +146,7 @@
   const Time since = unresponsiveSince(host, now);
   if (since == Time{} || !restrictUnresponsive(key, since)) return;
   if (wasUnresponsive) return;
-  ++statistics_.convinced;
+  ++statistics_.unresponsiveByQuorum;
   enqueue(key, host, Kind::unresponsive);
 }
 
--- a/src/membership/gossip.hpp
+++ b/src/membership/gossip.hpp
@@ -43,18 +43,18 @@
 };
 
 struct GossipStatistics {
-  std::uint64_t sent = 0;               // messages
-  std::uint64_t bytes = 0;              // of the sent messages
-  std::uint64_t received = 0;           // messages
-  std::uint64_t malformed = 0;          // messages
-  std::uint64_t convinced = 0;          // hosts that a quorum observed as unresponsive
-  std::uint64_t contradicted = 0;       // observations ignored: the host has responded to us since
-  std::uint64_t assertions = 0;         // of phases, accepted
-  std::uint64_t confirmed = 0;          // assertions that our list confirmed
-  std::uint64_t expired = 0;            // assertions that it did not
-  std::uint64_t withoutReputation = 0;  // assertions ignored: the gateway has no reputation left
-  std::uint64_t overFraction = 0;       // updates ignored: they would restrict too many hosts
-  std::uint64_t dropped = 0;            // updates that the queue had no room for
+  std::uint64_t sent = 0;                  // messages
+  std::uint64_t bytes = 0;                 // of the sent messages
+  std::uint64_t received = 0;              // messages
+  std::uint64_t malformed = 0;             // messages
+  std::uint64_t unresponsiveByQuorum = 0;  // hosts that a quorum observed as unresponsive
+  std::uint64_t contradicted = 0;          // observations ignored: the host has responded to us since
+  std::uint64_t assertions = 0;            // of phases, accepted
+  std::uint64_t confirmed = 0;             // assertions that our list confirmed
+  std::uint64_t expired = 0;               // assertions that it did not
+  std::uint64_t withoutReputation = 0;     // assertions ignored: the gateway has no reputation left
+  std::uint64_t overFraction = 0;          // updates ignored: they would restrict too many hosts
+  std::uint64_t dropped = 0;               // updates that the queue had no room for
 };
 
 class Gossip {
--- a/tests/membership/gossip_test.cpp
+++ b/tests/membership/gossip_test.cpp
@@ -84,7 +84,7 @@
   EXPECT_EQ(updates[0].age, Duration(seconds(1)));  // of the second youngest observation
   gateway.now += milliseconds(2000);
   EXPECT_FALSE(gateway.gossip->isUnresponsiveByQuorum(3, gateway.now));  // 3 s after the observation
-  EXPECT_EQ(gateway.gossip->statistics().convinced, 1u);
+  EXPECT_EQ(gateway.gossip->statistics().unresponsiveByQuorum, 1u);
 }
 
 // Two gateways that repeat each other must not restrict a host forever.
@@ -95,15 +95,15 @@
         [&](GossipSettings& s) { s.ownNumber = static_cast<GatewayNumber>(i); }));
   all[0]->gossip->onUnresponsive(3, 0, all[0]->now);
   all[1]->gossip->onUnresponsive(3, 0, all[1]->now);
-  bool convinced = false;
+  bool unresponsiveByQuorum = false;
   for (int i = 0; i < 40; ++i) {
     for (GatewayNumber from = 0; from < 5; ++from)
       for (const auto& o : all[from]->gossip->tick(all[from]->now))
         all[o.recipient]->gossip->onMessage(from, o.payload, all[o.recipient]->now);
-    convinced |= all[4]->gossip->isUnresponsiveByQuorum(3, all[4]->now);
+    unresponsiveByQuorum |= all[4]->gossip->isUnresponsiveByQuorum(3, all[4]->now);
     for (auto& g : all) g->now += milliseconds(200);
   }
-  EXPECT_TRUE(convinced);
+  EXPECT_TRUE(unresponsiveByQuorum);
   for (auto& g : all) {
     EXPECT_FALSE(g->gossip->isUnresponsiveByQuorum(3, g->now));
     EXPECT_TRUE(g->gossip->tick(g->now).empty());
