--- a/src/net/attempt_manager.cpp
+++ b/src/net/attempt_manager.cpp
@@ -143,7 +143,7 @@
 std::vector<AttemptManager::ClosedAttempt> AttemptManager::closeCancelled() {
   std::vector<ClosedAttempt> closed;
   for (const AttemptId id : std::exchange(cancelled_, {}))
-    if (table_.contains(id)) closed.push_back({id, pool_.giveUp(id)});
+    if (table_.contains(id)) closed.push_back({id, pool_.abandonAttempt(id)});
   return closed;
 }
 
@@ -154,7 +154,7 @@
 
 void AttemptManager::settleExpired(Time now) {
   while (const auto id = table_.firstExpired(now)) {
-    const bool lastByteSent = pool_.giveUp(*id);
+    const bool lastByteSent = pool_.abandonAttempt(*id);
     settle(*id, lastByteSent ? Outcome::timeout : Outcome::connectFailed, {}, {}, true);
   }
 }
@@ -177,7 +177,7 @@
   const RequestId requestId = attempt ? attempt->request : 0;
   ActiveRequest* const request = attempt ? requests_.table().findUnfinished(requestId) : nullptr;
   if (!request) {
-    pool_.giveUp(id);
+    pool_.abandonAttempt(id);
     return settle(id, Outcome::served, std::move(upstream));
   }
   const auto client = request->client.lock();
--- a/src/net/response_relays.cpp
+++ b/src/net/response_relays.cpp
@@ -40,7 +40,7 @@
 
 void ResponseRelays::onAborted(RelayId id) {
   if (relays_.count(id) == 0) return;
-  pool_.giveUp(id);
+  pool_.abandonAttempt(id);
   end(id);
 }
 
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -74,7 +74,7 @@
   if (UpstreamConnection* const connection = connectionOf(id)) connection->resumeReading();
 }
 
-bool UpstreamPool::giveUp(AttemptId id) {
+bool UpstreamPool::abandonAttempt(AttemptId id) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return false;
   const auto connection = found->second.connection;
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -74,7 +74,7 @@
             bool verifyConnection = false);
   /// Closes the attempt's connection; no callback for it follows. Returns true if its last byte may have been
   /// sent, so that it may have run.
-  bool giveUp(AttemptId attempt);
+  bool abandonAttempt(AttemptId attempt);
   void sendBody(AttemptId attempt, std::string&& piece, bool last);
   void resumeReading(AttemptId attempt);
   /// Connections to a host that is not open are closed instead of kept.
--- a/tests/net/upstream_pool_test.cpp
+++ b/tests/net/upstream_pool_test.cpp
@@ -50,7 +50,7 @@
   Server host(io, serveOk);
   UpstreamPool pool(io, clock, {milliseconds(500), milliseconds(500), milliseconds(30000), 4}, *this);
   pool.send(1, 0, host.endpoint());
-  EXPECT_FALSE(pool.giveUp(1));
+  EXPECT_FALSE(pool.abandonAttempt(1));
   pool.send(2, 0, host.endpoint());
   ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 1; }));
   EXPECT_EQ(outcomes[0].first, 2u);
@@ -66,7 +66,7 @@
   UpstreamPool pool(io, clock, limits, *this);
   pool.send(1, 0, host.endpoint(), true);
   ASSERT_TRUE(runUntil(io, [&] { return !host.peers.empty() && host.peers[0]->buffer.size() > 0; }));
-  EXPECT_FALSE(pool.giveUp(1));
+  EXPECT_FALSE(pool.abandonAttempt(1));
   ASSERT_TRUE(runUntil(io, [&] { return host.peers[0]->ended; }));
   EXPECT_TRUE(host.received.empty());
 }
@@ -90,7 +90,7 @@
   EXPECT_EQ(pool.opened(), 4u);
   ASSERT_TRUE(runUntil(io, [&] { return host.received.size() == 30; }));
   EXPECT_EQ(pool.opened(), 30u);  // all are busy: each needed one, and none was opened beside
-  EXPECT_TRUE(pool.giveUp(1));
+  EXPECT_TRUE(pool.abandonAttempt(1));
   EXPECT_EQ(pool.connections(), 29u);
 }
 
