--- a/bench/discovery_migration.cpp
+++ b/bench/discovery_migration.cpp
@@ -69,7 +69,7 @@
  private:
   struct Gateway {
     std::unique_ptr<LoadBalancer> balancer;
-    Time moved{};
+    Time discoveryMoved{};
     bool heard = false;
   };
   struct Event {
@@ -83,8 +83,8 @@
   void at(Time when, std::function<void()> what) { events_.push({when, ++order_, std::move(what)}); }
 
   void move(std::size_t g) {
-    gateways_[g].moved = now_;
-    if (told_) gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::moved, {});
+    gateways_[g].discoveryMoved = now_;
+    if (told_) gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::discoveryMoved, {});
     carryOut(g);
     call(g);
   }
@@ -100,7 +100,7 @@
     busyUntil_ = begin + Duration(static_cast<std::int64_t>(1e9 * lines_ / t_.linesPerSecond));
     at(busyUntil_, [this, g] {
       gateways_[g].heard = true;
-      result_.firstWord.push_back(toSeconds(now_ - gateways_[g].moved));
+      result_.firstWord.push_back(toSeconds(now_ - gateways_[g].discoveryMoved));
     });
   }
   void carryOut(std::size_t g) {
--- a/include/finchstile/load_balancer.hpp
+++ b/include/finchstile/load_balancer.hpp
@@ -136,11 +136,11 @@
 };
 
 enum class HostListUpdate {
-  incremental,  // discovery sent changes
-  complete,     // discovery sent all hosts: others are removed
-  restored,     // all hosts, from elsewhere, and maybe stale
-  unavailable,  // the poll that was out failed; ActionKind::pollDiscovery asks for the next one
-  moved         // the proxy polls another discovery from now on
+  incremental,    // discovery sent changes
+  complete,       // discovery sent all hosts: others are removed
+  restored,       // all hosts, from elsewhere, and maybe stale
+  unavailable,    // the poll that was out failed; ActionKind::pollDiscovery asks for the next one
+  discoveryMoved  // the proxy polls another discovery from now on
 };
 
 // An attempt of an earlier request with one idempotency key, which may have run.
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -58,7 +58,7 @@
 
 void Gateway::reload(const GatewayConfig& next) {
   if (extensions_.hostListInterceptor) extensions_.hostListInterceptor->onDiscoveryMoved();
-  balancer_.onHostListUpdate(clock_.now(), HostListUpdate::moved, {});
+  balancer_.onHostListUpdate(clock_.now(), HostListUpdate::discoveryMoved, {});
   discovery_.move(next.discovery, next.knownHosts);
   executeActions();
 }
--- a/src/policy/discovery_backoff.hpp
+++ b/src/policy/discovery_backoff.hpp
@@ -71,7 +71,7 @@
   bool hasAnswered_ = false;  // and has brought a list
   Time polledAt_{};
   Time nextPollAt_{};
-  Time migrationUntil_{};  // discovery has moved and has not sent a list since
+  Time migrationUntil_{};  // discovery has discoveryMoved and has not sent a list since
   int failures_ = 0;
 };
 
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -71,7 +71,7 @@
 
   void onHostListUpdate(HostListUpdate kind, const std::vector<HostEntry>& entries) {
     if (kind == HostListUpdate::unavailable) return discovery.onUnavailable(now, random);
-    if (kind == HostListUpdate::moved) return discovery.onMoved(now);
+    if (kind == HostListUpdate::discoveryMoved) return discovery.onMoved(now);
     if (kind == HostListUpdate::restored) discovery.onRestored(now);
     else discovery.onAnswer();
     hosts.apply(kind, entries, [this](Host& host) { onHostStarted(host); });
--- a/tests/policy/discovery_backoff_test.cpp
+++ b/tests/policy/discovery_backoff_test.cpp
@@ -49,10 +49,10 @@
     return calls;
   };
   failing(d.now + seconds(6));  // it has failed for long
-  const Time moved = d.now;
-  d.balancer.onHostListUpdate(d.now, HostListUpdate::moved, {});
+  const Time discoveryMoved = d.now;
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::discoveryMoved, {});
   d.collect();
-  const std::vector<Time> calls = failing(moved + seconds(4));
+  const std::vector<Time> calls = failing(discoveryMoved + seconds(4));
   EXPECT_GE(calls.size(), 15u);
   EXPECT_LE(calls.size(), 80u) << "a storm";
   Duration longest{};
@@ -62,8 +62,9 @@
   const auto in = [&](Time from, Time to) {
     return std::count_if(calls.begin(), calls.end(), [&](Time t) { return t >= from && t < to; });
   };
-  EXPECT_GT(in(moved + seconds(2), moved + seconds(4)), in(moved, moved + seconds(2)));
-  failing(moved + seconds(9));
+  EXPECT_GT(in(discoveryMoved + seconds(2), discoveryMoved + seconds(4)),
+            in(discoveryMoved, discoveryMoved + seconds(2)));
+  failing(discoveryMoved + seconds(9));
   // As ever once the hurry is over: no wait of over 2 s, and about one call in a second.
   const Time over = d.now;
   std::vector<Time> ever = failing(over + seconds(20));
@@ -71,7 +72,7 @@
   ever.insert(ever.begin(), over);
   for (std::size_t i = 1; i < ever.size(); ++i) EXPECT_LE(ever[i] - ever[i - 1], milliseconds(2010));
   // A word ends it at once.
-  d.balancer.onHostListUpdate(d.now, HostListUpdate::moved, {});
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::discoveryMoved, {});
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {});
   d.collect();
   EXPECT_LE(failing(d.now + seconds(4)).size(), 9u);
