--- a/tests/app/membership_service_test.cpp
+++ b/tests/app/membership_service_test.cpp
@@ -17,7 +17,7 @@
 
 // One gateway with a discovery of its own, which holds each poll until the test answers it.
 struct Node {
-  std::vector<std::shared_ptr<Peer>> calls;
+  std::vector<std::shared_ptr<Peer>> polls;
   Server discovery;
   Clock clock;
   GatewayConfig config;
@@ -26,7 +26,7 @@
   std::unique_ptr<MembershipService> service;
 
   Node(asio::io_context& io, const json& known, const std::function<void(json&)>& change)
-      : discovery(io, [this](const auto& peer, const Received&) { calls.push_back(peer); }),
+      : discovery(io, [this](const auto& peer, const Received&) { polls.push_back(peer); }),
         config(read(known, change)),
         gateway(io, clock, config) {}
   GatewayConfig read(const json& known, const std::function<void(json&)>& change) {
@@ -35,9 +35,9 @@
     return readConfig(all.dump(), clock);
   }
   void list(int index, bool whole, const json& hosts) {
-    ASSERT_FALSE(calls.empty());
-    const auto peer = calls.back();
-    calls.clear();
+    ASSERT_FALSE(polls.empty());
+    const auto peer = polls.back();
+    polls.clear();
     peer->reply(200, listJson(index, whole, hosts).dump());
   }
 };
@@ -91,7 +91,7 @@
     }
     n.service = std::make_unique<MembershipService>(io, n.clock, settings, n.config, n.gateway, n.link.get());
     n.gateway.start();
-    EXPECT_TRUE(until([&] { return !n.calls.empty(); }));
+    EXPECT_TRUE(until([&] { return !n.polls.empty(); }));
     return n;
   }
   bool until(const std::function<bool()>& reached) { return runUntil(io, reached); }
@@ -162,7 +162,7 @@
   n.list(8, true, listed([](json& h, std::size_t i) {
            if (i == 0) h["status"] = "leaving";
          }));
-  ASSERT_TRUE(until([&] { return !n.calls.empty(); }));
+  ASSERT_TRUE(until([&] { return !n.polls.empty(); }));
   n.list(7, true, listed());
   ASSERT_TRUE(until([&] { return n.service->listPolicy().statistics().older == 1; }));
   EXPECT_EQ(sendRequest(n, 20), 20u);
@@ -186,7 +186,7 @@
   EXPECT_NE(text.find("list: in version 1"), std::string::npos) << text;
   EXPECT_NE(text.find("peer: draining version 5"), std::string::npos) << text;
   b.list(6, false, json::array({hostJson("s-0", hosts[0]->endpoint())}));
-  ASSERT_TRUE(until([&] { return !b.calls.empty(); }));
+  ASSERT_TRUE(until([&] { return !b.polls.empty(); }));
   before = received();
   EXPECT_EQ(sendRequest(b, 40), 40u);
   EXPECT_GT(received()[0], before[0]);
@@ -301,7 +301,7 @@
 TEST_F(WarmStartTest, SpreadsTheFirstRequestsLikeARunningGateway) {
   Node& old = node(known(false));
   old.list(5, true, known(true));
-  ASSERT_TRUE(until([&] { return !old.calls.empty(); }));
+  ASSERT_TRUE(until([&] { return !old.polls.empty(); }));
   load(old, 1000);
   pass(milliseconds(1300));  // a gateway with an uptime below a second has no weight
   const auto usual = load(old, 1000);
--- a/tests/app/program_test.cpp
+++ b/tests/app/program_test.cpp
@@ -12,8 +12,8 @@
 
 struct ProgramTest : ::testing::Test {
   asio::io_context io;
-  std::vector<std::shared_ptr<Peer>> calls;
-  Server discovery{io, [this](const auto& peer, const Received&) { calls.push_back(peer); }};
+  std::vector<std::shared_ptr<Peer>> polls;
+  Server discovery{io, [this](const auto& peer, const Received&) { polls.push_back(peer); }};
   Folder folder;
   std::unique_ptr<Process> program;
 
@@ -30,8 +30,8 @@
   }
   void run(std::vector<std::string> arguments = {}) {
     launch(std::move(arguments));
-    ASSERT_TRUE(runUntil(io, [&] { return calls.size() == 1 || program->ended(); }));
-    ASSERT_EQ(calls.size(), 1u) << program->logged();
+    ASSERT_TRUE(runUntil(io, [&] { return polls.size() == 1 || program->ended(); }));
+    ASSERT_EQ(polls.size(), 1u) << program->logged();
   }
   bool until(const std::function<bool()>& reached) { return runUntil(io, reached); }
   void pause(std::chrono::milliseconds t) {
@@ -129,7 +129,7 @@
 // one end in order in its time.
 TEST_F(ProgramTest, SignalsTogetherAndTwiceInAStallEndItOnce) {
   for (const bool hangupFirst : {true, false}) {
-    calls.clear();
+    polls.clear();
     configure(discovery.endpoint());
     run();
     const auto told = std::chrono::steady_clock::now();
@@ -274,7 +274,7 @@
 // Hard case: the gateway is killed, with what it remembers of keyed requests on a disk that lasts.
 TEST_F(ProgramTest, WhatWasAnsweredBeforeAKillIsAnsweredAfterIt) {
   for (const char* const sync : {"never", "interval", "before_send"}) {
-    calls.clear();
+    polls.clear();
     std::size_t ran = 0;
     Server host(
         io, [&](const auto& peer, const Received&) { peer->reply(200, "answer " + std::to_string(++ran)); });
@@ -304,7 +304,7 @@
     EXPECT_NE(second.logged().find("another process uses it"), std::string::npos) << second.logged();
     program->signal(SIGKILL);
     program->wait();
-    calls.clear();
+    polls.clear();
     run({"--operator", folder / "o.toml"});
     EXPECT_EQ(sendRequest("one"), "answer 1") << sync;
     EXPECT_EQ(sendRequest("two"), "answer 2") << sync;
@@ -347,8 +347,8 @@
     gateways.push_back(std::make_unique<Process>(FINCHSTILE_PROGRAM,
                                                  std::vector<std::string>{"--operator", file},
                                                  folder / ("log" + std::to_string(i))));
-    ASSERT_TRUE(until([&] { return calls.size() == at.size() || gateways.back()->ended(); }));
-    ASSERT_EQ(calls.size(), at.size()) << gateways.back()->logged();
+    ASSERT_TRUE(until([&] { return polls.size() == at.size() || gateways.back()->ended(); }));
+    ASSERT_EQ(polls.size(), at.size()) << gateways.back()->logged();
   }
   const auto sendRequest = [&](int gateway, const std::string& headers) {
     const auto c = Client::connect(io, at[static_cast<std::size_t>(gateway)]);
--- a/tests/app/release_test.cpp
+++ b/tests/app/release_test.cpp
@@ -292,7 +292,7 @@
     EXPECT_EQ(kills, 0);
     EXPECT_EQ(badEnds, 0) << firstBad;
     EXPECT_GT(served, asked * 7 / 10);
-    EXPECT_GT(registry.calls(1), 0u);
+    EXPECT_GT(registry.polls(1), 0u);
   }
 };
 
--- a/tests/app/trace_log_test.cpp
+++ b/tests/app/trace_log_test.cpp
@@ -145,11 +145,11 @@
 TEST_F(TraceLogTest, WritesThePhaseOfADrainingHost) {
   host(serveOk);
   startTraced();
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  ASSERT_TRUE(until([&] { return polls.size() == 1; }));
   json draining = hostJson("s-0", hosts[0]->endpoint());
   draining["status"] = "leaving";
-  calls[0]->reply(200, listJson(9, true, json::array({draining})).dump());
-  ASSERT_TRUE(until([&] { return calls.size() == 2; }));
+  polls[0]->reply(200, listJson(9, true, json::array({draining})).dump());
+  ASSERT_TRUE(until([&] { return polls.size() == 2; }));
   gateway.reset();
   log.reset();
   const std::string all = readFile(folder / "trace-n_1");
--- a/tests/cross_zone/cross_zone_filter_test.cpp
+++ b/tests/cross_zone/cross_zone_filter_test.cpp
@@ -88,8 +88,8 @@
 TEST_F(CrossZoneFilterTest, ServesAllRequestsOverBudgetWhenTheLocalZoneIsLost) {
   begin(2, 2, 0);
   sendRequest(10);
-  ASSERT_TRUE(until([&] { return !calls.empty(); }));
-  calls.back()->reply(200, listJson(9, true, zoned(0)).dump());
+  ASSERT_TRUE(until([&] { return !polls.empty(); }));
+  polls.back()->reply(200, listJson(9, true, zoned(0)).dump());
   ASSERT_TRUE(until([&] { return !gateway->isListed("s-0"); }));
   sendRequest(20);
   EXPECT_EQ(crossed(), 20u);
--- a/tests/net/end_interleavings_test.cpp
+++ b/tests/net/end_interleavings_test.cpp
@@ -191,7 +191,7 @@
     holder.where = where();
     gateway->attach(holder);
     gateway->start();
-    ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+    ASSERT_TRUE(until([&] { return polls.size() == 1; }));
   }
 
   std::shared_ptr<RawClient> newClient() {
@@ -281,10 +281,10 @@
         json gone = listed();
         if (where() == Where::connecting) gone = json::array({hostJson("late", neverUp->local_endpoint())});
         for (json& h : gone) h["status"] = "left";
-        calls[0]->reply(200, listJson(2, false, gone).dump());
+        polls[0]->reply(200, listJson(2, false, gone).dump());
         break;
       }
-      case End::watchEnds: calls[0]->close(); break;
+      case End::watchEnds: polls[0]->close(); break;
       case End::reload: {
         json next = config;
         next["discovery"] = text(second.endpoint());
@@ -484,11 +484,11 @@
     }
   }
   void listChanges() {
-    if (calls.empty() || calls.back()->ended || !calls.back()->socket.is_open()) return;
-    if (draw(4) == 0) return calls.back()->close();
+    if (polls.empty() || polls.back()->ended || !polls.back()->socket.is_open()) return;
+    if (draw(4) == 0) return polls.back()->close();
     json one = json::array({listed()[static_cast<std::size_t>(draw(3))]});
     if (draw(3) == 0) one[0]["status"] = "leaving";
-    calls.back()->reply(200, listJson(++index, false, one).dump());
+    polls.back()->reply(200, listJson(++index, false, one).dump());
   }
 };
 
--- a/tests/net/ends_test.cpp
+++ b/tests/net/ends_test.cpp
@@ -135,10 +135,10 @@
   });
   const auto c = client();
   c->write(head("GET", "/read", "drained"));
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  ASSERT_TRUE(until([&] { return polls.size() == 1; }));
   json leaving = listed;
   leaving[0]["status"] = "leaving";
-  calls[0]->reply(200, listJson(2, false, leaving).dump());
+  polls[0]->reply(200, listJson(2, false, leaving).dump());
   ASSERT_TRUE(after(milliseconds(50)));
   late.open();  // its connection is up a second after it was asked for
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
@@ -172,10 +172,10 @@
   });
   const auto c = client();
   c->sendRequest("POST", "/put", 2500, "", "Idempotency-Key: k1\r\n");
-  ASSERT_TRUE(until([&] { return received() == 1 && calls.size() == 1; }));
+  ASSERT_TRUE(until([&] { return received() == 1 && polls.size() == 1; }));
   // The late host is listed once the first attempt is out at the other one, which has run it and goes.
-  calls[0]->reply(200, listJson(2, false, json::array({hostJson("late", late.endpoint())})).dump());
-  ASSERT_TRUE(until([&] { return calls.size() == 2; }));
+  polls[0]->reply(200, listJson(2, false, json::array({hostJson("late", late.endpoint())})).dump());
+  ASSERT_TRUE(until([&] { return polls.size() == 2; }));
   hosts[0]->peers[0]->close();
   ASSERT_TRUE(after(milliseconds(50)));
   late.open();  // the system tries again a second after it was asked
@@ -365,7 +365,7 @@
 // --- Discovery
 
 // What it has to tell counts as told 6 s after it could be reached, whatever a call of ours met. Each gateway
-// has its own trouble with it; from one moment on calls are answered, with a host that drains.
+// has its own trouble with it; from one moment on polls are answered, with a host that drains.
 enum class Trouble { silent, refuses, resets, half, trickles, watchFallsSilent };
 
 struct Watcher {
@@ -375,7 +375,7 @@
   std::unique_ptr<Server> keeps, drains;
   std::unique_ptr<Gateway> gateway;
   bool well = false;
-  std::size_t calls = 0;
+  std::size_t polls = 0;
   steady_clock::time_point told{};
 };
 
@@ -389,7 +389,7 @@
     w.keeps = std::make_unique<Server>(io, serveOk);
     w.drains = std::make_unique<Server>(io, serveOk);
     w.discovery = std::make_unique<Server>(io, [&w](const std::shared_ptr<Peer>& peer, const Received& r) {
-      ++w.calls;
+      ++w.polls;
       if (w.well) {
         // The news is handed out at once; what follows is a watch without any.
         if (r.target().find("since=2") != boost::beast::string_view::npos) return;
@@ -417,7 +417,7 @@
   // Well again, for each, in the worst moment: right behind a call that is lost.
   ASSERT_TRUE(after(milliseconds(2600)));
   std::vector<std::size_t> seen;
-  for (const auto& w : all) seen.push_back(w->calls);
+  for (const auto& w : all) seen.push_back(w->polls);
   std::vector<steady_clock::time_point> wellAt(all.size());
   const auto begun = steady_clock::now();
   const auto trickle = [&] {
@@ -435,14 +435,14 @@
     const auto now = steady_clock::now();
     if (now >= nextDrop) trickle(), nextDrop = now + milliseconds(100);
     for (std::size_t i = 0; i < all.size(); ++i)
-      if (!all[i]->well && (all[i]->calls > seen[i] || now > begun + seconds(5)))
+      if (!all[i]->well && (all[i]->polls > seen[i] || now > begun + seconds(5)))
         all[i]->well = true, wellAt[i] = now;
     return std::all_of(all.begin(), all.end(),
                        [](const auto& w) { return w->told.time_since_epoch().count(); });
   }));
   for (std::size_t i = 0; i < all.size(); ++i) {
     EXPECT_LT(all[i]->told - wellAt[i], milliseconds(5600)) << "trouble " << i;
-    EXPECT_LT(all[i]->calls, 30u) << "a storm, trouble " << i;
+    EXPECT_LT(all[i]->polls, 30u) << "a storm, trouble " << i;
   }
   ASSERT_TRUE(after(milliseconds(20)));
   for (std::size_t i = 0; i < all.size(); ++i) {  // and the news is heeded
@@ -456,17 +456,17 @@
 // A watch that falls silent right behind its call: given up, asked anew, and the first answer wanted soon.
 TEST_F(EndsTest, AWatchThatFallsSilentIsReplacedSoonWhateverTheSettingsAllow) {
   for (const std::int64_t within : {10, 120}) {
-    calls.clear();
+    polls.clear();
     hosts.clear();
     host(serveOk);
     start([&](json& config) { config["settings"]["rules"]["askWithinNs"] = within * 1'000'000'000; });
-    ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+    ASSERT_TRUE(until([&] { return polls.size() == 1; }));
     const auto silent = steady_clock::now();
-    ASSERT_TRUE(until([&] { return calls.size() == 2; }));
+    ASSERT_TRUE(until([&] { return polls.size() == 2; }));
     EXPECT_LT(steady_clock::now() - silent, milliseconds(4100)) << within << " s";
     EXPECT_NE(discovery.received.back().target().find("timeout_ms=500"), boost::beast::string_view::npos);
-    calls[1]->reply(200, listJson(1, false, json::array()).dump());
-    ASSERT_TRUE(until([&] { return calls.size() == 3; }));
+    polls[1]->reply(200, listJson(1, false, json::array()).dump());
+    ASSERT_TRUE(until([&] { return polls.size() == 3; }));
     EXPECT_NE(discovery.received.back().target().find("timeout_ms=2000"), boost::beast::string_view::npos);
     gateway.reset();
   }
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -57,10 +57,10 @@
     EXPECT_EQ(c->answers.back().result_int(), 200u);
   };
   for (std::size_t n = 1; n <= 40; ++n) sendRequest(n);
-  EXPECT_EQ(calls.size(), 1u);
+  EXPECT_EQ(polls.size(), 1u);
   EXPECT_TRUE(gateway->isListed("s-gone"));
-  calls[0]->reply(200, listJson(2, true, listed()).dump());
-  ASSERT_TRUE(until([&] { return !gateway->isListed("s-gone") && calls.size() == 2; }));
+  polls[0]->reply(200, listJson(2, true, listed()).dump());
+  ASSERT_TRUE(until([&] { return !gateway->isListed("s-gone") && polls.size() == 2; }));
   sendRequest(41);
   EXPECT_EQ(received(), 41u);
 }
@@ -68,21 +68,21 @@
 TEST_F(GatewayTest, AListOfTenThousandHostsAndOneOfNoneAreTaken) {
   host(serveOk);
   start(ofAHundred);
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  ASSERT_TRUE(until([&] { return polls.size() == 1; }));
   json many = listed();
   for (int i = 0; i < 9999; ++i)
     many.push_back(hostJson("t-" + std::to_string(i), {asio::ip::make_address("127.0.0.1"), 1}));
-  calls[0]->reply(200, listJson(2, true, many).dump());
-  ASSERT_TRUE(until([&] { return calls.size() == 2; }));
+  polls[0]->reply(200, listJson(2, true, many).dump());
+  ASSERT_TRUE(until([&] { return polls.size() == 2; }));
   EXPECT_TRUE(gateway->isListed("t-9998"));
-  calls[1]->reply(200, listJson(3, true, json::array()).dump());
-  ASSERT_TRUE(until([&] { return calls.size() == 3; }));
+  polls[1]->reply(200, listJson(3, true, json::array()).dump());
+  ASSERT_TRUE(until([&] { return polls.size() == 3; }));
   const auto c = client();
   c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 503u) << "nobody could be asked";
-  calls[2]->reply(200, listJson(4, true, listed()).dump());
-  ASSERT_TRUE(until([&] { return calls.size() == 4; }));
+  polls[2]->reply(200, listJson(4, true, listed()).dump());
+  ASSERT_TRUE(until([&] { return polls.size() == 4; }));
   c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
   EXPECT_EQ(c->answers[1].result_int(), 200u);
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -540,11 +540,11 @@
   host(serveOk);
   host(serveOk);
   start();
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  ASSERT_TRUE(until([&] { return polls.size() == 1; }));
   EXPECT_EQ(discovery.received[0].target().substr(0, 41), "/registry/instances?since=1&timeout_ms=20");
-  calls[0]->reply(200,
+  polls[0]->reply(200,
                   listJson(2, false, json::array({hostJson("s-0", hosts[0]->endpoint(), "leaving")})).dump());
-  ASSERT_TRUE(until([&] { return calls.size() == 2; }));
+  ASSERT_TRUE(until([&] { return polls.size() == 2; }));
   EXPECT_NE(discovery.received[1].target().find("since=2"), boost::beast::string_view::npos);
   EXPECT_EQ(discovery.peers.size(), 1u);  // on the same connection
   const auto c = client();
@@ -555,8 +555,8 @@
   EXPECT_EQ(hosts[0]->received.size(), 0u);
   EXPECT_EQ(hosts[1]->received.size(), 12u);
   // A whole list replaces: what it leaves out is gone.
-  calls[1]->reply(200, listJson(3, true, json::array({hostJson("s-0", hosts[0]->endpoint())})).dump());
-  ASSERT_TRUE(until([&] { return calls.size() == 3; }));
+  polls[1]->reply(200, listJson(3, true, json::array({hostJson("s-0", hosts[0]->endpoint())})).dump());
+  ASSERT_TRUE(until([&] { return polls.size() == 3; }));
   for (std::size_t i = 13; i <= 24; ++i) {
     c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == i; }));
@@ -571,14 +571,14 @@
   start();
   const auto c = client();
   for (int i = 1; i <= 60; ++i) {
-    ASSERT_TRUE(until([&] { return calls.size() == static_cast<std::size_t>(i); }));
+    ASSERT_TRUE(until([&] { return polls.size() == static_cast<std::size_t>(i); }));
     c->sendRequest("GET", "/read", 2500);
     ASSERT_TRUE(until([&] { return c->answers.size() == static_cast<std::size_t>(i); }));
     json list = json::array({hostJson("n-" + std::to_string(i), hosts[0]->endpoint())});
     if (i % 2 == 0) list.push_back(hostJson("n-" + std::to_string(i - 1), hosts[0]->endpoint(), "left"));
-    calls.back()->reply(200, listJson(1 + i, i % 2 == 1, list).dump());
+    polls.back()->reply(200, listJson(1 + i, i % 2 == 1, list).dump());
   }
-  ASSERT_TRUE(until([&] { return calls.size() == 61 && gateway->trackedHosts() == 1; }));
+  ASSERT_TRUE(until([&] { return polls.size() == 61 && gateway->trackedHosts() == 1; }));
   EXPECT_EQ(hosts[0]->peers.size(), 60u);  // each host had connections of its own
   EXPECT_EQ(gateway->upstreamConnections(), 0u);
 }
@@ -595,10 +595,10 @@
       [](Peer& p) { p.reply(200, "{\"index\":2,\"snapshot\":true,\"endpoints\":[{\"name\":7}]}"); },
   };
   for (std::size_t i = 0; i < failures.size(); ++i) {
-    ASSERT_TRUE(until([&] { return calls.size() == i + 1; })) << i;
-    failures[i](*calls[i]);
+    ASSERT_TRUE(until([&] { return polls.size() == i + 1; })) << i;
+    failures[i](*polls[i]);
   }
-  ASSERT_TRUE(until([&] { return calls.size() == failures.size() + 1; }));
+  ASSERT_TRUE(until([&] { return polls.size() == failures.size() + 1; }));
   EXPECT_NE(discovery.received.back().target().find("since=1"), boost::beast::string_view::npos);
   const auto c = client();  // the old list stands
   c->sendRequest("GET", "/read", 2500);
@@ -611,7 +611,7 @@
   // A short limit on silence, hence a short wait: the second call must come though the first is never
   // answered.
   start([](json& config) { config["settings"]["rules"]["askWithinNs"] = 400000000; });
-  ASSERT_TRUE(until([&] { return calls.size() == 2; }));
+  ASSERT_TRUE(until([&] { return polls.size() == 2; }));
   EXPECT_EQ(discovery.peers.size(), 2u);  // the silent connection is not used again
 }
 
@@ -621,7 +621,7 @@
   std::vector<std::shared_ptr<Peer>> others;
   Server other(io, [&](const auto& peer, const Received&) { others.push_back(peer); });
   start([&](json& config) { config["known"]["endpoints"].erase(1); });  // only s-0 is known
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  ASSERT_TRUE(until([&] { return polls.size() == 1; }));
   const auto c = client(), held = client();
   held->sendRequest("POST", "/book", 2900, "x");
   ASSERT_TRUE(until([&] { return received() == 1; }));
@@ -703,7 +703,7 @@
 }
 
 // Hard case: the new discovery counts from 1 again, and the version in the file is the old one's. What it
-// calls no news may lack a drain.
+// polls no news may lack a drain.
 TEST_F(GatewayTest, AVersionThatGoesBackIsNoBasisForChanges) {
   host(serveOk);
   Server other(io, [&](const auto& peer, const Received& call) {
@@ -726,20 +726,20 @@
   host(serveOk);
   host(serveOk);
   start([](json& config) { config["settings"]["registryMode"] = "push"; });
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  ASSERT_TRUE(until([&] { return polls.size() == 1; }));
   const auto c = client();
   c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   bool done = false;
   gateway->drain([&] { done = true; });
-  calls[0]->close();
-  ASSERT_TRUE(until([&] { return calls.size() == 2 || done; }));
-  ASSERT_EQ(calls.size(), 2u);
+  polls[0]->close();
+  ASSERT_TRUE(until([&] { return polls.size() == 2 || done; }));
+  ASSERT_EQ(polls.size(), 2u);
   const json all = listed();
   json leaving = all[0];
   leaving["status"] = "leaving";
-  calls[1]->reply(200, listJson(2, false, json::array({leaving})).dump());
-  ASSERT_TRUE(until([&] { return calls.size() == 3; }));
+  polls[1]->reply(200, listJson(2, false, json::array({leaving})).dump());
+  ASSERT_TRUE(until([&] { return polls.size() == 3; }));
   const std::size_t before = hosts[0]->received.size();
   serve(*c, 10);
   EXPECT_EQ(hosts[0]->received.size(), before);
--- a/tests/net/limits_test.cpp
+++ b/tests/net/limits_test.cpp
@@ -20,9 +20,9 @@
 
 struct LimitsTest : GatewayTest {
   void tell(int index, bool whole, const json& hosts) {
-    const std::size_t before = calls.size();
-    calls.back()->reply(200, listJson(index, whole, hosts).dump());
-    ASSERT_TRUE(until([&] { return calls.size() > before; }));
+    const std::size_t before = polls.size();
+    polls.back()->reply(200, listJson(index, whole, hosts).dump());
+    ASSERT_TRUE(until([&] { return polls.size() > before; }));
   }
 };
 
@@ -35,7 +35,7 @@
   });
   EXPECT_EQ(gateway->metrics().listedHosts, 1100u);
   EXPECT_TRUE(gateway->isListed("s-1099"));
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  ASSERT_TRUE(until([&] { return polls.size() == 1; }));
   tell(2, false, many(0, 550, "leaving"));
   EXPECT_EQ(gateway->metrics().listedHosts, 1100u);
   EXPECT_EQ(gateway->metrics().avoidedHosts, 550u);
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -107,16 +107,16 @@
   gateway->start();
   const auto c = client();
   c->sendRequest("GET", "/read", 2900);
-  ASSERT_TRUE(until([&] { return hosts[0]->received.size() == 1 && !calls.empty(); }));
+  ASSERT_TRUE(until([&] { return hosts[0]->received.size() == 1 && !polls.empty(); }));
   const auto now =
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count() +
       1;
   ASSERT_TRUE(until([&] { return std::chrono::system_clock::now().time_since_epoch() > milliseconds(now); }));
-  const auto call = calls.back();
-  calls.clear();
+  const auto call = polls.back();
+  polls.clear();
   call->reply(200,
               listJson(2, false, json::array({hostJson("s-0", hosts[1]->endpoint(), "active", now)})).dump());
-  ASSERT_TRUE(until([&] { return !calls.empty(); }));
+  ASSERT_TRUE(until([&] { return !polls.empty(); }));
   hosts[0]->peers[0]->reply(200, "old", "X-Backend-Load: queue=70\r\n");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].body(), "old");
@@ -151,10 +151,10 @@
   serve(*c, 20);
   EXPECT_EQ(gateway->metrics().listedHosts, 2u);
   EXPECT_EQ(gateway->metrics().avoidedHosts, 1u);
-  ASSERT_TRUE(until([&] { return !calls.empty(); }));
-  const std::size_t asked = calls.size();
-  calls.back()->reply(200, listJson(7, true, listed()).dump());
-  ASSERT_TRUE(until([&] { return calls.size() > asked; }));
+  ASSERT_TRUE(until([&] { return !polls.empty(); }));
+  const std::size_t asked = polls.size();
+  polls.back()->reply(200, listJson(7, true, listed()).dump());
+  ASSERT_TRUE(until([&] { return polls.size() > asked; }));
   serve(*c, 20);
   EXPECT_EQ(hosts[0]->received.size(), before);
   EXPECT_TRUE(gateway->isListed("s-0"));
--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -66,14 +66,14 @@
     gateway->attach(*front);
     front->start();
     gateway->start();
-    ASSERT_TRUE(until([&] { return !calls.empty(); }));
+    ASSERT_TRUE(until([&] { return !polls.empty(); }));
   }
   void tell(const json& list, bool whole = false) {
-    ASSERT_TRUE(until([&] { return !calls.empty(); }));
-    const auto call = calls.back();
-    calls.clear();
+    ASSERT_TRUE(until([&] { return !polls.empty(); }));
+    const auto call = polls.back();
+    polls.clear();
     call->reply(200, listJson(++listIndex, whole, list).dump());
-    ASSERT_TRUE(until([&] { return !calls.empty(); }));  // it has been taken in
+    ASSERT_TRUE(until([&] { return !polls.empty(); }));  // it has been taken in
   }
   std::shared_ptr<TcpConnection> open() { return TcpConnection::connect(io, front->endpoint(0)); }
   std::size_t count(Became b) const { return table->account().ended(b); }
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -9,8 +9,8 @@
   asio::io_context io;
   Clock clock;
   // Holds each call of discovery; a test answers it when it likes.
-  std::vector<std::shared_ptr<Peer>> calls;
-  Server discovery{io, [this](const auto& peer, const Received&) { calls.push_back(peer); }};
+  std::vector<std::shared_ptr<Peer>> polls;
+  Server discovery{io, [this](const auto& peer, const Received&) { polls.push_back(peer); }};
   std::vector<std::unique_ptr<Server>> hosts;
   std::unique_ptr<Gateway> gateway;
   std::optional<Duration> serveDraining;
--- a/tests/support/registry.hpp
+++ b/tests/support/registry.hpp
@@ -1,4 +1,4 @@
-// Discovery as two addresses of one registry: whole lists, changes since a version, calls that wait.
+// Discovery as two addresses of one registry: whole lists, changes since a version, polls that wait.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
                 std::make_unique<Server>(io, [this](const auto& p, const Received& r) { onCall(p, r); })} {}
 
   tcp::endpoint endpoint(std::size_t which) const { return servers[which]->endpoint(); }
-  std::size_t calls(std::size_t which) const { return servers[which]->received.size(); }
+  std::size_t polls(std::size_t which) const { return servers[which]->received.size(); }
 
   // Name and state of one host; a new version that all who wait are told of.
   void set(const std::string& name, const tcp::endpoint& at, const std::string& status) {
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -88,13 +88,13 @@
     gateway->attach(*tcp);
     gateway->setUpgradeHandler(*front);
     gateway->start();
-    ASSERT_TRUE(until([&] { return !calls.empty(); }));
+    ASSERT_TRUE(until([&] { return !polls.empty(); }));
   }
   void tell(const json& list) {
-    const auto call = calls.back();
-    calls.clear();
+    const auto call = polls.back();
+    polls.clear();
     call->reply(200, listJson(++listIndex, false, list).dump());
-    ASSERT_TRUE(until([&] { return !calls.empty(); }));
+    ASSERT_TRUE(until([&] { return !polls.empty(); }));
   }
   static std::string sendRequest(const std::string& more = "", const std::string& path = "/read/live") {
     return "GET " + path +
