--- a/src/net/attempt_manager.cpp
+++ b/src/net/attempt_manager.cpp
@@ -112,7 +112,7 @@
   return request && clock_.now() <= attempt->sendDeadline;
 }
 
-void AttemptManager::onRequestBodyWanted(AttemptId id) {
+void AttemptManager::onReadyForRequestBody(AttemptId id) {
   const ActiveRequest* const request = requestOf(id);
   if (!request) return;
   if (const auto client = request->client.lock()) client->readBody();
--- a/src/net/attempt_manager.hpp
+++ b/src/net/attempt_manager.hpp
@@ -59,7 +59,7 @@
   // The events of the pool, as UpstreamCallbacks describes them.
   std::optional<OutgoingRequest> compose(AttemptId id, load_balancing::Outcome& unsent);
   bool maySendLastByte(AttemptId id);
-  void onRequestBodyWanted(AttemptId id);
+  void onReadyForRequestBody(AttemptId id);
   /// Returns false if there is no such attempt.
   bool onResponseHeaders(AttemptId id);
   void onResponseBegun(AttemptId id, UpstreamResponse&& upstream, std::optional<std::uint64_t> length);
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -139,7 +139,7 @@
     return attempts_.compose(attempt, unsent);
   }
   bool maySendLastByte(AttemptId attempt) override { return attempts_.maySendLastByte(attempt); }
-  void onRequestBodyWanted(AttemptId attempt) override { attempts_.onRequestBodyWanted(attempt); }
+  void onReadyForRequestBody(AttemptId attempt) override { attempts_.onReadyForRequestBody(attempt); }
   void onResponseHeaders(AttemptId attempt) override;
   void onResponseBegun(AttemptId attempt, UpstreamResponse&& response,
                        std::optional<std::uint64_t> length) override;
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -114,7 +114,7 @@
   else request_ += piece;
 }
 
-void UpstreamConnection::wantBody() { pool_.callbacks_.onRequestBodyWanted(attempt_); }
+void UpstreamConnection::wantBody() { pool_.callbacks_.onReadyForRequestBody(attempt_); }
 
 void UpstreamConnection::write(std::size_t from, std::size_t to) {
   lastByteSent_ = !bodyIncomplete_ && to == request_.size();
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -28,7 +28,7 @@
   /// Ends with `UpstreamPool::onConnectEnded`.
   void connect(const tcp::endpoint& endpoint);
   void send(AttemptId attempt, OutgoingRequest&& request, bool verifyConnection);
-  /// The next piece of a body, after `UpstreamCallbacks::onRequestBodyWanted`.
+  /// The next piece of a body, after `UpstreamCallbacks::onReadyForRequestBody`.
   void sendBody(const std::string& piece, bool last);
   /// The piece of a relayed response that came last has been taken.
   void resumeReading();
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -35,7 +35,7 @@
   /// Whether the last byte may still be sent after the connection was verified.
   virtual bool maySendLastByte(AttemptId attempt) = 0;
   /// All that there was of an incomplete request has been written; `sendBody` has the next piece.
-  virtual void onRequestBodyWanted(AttemptId attempt) = 0;
+  virtual void onReadyForRequestBody(AttemptId attempt) = 0;
   /// The head of the final response is here: whatever becomes of the rest, the host has done its work.
   virtual void onResponseHeaders(AttemptId attempt) = 0;
   /// Called once for each attempt, unless it was given up or its response has begun. May be called from
--- a/tests/net/upstream_pool_test.cpp
+++ b/tests/net/upstream_pool_test.cpp
@@ -18,7 +18,7 @@
     if (!wanted) return std::nullopt;
     return OutgoingRequest{UpstreamRequest(http::verb::get, "/" + std::to_string(id), 11), true};
   }
-  void onRequestBodyWanted(AttemptId) override {}
+  void onReadyForRequestBody(AttemptId) override {}
   void onResponseHeaders(AttemptId) override {}
   void onResponseBegun(AttemptId, UpstreamResponse&&, std::optional<std::uint64_t>) override {}
   void onResponseBody(AttemptId, std::string&&, bool) override {}
