--- a/tests/app/commands_test.cpp
+++ b/tests/app/commands_test.cpp
@@ -14,7 +14,7 @@
 };
 
 struct CommandsTest : ::testing::Test {
-  Folder folder;
+  TemporaryDirectory folder;
   Ran run(std::vector<std::string> arguments) const {
     unsetenv("LB_CONFIG");
     Process p(FINCHSTILE_PROGRAM, std::move(arguments), folder / "log");
--- a/tests/app/configuration_test.cpp
+++ b/tests/app/configuration_test.cpp
@@ -17,7 +17,7 @@
   Server discovery{io, [](const auto&, const Received&) {}};
   Server host{io, [](const auto& peer, const Received&) { peer->reply(200, "ok"); }};
   fake_upstream::ControlMachine machine{io, fake_upstream::ControlLog::Settings{}};
-  Folder folder;
+  TemporaryDirectory folder;
   std::unique_ptr<Process> program;
   tcp::endpoint at;
   std::uint64_t pollsBefore = 0;
--- a/tests/app/membership_service_test.cpp
+++ b/tests/app/membership_service_test.cpp
@@ -44,7 +44,7 @@
 
 struct MembershipServiceTest : ::testing::Test {
   asio::io_context io;
-  Folder folder;
+  TemporaryDirectory folder;
   std::vector<std::unique_ptr<Server>> hosts;
   std::vector<std::unique_ptr<Node>> nodes;
   MembershipSettings settings;
--- a/tests/app/program_test.cpp
+++ b/tests/app/program_test.cpp
@@ -14,7 +14,7 @@
   asio::io_context io;
   std::vector<std::shared_ptr<Peer>> polls;
   Server discovery{io, [this](const auto& peer, const Received&) { polls.push_back(peer); }};
-  Folder folder;
+  TemporaryDirectory folder;
   std::unique_ptr<Process> program;
 
   void configure(const tcp::endpoint& at) const {
--- a/tests/app/release_test.cpp
+++ b/tests/app/release_test.cpp
@@ -54,7 +54,7 @@
   };
 
   asio::io_context io;
-  Folder folder;
+  TemporaryDirectory folder;
   Registry registry{io};
   std::map<std::string, std::unique_ptr<Server>> hosts;
   std::map<std::string, int> ran;  // how often what may not run twice has run, by request id
--- a/tests/app/trace_file_test.cpp
+++ b/tests/app/trace_file_test.cpp
@@ -41,7 +41,7 @@
 // each lost line is counted once.
 TEST(TraceFile, EndsATruncatedLineBeforeTheNext) {
   std::signal(SIGXFSZ, SIG_IGN);
-  Folder folder;
+  TemporaryDirectory folder;
   TraceFile file(folder / "log", 1 << 20, 1 << 20);
   const auto lost = [&](const std::string& lines, std::uint64_t count) {
     EXPECT_TRUE(file.write(lines));
@@ -70,7 +70,7 @@
 }
 
 TEST(TraceFile, AppendsToAnExistingFileAndRenamesItAtItsMaximumSize) {
-  Folder folder;
+  TemporaryDirectory folder;
   folder.write("log", "before\n");
   {
     TraceFile file(folder / "log", 1000, 1 << 20);
@@ -88,7 +88,7 @@
 // The reader of a pipe has stopped. The caller does not block, and lines beyond the queue are refused.
 TEST(TraceFile, NeverBlocksTheCaller) {
   std::signal(SIGPIPE, SIG_IGN);  // as the program does
-  Folder folder;
+  TemporaryDirectory folder;
   const std::string path = folder / "pipe";
   ASSERT_EQ(::mkfifo(path.c_str(), 0600), 0);
   const int reader = ::open(path.c_str(), O_RDONLY | O_NONBLOCK);
--- a/tests/app/trace_log_test.cpp
+++ b/tests/app/trace_log_test.cpp
@@ -34,7 +34,7 @@
 }
 
 struct TraceLogTest : GatewayTest {
-  Folder folder;
+  TemporaryDirectory folder;
   trace::TraceSettings settings;
   std::unique_ptr<TraceLog> log;
 
--- a/tests/configuration/snapshot_file_test.cpp
+++ b/tests/configuration/snapshot_file_test.cpp
@@ -11,7 +11,7 @@
 namespace finchstile::configuration::testing {
 namespace {
 
-using finchstile::testing::Folder;
+using finchstile::testing::TemporaryDirectory;
 using Operation = SnapshotFileError::Operation;
 
 template <class Function>
@@ -25,7 +25,7 @@
 }
 
 TEST(SnapshotFile, ReplacedFileIsReadBack) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   const std::string path = folder / "kept.json";
   EXPECT_EQ(readFileIfExists(path), std::nullopt);
   replaceFile(path, "one");
@@ -34,7 +34,7 @@
 }
 
 TEST(SnapshotFile, ErrorsNameTheFailedOperation) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   EXPECT_EQ(failedOperation([&] { replaceFile(folder / "missing/kept.json", "one"); }), Operation::create);
   const std::string directory = folder / "directory";
   std::filesystem::create_directory(directory);
@@ -46,7 +46,7 @@
 }
 
 TEST(SnapshotFile, FailedReplacementLeavesNoTemporaryFile) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   const std::string directory = folder / "directory";
   std::filesystem::create_directory(directory);
   EXPECT_THROW(replaceFile(directory, "one"), SnapshotFileError);
--- a/tests/handover/channel_test.cpp
+++ b/tests/handover/channel_test.cpp
@@ -16,8 +16,8 @@
 namespace finchstile::handover {
 namespace {
 
-using testing::Folder;
 using testing::runUntil;
+using testing::TemporaryDirectory;
 
 HandoverListenerError::Code errorOf(const std::string& path) {
   boost::asio::io_context io;
@@ -32,7 +32,7 @@
 
 struct ChannelTest : ::testing::Test {
   boost::asio::io_context io;
-  Folder folder;
+  TemporaryDirectory folder;
   std::shared_ptr<Channel> one, two;
   std::vector<MessageKind> heard;
   std::vector<std::unique_ptr<Descriptor>> clients;
--- a/tests/hook/expectations_test.cpp
+++ b/tests/hook/expectations_test.cpp
@@ -9,10 +9,10 @@
 namespace finchstile::hook {
 namespace {
 
-using finchstile::testing::Folder;
+using finchstile::testing::TemporaryDirectory;
 
 TEST(Expectations, ReportWhatDoesNotHold) {
-  Folder f;
+  TemporaryDirectory f;
   const std::string path =
       f.write("h.hook",
               "hook \"h\";\non request { tag(\"t\", \"1\"); set header(\"X\", \"1\"); }\non attempt { let a "
--- a/tests/hook/hook_loader_test.cpp
+++ b/tests/hook/hook_loader_test.cpp
@@ -15,7 +15,7 @@
 namespace finchstile::hook {
 namespace {
 
-using finchstile::testing::Folder;
+using finchstile::testing::TemporaryDirectory;
 
 HookSettings settingsFor(std::vector<std::string> paths) {
   HookSettings s;
@@ -33,7 +33,7 @@
 }
 
 TEST(HookLoader, LoadsSourcesAndBytecodeWithTheirTables) {
-  Folder f;
+  TemporaryDirectory f;
   f.write("y.txt", "B12 = Brasov\n");
   const std::string source =
       f.write("y.hook",
@@ -52,7 +52,7 @@
 }
 
 TEST(HookLoader, ReportsAllProblemsOfAllHooks) {
-  Folder f;
+  TemporaryDirectory f;
   const std::string a = f.write("a.hook", "hook \"a\";\non request { lgo(\"x\"); }\n");
   const std::string b = f.write("b.hook", "hook \"b\";\ntable t from \"none.txt\";\non request { }\n");
   const std::string c =
@@ -73,7 +73,7 @@
 
 // Bytecode is not trusted more than a source: its tables must be files beside it.
 TEST(HookLoader, RefusesBytecodeThatNamesATableElsewhere) {
-  Folder f;
+  TemporaryDirectory f;
   std::vector<Problem> found;
   auto compiled = compile("hook \"h\";\ntable t from \"t.txt\";\non request { if path in t { } }\n", found);
   ASSERT_TRUE(compiled);
@@ -110,7 +110,7 @@
 }
 
 TEST(StableFile, RefusesWhatIsNoRegularFileWithoutWaiting) {
-  Folder f;
+  TemporaryDirectory f;
   ASSERT_EQ(mkfifo((f / "fifo").c_str(), 0600), 0);
   EXPECT_EQ(errorOf(f / "fifo").code(), FileErrorCode::notRegularFile);
   EXPECT_STREQ(errorOf(f / "fifo").what(), "is no ordinary file");
@@ -122,7 +122,7 @@
 
 // A table of 100,000 entries is replaced while it is read. What is read is one version, never a mixture.
 TEST(StableFile, ReadsOneVersionOfAFileThatIsReplacedMeanwhile) {
-  Folder f;
+  TemporaryDirectory f;
   const auto version = [](int v) {
     std::string text = "#entries 100000\n";
     for (int i = 0; i < 100000; ++i) text += "k" + std::to_string(i) + " = " + std::to_string(v) + "\n";
@@ -153,7 +153,7 @@
 // The file is overwritten without a change of size. While the writer runs it is nearly always a mixture of
 // two versions, which must not be read. Once the writer is done it can be read.
 TEST(StableFile, ReadsOneVersionOfAFileThatIsWrittenInPlaceOrNone) {
-  Folder f;
+  TemporaryDirectory f;
   const auto version = [](char v) {
     std::string text;
     for (int i = 0; i < 20000; ++i) text += "k" + std::to_string(i) + " = " + v + "\n";
--- a/tests/ops/state_file_test.cpp
+++ b/tests/ops/state_file_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 TEST(StateFileTest, ReturnsEachChangeByAnotherProcessOnce) {
-  const testing::Folder folder;
+  const testing::TemporaryDirectory folder;
   StateFile one(folder / "s"), two(folder / "s");
   EXPECT_FALSE(one.readIfChanged());
   ASSERT_TRUE(one.write("first"));
--- a/tests/peer/secret_test.cpp
+++ b/tests/peer/secret_test.cpp
@@ -23,7 +23,7 @@
 }
 
 TEST(Secret, ReadsExactly32HexadecimalDigits) {
-  finchstile::testing::Folder folder;
+  finchstile::testing::TemporaryDirectory folder;
   const auto secret = [&](const std::string& text, int mode = 0600) {
     const std::string path = folder.write("secret", text);
     std::filesystem::permissions(path, static_cast<std::filesystem::perms>(mode));
@@ -41,7 +41,7 @@
 }
 
 TEST(Secret, ErrorHasItsCode) {
-  const finchstile::testing::Folder folder;
+  const finchstile::testing::TemporaryDirectory folder;
   const std::string path = folder / "secret";
   EXPECT_EQ(errorOf(path), Code::unreadable);
   folder.write("secret", "0706050403020100f0e0d0c0b0a09080");
--- a/tests/support/process.hpp
+++ b/tests/support/process.hpp
@@ -20,17 +20,17 @@
 namespace finchstile::testing {
 
 // A folder of its own for a test, gone with it.
-class Folder {
+class TemporaryDirectory {
  public:
-  Folder() {
+  TemporaryDirectory() {
     if (!mkdtemp(path_.data())) throw std::runtime_error("no folder for the test");
   }
-  ~Folder() {
+  ~TemporaryDirectory() {
     std::error_code ignored;
     std::filesystem::remove_all(path_, ignored);
   }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
   const std::string& path() const { return path_; }
   std::string operator/(const std::string& name) const { return path_ + "/" + name; }
   std::string write(const std::string& name, const std::string& bytes) const {
--- a/tests/wal/log_directory_test.cpp
+++ b/tests/wal/log_directory_test.cpp
@@ -22,7 +22,7 @@
 }
 
 TEST(LogDirectory, SaysWhyItCannotBeOpened) {
-  const finchstile::testing::Folder folder;
+  const finchstile::testing::TemporaryDirectory folder;
   EXPECT_EQ(errorOf("/proc/none/at/all"), LogDirectoryError::Code::cannotCreate);
   EXPECT_EQ(errorOf(folder.write("file", "")), LogDirectoryError::Code::cannotOpen);
   const auto first = openLogDirectory(folder / "state");
--- a/tests/wal/log_test.cpp
+++ b/tests/wal/log_test.cpp
@@ -374,7 +374,7 @@
 }
 
 TEST(Log, RecoversOnDisk) {
-  finchstile::testing::Folder folder;
+  finchstile::testing::TemporaryDirectory folder;
   for (int life = 0; life < 3; ++life) {
     const auto directory = openLogDirectory(folder / "state");
     Log log(*directory, small());
