--- a/src/idempotency/filter.cpp
+++ b/src/idempotency/filter.cpp
@@ -58,11 +58,11 @@
 }
 
 IdempotencyFilter::RequestState& IdempotencyFilter::stateOf(RequestContext& request) const {
-  return static_cast<RequestState&>(*request.filterStates[place()]);
+  return static_cast<RequestState&>(*request.filterStates[chainIndex()]);
 }
 
 const IdempotencyFilter::RequestState& IdempotencyFilter::stateOf(const RequestContext& request) const {
-  return static_cast<const RequestState&>(*request.filterStates[place()]);
+  return static_cast<const RequestState&>(*request.filterStates[chainIndex()]);
 }
 
 // Tenants that the settings do not name share one index.
--- a/src/net/request_filter.hpp
+++ b/src/net/request_filter.hpp
@@ -96,7 +96,7 @@
   /// Of an incomplete body, as the head announces it; 0: it does not.
   std::uint64_t bodyLength = 0;
   std::vector<HeaderLine> upstreamHeaders;                        ///< For every attempt from now on.
-  std::vector<std::unique_ptr<RequestFilterState>> filterStates;  ///< By the place of the filter.
+  std::vector<std::unique_ptr<RequestFilterState>> filterStates;  ///< By the chainIndex of the filter.
 };
 
 /// The final response in `responseHeaders`.
@@ -150,13 +150,13 @@
  protected:
   /// This filter's own state for a request.
   std::unique_ptr<RequestFilterState>& state(RequestContext& context) const {
-    return context.filterStates[place_];
+    return context.filterStates[chainIndex_];
   }
-  std::size_t place() const { return place_; }
+  std::size_t chainIndex() const { return chainIndex_; }
 
  private:
   friend class RequestFilterChain;
-  std::size_t place_ = 0;  // in the chain
+  std::size_t chainIndex_ = 0;  // in the chain
 };
 
 /// The filters of a gateway. Each must outlive it. One may be attached at any time, except from within a
@@ -164,7 +164,7 @@
 class RequestFilterChain {
  public:
   void attach(RequestFilter& filter) {
-    filter.place_ = all_.size();
+    filter.chainIndex_ = all_.size();
     all_.push_back(&filter);
     for (std::size_t phase = 0; phase < kRequestPhases; ++phase)
       if (filter.phases() & (1u << phase)) byPhase_[phase].push_back(&filter);
@@ -219,7 +219,7 @@
   }
   // A filter that was attached later than a request was received has no state for it, and is not called.
   static bool knows(const RequestFilter& filter, const RequestContext& context) {
-    return filter.place_ < context.filterStates.size();
+    return filter.chainIndex_ < context.filterStates.size();
   }
   template <class Call>
   void forEach(RequestPhase phase, const RequestContext& context, Call call) const {
