--- a/tests/policy/admission_controller_test.cpp
+++ b/tests/policy/admission_controller_test.cpp
@@ -16,7 +16,7 @@
   for (int i = 0; i < 400; ++i) {
     const std::uint32_t cls = engine() % 4 == 0 ? 0 : 1;
     const RequestId id = d.request(cls);
-    if (d.out.size() > 44) d.serve(Sent(d.out[engine() % d.out.size()]));
+    if (d.out.size() > 44) d.serve(SentAttempt(d.out[engine() % d.out.size()]));
     if (d.balancer.admissionCutoff() > 60) continue;  // high worth holds the top quarter of the scores
     low += cls == 1 && d.refused(id);
     high += cls == 0 && d.refused(id);
@@ -34,7 +34,7 @@
     const std::uint32_t cls = 1 + engine() % 2;
     const RequestId id = d.request(cls);
     refused[cls] += d.refused(id);
-    if (d.out.size() > 42) d.serve(Sent(d.out[engine() % d.out.size()]));
+    if (d.out.size() > 42) d.serve(SentAttempt(d.out[engine() % d.out.size()]));
   }
   EXPECT_GT(refused[1], 50);
   EXPECT_LT(std::abs(refused[1] - refused[2]), (refused[1] + refused[2]) / 3);
--- a/tests/policy/capacity_backoff_test.cpp
+++ b/tests/policy/capacity_backoff_test.cpp
@@ -11,12 +11,12 @@
   Driver d(makeSettings(), 4);
   d.warmUp(0, 40);
   const HostId full = d.host(3);
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(5));
     for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+      const SentAttempt s = d.out[k];
       if (s.host == full) d.settle(s, Outcome::rejectedForCapacity, false);
       else if (d.now - s.at >= milliseconds(20)) d.serve(s);
       else ++k;
--- a/tests/policy/dynamic_settings_test.cpp
+++ b/tests/policy/dynamic_settings_test.cpp
@@ -26,7 +26,7 @@
       for (const std::uint32_t tenant : {kHeavyTenant, kHeavyTenant, kLightTenant}) {
         const RequestId id = request(tenant);
         if (driver.refused(id)) ++refused[tenant];
-        while (!driver.out.empty()) answer(Sent(driver.out.front()));
+        while (!driver.out.empty()) answer(SentAttempt(driver.out.front()));
       }
     }
   }
@@ -40,7 +40,7 @@
     driver.collect();
     return q.id;
   }
-  void answer(const Sent& sent) {
+  void answer(const SentAttempt& sent) {
     const bool fails = ++answers % 5 < 2;
     driver.settle(sent, fails ? Outcome::error : Outcome::served, !fails);
   }
@@ -106,7 +106,8 @@
   const RequestId after = d.request(0);
   d.advance(milliseconds(500));  // past the aim of both
   const std::size_t sentBefore = d.sent.size();
-  for (const Sent& sent : std::vector<Sent>(d.out)) d.settle(sent, Outcome::connectFailed, false);
+  for (const SentAttempt& sent : std::vector<SentAttempt>(d.out))
+    d.settle(sent, Outcome::connectFailed, false);
   ASSERT_EQ(d.sent.size(), sentBefore + 1);
   EXPECT_EQ(d.lastSent().request, before);
   EXPECT_TRUE(d.refused(after));
--- a/tests/policy/host_picker_test.cpp
+++ b/tests/policy/host_picker_test.cpp
@@ -50,7 +50,7 @@
     d.request(0);
     d.advance(milliseconds(10));
     for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+      const SentAttempt s = d.out[k];
       if (d.now - s.at >= milliseconds(s.host == slow ? 90 : 30)) d.serve(s);
       else ++k;
     }
@@ -89,7 +89,7 @@
   const std::size_t own = d.sentTo(d.host(0)) + d.sentTo(d.host(1));
   EXPECT_GT(own, 115u);
   EXPECT_LT(own, 200u);
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 4; ++i) d.request(0);
   EXPECT_GT(d.sentTo(d.host(2)) + d.sentTo(d.host(3)), 0u);
 }
@@ -103,7 +103,7 @@
     return h == d.host(0) || h == d.host(1) ? milliseconds(120) : milliseconds(40);
   };
   for (int i = 0; i < 400; ++i) {
-    if (i == 200) d.forget();
+    if (i == 200) d.clearHistory();
     d.request(0);
     d.advance(milliseconds(40));
     serveDue(d, [&](HostId h) { return Duration(time(h)); });
@@ -116,7 +116,7 @@
     Driver d = twoZones();
     for (int i = 0; i < 200; ++i) {
       request(d, homeFirst);
-      if (d.out.size() >= 2) d.serve(Sent(d.out.front()));
+      if (d.out.size() >= 2) d.serve(SentAttempt(d.out.front()));
       d.advance(milliseconds(10));
     }
     if (homeFirst) EXPECT_EQ(sentToOtherZone(d), 0u);
@@ -128,9 +128,9 @@
   Driver d = twoZones();
   for (int i = 0; i < 3000; ++i) {
     request(d, true);
-    if (d.out.size() > 6) d.serve(Sent(d.out.front()));  // two held by each, for 12 ms
+    if (d.out.size() > 6) d.serve(SentAttempt(d.out.front()));  // two held by each, for 12 ms
     d.advance(milliseconds(2), milliseconds(2));
-    if (i == 300) d.forget();  // learned by then
+    if (i == 300) d.clearHistory();  // learned by then
   }
   EXPECT_LT(sentToOtherZone(d), 30u);
 }
@@ -151,14 +151,14 @@
   for (int i = 0; i < 20; ++i) {
     request(d, true);
     ASSERT_EQ(d.out.size(), 1u);
-    d.serve(Sent(d.out.front()));
+    d.serve(SentAttempt(d.out.front()));
   }
 }
 
 TEST(HostPicker, RetryStaysInLocalZone) {
   Driver d = twoZones();
   d.warmUp(0, 50);
-  d.forget();
+  d.clearHistory();
   request(d, true);
   d.settle(d.lastSent(), Outcome::rejectedForCapacity, false);
   ASSERT_EQ(d.sent.size(), 2u);
--- a/tests/policy/host_registry_test.cpp
+++ b/tests/policy/host_registry_test.cpp
@@ -14,10 +14,10 @@
   lame.phase = HostPhase::draining;
   gone.phase = HostPhase::removed;
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {lame, gone});
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 30; ++i) {
     d.request(0);
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
   EXPECT_EQ(d.sentTo(d.host(2)), 30u);
 }
@@ -25,7 +25,7 @@
 TEST(HostRegistry, CompleteListRemovesHostsItLeavesOut) {
   Driver d(makeSettings(), 3);
   d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, {makeHost(2)});
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 10; ++i) {
     d.request(0);
     d.serve(d.lastSent());
@@ -38,7 +38,7 @@
   Driver d(makeSettings(), 1);
   const HostId first = d.host(0);
   d.request(1);
-  const Sent held = d.lastSent();
+  const SentAttempt held = d.lastSent();
   std::vector<HostId> ids = {first};
   for (int i = 1; i <= 300; ++i) {
     d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, {makeHost(i)});
@@ -80,7 +80,7 @@
     EXPECT_GE(std::stoi(d.balancer.hostAddress(d.lastSent().host).substr(5)), 100 + (round + 1) * kHosts);
     d.serve(d.lastSent());
     d.advance(seconds(5), seconds(5));
-    d.forget();
+    d.clearHistory();
   }
   int known = 0;
   for (int i = 0; i < (kRounds + 1) * kHosts; ++i) known += d.host(i) != kNone;
--- a/tests/policy/in_flight_tracker_test.cpp
+++ b/tests/policy/in_flight_tracker_test.cpp
@@ -62,7 +62,7 @@
     }
   }
   EXPECT_GT(d.balancer.admissionCutoff(), 50);
-  while (!d.out.empty()) d.serve(Sent(d.out.front()));
+  while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   d.advance(seconds(5));
   EXPECT_LT(d.balancer.admissionCutoff(), 1);
 }
--- a/tests/policy/incomplete_body_test.cpp
+++ b/tests/policy/incomplete_body_test.cpp
@@ -70,7 +70,7 @@
     d.advance(milliseconds(200));
     if (begun) EXPECT_EQ(d.balancer.admissionCutoff(), 0);
     else EXPECT_GT(d.balancer.admissionCutoff(), 90);
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
     d.advance(seconds(2));
     EXPECT_EQ(d.balancer.admissionCutoff(), 0);
     EXPECT_EQ(d.balancer.openRequests(), 0u);
--- a/tests/policy/late_retry_detector_test.cpp
+++ b/tests/policy/late_retry_detector_test.cpp
@@ -20,7 +20,7 @@
   Driver d(makeSettings(), 6);
   for (int i = 0; i < 60; ++i) {
     d.request(0, i % 4 == 3 ? milliseconds(950) : milliseconds(600));
-    const Sent s = d.lastSent();
+    const SentAttempt s = d.lastSent();
     if (i > 20) EXPECT_GE(s.limit, i % 4 == 3 ? milliseconds(320) : milliseconds(380)) << i;
     if (i > 20 && i % 4 == 3) EXPECT_LE(s.limit, milliseconds(350)) << "50 ms were spent before";
     d.advance(milliseconds(30));
@@ -36,7 +36,7 @@
   for (int i = 0; i < 200; ++i) {  // times all of their own
     refused += d.refused(d.request(1, milliseconds(150 + 7 * (i % 20))));
     d.advance(milliseconds(20));
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
   EXPECT_LT(refused, 20);
 }
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -13,7 +13,7 @@
   while (d.now < end) {
     for (int i = 0; i < 60; ++i) refused += d.refused(d.request(0));
     d.advance(milliseconds(1), milliseconds(1));
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
   return refused;
 }
@@ -37,7 +37,7 @@
     old.request(0);
     old.advance(milliseconds(200));
     while (!old.out.empty()) {
-      const Sent s = old.out.front();
+      const SentAttempt s = old.out.front();
       old.settle(s, s.host == old.host(0) ? Outcome::error : Outcome::served, s.host != old.host(0));
     }
   }
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -13,7 +13,7 @@
   std::uint32_t cls;
   Time deadline;
   bool over = false;
-  std::vector<Sent> tries;
+  std::vector<SentAttempt> tries;
   std::vector<int> state;  // 0 out, 1 proven unrun, 2 may have run
 };
 
@@ -174,7 +174,7 @@
 TEST(LoadBalancer, DoesNothingAfterClientDisconnects) {
   Driver d(makeSettings());
   const RequestId id = d.request(0);
-  const Sent first = d.lastSent();
+  const SentAttempt first = d.lastSent();
   d.balancer.onClientDisconnected(d.now, id);
   d.collect();
   EXPECT_EQ(d.count(ActionKind::cancelAttempt), 1u);
@@ -195,7 +195,7 @@
 TEST(LoadBalancer, IgnoresStrayEvents) {
   Driver d(makeSettings());
   const RequestId id = d.request(0);
-  const Sent s = d.lastSent();
+  const SentAttempt s = d.lastSent();
   d.balancer.onAttemptResult(d.now, {id + 50, 0, s.host, Outcome::error, {}, false});
   d.balancer.onAttemptResult(d.now, {id, 3, s.host, Outcome::error, {}, false});
   d.balancer.onClientDisconnected(d.now, 999);
--- a/tests/policy/load_probing_test.cpp
+++ b/tests/policy/load_probing_test.cpp
@@ -68,13 +68,13 @@
   for (double held : {std::nan(""), -5.0, HUGE_VAL}) {
     Driver d(largeBankSettings(true), 20);
     for (int i = 0; i < 30; ++i) {
-      d.forget();
+      d.clearHistory();
       const RequestId id = d.request(0);
       for (const Action& a : of(d, ActionKind::probeHost)) report(d, a.host, held);
       d.advance(milliseconds(50));
       EXPECT_FALSE(d.refused(id));
       ASSERT_EQ(d.out.size(), 1u);
-      d.serve(Sent(d.out.front()));
+      d.serve(SentAttempt(d.out.front()));
     }
   }
 }
@@ -100,14 +100,14 @@
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, restarted);
   std::size_t probes = 0;
   for (int i = 0; i < 300; ++i) {
-    d.forget();
+    d.clearHistory();
     d.request(0);
     for (const Action& a : of(d, ActionKind::probeHost)) {
       ++probes;
       ASSERT_NE(a.host, kNone);
     }
     d.advance(milliseconds(20));
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
   EXPECT_GT(probes, 0U);
 }
@@ -127,12 +127,12 @@
   int low = 0, high = 0;
   for (int i = 0; i < 300; ++i) {
     const std::uint32_t cls = i % 3 == 0 ? 0 : 1;
-    d.forget();
+    d.clearHistory();
     const RequestId id = d.request(cls);
     for (const Action& a : of(d, ActionKind::probeHost)) report(d, a.host, 4);  // some cut, not all
     (cls == 0 ? high : low) += d.refused(id);
     d.advance(milliseconds(50));
-    while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::served, true, milliseconds(300));
+    while (!d.out.empty()) d.settle(SentAttempt(d.out.front()), Outcome::served, true, milliseconds(300));
   }
   EXPECT_GT(low, 20);
   EXPECT_LT(high, low / 10 + 1);
@@ -187,8 +187,8 @@
   Driver asker(largeBankSettings(false), 20), tracker(largeBankSettings(false), 20);
   std::map<std::uint32_t, int> recommended;
   for (int i = 0; i < 20; ++i) {
-    asker.forget();
-    tracker.forget();
+    asker.clearHistory();
+    tracker.clearHistory();
     asker.request(0);
     const std::vector<Action> requests = of(asker, ActionKind::sendPeerMessage);
     tracker.balancer.onPeerMessage(tracker.now, 3, requests.at(0).text);
@@ -207,7 +207,7 @@
   const std::uint32_t tracker = of(d, ActionKind::sendPeerMessage).at(0).attempt;
   d.advance(milliseconds(60));
   ASSERT_EQ(d.sent.size(), 1u);
-  d.forget();
+  d.clearHistory();
   d.request(0);
   EXPECT_NE(of(d, ActionKind::sendPeerMessage).at(0).attempt, tracker) << "a stand-in is asked instead";
 }
@@ -215,7 +215,7 @@
 TEST(GroupTracker, RecommendedDrainingHostGetsNothing) {
   Driver d(largeBankSettings(false), 20);
   for (int i = 0; i < 20; ++i) {
-    d.forget();
+    d.clearHistory();
     d.request(0);
     const std::vector<Action> requests = of(d, ActionKind::sendPeerMessage);
     peer::Message m;
@@ -230,7 +230,7 @@
     d.collect();
     EXPECT_EQ(d.sentTo(id), 0u);
     if (i < 19) EXPECT_EQ(d.sent.size(), 1u);
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
 }
 
@@ -260,7 +260,7 @@
   const auto hash = static_cast<std::uint32_t>(hashText(cold.address));
   std::vector<bool> recommended;
   for (int i = 0; i < 3; ++i) {
-    tracker.forget();
+    tracker.clearHistory();
     tracker.balancer.onPeerMessage(tracker.now, 5,
                                    peer::encode({peer::MessageKind::recommendationRequest, hash, 99, {}, 0}));
     tracker.collect();
--- a/tests/policy/load_report_model_test.cpp
+++ b/tests/policy/load_report_model_test.cpp
@@ -142,7 +142,7 @@
       if (dice() % 50 == 0) q = dice() % 2 ? 9 : 0;
     queues.push_back(queue);
     d.request(0);
-    const Sent sent = d.lastSent();
+    const SentAttempt sent = d.lastSent();
     const auto at = static_cast<std::size_t>(sent.host == d.host(0)   ? 0
                                              : sent.host == d.host(1) ? 1
                                              : sent.host == d.host(2) ? 2
@@ -190,7 +190,7 @@
   Driver reporting(makeSettings(), 2), silent(makeSettings(), 2);
   for (Driver* d : {&reporting, &silent}) {
     d->request(0);
-    const Sent s = d->lastSent();
+    const SentAttempt s = d->lastSent();
     d->advance(milliseconds(10));
     AttemptResult r{s.request, s.attempt, s.host, Outcome::served, milliseconds(10), true, {}};
     if (d == &reporting) r.report = queueOf(50);
@@ -204,7 +204,7 @@
     for (Driver* d : {&reporting, &silent}) {
       d->request(0);
       d->advance(milliseconds(10));
-      while (!d->out.empty()) d->serve(Sent(d->out.front()));
+      while (!d->out.empty()) d->serve(SentAttempt(d->out.front()));
     }
   ASSERT_EQ(reporting.sent.size(), silent.sent.size());
   for (std::size_t i = 0; i < reporting.sent.size(); ++i)
@@ -218,7 +218,7 @@
   Settings settings = makeSettings();
   settings.warmUpTime = {};
   Driver reporting(settings, 2), silent(settings, 2);
-  const auto answer = [](Driver& d, const Sent& s, double queue, Duration taken, bool reports = true) {
+  const auto answer = [](Driver& d, const SentAttempt& s, double queue, Duration taken, bool reports = true) {
     AttemptResult r{s.request, s.attempt, s.host, Outcome::served, taken, true, {}};
     if (reports) r.report = queueOf(queue);
     d.balancer.onAttemptResult(d.now, r);
@@ -235,14 +235,14 @@
       const double queue = i / 12 % 2 ? 9 : 0;
       answer(*d, request(*d), queue, milliseconds(queue > 0 ? 40 : 10));
     }
-    const Sent late = request(*d);
+    const SentAttempt late = request(*d);
     const int number = late.host == d->host(0) ? 0 : 1;
     HostEntry again = makeHost(number, "east", number);
     again.startedAt = d->now;
     d->balancer.onHostListUpdate(d->now, HostListUpdate::incremental, {again});
     d->advance(milliseconds(10));
     answer(*d, late, 500, milliseconds(20), d == &reporting);
-    d->forget();
+    d->clearHistory();
     for (int i = 0; i < 200; ++i) answer(*d, request(*d), 1, milliseconds(10));
   }
   ASSERT_EQ(reporting.sent.size(), silent.sent.size());
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -18,12 +18,12 @@
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
   const HostId bad = d.host(2);
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 600; ++i) {
     d.request(0);
     d.advance(milliseconds(10));
     for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+      const SentAttempt s = d.out[k];
       if (s.host == bad) d.settle(s, Outcome::error, false);
       else if (d.now - s.at >= milliseconds(30)) d.serve(s);
       else ++k;
@@ -44,7 +44,7 @@
       d.request(0);
       d.advance(milliseconds(10));
       for (std::size_t k = 0; k < d.out.size();) {
-        const Sent s = d.out[k];
+        const SentAttempt s = d.out[k];
         if (s.host == bad && broken) d.settle(s, Outcome::connectFailed, false);
         else if (d.now - s.at >= milliseconds(30)) d.serve(s);
         else ++k;
@@ -54,7 +54,7 @@
   run(300);
   broken = false;
   run(1200);
-  d.forget();
+  d.clearHistory();
   run(300);
   EXPECT_GT(d.sentTo(bad) * 12, d.sent.size());
 }
@@ -64,7 +64,7 @@
   d.warmUp(0, 40);
   const HostId lost = d.host(1);
   std::size_t early = 0;
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 150; ++i) {
     d.request(1);
     d.advance(milliseconds(10));
@@ -79,11 +79,11 @@
   Driver d(makeSettings(), 4);
   d.warmUp(0, 40);
   while (d.out.empty() || d.lastSent().host != d.host(1)) {
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
     d.request(1);
   }
   d.advance(milliseconds(320));  // far past the usual time, its time limit still to come
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 12; ++i) d.request(0);
   EXPECT_GT(d.sent.size(), 8u);
   EXPECT_EQ(d.sentTo(d.host(1)), 0u);
@@ -93,13 +93,13 @@
 TEST(OutlierDetector, KeepsResponsiveHostWithBrokenConnections) {
   Driver d(makeSettings());
   d.warmUp(0, 60, milliseconds(20));
-  d.forget();
+  d.clearHistory();
   int met = 0;
   for (int i = 0; i < 300; ++i) {
     for (int n = 0; n < 6; ++n) d.request(0);
     d.advance(milliseconds(20));
     while (!d.out.empty()) {
-      const Sent s = d.out.front();
+      const SentAttempt s = d.out.front();
       const bool breaks = s.host == d.host(0) && ++met % 2 == 0;
       d.settle(s, breaks ? Outcome::reset : Outcome::served, !breaks);
     }
@@ -116,7 +116,7 @@
     for (int n = 0; n < 6; ++n) d.request(0);
     d.advance(milliseconds(20));
     while (!d.out.empty()) {
-      const Sent s = d.out.front();
+      const SentAttempt s = d.out.front();
       const bool down = s.host == d.host(0);
       met += down;
       d.settle(s, down ? Outcome::connectFailed : Outcome::served, !down);
@@ -132,10 +132,10 @@
   for (int i = 0; i < 100; ++i) {
     d.request(0);
     d.advance(milliseconds(20));
-    while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::error, false);
+    while (!d.out.empty()) d.settle(SentAttempt(d.out.front()), Outcome::error, false);
   }
   d.warmUp(0, 300, milliseconds(20));
-  d.forget();
+  d.clearHistory();
   d.warmUp(0, 100, milliseconds(20));
   for (int i = 0; i < 6; ++i) EXPECT_GT(d.sentTo(d.host(i)), 0u) << i;
   EXPECT_EQ(d.balancer.admissionCutoff(), 0);
@@ -148,7 +148,7 @@
     d.request(0);
     d.advance(milliseconds(10));
     for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+      const SentAttempt s = d.out[k];
       if (s.host == d.host(0)) d.settle(s, Outcome::reset, false);
       else if (d.now - s.at >= milliseconds(30)) d.serve(s);
       else ++k;
@@ -157,8 +157,8 @@
   HostEntry fresh = makeHost(0);
   fresh.startedAt = d.now;
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
-  while (!d.out.empty()) d.serve(Sent(d.out.front()));
-  d.forget();
+  while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
+  d.clearHistory();
   for (int i = 0; i < 16; ++i) d.request(0);
   EXPECT_GT(d.sentTo(d.host(0)), 0u);
 }
@@ -191,7 +191,7 @@
     d.request(1);
     d.advance(milliseconds(10));
     for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+      const SentAttempt s = d.out[k];
       if (s.host == flapping && (i / 100) % 2 == 1) {
         ++failures;
         d.settle(s, Outcome::reset, false);
@@ -220,7 +220,7 @@
       d.request(1);
       d.advance(milliseconds(10));
       for (std::size_t k = 0; k < d.out.size();) {
-        const Sent s = d.out[k];
+        const SentAttempt s = d.out[k];
         if (cutOff && far(s.host)) {
           if (d.now - s.at >= milliseconds(200)) d.settle(s, Outcome::connectFailed, false);
           else ++k;
@@ -231,15 +231,15 @@
         }
       }
     }
-    for (const Sent& s : d.sent) lost += far(s.host);
+    for (const SentAttempt& s : d.sent) lost += far(s.host);
     return lost;
   };
   run(500);
-  d.forget();
+  d.clearHistory();
   EXPECT_LT(run(500), 60u);
   cutOff = false;
   run(1500);
-  d.forget();
+  d.clearHistory();
   EXPECT_GT(run(500), 100u);
 }
 
@@ -251,7 +251,7 @@
     const RequestId id = d.request(1);
     d.advance(milliseconds(10));
     for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+      const SentAttempt s = d.out[k];
       if (s.host <= d.host(4)) d.settle(s, Outcome::connectFailed, false);
       else if (d.now - s.at >= milliseconds(20)) d.serve(s);
       else ++k;
@@ -266,10 +266,10 @@
   for (int i = 0; i < 50; ++i) {
     d.request(1);
     d.advance(milliseconds(50));
-    while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::error, false);
+    while (!d.out.empty()) d.settle(SentAttempt(d.out.front()), Outcome::error, false);
   }
   d.advance(seconds(3));
-  d.forget();
+  d.clearHistory();
   d.request(0);
   EXPECT_EQ(d.sent.size(), 1u);
 }
@@ -283,7 +283,7 @@
   for (int i = 0; i < 4000; ++i) {
     d.request(i % 5 == 0 ? 0 : 1);
     while (!d.out.empty()) {
-      const Sent s = d.out.front();
+      const SentAttempt s = d.out.front();
       const bool may = d.classOf[s.request] == 0;
       if (s.host == bad && i > 500) ++(may ? safe : unsafe);
       d.settle(s, s.host == bad ? Outcome::error : Outcome::served, s.host != bad, milliseconds(1));
--- a/tests/policy/overload_estimator_test.cpp
+++ b/tests/policy/overload_estimator_test.cpp
@@ -33,7 +33,7 @@
   for (int i = 0; i < 60; ++i) {
     d.request(1);
     d.advance(milliseconds(20));
-    while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::error, false);
+    while (!d.out.empty()) d.settle(SentAttempt(d.out.front()), Outcome::error, false);
   }
   EXPECT_GT(d.balancer.admissionCutoff(), 1);
   d.warmUp(0, 200);
@@ -175,7 +175,7 @@
     d.advance(milliseconds(2), milliseconds(2));
     const int slow = i > 1000 && i < 16000 ? 4 : 1;  // thirty seconds
     for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+      const SentAttempt s = d.out[k];
       if (d.now - s.at >= slow * milliseconds(heavy[s.request] ? 190 : 95)) d.serve(s);
       else if (d.now - s.at >= s.limit) d.settle(s, Outcome::timeout, false);
       else ++k;
@@ -210,7 +210,7 @@
     EXPECT_FALSE(d.refused(id));
     d.advance(milliseconds(700));
     while (!d.out.empty())
-      d.settle(Sent(d.out.front()), i % 4 == 0 ? Outcome::error : Outcome::served, i % 4 != 0);
+      d.settle(SentAttempt(d.out.front()), i % 4 == 0 ? Outcome::error : Outcome::served, i % 4 != 0);
   }
 }
 
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -31,7 +31,7 @@
 TEST(RetryPolicy, AsksForLiveConnectionUnlessIdempotent) {
   Driver d(makeSettings());
   for (std::uint32_t cls = 0; cls < makeSettings().classes.size(); ++cls) {
-    d.forget();
+    d.clearHistory();
     d.request(cls);
     ASSERT_EQ(d.count(ActionKind::sendAttempt), 1u);
     for (const Action& a : d.all)
@@ -133,7 +133,7 @@
     if (bound) EXPECT_FALSE(d.refused(id));
     failed += bound && d.failed(id);
     refused += !bound && d.refused(id);
-    if (d.out.size() > 44) d.serve(Sent(d.out[engine() % d.out.size()]));
+    if (d.out.size() > 44) d.serve(SentAttempt(d.out[engine() % d.out.size()]));
   }
   EXPECT_GT(refused, 50);
   EXPECT_GT(failed, 50);
@@ -169,8 +169,8 @@
     d.request(cls);
     bool first = i % 2 == 0 || cls == 1;
     while (!d.out.empty())
-      d.settle(Sent(d.out.front()), std::exchange(first, false) ? Outcome::connectFailed : Outcome::served,
-               false);
+      d.settle(SentAttempt(d.out.front()),
+               std::exchange(first, false) ? Outcome::connectFailed : Outcome::served, false);
     if (i < 150 || d.sent.size() == before) continue;  // until what was saved up is used
     ++asked[cls];
     resent[cls] += d.sent.size() > before + 1;
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -14,13 +14,13 @@
   HostEntry cold = makeHost(9);
   cold.startedAt = d.now;
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {cold});
-  d.forget();
+  d.clearHistory();
   std::size_t warm = 0;
   for (int i = 0; i < 200; ++i) {  // two seconds, the cold host refuses all: refused attempts count too
     d.request(0);
     d.advance(milliseconds(10));
     while (!d.out.empty()) {
-      const Sent o = d.out.front();
+      const SentAttempt o = d.out.front();
       if (o.host == d.host(9)) d.settle(o, Outcome::rejectedForCapacity, false);
       else d.serve(o);
     }
@@ -42,7 +42,7 @@
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(5));
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
   EXPECT_GT(d.sent.size(), 0u);
   EXPECT_LT(d.sent.size(), 60u);
@@ -60,7 +60,7 @@
   d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
   for (int i = 0; i < 200; ++i) d.request(1);
   std::size_t held = 0;
-  for (const Sent& s : d.out) held += s.host == d.host(0);
+  for (const SentAttempt& s : d.out) held += s.host == d.host(0);
   EXPECT_LE(held, 20u) << "of 200: the pool sheds instead";
 }
 
@@ -76,7 +76,7 @@
   }
   d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
   d.collect();
-  d.forget();
+  d.clearHistory();
   d.warmUp(1, 400, milliseconds(5));  // two seconds
   EXPECT_GE(d.sent.size(), 40u);
   EXPECT_LE(d.sent.size(), 200u) << "nor may they be pushed over";
@@ -99,7 +99,7 @@
       d.request(0);
       d.advance(milliseconds(500));
       while (!d.out.empty()) {
-        const Sent o = d.out.front();
+        const SentAttempt o = d.out.front();
         d.settle(o, o.host == d.host(50) ? Outcome::rejectedForCapacity : Outcome::served,
                  o.host != d.host(50));
       }
@@ -126,7 +126,7 @@
       d.request(0);
       d.advance(milliseconds(50));
       for (int tries = 0; !d.out.empty(); ++tries) {
-        const Sent o = d.out.front();
+        const SentAttempt o = d.out.front();
         const bool full = overload && tries < 3;
         d.settle(o, full ? Outcome::rejectedForCapacity : Outcome::served, !full);
       }
@@ -135,7 +135,7 @@
     HostEntry fresh = makeHost(50);
     fresh.startedAt = d.now;
     d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
-    d.forget();
+    d.clearHistory();
     for (int i = 0; i < 20; ++i) request(true);
     all += d.sent.size();
     cold += d.sentTo(d.host(50));
--- a/tests/policy/stream_placement_test.cpp
+++ b/tests/policy/stream_placement_test.cpp
@@ -20,15 +20,15 @@
   return q.id;
 }
 
-void begin(Driver& d, const Sent& s) {
+void begin(Driver& d, const SentAttempt& s) {
   d.balancer.onResponseStarted(d.now, s.request, s.attempt);
   d.collect();
 }
 
 // Establishes the streams sent since `from`, and returns them.
-std::vector<Sent> beginAll(Driver& d, std::size_t from) {
-  const std::vector<Sent> begun(d.sent.begin() + static_cast<std::ptrdiff_t>(from), d.sent.end());
-  for (const Sent& s : begun) begin(d, s);
+std::vector<SentAttempt> beginAll(Driver& d, std::size_t from) {
+  const std::vector<SentAttempt> begun(d.sent.begin() + static_cast<std::ptrdiff_t>(from), d.sent.end());
+  for (const SentAttempt& s : begun) begin(d, s);
   return begun;
 }
 
@@ -57,7 +57,7 @@
   HostEntry fresh = makeHost(5);  // long up: the cold start is another matter
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
   d.collect();
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 40; ++i) {
     const std::size_t before = d.sent.size();
     requestStream(d);
@@ -85,10 +85,10 @@
   EXPECT_LT(d.balancer.admissionCutoff(), 1);
   // Requests find idle hosts, as if no stream were held.
   d.out.clear();
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 6; ++i) d.request(0);
   std::vector<HostId> to;
-  for (const Sent& s : d.sent) to.push_back(s.host);
+  for (const SentAttempt& s : d.sent) to.push_back(s.host);
   std::sort(to.begin(), to.end());
   EXPECT_EQ(std::unique(to.begin(), to.end()), to.end());
 }
@@ -134,7 +134,7 @@
   for (int h = 0; h < 4; ++h) EXPECT_EQ(d.balancer.streamCount(d.host(h)), 10u);
   EXPECT_EQ(d.sent.size(), 40u);
   EXPECT_EQ(d.answers.size(), 60u);
-  d.serve(Sent(d.sent[0]));  // one ends: there is room for one
+  d.serve(SentAttempt(d.sent[0]));  // one ends: there is room for one
   const std::size_t before = d.sent.size();
   requestStream(d);
   requestStream(d);
@@ -147,7 +147,7 @@
   Driver d(s);
   for (int i = 0; i < 20; ++i) requestStream(d);
   EXPECT_EQ(d.sent.size(), 7u);
-  for (const Sent& one : std::vector<Sent>(d.out)) d.settle(one, Outcome::connectFailed, false);
+  for (const SentAttempt& one : std::vector<SentAttempt>(d.out)) d.settle(one, Outcome::connectFailed, false);
   EXPECT_LE(d.balancer.streamCount(), 7u);
 }
 
@@ -194,7 +194,7 @@
   cold.startedAt = d.now;
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {cold});
   d.collect();
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 400; ++i) {  // two seconds
     for (int k = 0; k < 5; ++k) {
       const std::size_t before = d.sent.size();
@@ -240,7 +240,7 @@
 TEST(StreamPlacement, StreamOfRemovedHostStaysUntilItsEnd) {
   Driver d(makeSettings());
   requestStream(d);
-  const Sent s = d.lastSent();
+  const SentAttempt s = d.lastSent();
   begin(d, s);
   HostEntry entry = makeHost(0);
   for (int h = 0; h < 6; ++h)
--- a/tests/policy/subset_test.cpp
+++ b/tests/policy/subset_test.cpp
@@ -95,7 +95,7 @@
 std::set<HostId> metBy(Driver& d, int requests) {
   d.warmUp(0, requests);
   std::set<HostId> met;
-  for (const Sent& s : d.sent) met.insert(s.host);
+  for (const SentAttempt& s : d.sent) met.insert(s.host);
   return met;
 }
 
@@ -127,7 +127,7 @@
   }
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, left);
   d.collect();
-  d.forget();
+  d.clearHistory();
   const auto after = metBy(d, 100);
   EXPECT_GE(after.size(), 4u);
   for (HostId id : after) EXPECT_EQ(before.count(id), 0u);
@@ -146,8 +146,8 @@
     const RequestId id = d.request(cls);
     if (i >= 100) ++asked[cls], cut[cls] += d.refused(id) && d.sent.size() == before;
     for (int tries = 0; !d.out.empty(); ++tries)  // three in seven attempts are turned away
-      d.settle(Sent(d.out.front()), (i + tries) % 7 < 3 ? Outcome::rejectedForCapacity : Outcome::served,
-               (i + tries) % 7 >= 3);
+      d.settle(SentAttempt(d.out.front()),
+               (i + tries) % 7 < 3 ? Outcome::rejectedForCapacity : Outcome::served, (i + tries) % 7 >= 3);
     d.advance(milliseconds(60));
   }
   EXPECT_GT(cut[1], asked[1] / 5);
@@ -161,13 +161,13 @@
   d.warmUp(0, 100);
   d.advance(milliseconds(200));
   d.request(0);
-  const Sent refused = d.lastSent();
-  d.forget();
+  const SentAttempt refused = d.lastSent();
+  d.clearHistory();
   d.settle(refused, Outcome::connectFailed, false, milliseconds(1));
   for (int i = 0; i < 8; ++i) {
     d.request(0);
     d.advance(milliseconds(1), milliseconds(1));
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
   EXPECT_GE(d.sent.size(), 9u);
   EXPECT_EQ(d.sentTo(refused.host), 0u);
@@ -176,15 +176,16 @@
 TEST(Subset, GrowsWithRequestsInFlight) {
   Driver d(bank(100, 42), 60);
   metBy(d, 100);
-  d.forget();
+  d.clearHistory();
   // A second of answers that come late: about twenty are held at once.
   for (int i = 0; i < 40; ++i) {
     d.request(0);
     d.advance(milliseconds(25));
-    while (!d.out.empty() && d.now - d.out.front().at >= milliseconds(300)) d.serve(Sent(d.out.front()));
+    while (!d.out.empty() && d.now - d.out.front().at >= milliseconds(300))
+      d.serve(SentAttempt(d.out.front()));
   }
   std::set<HostId> met;
-  for (const Sent& s : d.sent) met.insert(s.host);
+  for (const SentAttempt& s : d.sent) met.insert(s.host);
   EXPECT_GE(met.size(), 7u);
   EXPECT_LE(met.size(), 24u);
 }
--- a/tests/policy/traffic_statistics_test.cpp
+++ b/tests/policy/traffic_statistics_test.cpp
@@ -15,8 +15,8 @@
   std::size_t refused = 0;
   for (int step = 0; step < 4000; ++step) {  // 200 ms
     d.advance(std::chrono::microseconds(50), std::chrono::microseconds(50));
-    const std::vector<Sent> due = d.out;
-    for (const Sent& s : due) d.serve(s);
+    const std::vector<SentAttempt> due = d.out;
+    for (const SentAttempt& s : due) d.serve(s);
     for (std::size_t i = due.size(); i < 16; ++i) ++refused;  // comes anew at once
     for (int i = 0; i < 16; ++i) d.request(0);
   }
@@ -31,7 +31,7 @@
   for (int i = 0; i < 900; ++i) {
     d.request(0);
     d.advance(milliseconds(1), milliseconds(1));
-    if (i > 100 && i % 25 == 0 && !d.out.empty()) d.serve(Sent(d.out.front()));  // 40 a second
+    if (i > 100 && i % 25 == 0 && !d.out.empty()) d.serve(SentAttempt(d.out.front()));  // 40 a second
     most = std::max(most, d.out.size());
   }
   EXPECT_LT(most, 30u);
@@ -50,7 +50,7 @@
   d.advance(seconds(1));
   serveDue(d, [&](HostId) { return Duration(milliseconds(20)); });
   d.advance(seconds(8));
-  d.forget();
+  d.clearHistory();
   for (int i = 0; i < 100; ++i) {
     d.request(1);
     d.advance(milliseconds(20));
--- a/tests/support/driver.hpp
+++ b/tests/support/driver.hpp
@@ -52,7 +52,7 @@
   return e;
 }
 
-struct Sent {
+struct SentAttempt {
   RequestId request;
   std::uint32_t attempt;
   HostId host;
@@ -83,7 +83,7 @@
     collect();
     return q.id;
   }
-  void settle(const Sent& s, Outcome outcome, bool terminal, Duration taken = Duration(-1)) {
+  void settle(const SentAttempt& s, Outcome outcome, bool terminal, Duration taken = Duration(-1)) {
     balancer.onAttemptResult(
         now, {s.request, s.attempt, s.host, outcome, taken < Duration{} ? now - s.at : taken, terminal});
     for (std::size_t i = 0; i < out.size(); ++i)
@@ -93,7 +93,7 @@
       }
     collect();
   }
-  void serve(const Sent& s) { settle(s, Outcome::served, true); }
+  void serve(const SentAttempt& s) { settle(s, Outcome::served, true); }
   void advance(Duration by, Duration step = milliseconds(5)) {
     for (const Time end = now + by; now < end;) {
       now += step;
@@ -106,16 +106,16 @@
     for (int i = 0; i < count; ++i) {
       request(cls);
       advance(time, time);
-      while (!out.empty()) serve(Sent(out.front()));
+      while (!out.empty()) serve(SentAttempt(out.front()));
     }
   }
-  Sent lastSent() const { return sent.back(); }
+  SentAttempt lastSent() const { return sent.back(); }
   bool refused(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::reject; }
   bool failed(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::fail; }
   HostId host(int number) const { return balancer.findHost(makeHost(number).address); }
   std::size_t sentTo(HostId id) const {
     std::size_t n = 0;
-    for (const Sent& s : sent) n += s.host == id;
+    for (const SentAttempt& s : sent) n += s.host == id;
     return n;
   }
   std::size_t count(ActionKind kind) const {
@@ -123,7 +123,7 @@
     for (const Action& a : all) n += a.kind == kind;
     return n;
   }
-  void forget() {
+  void clearHistory() {
     sent.clear();
     all.clear();
   }
@@ -146,7 +146,7 @@
   Time now;
   LoadBalancer balancer;
   RequestId last = 0;
-  std::vector<Sent> sent, out;
+  std::vector<SentAttempt> sent, out;
   std::vector<Action> all;
   std::map<RequestId, std::uint32_t> classOf;
   std::map<RequestId, ActionKind> answers;
@@ -158,7 +158,7 @@
 template <class LatencyOf>
 void serveDue(Driver& d, LatencyOf latencyOf) {
   for (std::size_t k = 0; k < d.out.size();) {
-    const Sent s = d.out[k];
+    const SentAttempt s = d.out[k];
     const Duration latency = latencyOf(s.host);
     if (latency > Duration{} && d.now - s.at >= latency) d.serve(s);
     else if (d.now - s.at >= s.limit) d.settle(s, Outcome::timeout, false);
@@ -173,7 +173,7 @@
     for (int i = 0; i < rounds; ++i) {
       for (int n = 0; n < 3; ++n) d.request(static_cast<std::uint32_t>(n));
       d.advance(milliseconds(20));
-      for (const Sent& s : std::vector<Sent>(d.out)) {
+      for (const SentAttempt& s : std::vector<SentAttempt>(d.out)) {
         if (everyLost > 0 && (s.request * 7 + s.attempt) % static_cast<unsigned>(everyLost) == 0) {
           if (d.now >= s.at + s.limit) d.settle(s, Outcome::timeout, false);
         } else {
