--- a/src/app/membership_service.cpp
+++ b/src/app/membership_service.cpp
@@ -186,7 +186,7 @@
 
 // --- First-hand observations
 
-void MembershipService::onHostSilent(const std::string& host) {
+void MembershipService::onHostUnresponsive(const std::string& host) {
   const auto key = keys_.find(host);
   const auto* state = hostStates_.find(host);
   if (gossip_ && key != keys_.end() && state)
--- a/src/app/membership_service.hpp
+++ b/src/app/membership_service.hpp
@@ -47,7 +47,7 @@
   void onWatchLost() override;
   void onDiscoveryMoved() override;
   void apply(load_balancing::HostEntry& entry) const override;
-  void onHostSilent(const std::string& host) override;
+  void onHostUnresponsive(const std::string& host) override;
   void onLoadReport(const std::string& host, const load_balancing::LoadReport& report) override;
 
   HostList recordList(membership::EndpointList&& list);
--- a/src/net/attempt_manager.cpp
+++ b/src/net/attempt_manager.cpp
@@ -283,7 +283,7 @@
     default: return;
   }
   if (extensions_.hostObserver && host.lastResponseAt < sentAt)
-    extensions_.hostObserver->onHostSilent(host.listed.address);
+    extensions_.hostObserver->onHostUnresponsive(host.listed.address);
 }
 
 void AttemptManager::readLoadReport(const Attempt& attempt, const UpstreamHost* host,
--- a/src/net/host_list_hooks.hpp
+++ b/src/net/host_list_hooks.hpp
@@ -37,7 +37,7 @@
  public:
   virtual ~HostObserver() = default;
   /// An attempt got no sign of life, and nothing else has come from the host since it was sent.
-  virtual void onHostSilent(const std::string& host) = 0;
+  virtual void onHostUnresponsive(const std::string& host) = 0;
   virtual void onLoadReport(const std::string& host, const load_balancing::LoadReport& report) = 0;
 };
 
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -85,7 +85,7 @@
 struct Ear : HostObserver {
   std::vector<std::string> silent;
   std::vector<double> queues;
-  void onHostSilent(const std::string& host) override { silent.push_back(host); }
+  void onHostUnresponsive(const std::string& host) override { silent.push_back(host); }
   void onLoadReport(const std::string&, const load_balancing::LoadReport& r) override {
     queues.push_back(r.queue);
   }
