--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -82,8 +82,8 @@
   day("calm 1000x20", seeds, sized(1000, 20, 800), calm, seconds(15));
   const auto from = [](void (*plan)(Fleet&, Time)) { return [plan](Fleet& f) { plan(f, seconds(5)); }; };
   day("restart 100x60", seeds, sized(100, 60, 2300), from(restartAllGateways), seconds(11));
-  day("zone 100x60", seeds, sized(100, 60, 2300), from(loseAZone), seconds(20));
-  day("replaced 100x60", seeds, sized(100, 60, 2600), from(replaceSixInTenHosts), seconds(18));
+  day("zone 100x60", seeds, sized(100, 60, 2300), from(failOneZone), seconds(20));
+  day("replaced 100x60", seeds, sized(100, 60, 2600), from(replaceSixtyPercentOfHosts), seconds(18));
   lists(60, 100);
   lists(10000, 100);
   lists(10000, 20000);
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -62,7 +62,7 @@
   Fleet f(settings());
   f.run(seconds(5));
   f.counts = {};
-  loseAZone(f, seconds(5));
+  failOneZone(f, seconds(5));
   f.run(seconds(20));
   expectRules(f, name(GetParam()));
   EXPECT_LT(f.counts.maxConnectionsPerHost, 80);
@@ -78,7 +78,7 @@
   Fleet f(s);
   f.run(seconds(5));
   f.counts = {};
-  replaceSixInTenHosts(f, seconds(5));
+  replaceSixtyPercentOfHosts(f, seconds(5));
   f.run(seconds(18));
   expectRules(f, name(GetParam()));
   EXPECT_LT(f.counts.maxConnectionsPerHost, 80);
@@ -109,7 +109,7 @@
 TEST_P(FleetRules, RollingRestartWithLateLists) {
   Fleet f(late());
   play(
-      f, [&] { rollTheFleet(f, seconds(5)); }, seconds(24));
+      f, [&] { rollingDeploy(f, seconds(5)); }, seconds(24));
   expectRules(f, name(GetParam()));
   EXPECT_GT(valueFraction(f), 0.75);
 }
@@ -120,7 +120,7 @@
   s.heavyGatewayFactor = 5;
   Fleet f(s);
   play(
-      f, [&] { rollTheFleet(f, seconds(5)); }, seconds(20));
+      f, [&] { rollingDeploy(f, seconds(5)); }, seconds(20));
   expectRules(f, name(GetParam()));
   EXPECT_GT(valueFraction(f), 0.75);
 }
@@ -163,7 +163,7 @@
   Fleet f(settings(1800));
   f.lostAnswerFraction = 0.05;
   play(
-      f, [&] { loseAZone(f, seconds(6)); }, seconds(16));
+      f, [&] { failOneZone(f, seconds(6)); }, seconds(16));
   expectRules(f, name(GetParam()));
   EXPECT_GT(valueFraction(f), 0.7);
 }
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -452,7 +452,7 @@
 }
 
 // For five seconds; every other host of it without notice.
-inline void loseAZone(Fleet& f, Time begin) {
+inline void failOneZone(Fleet& f, Time begin) {
   for (int h = 0; h < f.settings.hosts; h += 2) {
     f.at(begin, [&f, h] { f.killHost(h, h % 4 == 0); });
     f.at(begin + seconds(5), [&f, h] { f.restartHost(h); });
@@ -460,7 +460,7 @@
 }
 
 // Within seven seconds; successors start two seconds later.
-inline void replaceSixInTenHosts(Fleet& f, Time begin) {
+inline void replaceSixtyPercentOfHosts(Fleet& f, Time begin) {
   for (int h = 0; h < f.settings.hosts * 6 / 10; ++h) {
     const Time when = begin + milliseconds(200 * h);
     f.at(when, [&f, h] { f.drainHost(h); });
@@ -471,7 +471,7 @@
 
 // A tenth of the gateways at a time: clients leave it, a second later its process ends, and the next one
 // starts with the list as it stands. Meanwhile half of the hosts are replaced in steps.
-inline void rollTheFleet(Fleet& f, Time begin) {
+inline void rollingDeploy(Fleet& f, Time begin) {
   for (std::uint32_t g = 0; g < f.settings.gateways; ++g) {
     const Time when = begin + milliseconds(1300) * (g % 10);
     f.at(when, [&f, g] { f.drainGateway(g); });
