--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -46,7 +46,7 @@
   client_.stop();
 }
 
-// The form of the call is the platform's.
+// The form of the poll is the platform's.
 void Discovery::poll() {
   std::string target = "/registry/instances";
   Duration timeout = timeouts_.silence;
@@ -57,7 +57,7 @@
     target += "?since=" + std::to_string(version_) + "&timeout_ms=" + std::to_string(milliseconds);
     timeout += watchTime;
   }
-  client_.call(endpoint_, target, {timeout, {}, {}});
+  client_.poll(endpoint_, target, {timeout, {}, {}});
 }
 
 void Discovery::onLongPollResponse(LongPollResponse&& response) {
--- a/src/net/long_poll_client.cpp
+++ b/src/net/long_poll_client.cpp
@@ -58,7 +58,7 @@
 
 // A server that was cut off never sends anything, hence the timer. The handler of an expired timer runs even
 // if the timer is set anew or cancelled before the loop comes to it; without the flag it would end the next
-// call.
+// poll.
 void LongPollClient::failAt(std::chrono::steady_clock::time_point deadline) {
   if (timerWanted_) *timerWanted_ = false;
   timerWanted_ = std::make_shared<bool>(true);
@@ -68,7 +68,7 @@
   });
 }
 
-void LongPollClient::call(const tcp::endpoint& endpoint, const std::string& target,
+void LongPollClient::poll(const tcp::endpoint& endpoint, const std::string& target,
                           const Timeouts& timeouts) {
   if (connection_ && connection_->endpoint != endpoint) stop();
   if (!connection_) connection_ = std::make_shared<Connection>(io_, endpoint, *this);
--- a/src/net/long_poll_client.hpp
+++ b/src/net/long_poll_client.hpp
@@ -22,7 +22,7 @@
 class LongPollCallbacks {
  public:
   virtual ~LongPollCallbacks() = default;
-  /// The next call may be made from within.
+  /// The next poll may be made from within.
   virtual void onLongPollResponse(LongPollResponse&& response) = 0;
   /// No response will come, and the connection is closed.
   virtual void onLongPollFailed() = 0;
@@ -41,10 +41,10 @@
   LongPollClient(boost::asio::io_context& io, std::size_t maxBodyBytes, LongPollCallbacks& callbacks);
   ~LongPollClient();
 
-  /// Sends a GET for `target` and waits for its response. There is at most one call at a time.
-  void call(const boost::asio::ip::tcp::endpoint& endpoint, const std::string& target,
+  /// Sends a GET for `target` and waits for its response. There is at most one poll at a time.
+  void poll(const boost::asio::ip::tcp::endpoint& endpoint, const std::string& target,
             const Timeouts& timeouts);
-  /// Closes the connection; no callback for the open call follows.
+  /// Closes the connection; no callback for the open poll follows.
   void stop();
 
   std::uint64_t bytesSent() const { return bytesSent_; }
