--- a/tests/app/trace_log_test.cpp
+++ b/tests/app/trace_log_test.cpp
@@ -40,7 +40,7 @@
 
   // Starts a gateway that writes to `trace-n_1` in the folder.
   void startTraced(const std::function<void(json&)>& change = [](json&) {}) {
-    json config = configJson(discovery.endpoint(), listed());
+    json config = configJson(discovery.endpoint(), hostListJson());
     change(config);
     GatewayConfig read = readConfig(config.dump(), clock);
     gateway = std::make_unique<Gateway>(io, clock, std::move(read));
--- a/tests/configuration/gateway_test.cpp
+++ b/tests/configuration/gateway_test.cpp
@@ -42,7 +42,7 @@
     worker.join();
   }
   void startConfigured() {
-    json config = finchstile::testing::configJson(discovery.endpoint(), listed());
+    json config = finchstile::testing::configJson(discovery.endpoint(), hostListJson());
     config["settings"]["tenants"] = json::array({{{"name", "acme"}, {"quotaRps", 5.0}}});
     GatewayConfig read = readConfig(config.dump(), clock);
     const load_balancing::Settings settings = read.settings;
--- a/tests/net/drain_test.cpp
+++ b/tests/net/drain_test.cpp
@@ -39,7 +39,7 @@
 // closed in its place, and then nothing of an answer comes.
 TEST_F(DrainTest, EveryStateAtEveryInstantHasItsOneAnswerBeforeTheEnd) {
   host(hold);
-  const json known = listed();
+  const json known = hostListJson();
   struct Drain {
     std::unique_ptr<Gateway> gateway;
     Duration at{};
--- a/tests/net/end_interleavings_test.cpp
+++ b/tests/net/end_interleavings_test.cpp
@@ -169,7 +169,7 @@
     const auto handler = [this](const auto& peer, const Received& r) { onHost(peer, r); };
     host(handler);
     host(handler);
-    json list = listed();
+    json list = hostListJson();
     if (where() == Where::connecting) {
       neverUp = std::make_unique<tcp::acceptor>(io, tcp::v4());
       neverUp->bind(loopback());
@@ -278,7 +278,7 @@
           }
         break;
       case End::hostLeaves: {
-        json gone = listed();
+        json gone = hostListJson();
         if (where() == Where::connecting) gone = json::array({hostJson("late", neverUp->local_endpoint())});
         for (json& h : gone) h["status"] = "left";
         polls[0]->reply(200, listJson(2, false, gone).dump());
@@ -486,7 +486,7 @@
   void listChanges() {
     if (polls.empty() || polls.back()->ended || !polls.back()->socket.is_open()) return;
     if (draw(4) == 0) return polls.back()->close();
-    json one = json::array({listed()[static_cast<std::size_t>(draw(3))]});
+    json one = json::array({hostListJson()[static_cast<std::size_t>(draw(3))]});
     if (draw(3) == 0) one[0]["status"] = "leaving";
     polls.back()->reply(200, listJson(++index, false, one).dump());
   }
--- a/tests/net/ends_test.cpp
+++ b/tests/net/ends_test.cpp
@@ -128,15 +128,15 @@
 // The host begins to drain while its connection comes up: nothing new to it, also not what was chosen before.
 TEST_F(EndsTest, AHostThatDrainsWhileItsConnectionComesUpGetsNothing) {
   LateHost late(io);
-  const json listed = json::array({hostJson("late", late.endpoint())});
+  const json hostListJson = json::array({hostJson("late", late.endpoint())});
   start([&](json& config) {
-    config["known"]["endpoints"] = listed;
+    config["known"]["endpoints"] = hostListJson;
     config["settings"]["ceilings"]["connectTimeoutNs"] = 1'800'000'000;
   });
   const auto c = client();
   c->write(head("GET", "/read", "drained"));
   ASSERT_TRUE(until([&] { return polls.size() == 1; }));
-  json leaving = listed;
+  json leaving = hostListJson;
   leaving[0]["status"] = "leaving";
   polls[0]->reply(200, listJson(2, false, leaving).dump());
   ASSERT_TRUE(after(milliseconds(50)));
@@ -173,7 +173,7 @@
   const auto c = client();
   c->sendRequest("POST", "/put", 2500, "", "Idempotency-Key: k1\r\n");
   ASSERT_TRUE(until([&] { return received() == 1 && polls.size() == 1; }));
-  // The late host is listed once the first attempt is out at the other one, which has run it and goes.
+  // The late host is hostListJson once the first attempt is out at the other one, which has run it and goes.
   polls[0]->reply(200, listJson(2, false, json::array({hostJson("late", late.endpoint())})).dump());
   ASSERT_TRUE(until([&] { return polls.size() == 2; }));
   hosts[0]->peers[0]->close();
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -59,7 +59,7 @@
   for (std::size_t n = 1; n <= 40; ++n) sendRequest(n);
   EXPECT_EQ(polls.size(), 1u);
   EXPECT_TRUE(gateway->isListed("s-gone"));
-  polls[0]->reply(200, listJson(2, true, listed()).dump());
+  polls[0]->reply(200, listJson(2, true, hostListJson()).dump());
   ASSERT_TRUE(until([&] { return !gateway->isListed("s-gone") && polls.size() == 2; }));
   sendRequest(41);
   EXPECT_EQ(received(), 41u);
@@ -69,7 +69,7 @@
   host(serveOk);
   start(ofAHundred);
   ASSERT_TRUE(until([&] { return polls.size() == 1; }));
-  json many = listed();
+  json many = hostListJson();
   for (int i = 0; i < 9999; ++i)
     many.push_back(hostJson("t-" + std::to_string(i), {asio::ip::make_address("127.0.0.1"), 1}));
   polls[0]->reply(200, listJson(2, true, many).dump());
@@ -81,7 +81,7 @@
   c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 503u) << "nobody could be asked";
-  polls[2]->reply(200, listJson(4, true, listed()).dump());
+  polls[2]->reply(200, listJson(4, true, hostListJson()).dump());
   ASSERT_TRUE(until([&] { return polls.size() == 4; }));
   c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -653,7 +653,7 @@
 // file names what it had and as of which version: only what has changed since is asked for.
 TEST_F(GatewayTest, ReloadAsksWhatHasChangedSinceTheListOfTheNewFile) {
   for (int i = 0; i < 4; ++i) host(serveOk);
-  const json all = listed();
+  const json all = hostListJson();
   std::vector<std::shared_ptr<Peer>> others;
   Server other(io, [&](const auto& peer, const Received&) { others.push_back(peer); });
   start([&](json& config) { config["known"]["endpoints"] = json::array({all[0], all[1]}); });
@@ -689,7 +689,7 @@
 
 TEST_F(GatewayTest, ReloadTakesAWholeListInPlaceOfTheChanges) {
   for (int i = 0; i < 3; ++i) host(serveOk);
-  const json all = listed();
+  const json all = hostListJson();
   std::vector<std::shared_ptr<Peer>> others;
   Server other(io, [&](const auto& peer, const Received&) { others.push_back(peer); });
   start();
@@ -707,11 +707,11 @@
 TEST_F(GatewayTest, AVersionThatGoesBackIsNoBasisForChanges) {
   host(serveOk);
   Server other(io, [&](const auto& peer, const Received& call) {
-    if (call.target() == "/registry/instances") peer->reply(200, listJson(3, true, listed()).dump());
+    if (call.target() == "/registry/instances") peer->reply(200, listJson(3, true, hostListJson()).dump());
     else if (other.received.size() == 1) peer->reply(200, listJson(3, false, json::array()).dump());
   });
   start([](json& config) { config["settings"]["rules"]["askWithinNs"] = 600000000; });
-  json moved = configJson(other.endpoint(), listed());
+  json moved = configJson(other.endpoint(), hostListJson());
   moved["known"]["index"] = 7;
   gateway->reload(readConfig(moved.dump(), clock));
   ASSERT_TRUE(until([&] { return other.received.size() == 3; }));
@@ -735,7 +735,7 @@
   polls[0]->close();
   ASSERT_TRUE(until([&] { return polls.size() == 2 || done; }));
   ASSERT_EQ(polls.size(), 2u);
-  const json all = listed();
+  const json all = hostListJson();
   json leaving = all[0];
   leaving["status"] = "leaving";
   polls[1]->reply(200, listJson(2, false, json::array({leaving})).dump());
--- a/tests/net/limits_test.cpp
+++ b/tests/net/limits_test.cpp
@@ -47,7 +47,7 @@
   tell(4, false, many(550, 1650, "leaving"));
   EXPECT_EQ(gateway->metrics().avoidedHosts, 1100u);
   // The one that is left over by a whole list is served by at once.
-  tell(5, true, listed());
+  tell(5, true, hostListJson());
   EXPECT_EQ(gateway->metrics().listedHosts, 1u);
   const auto c = client();
   c->sendRequest("GET", "/read", 2500);
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -96,7 +96,7 @@
 TEST_F(OperationsTest, AReportOfTheProcessBeforeIsNotTheNewOnes) {
   host(hold);
   host(serveOk);
-  const json all = listed();
+  const json all = hostListJson();
   hosts[1]->handler = [](const auto& peer, const Received&) {
     peer->reply(200, "new", "X-Backend-Load: queue=2\r\n");
   };
@@ -153,7 +153,7 @@
   EXPECT_EQ(gateway->metrics().avoidedHosts, 1u);
   ASSERT_TRUE(until([&] { return !polls.empty(); }));
   const std::size_t asked = polls.size();
-  polls.back()->reply(200, listJson(7, true, listed()).dump());
+  polls.back()->reply(200, listJson(7, true, hostListJson()).dump());
   ASSERT_TRUE(until([&] { return polls.size() > asked; }));
   serve(*c, 20);
   EXPECT_EQ(hosts[0]->received.size(), before);
@@ -200,7 +200,7 @@
   host(serveOk);
   tcp::acceptor kept(io, loopback());
   const auto make = [&](const std::string& body) {
-    GatewayConfig config = readConfig(configJson(discovery.endpoint(), listed()).dump(), clock);
+    GatewayConfig config = readConfig(configJson(discovery.endpoint(), hostListJson()).dump(), clock);
     config.listen = kept.local_endpoint();
     config.inheritedListenerDescriptor = ::dup(kept.native_handle());
     (void)body;
@@ -236,7 +236,7 @@
   });
   tcp::acceptor kept(io, loopback());
   const auto make = [&] {
-    GatewayConfig config = readConfig(configJson(discovery.endpoint(), listed()).dump(), clock);
+    GatewayConfig config = readConfig(configJson(discovery.endpoint(), hostListJson()).dump(), clock);
     config.listen = kept.local_endpoint();
     config.inheritedListenerDescriptor = ::dup(kept.native_handle());
     return std::make_unique<Gateway>(io, clock, std::move(config));
@@ -284,7 +284,7 @@
 TEST_F(OperationsTest, WithoutTheNextGatewayConnectionsAreClosedAsEver) {
   host(serveOk);
   tcp::acceptor kept(io, loopback());
-  GatewayConfig config = readConfig(configJson(discovery.endpoint(), listed()).dump(), clock);
+  GatewayConfig config = readConfig(configJson(discovery.endpoint(), hostListJson()).dump(), clock);
   config.listen = kept.local_endpoint();
   config.inheritedListenerDescriptor = ::dup(kept.native_handle());
   gateway = std::make_unique<Gateway>(io, clock, std::move(config));
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -17,14 +17,14 @@
   Duration proofLeast{};  // if set: longer than any pause of a busy machine
 
   Server& host(Server::Handler h) { return *hosts.emplace_back(std::make_unique<Server>(io, std::move(h))); }
-  json listed() {
+  json hostListJson() {
     json list = json::array();
     for (std::size_t i = 0; i < hosts.size(); ++i)
       list.push_back(hostJson("s-" + std::to_string(i), hosts[i]->endpoint()));
     return list;
   }
   void start(const std::function<void(json&)>& change = [](json&) {}) {
-    json config = configJson(discovery.endpoint(), listed());
+    json config = configJson(discovery.endpoint(), hostListJson());
     change(config);
     GatewayConfig read = readConfig(config.dump(), clock);
     if (proofLeast > Duration{}) read.options.minVerificationTime = proofLeast;
