--- a/tests/idempotency/journal_test.cpp
+++ b/tests/idempotency/journal_test.cpp
@@ -1,5 +1,5 @@
-// What the journal restores after a restart, what a crash at each write leaves, and what the journal does
-// when the log is full, failed or damaged.
+// What the journal restores after a restart and after a crash at any write, and how it behaves when the log
+// is full, failed or damaged.
 #include "idempotency/journal.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 using std::chrono::seconds;
 using testing::FaultyDirectory;
 using testing::ManualSyncRunner;
-using E = Store::RunOutcome;
+using Outcome = Store::RunOutcome;
 
 struct JournalTest : ::testing::Test {
   FaultyDirectory folder{1};
@@ -28,7 +28,7 @@
   StoreLimits limits;
   JournalSettings settings;
   TenantAndClassNames names{{"acme", "zeta"}, {"read", "put"}};
-  TimeBase base{"boot-1", 1'000'000'000'000, 1'700'000'000'000'000'000};
+  TimeBase timeBase{"boot-1", 1'000'000'000'000, 1'700'000'000'000'000'000};
   Time now = std::chrono::hours(24);
 
   std::unique_ptr<ManualSyncRunner> runner;
@@ -42,18 +42,19 @@
     settings.sync = SyncPolicy::never;
     settings.maxRequestDuration = seconds(3);
   }
-  // Starts a new process within the same boot. Its clock shows `now`, `passed` after the end of the last one.
+  // Starts a new process within the same boot, `passed` after the end of the last one. Its clock starts at
+  // 24 h.
   void start(Duration passed = milliseconds(100)) {
     stop();
-    base.steadyEpochNs += passed.count() + (now - std::chrono::hours(24)).count();
-    base.unixEpochNs += passed.count() + (now - std::chrono::hours(24)).count();
+    timeBase.steadyEpochNs += passed.count() + (now - std::chrono::hours(24)).count();
+    timeBase.unixEpochNs += passed.count() + (now - std::chrono::hours(24)).count();
     now = std::chrono::hours(24);
     settings.retention = limits.retention;
     runner = std::make_unique<ManualSyncRunner>();
     log = std::make_unique<wal::Log>(folder, files);
     store = std::make_unique<Store>(limits, static_cast<std::uint32_t>(names.tenants.size() + 1),
-                                    Seed{++seeds, 2});
-    journal = std::make_unique<Journal>(*log, settings, names, base, *runner);
+                                    Seed{++lastSeed, 2});
+    journal = std::make_unique<Journal>(*log, settings, names, timeBase, *runner);
     recovery = journal->recover(now, *store);
   }
   void stop() { journal.reset(), store.reset(), log.reset(), runner.reset(); }
@@ -62,18 +63,18 @@
     a.tenant = tenant;
     a.classIndex = *names.classIndex("put");
     a.key = key;
-    // Like the filter, under the seed of the store.
+    // As in the filter, with the seed of the store.
     a.fingerprint = Hasher(store->seed()).add(std::to_string(body)).end();
-    a.waiter = ++waiters;
+    a.waiter = ++lastWaiter;
     return store->admit(now, a);
   }
   void serve(const std::string& key, const std::string& body = "ok") {
     const auto r = arrive(key);
     store->onAttemptSent(r.entry, {"east", 1, now});
     store->onAttemptSettled(r.entry, true);
-    store->finishRun(now, r.entry, E::responded, {201, "text/x", body});
+    store->finishRun(now, r.entry, Outcome::responded, {201, "text/x", body});
   }
-  std::uint64_t seeds = 0, waiters = 0;
+  std::uint64_t lastSeed = 0, lastWaiter = 0;
 };
 
 TEST_F(JournalTest, ReplaysResponsesAfterRestart) {
@@ -100,19 +101,18 @@
   store->onAttemptSent(r.entry, {"west", 2, now + milliseconds(5)});
   store->onAttemptSettled(r.entry, true);
   now += milliseconds(10);
-  store->finishRun(now, r.entry, E::mayHaveExecuted);
-  const auto unrun = arrive("never");
-  store->finishRun(now, unrun.entry, E::notExecuted);
+  store->finishRun(now, r.entry, Outcome::mayHaveExecuted);
+  const auto rejectedRun = arrive("never");
+  store->finishRun(now, rejectedRun.entry, Outcome::notExecuted);
   start(milliseconds(100));
-  const auto again = arrive("k");
-  ASSERT_EQ(again.admission, Admission::retryUncertain);
-  EXPECT_EQ(again.earlierAttempt->zone, "west");
-  EXPECT_EQ(again.earlierAttempt->cell, 2);
-  EXPECT_EQ(now - again.earlierAttempt->sentAt, milliseconds(105));
+  const auto retried = arrive("k");
+  ASSERT_EQ(retried.admission, Admission::retryUncertain);
+  EXPECT_EQ(retried.earlierAttempt->zone, "west");
+  EXPECT_EQ(retried.earlierAttempt->cell, 2);
+  EXPECT_EQ(now - retried.earlierAttempt->sentAt, milliseconds(105));
   EXPECT_EQ(arrive("never").admission, Admission::firstRun);
 }
 
-// The process ends while requests run.
 TEST_F(JournalTest, InterruptedRunsAreUncertain) {
   start();
   arrive("unsent");
@@ -127,14 +127,14 @@
   EXPECT_EQ(store->countInState(KeyState::uncertain), 3u);
   EXPECT_EQ(arrive("one").earlierAttempt->zone, "east");
   EXPECT_EQ(arrive("two").earlierAttempt->zone, "west");
-  EXPECT_EQ(arrive("unsent").earlierAttempt->sentAt, Time{});  // no host recognizes a repeat
-  // Restarted before any of them has expired: still uncertain.
+  EXPECT_EQ(arrive("unsent").earlierAttempt->sentAt, Time{});  // unknown, so no repeat is sent
+  // After another restart within the retention they are still uncertain.
   now += seconds(50);
   start();
   EXPECT_EQ(arrive("one").admission, Admission::retryUncertain);
 }
 
-// A truncated log may lack later attempts, so the locations of attempts are not relied on.
+// A truncated log may lack records of later attempts, so the recorded locations are not used.
 TEST_F(JournalTest, ForgetsAttemptLocationsAfterTornTail) {
   start();
   const auto r = arrive("k");
@@ -147,12 +147,12 @@
   start();
   EXPECT_GT(recovery.log.truncatedBytes, 0u);
   EXPECT_FALSE(recovery.log.damaged);
-  const auto again = arrive("k");
-  ASSERT_EQ(again.admission, Admission::retryUncertain);
-  EXPECT_EQ(again.earlierAttempt->sentAt, Time{});
+  const auto retried = arrive("k");
+  ASSERT_EQ(retried.admission, Admission::retryUncertain);
+  EXPECT_EQ(retried.earlierAttempt->sentAt, Time{});
 }
 
-// A process that restarts again and again must not keep the runs of the first for good.
+// Runs interrupted in the first process must not be retained anew by each restart.
 TEST_F(JournalTest, RestartDoesNotProlongRetention) {
   start();
   arrive("k");
@@ -179,13 +179,13 @@
   EXPECT_EQ(arrive("k").admission, Admission::firstRun);
 }
 
-// Steps of the calendar within a boot have no effect.
+// Within one boot times are converted by the steady clock.
 TEST_F(JournalTest, IgnoresCalendarStepWithinOneBoot) {
   for (const std::int64_t step : {-3'600'000'000'000, 3'600'000'000'000}) {
     folder = FaultyDirectory(1);
     start();
     serve("k");
-    base.unixEpochNs += step;
+    timeBase.unixEpochNs += step;
     start(milliseconds(59'999));
     EXPECT_EQ(arrive("k").admission, Admission::replayResponse);
     now += milliseconds(1);
@@ -193,45 +193,46 @@
   }
 }
 
-// Across boots only the calendar is known, and no repeat is sent by it, since the hosts' window may be over.
+// Across boots only the calendar is available. Repeats are not sent by it, since the hosts' window may be
+// over.
 TEST_F(JournalTest, UsesCalendarAndForgetsLocationsAfterReboot) {
   start();
   serve("a");
   const auto u = arrive("u");
   store->onAttemptSent(u.entry, {"east", 1, now});
   store->onAttemptSettled(u.entry, true);
-  store->finishRun(now, u.entry, E::mayHaveExecuted);
+  store->finishRun(now, u.entry, Outcome::mayHaveExecuted);
   stop();
-  base.bootId = "boot-2";
-  base.steadyEpochNs = 5;
+  timeBase.bootId = "boot-2";
+  timeBase.steadyEpochNs = 5;
   start(seconds(20));
   EXPECT_EQ(arrive("a").admission, Admission::replayResponse);
   const auto r = arrive("u");
   ASSERT_EQ(r.admission, Admission::retryUncertain);
   EXPECT_EQ(r.earlierAttempt->zone, "");
   EXPECT_EQ(r.earlierAttempt->sentAt, Time{});
-  store->finishRun(now, r.entry, E::notExecuted);
+  store->finishRun(now, r.entry, Outcome::notExecuted);
   now += milliseconds(39'999);
   EXPECT_EQ(arrive("a").admission, Admission::replayResponse);
   now += milliseconds(1);
   EXPECT_EQ(arrive("a").admission, Admission::firstRun);
 }
 
-// If the calendar stepped back across a boot, nothing is kept for longer than the retention from the start
-// on.
+// A calendar step back between two boots must not retain a key for longer than the retention after the
+// start.
 TEST_F(JournalTest, CalendarStepBackAcrossRebootDoesNotProlongRetention) {
   start();
   serve("k");
   stop();
-  base.bootId = "boot-2";
-  base.unixEpochNs -= 7'200'000'000'000;
+  timeBase.bootId = "boot-2";
+  timeBase.unixEpochNs -= 7'200'000'000'000;
   start(seconds(1));
   EXPECT_EQ(arrive("k").admission, Admission::replayResponse);
   now += seconds(60);
   EXPECT_EQ(arrive("k").admission, Admission::firstRun);
 }
 
-// Tenants and classes are identified by name, since their indexes change with the settings.
+// The log identifies tenants and classes by name, since their indexes change with the settings.
 TEST_F(JournalTest, RestoresEntriesOfRenumberedTenantsAndClasses) {
   start();
   serve("k");
@@ -261,7 +262,7 @@
     const auto r = arrive(std::to_string(i));
     store->onAttemptSent(r.entry, {"east", 1, now});
     store->onAttemptSettled(r.entry, true);
-    store->finishRun(now, r.entry, E::mayHaveExecuted);
+    store->finishRun(now, r.entry, Outcome::mayHaveExecuted);
   }
   limits.maxEntries = 16;
   limits.maxTenantFraction = 1;
@@ -270,7 +271,7 @@
   EXPECT_EQ(recovery.replay.evicted, 24u);
 }
 
-// Records lost in the middle of the log may have been of any key, so every unknown key is uncertain.
+// Records lost in the middle of the log may have been of any key, so each key without a record is uncertain.
 TEST_F(JournalTest, DamageMakesUnknownKeysUncertain) {
   start();
   for (int i = 0; i < 2000; ++i) serve("k" + std::to_string(i));
@@ -284,13 +285,14 @@
   EXPECT_NE(recovery.log.description.find("damaged"), std::string::npos);
 }
 
-// Two segments written by processes of the first format. The first process answered one key, left one
-// uncertain and one unsent, and ended while one ran. The second answered another key 15 s into its life.
-TEST_F(JournalTest, RecoversSegmentsOfTheFirstForm) {
+// Two segments in the first version of the format. The first process answered one key, left one uncertain
+// and one unsent, and ended while one ran. The second answered another key 15 s after its start.
+TEST_F(JournalTest, RecoversSegmentsOfFirstFormatVersion) {
   for (const char* const name : {"log-00000001", "log-00000002"})
     folder.create(name)->append(testing::readFile(std::string(FINCHSTILE_LOG_OF_FIRST_FORM) + "/" + name));
-  // The second process' clock began 2,000 s into the machine's steady time; this one reads `now` at 2,020 s.
-  base.steadyEpochNs = Duration(seconds(2020) - now).count();
+  // The clock of the second process started at 2,000 s of the machine's steady clock, at whose 2,020 s the
+  // clock of this process shows `now`.
+  timeBase.steadyEpochNs = Duration(seconds(2020) - now).count();
   start(Duration{});
   EXPECT_FALSE(recovery.log.damaged);
   EXPECT_EQ(recovery.log.truncatedBytes, 0u);
@@ -313,10 +315,10 @@
   EXPECT_EQ(uncertain.earlierAttempt->zone, "west");
   EXPECT_EQ(uncertain.earlierAttempt->cell, 2);
   EXPECT_EQ(uncertain.earlierAttempt->sentAt, now - seconds(10));
-  const auto ran = arrive("running-key");
-  ASSERT_EQ(ran.admission, Admission::retryUncertain);
-  EXPECT_EQ(ran.earlierAttempt->zone, "east");
-  EXPECT_EQ(ran.earlierAttempt->cell, 3);
+  const auto executed = arrive("running-key");
+  ASSERT_EQ(executed.admission, Admission::retryUncertain);
+  EXPECT_EQ(executed.earlierAttempt->zone, "east");
+  EXPECT_EQ(executed.earlierAttempt->cell, 3);
   EXPECT_EQ(arrive("unsent-key").admission, Admission::firstRun);
   now += seconds(51);  // 61 s after the first answer, 56 s after the second
   EXPECT_EQ(arrive("answered-key").admission, Admission::firstRun);
@@ -339,22 +341,21 @@
   EXPECT_EQ(arrive("k").admission, Admission::replayResponse);
 }
 
-// A segment is removed once all its keys have expired, and not before.
 TEST_F(JournalTest, RemovesSegmentsWhenAllTheirKeysHaveExpired) {
   files.maxSegmentBytes = 64 * 1024;
   start();
-  std::size_t most = 0;
+  std::size_t peakBytes = 0;
   for (int i = 0; i < 20'000; ++i) {
     serve("k" + std::to_string(i));
     now += milliseconds(20);
     if (i % 50 == 0) {
       journal->tick(now);
       runner->runJob();
-      most = std::max(most, journal->bytes());
+      peakBytes = std::max(peakBytes, journal->bytes());
     }
   }
-  // 63 s are 3,150 requests with about 250 bytes of records each.
-  EXPECT_LT(most, 1'500'000u);
+  // The log retains 63 s: 3,150 requests with about 250 bytes of records each.
+  EXPECT_LT(peakBytes, 1'500'000u);
   EXPECT_EQ(journal->writeFailures(), 0u);
   const std::size_t known = store->entries();
   start();
@@ -363,7 +364,7 @@
   EXPECT_EQ(arrive("k19990").admission, Admission::replayResponse);
 }
 
-// In a nearly full log new runs are not recorded, and runs that are recorded still get their end.
+// The last part of the log is reserved for the ends of runs whose start is recorded.
 TEST_F(JournalTest, NearlyFullLogRecordsEndsButNoNewRuns) {
   files.maxSegmentBytes = 64 * 1024;
   files.maxTotalBytes = 1024 * 1024;
@@ -381,9 +382,9 @@
   for (const auto id : running) {
     store->onAttemptSent(id, {"east", 1, now});
     store->onAttemptSettled(id, true);
-    store->finishRun(now, id, E::responded, {200, "", id % 2 ? "kept" : std::string(10'000, 'k')});
+    store->finishRun(now, id, Outcome::responded, {200, "", id % 2 ? "kept" : std::string(10'000, 'k')});
   }
-  // Not all responses fit, but the ends of all runs do.
+  // Some responses are omitted, but the ends of all runs are recorded.
   EXPECT_EQ(journal->writeFailures(), before);
   EXPECT_GT(journal->responsesOmitted(), 10u);
   EXPECT_LT(journal->responsesOmitted(), 51u);
@@ -391,16 +392,16 @@
     FaultyDirectory copy = folder;
     Store other(limits, 3, Seed{5, 6});
     wal::Log read(copy, files);
-    Journal second(read, settings, names, base, *runner);
+    Journal second(read, settings, names, timeBase, *runner);
     const auto r = second.recover(now, other);
-    EXPECT_GT(r.replay.running, 5000u);  // the keys f...
+    EXPECT_GT(r.replay.running, 5000u);  // the keys f0, f1, ...
     Store::KeyedRequest a;
     a.classIndex = 1;
     a.key = "r0";
     a.fingerprint = Hasher(other.seed()).add("1").end();
     EXPECT_NE(other.admit(now, a).admission, Admission::firstRun);
     EXPECT_EQ(r.replay.running,
-              static_cast<std::size_t>(i) - 1);  // none of r...; the last one was not recorded
+              static_cast<std::size_t>(i) - 1);  // no key r0, r1, ...; the last f was not recorded
   }
   // New runs are recorded again once the oldest segments have been removed.
   now += seconds(64);
@@ -425,7 +426,7 @@
   EXPECT_EQ(arrive("k").admission, Admission::replayResponse);
 }
 
-TEST_F(JournalTest, SyncsFollowThePolicy) {
+TEST_F(JournalTest, SyncsAccordingToPolicy) {
   settings.sync = SyncPolicy::never;
   start();
   serve("a");
@@ -447,17 +448,17 @@
   EXPECT_EQ(journal->syncedRecords(), journal->appendedRecords());
   now += seconds(1);
   journal->tick(now);
-  EXPECT_FALSE(runner->job);  // nothing to sync
+  EXPECT_FALSE(runner->job);  // there is nothing to sync
 
   settings.sync = SyncPolicy::beforeSend;
   start();
   EXPECT_TRUE(journal->requiresSyncBeforeSend());
-  int told = 0;
-  journal->onSynced = [&] { ++told; };
+  int syncNotifications = 0;
+  journal->onSynced = [&] { ++syncNotifications; };
   arrive("c");
   journal->awaitSync(now);
   arrive("d");
-  journal->awaitSync(now);  // the next sync covers it and all records until then
+  journal->awaitSync(now);  // covered by the next sync, with all records until its start
   arrive("e");
   journal->awaitSync(now);
   const auto position = journal->appendedRecords();
@@ -467,32 +468,32 @@
   EXPECT_TRUE(runner->runJob());
   EXPECT_EQ(journal->syncedRecords(), position);
   EXPECT_FALSE(runner->job);
-  EXPECT_EQ(told, 2);
+  EXPECT_EQ(syncNotifications, 2);
   EXPECT_EQ(journal->syncs(), 2u);
 }
 
-// The gateway, and the machine with it, is killed at each write of the log and restarted, with the store on
-// top. A key that ran never counts as unused within its retention; a completed key may come back as
-// uncertain, but never with another response; a key that did not run may come back as uncertain.
-struct Killed : JournalTest {
-  struct Item {
-    bool ran = false;  // an attempt was sent and may have been executed
-    bool out = false;  // an attempt is at a host
-    std::string zone;  // of that attempt
-    std::string answer;
-    Time until{};  // by the machine's steady clock: expires then
+// A process, or the machine, stops at each write of the log and is restarted; the store is rebuilt from the
+// log. Within its retention a key that ran never counts as unused. A completed key may be restored as
+// uncertain, but never with another response, and a key that did not run may be restored as uncertain.
+struct JournalCrashTest : JournalTest {
+  struct KeyHistory {
+    bool executed = false;  // an attempt that was sent may have been executed
+    bool inFlight = false;  // an attempt is in flight
+    std::string zone;       // of that attempt
+    std::string servedBody;
+    Time until{};  // the expiry, by the machine's steady clock
   };
-  std::map<std::string, Item> items;
-  std::size_t replays = 0, bound = 0, unbound = 0;
-  Time steady() const { return now + Time(base.steadyEpochNs); }
+  std::map<std::string, KeyHistory> histories;
+  std::size_t replays = 0, boundRetries = 0, unboundRetries = 0;
+  Time steadyNow() const { return now + Time(timeBase.steadyEpochNs); }
 
-  // One process: random requests until the directory fails. What a failed call stands for did not happen,
-  // since each call is made before its step.
-  void live(std::mt19937& rng) {
+  // Runs one process: random requests until the directory fails. A step whose call fails did not happen,
+  // since each call precedes its step.
+  void runProcess(std::mt19937& rng) {
     struct Running {
       Store::EntryId entry;
       std::uint64_t position;
-      bool again, knownZone;
+      bool retried, hasZone;
     };
     std::map<std::string, Running> running;
     for (int step = 0; step < 400; ++step) {
@@ -501,26 +502,26 @@
       if (rng() % 20 == 0) journal->tick(now);
       if (journal->logFailed()) break;
       const std::string key = "k" + std::to_string(rng() % 60);
-      Item& item = items[key];
+      KeyHistory& history = histories[key];
       const auto it = running.find(key);
       if (it == running.end()) {
-        const bool known = item.ran && steady() < item.until;
+        const bool known = history.executed && steadyNow() < history.until;
         const auto r = arrive(key);
         if (r.admission == Admission::replayResponse) {
-          ASSERT_EQ(r.response->body, item.answer);
+          ASSERT_EQ(r.response->body, history.servedBody);
           ++replays;
           continue;
         }
         Running run{r.entry, journal->appendedRecords(), r.admission == Admission::retryUncertain, false};
-        if (run.again) {
-          // A known location is one where it was executed.
-          run.knownZone = r.earlierAttempt->sentAt != Time{};
-          if (run.knownZone && item.ran) ASSERT_EQ(r.earlierAttempt->zone, item.zone) << key;
-          ++(run.knownZone ? bound : unbound);
+        if (run.retried) {
+          // A known location is that of the executed attempt.
+          run.hasZone = r.earlierAttempt->sentAt != Time{};
+          if (run.hasZone && history.executed) ASSERT_EQ(r.earlierAttempt->zone, history.zone) << key;
+          ++(run.hasZone ? boundRetries : unboundRetries);
         } else {
           ASSERT_EQ(r.admission, Admission::firstRun);
           ASSERT_FALSE(known) << key << " would run twice";
-          item = {};
+          history = {};
         }
         if (!journal->lastRunRecorded()) break;
         running[key] = run;
@@ -529,84 +530,89 @@
       }
       Running& run = it->second;
       if (journal->requiresSyncBeforeSend() && journal->syncedRecords() < run.position)
-        continue;                                                            // it joins the run
-      if (!item.out && (rng() % 4 == 0 || (run.again && !run.knownZone))) {  // abandoned unsent
-        store->finishRun(now, run.entry, E::notExecuted);
+        continue;  // the repeat waits for the run
+      if (!history.inFlight && (rng() % 4 == 0 || (run.retried && !run.hasZone))) {  // the run ends unsent
+        store->finishRun(now, run.entry, Outcome::notExecuted);
         if (journal->logFailed()) break;
         running.erase(it);
-      } else if (!item.out) {
-        const std::string zone = item.ran ? item.zone : rng() % 2 ? "east" : "west";
+      } else if (!history.inFlight) {
+        const std::string zone = history.executed ? history.zone : rng() % 2 ? "east" : "west";
         store->onAttemptSent(run.entry, {zone, 0, now});
         if (journal->logFailed()) break;
-        if (!item.ran) item.answer.clear();
-        item.zone = zone;
-        item.out = true;
-      } else if (!item.ran && rng() % 3 == 0) {  // rejected by the host
+        if (!history.executed) history.servedBody.clear();
+        history.zone = zone;
+        history.inFlight = true;
+      } else if (!history.executed && rng() % 3 == 0) {  // rejected by the host
         store->onAttemptSettled(run.entry, false);
-        if (journal->logFailed()) item.ran = true, item.until = Time::max();  // it may count as executed
+        // The record of the rejection is lost, so the run may be restored as executed.
+        if (journal->logFailed()) history.executed = true, history.until = Time::max();
         if (journal->logFailed()) break;
-        item.out = false;
+        history.inFlight = false;
       } else {
-        item.ran = true;
+        history.executed = true;
         const bool served = rng() % 2;
-        item.answer = served ? "answer " + std::to_string(rng()) : "";
+        history.servedBody = served ? "answer " + std::to_string(rng()) : "";
         store->onAttemptSettled(run.entry, true);
-        store->finishRun(now, run.entry, served ? E::responded : E::mayHaveExecuted, {200, "", item.answer});
+        store->finishRun(now, run.entry, served ? Outcome::responded : Outcome::mayHaveExecuted,
+                         {200, "", history.servedBody});
         if (journal->logFailed()) break;
-        item.out = false;
-        item.until = steady() + limits.retention;
+        history.inFlight = false;
+        history.until = steadyNow() + limits.retention;
         running.erase(it);
       }
     }
-    for (auto& [key, item] : items) {
-      if (!item.out) continue;
-      item.ran = true;  // it was executed, and no response was recorded
-      item.out = false;
-      item.until = steady() + limits.retention;
+    for (auto& [key, history] : histories) {
+      if (!history.inFlight) continue;
+      history.executed = true;  // executed, without a recorded response
+      history.inFlight = false;
+      history.until = steadyNow() + limits.retention;
     }
   }
 
-  void play(SyncPolicy policy, bool machineToo, std::uint64_t points) {
+  void runCrashes(SyncPolicy policy, bool crashMachine, std::uint64_t crashPoints) {
     settings.sync = policy;
     settings.syncInterval = milliseconds(200);
     limits.retention = seconds(5);
     files.maxSegmentBytes = 64 * 1024 / 16;
-    std::size_t torn = 0;
-    for (std::uint64_t point = 1; point <= points; ++point) {
-      folder = FaultyDirectory(static_cast<std::uint32_t>(point));
-      items.clear();
-      std::mt19937 rng(static_cast<std::uint32_t>(point * 13));
-      for (int life = 0; life < 3; ++life) {
-        folder.failFrom = life == 0 ? folder.operations + point : folder.operations + 5 + rng() % 300;
+    std::size_t tornTails = 0;
+    for (std::uint64_t crashPoint = 1; crashPoint <= crashPoints; ++crashPoint) {
+      folder = FaultyDirectory(static_cast<std::uint32_t>(crashPoint));
+      histories.clear();
+      std::mt19937 rng(static_cast<std::uint32_t>(crashPoint * 13));
+      for (int processIndex = 0; processIndex < 3; ++processIndex) {
+        folder.failFrom =
+            processIndex == 0 ? folder.operations + crashPoint : folder.operations + 5 + rng() % 300;
         start(milliseconds(rng() % 500));
         ASSERT_FALSE(recovery.log.damaged) << recovery.log.description;
         ASSERT_EQ(recovery.replay.unreadable, 0u);
-        torn += recovery.log.truncatedBytes > 0;
-        if (recovery.writable) live(rng);
+        tornTails += recovery.log.truncatedBytes > 0;
+        if (recovery.writable) runProcess(rng);
         if (HasFatalFailure()) {
-          ADD_FAILURE() << "point " << point << " life " << life;
+          ADD_FAILURE() << "point " << crashPoint << " life " << processIndex;
           return;
         }
         stop();
-        if (machineToo && rng() % 2) {
+        if (crashMachine && rng() % 2) {
           folder.crash();
-          base.bootId = "boot-" + std::to_string(point) + "-" + std::to_string(life);
+          timeBase.bootId = "boot-" + std::to_string(crashPoint) + "-" + std::to_string(processIndex);
         } else {
           folder.kill();
         }
       }
     }
-    EXPECT_GT(torn, points / 10);
-    EXPECT_GT(replays, points);
-    EXPECT_GT(unbound, 0u);
+    EXPECT_GT(tornTails, crashPoints / 10);
+    EXPECT_GT(replays, crashPoints);
+    EXPECT_GT(unboundRetries, 0u);
   }
 };
 
-TEST_F(Killed, AtEachWriteOfTheProcess) {
-  play(SyncPolicy::never, false, 1500);
-  EXPECT_GT(bound, 100u);
+TEST_F(JournalCrashTest, KeepsRunsWhenProcessIsKilledAtAnyWrite) {
+  runCrashes(SyncPolicy::never, false, 1500);
+  EXPECT_GT(boundRetries, 100u);
+}
+TEST_F(JournalCrashTest, KeepsRunsSyncedBeforeSendWhenMachineCrashesAtAnyWrite) {
+  runCrashes(SyncPolicy::beforeSend, true, 1500);
 }
-TEST_F(Killed, AtEachWriteOfTheMachineWithSyncBeforeSend) { play(SyncPolicy::beforeSend, true, 1500); }
 
 }  // namespace
 }  // namespace finchstile::idempotency
--- a/tests/idempotency/key_ownership_test.cpp
+++ b/tests/idempotency/key_ownership_test.cpp
@@ -1,5 +1,5 @@
-// Gateways that agree on keys over a network in memory. It loses, delays and duplicates messages as each test
-// sets; gateways restart, and may be configured differently.
+// Several KeyOwnership objects over a network in memory, which loses, delays and duplicates messages as each
+// test sets. Gateways restart, and may be configured differently.
 #include "idempotency/key_ownership.hpp"
 
 #include <gtest/gtest.h>
@@ -16,60 +16,62 @@
 using std::chrono::seconds;
 using Kind = KeyOwnership::Decision::Kind;
 
-struct Net {
+struct Network {
   std::mt19937 rng{3};
   OwnershipSettings settings;
   Time now = std::chrono::hours(24);
-  double lost = 0, twice = 0;
-  Duration delayMost = milliseconds(2);
+  double lossRate = 0, duplicationRate = 0;
+  Duration maxDelay = milliseconds(2);
   struct Gateway {
     std::unique_ptr<KeyOwnership> owners;
     std::uint64_t epoch = 1;
     bool down = false;
-    std::vector<KeyOwnership::Decision> decided;
+    std::vector<KeyOwnership::Decision> decisions;
   };
-  std::vector<Gateway> all;
-  struct Flying {
+  std::vector<Gateway> members;
+  struct Datagram {
     Time at;
-    std::uint64_t order;
+    std::uint64_t sequenceNumber;
     GatewayNumber from, to;
     std::uint64_t epoch;
     std::string payload;
-    bool operator<(const Flying& b) const { return std::tie(at, order) < std::tie(b.at, b.order); }
+    bool operator<(const Datagram& b) const {
+      return std::tie(at, sequenceNumber) < std::tie(b.at, b.sequenceNumber);
+    }
   };
-  std::set<Flying> flying;
-  std::uint64_t order = 0;
+  std::set<Datagram> inTransit;
+  std::uint64_t sequenceNumber = 0;
 
-  explicit Net(GatewayNumber gateways) {
+  explicit Network(GatewayNumber gateways) {
     settings.gateways = gateways;
     settings.retention = seconds(10);
     settings.maxRequestDuration = seconds(2);
     for (GatewayNumber n = 0; n < gateways; ++n) {
-      all.emplace_back();
+      members.emplace_back();
       start(n);
     }
-    run(settings.retention + settings.maxRequestDuration);  // no owner is new any more
+    run(settings.retention + settings.maxRequestDuration);  // until no owner is new
   }
   void start(GatewayNumber n) {
     settings.ownNumber = n;
-    all[n].owners = std::make_unique<KeyOwnership>(settings, SipKey{7, 8}, now);
-    ++all[n].epoch;
-    all[n].decided.clear();
-    all[n].down = false;
+    members[n].owners = std::make_unique<KeyOwnership>(settings, SipKey{7, 8}, now);
+    ++members[n].epoch;
+    members[n].decisions.clear();
+    members[n].down = false;
   }
-  KeyOwnership& operator[](GatewayNumber n) { return *all[n].owners; }
+  KeyOwnership& operator[](GatewayNumber n) { return *members[n].owners; }
 
   void collect() {
-    for (GatewayNumber n = 0; n < all.size(); ++n) {
-      for (auto& out : all[n].owners->takeOutgoing()) {
+    for (GatewayNumber n = 0; n < members.size(); ++n) {
+      for (auto& out : members[n].owners->takeOutgoing()) {
         EXPECT_LE(out.payload.size(), 218u);  // fits into a datagram
         EXPECT_NE(out.to, n);
-        for (int copies = chance(twice) ? 2 : 1; copies > 0; --copies)
-          if (!chance(lost))
-            flying.insert({now + Duration(rng() % (delayMost.count() + 1)), ++order, n, out.to, all[n].epoch,
-                           out.payload});
+        for (int copies = chance(duplicationRate) ? 2 : 1; copies > 0; --copies)
+          if (!chance(lossRate))
+            inTransit.insert({now + Duration(rng() % (maxDelay.count() + 1)), ++sequenceNumber, n, out.to,
+                              members[n].epoch, out.payload});
       }
-      for (auto& d : all[n].owners->takeDecisions()) all[n].decided.push_back(std::move(d));
+      for (auto& d : members[n].owners->takeDecisions()) members[n].decisions.push_back(std::move(d));
     }
   }
   bool chance(double p) { return rng() % 10'000 < p * 10'000; }
@@ -77,50 +79,50 @@
     const Time until = now + span;
     for (;;) {
       collect();
-      Time next = until;
-      if (!flying.empty()) next = std::min(next, flying.begin()->at);
-      for (const Gateway& g : all)
-        if (!g.down && g.owners->nextTimer()) next = std::min(next, *g.owners->nextTimer());
-      now = std::max(now, next);
-      while (!flying.empty() && flying.begin()->at <= now) {
-        const Flying f = *flying.begin();
-        flying.erase(flying.begin());
-        if (!all[f.to].down) all[f.to].owners->onMessage(now, f.from, f.epoch, f.payload);
+      Time nextEvent = until;
+      if (!inTransit.empty()) nextEvent = std::min(nextEvent, inTransit.begin()->at);
+      for (const Gateway& g : members)
+        if (!g.down && g.owners->nextTimer()) nextEvent = std::min(nextEvent, *g.owners->nextTimer());
+      now = std::max(now, nextEvent);
+      while (!inTransit.empty() && inTransit.begin()->at <= now) {
+        const Datagram f = *inTransit.begin();
+        inTransit.erase(inTransit.begin());
+        if (!members[f.to].down) members[f.to].owners->onMessage(now, f.from, f.epoch, f.payload);
       }
-      for (Gateway& g : all)
+      for (Gateway& g : members)
         if (!g.down && g.owners->nextTimer() && *g.owners->nextTimer() <= now) g.owners->onTimer(now);
       if (now >= until) return collect();
     }
   }
   SharedKey key(const std::string& name, const std::string& body = "b") {
-    return all[0].owners->keyOf("acme", "put", name, "POST", "/put/1", body);
+    return members[0].owners->keyOf("acme", "put", name, "POST", "/put/1", body);
   }
-  // The decision on that run, or null if there is none yet.
+  // The decision on a run; null if there is none yet.
   const KeyOwnership::Decision* decision(GatewayNumber n, std::uint64_t run) const {
-    for (const auto& d : all[n].decided)
+    for (const auto& d : members[n].decisions)
       if (d.run == run) return &d;
     return nullptr;
   }
-  void over(GatewayNumber n, std::uint64_t run, KeyState to, const std::string& body = "",
-            const std::string& zone = "east") {
+  void finish(GatewayNumber n, std::uint64_t run, KeyState to, const std::string& body = "",
+              const std::string& zone = "east") {
     const CachedResponse a{201, "text/x", body};
-    all[n].owners->finishRun(now, run, to, zone.empty() ? EarlierAttempt{} : EarlierAttempt{zone, 1, now},
-                             now + settings.retention, &a);
+    members[n].owners->finishRun(now, run, to, zone.empty() ? EarlierAttempt{} : EarlierAttempt{zone, 1, now},
+                                 now + settings.retention, &a);
   }
 };
 
 TEST(KeyOwnership, OwnersAgreeAndFewKeysMoveWithAdditionalGateway) {
-  Net net(5);
-  OwnershipSettings more = net.settings;
+  Network network(5);
+  OwnershipSettings more = network.settings;
   more.gateways = 6;
-  const KeyOwnership six(more, SipKey{7, 8}, net.now);
+  const KeyOwnership six(more, SipKey{7, 8}, network.now);
   std::map<GatewayNumber, int> first;
   int moved = 0;
   for (int i = 0; i < 6000; ++i) {
-    const SharedKey k = net.key(std::to_string(i));
-    const auto owners = net[0].ownersOf(k.id);
+    const SharedKey k = network.key(std::to_string(i));
+    const auto owners = network[0].ownersOf(k.id);
     ASSERT_EQ(owners.size(), 3u);
-    EXPECT_EQ(owners, net[4].ownersOf(k.id));
+    EXPECT_EQ(owners, network[4].ownersOf(k.id));
     EXPECT_EQ(std::set<GatewayNumber>(owners.begin(), owners.end()).size(), 3u);
     ++first[owners[0]];
     moved += six.ownersOf(k.id)[0] != owners[0];
@@ -131,17 +133,17 @@
 
 TEST(KeyOwnership, RepeatAtAnotherGatewayWaitsAndFetchesResponse) {
   for (const std::size_t size : {0u, 5u, 600u, 1900u}) {
-    Net net(4);
-    const auto k = net.key("k");
-    net[0].claimKey(net.now, 1, k, false);
-    net.run(milliseconds(20));
-    net[1].claimKey(net.now, 1, k, true);
-    net.run(milliseconds(500));
-    EXPECT_FALSE(net.decision(1, 1));
+    Network network(4);
+    const auto k = network.key("k");
+    network[0].claimKey(network.now, 1, k, false);
+    network.run(milliseconds(20));
+    network[1].claimKey(network.now, 1, k, true);
+    network.run(milliseconds(500));
+    EXPECT_FALSE(network.decision(1, 1));
     const std::string body(size, 'x');
-    net.over(0, 1, KeyState::completed, body);
-    net.run(milliseconds(200));
-    const auto* d = net.decision(1, 1);
+    network.finish(0, 1, KeyState::completed, body);
+    network.run(milliseconds(200));
+    const auto* d = network.decision(1, 1);
     ASSERT_TRUE(d);
     ASSERT_EQ(d->kind, Kind::response);
     EXPECT_EQ(d->response.status, 201u);
@@ -151,436 +153,448 @@
 }
 
 TEST(KeyOwnership, ResponseTooLargeToShareLeavesKeyUncertain) {
-  Net net(4);
-  const auto k = net.key("k");
-  net[0].claimKey(net.now, 1, k, false);
-  net.run(milliseconds(20));
-  const Time sent = net.now;
-  net.over(0, 1, KeyState::completed, std::string(3000, 'x'));
-  net.run(milliseconds(50));
-  net[1].claimKey(net.now, 1, k, true);
-  net.run(milliseconds(100));
-  const auto* d = net.decision(1, 1);
+  Network network(4);
+  const auto k = network.key("k");
+  network[0].claimKey(network.now, 1, k, false);
+  network.run(milliseconds(20));
+  const Time sent = network.now;
+  network.finish(0, 1, KeyState::completed, std::string(3000, 'x'));
+  network.run(milliseconds(50));
+  network[1].claimKey(network.now, 1, k, true);
+  network.run(milliseconds(100));
+  const auto* d = network.decision(1, 1);
   ASSERT_TRUE(d);
   EXPECT_EQ(d->kind, Kind::uncertain);
   EXPECT_EQ(d->earlierAttempt.zone, "east");
-  // The received age is never too short: a repeat would be sent after the hosts' window.
+  // The received age is never too short, or a repeat could be sent after the hosts' window.
   EXPECT_LE(d->earlierAttempt.sentAt, sent);
   EXPECT_GE(d->earlierAttempt.sentAt, sent - milliseconds(400));
 }
 
 TEST(KeyOwnership, RunThatWasNotExecutedLeavesKeyUnused) {
-  Net net(4);
-  const auto k = net.key("k");
-  net[0].claimKey(net.now, 1, k, false);
-  net.run(milliseconds(20));
-  net.over(0, 1, KeyState::unused);
-  net.run(milliseconds(20));
-  net[1].claimKey(net.now, 1, k, true);
-  net.run(milliseconds(20));
-  ASSERT_TRUE(net.decision(1, 1));
-  EXPECT_EQ(net.decision(1, 1)->kind, Kind::run);
+  Network network(4);
+  const auto k = network.key("k");
+  network[0].claimKey(network.now, 1, k, false);
+  network.run(milliseconds(20));
+  network.finish(0, 1, KeyState::unused);
+  network.run(milliseconds(20));
+  network[1].claimKey(network.now, 1, k, true);
+  network.run(milliseconds(20));
+  ASSERT_TRUE(network.decision(1, 1));
+  EXPECT_EQ(network.decision(1, 1)->kind, Kind::run);
 }
 
 TEST(KeyOwnership, RunThatMayHaveExecutedBindsOneRepeatAtATime) {
-  Net net(4);
-  const auto k = net.key("k");
-  net[0].claimKey(net.now, 1, k, false);
-  net.run(milliseconds(20));
-  const Time sent = net.now;
-  net.over(0, 1, KeyState::uncertain, "", "west");
-  net.run(milliseconds(20));
-  net[1].claimKey(net.now, 1, k, true);
-  net.run(milliseconds(20));
-  ASSERT_TRUE(net.decision(1, 1));
-  EXPECT_EQ(net.decision(1, 1)->kind, Kind::uncertain);
-  EXPECT_EQ(net.decision(1, 1)->earlierAttempt.zone, "west");
-  EXPECT_EQ(net.decision(1, 1)->earlierAttempt.cell, 1);
-  EXPECT_LE(net.decision(1, 1)->earlierAttempt.sentAt, sent);
-  EXPECT_LE(net.decision(1, 1)->validUntil, sent + net.settings.retention + milliseconds(10));
-  net[2].claimKey(net.now, 1, k, true);
-  net.run(milliseconds(200));
-  EXPECT_FALSE(net.decision(2, 1));  // the other gateway runs it
-  net.over(1, 1, KeyState::unused);  // it fails unsent
-  net.run(milliseconds(100));
-  ASSERT_TRUE(net.decision(2, 1));
-  EXPECT_EQ(net.decision(2, 1)->kind, Kind::uncertain);  // still uncertain
-  net.over(2, 1, KeyState::unused);
-  net.run(net.settings.retention);
-  net[3].claimKey(net.now, 1, k, true);
-  net.run(milliseconds(20));
-  EXPECT_EQ(net.decision(3, 1)->kind, Kind::run);  // the retention is over
+  Network network(4);
+  const auto k = network.key("k");
+  network[0].claimKey(network.now, 1, k, false);
+  network.run(milliseconds(20));
+  const Time sent = network.now;
+  network.finish(0, 1, KeyState::uncertain, "", "west");
+  network.run(milliseconds(20));
+  network[1].claimKey(network.now, 1, k, true);
+  network.run(milliseconds(20));
+  ASSERT_TRUE(network.decision(1, 1));
+  EXPECT_EQ(network.decision(1, 1)->kind, Kind::uncertain);
+  EXPECT_EQ(network.decision(1, 1)->earlierAttempt.zone, "west");
+  EXPECT_EQ(network.decision(1, 1)->earlierAttempt.cell, 1);
+  EXPECT_LE(network.decision(1, 1)->earlierAttempt.sentAt, sent);
+  EXPECT_LE(network.decision(1, 1)->validUntil, sent + network.settings.retention + milliseconds(10));
+  network[2].claimKey(network.now, 1, k, true);
+  network.run(milliseconds(200));
+  EXPECT_FALSE(network.decision(2, 1));    // another gateway runs it
+  network.finish(1, 1, KeyState::unused);  // that run fails unsent
+  network.run(milliseconds(100));
+  ASSERT_TRUE(network.decision(2, 1));
+  EXPECT_EQ(network.decision(2, 1)->kind, Kind::uncertain);  // the key is still uncertain
+  network.finish(2, 1, KeyState::unused);
+  network.run(network.settings.retention);
+  network[3].claimKey(network.now, 1, k, true);
+  network.run(milliseconds(20));
+  EXPECT_EQ(network.decision(3, 1)->kind, Kind::run);  // the retention has passed
 }
 
 TEST(KeyOwnership, SameKeyOfAnotherRequestIsFingerprintMismatch) {
-  Net net(4);
-  net[0].claimKey(net.now, 1, net.key("k"), false);
-  net.run(milliseconds(20));
-  net[1].claimKey(net.now, 1, net.key("k", "another body"), true);
-  net.run(milliseconds(20));
-  ASSERT_TRUE(net.decision(1, 1));
-  EXPECT_EQ(net.decision(1, 1)->kind, Kind::fingerprintMismatch);
+  Network network(4);
+  network[0].claimKey(network.now, 1, network.key("k"), false);
+  network.run(milliseconds(20));
+  network[1].claimKey(network.now, 1, network.key("k", "another body"), true);
+  network.run(milliseconds(20));
+  ASSERT_TRUE(network.decision(1, 1));
+  EXPECT_EQ(network.decision(1, 1)->kind, Kind::fingerprintMismatch);
 }
 
-// The owners are silent, so nothing counts as known.
-TEST(KeyOwnership, SilentOwnersLeaveKeyUncertainOrRunItBySetting) {
-  for (const bool runs : {false, true}) {
-    Net net(4);
-    net.settings.runWithoutMajority = runs;
-    net.start(1);
-    net.run(net.settings.retention + net.settings.maxRequestDuration);
-    net.lost = 1;
-    const Time begin = net.now;
-    net[1].claimKey(net.now, 1, net.key("k"), true);
-    net.run(milliseconds(100));
-    ASSERT_TRUE(net.decision(1, 1));
-    EXPECT_EQ(net.decision(1, 1)->kind, runs ? Kind::run : Kind::uncertain);
-    EXPECT_EQ(net.decision(1, 1)->earlierAttempt.sentAt, Time{});
-    EXPECT_EQ(net[1].counts().noMajority, 1u);
-    EXPECT_EQ(net[1].pendingMessages(), 0u);  // messages are given up
-    EXPECT_LE(net.now - begin, milliseconds(100));
+// No owner answers, so there is no majority.
+TEST(KeyOwnership, UnreachableOwnersLeaveKeyUncertainOrRunItBySetting) {
+  for (const bool mayRun : {false, true}) {
+    Network network(4);
+    network.settings.runWithoutMajority = mayRun;
+    network.start(1);
+    network.run(network.settings.retention + network.settings.maxRequestDuration);
+    network.lossRate = 1;
+    const Time begin = network.now;
+    network[1].claimKey(network.now, 1, network.key("k"), true);
+    network.run(milliseconds(100));
+    ASSERT_TRUE(network.decision(1, 1));
+    EXPECT_EQ(network.decision(1, 1)->kind, mayRun ? Kind::run : Kind::uncertain);
+    EXPECT_EQ(network.decision(1, 1)->earlierAttempt.sentAt, Time{});
+    EXPECT_EQ(network[1].counts().noMajority, 1u);
+    EXPECT_EQ(network[1].pendingMessages(), 0u);  // retransmission has ended
+    EXPECT_LE(network.now - begin, milliseconds(100));
   }
 }
 
-// Owners that have restarted know nothing and do not count towards a majority. What the others know counts.
-TEST(KeyOwnership, RestartedOwnerHidesNoRun) {
+// An owner that has restarted has no entries and does not count towards a majority. The other owners still
+// report the run.
+TEST(KeyOwnership, RestartedOwnerDoesNotHideRun) {
   for (int i = 0; i < 20; ++i) {
-    Net net(4);
-    const auto k = net.key("k" + std::to_string(i));
-    const auto owners = net[0].ownersOf(k.id);
+    Network network(4);
+    const auto k = network.key("k" + std::to_string(i));
+    const auto owners = network[0].ownersOf(k.id);
     const auto runner = static_cast<GatewayNumber>(i % 4), repeats = static_cast<GatewayNumber>((i + 1) % 4);
-    net[runner].claimKey(net.now, 1, k, false);
-    net.run(milliseconds(20));
-    const auto fresh = owners[static_cast<std::size_t>(i) % 3];
-    if (fresh == runner || fresh == repeats) continue;
-    net.start(fresh);
-    net[repeats].claimKey(net.now, 1, k, true);
-    net.run(milliseconds(100));
-    EXPECT_FALSE(net.decision(repeats, 1));
+    network[runner].claimKey(network.now, 1, k, false);
+    network.run(milliseconds(20));
+    const auto restarted = owners[static_cast<std::size_t>(i) % 3];
+    if (restarted == runner || restarted == repeats) continue;
+    network.start(restarted);
+    network[repeats].claimKey(network.now, 1, k, true);
+    network.run(milliseconds(100));
+    EXPECT_FALSE(network.decision(repeats, 1));
   }
 }
 
 TEST(KeyOwnership, NoKeyCountsAsUnusedWhileMostOwnersAreNew) {
-  Net net(3);
-  net.start(0), net.start(1), net.start(2);
-  net[1].claimKey(net.now, 1, net.key("k"), true);
-  net.run(milliseconds(100));
-  ASSERT_TRUE(net.decision(1, 1));
-  EXPECT_EQ(net.decision(1, 1)->kind, Kind::uncertain);
-  net.over(1, 1, KeyState::unused);
-  net.run(net.settings.retention + net.settings.maxRequestDuration);
-  net[1].claimKey(net.now, 2, net.key("k"), true);
-  net.run(milliseconds(100));
-  EXPECT_EQ(net.decision(1, 2)->kind, Kind::run);
+  Network network(3);
+  network.start(0), network.start(1), network.start(2);
+  network[1].claimKey(network.now, 1, network.key("k"), true);
+  network.run(milliseconds(100));
+  ASSERT_TRUE(network.decision(1, 1));
+  EXPECT_EQ(network.decision(1, 1)->kind, Kind::uncertain);
+  network.finish(1, 1, KeyState::unused);
+  network.run(network.settings.retention + network.settings.maxRequestDuration);
+  network[1].claimKey(network.now, 2, network.key("k"), true);
+  network.run(milliseconds(100));
+  EXPECT_EQ(network.decision(1, 2)->kind, Kind::run);
 }
 
-// The gateway that ran the key restarts, and nobody can tell what became of the run.
+// The gateway that ran the key restarts and has lost the result of the run.
 TEST(KeyOwnership, RestartedRunnerLeavesItsKeysUncertain) {
-  Net net(4);
-  const auto k = net.key("k");
-  net[0].claimKey(net.now, 1, k, false);
-  net.run(milliseconds(20));
-  net.start(0);
-  net[0].claimKey(net.now, 1, k, true);  // the client repeats at that gateway
-  net.run(milliseconds(100));
-  ASSERT_TRUE(net.decision(0, 1));
-  EXPECT_EQ(net.decision(0, 1)->kind, Kind::uncertain);
-  EXPECT_EQ(net.decision(0, 1)->earlierAttempt.sentAt, Time{});
+  Network network(4);
+  const auto k = network.key("k");
+  network[0].claimKey(network.now, 1, k, false);
+  network.run(milliseconds(20));
+  network.start(0);
+  network[0].claimKey(network.now, 1, k, true);  // a repeat at the same gateway
+  network.run(milliseconds(100));
+  ASSERT_TRUE(network.decision(0, 1));
+  EXPECT_EQ(network.decision(0, 1)->kind, Kind::uncertain);
+  EXPECT_EQ(network.decision(0, 1)->earlierAttempt.sentAt, Time{});
 }
 
-TEST(KeyOwnership, SilentRunnerLeavesKeyUncertain) {
-  Net net(4);
-  const auto k = net.key("k");
-  net[0].claimKey(net.now, 1, k, false);
-  net.run(milliseconds(20));
-  net.all[0].down = true;
-  net[1].claimKey(net.now, 1, k, true);
-  net.run(seconds(1));
-  EXPECT_FALSE(net.decision(1, 1));
-  net.run(seconds(2));
-  ASSERT_TRUE(net.decision(1, 1));
-  EXPECT_EQ(net.decision(1, 1)->kind, Kind::uncertain);
+TEST(KeyOwnership, StoppedRunnerLeavesKeyUncertain) {
+  Network network(4);
+  const auto k = network.key("k");
+  network[0].claimKey(network.now, 1, k, false);
+  network.run(milliseconds(20));
+  network.members[0].down = true;
+  network[1].claimKey(network.now, 1, k, true);
+  network.run(seconds(1));
+  EXPECT_FALSE(network.decision(1, 1));
+  network.run(seconds(2));
+  ASSERT_TRUE(network.decision(1, 1));
+  EXPECT_EQ(network.decision(1, 1)->kind, Kind::uncertain);
 }
 
-// Two gateways are configured for different rings. A gateway that does not count itself among the owners
-// cannot tell that a key is unused.
+// A gateway is configured for another number of gateways. The vote of a gateway that does not count itself
+// among the owners cannot make a key unused.
 TEST(KeyOwnership, MembershipMismatchDoesNotMakeKeysUnused) {
-  int waits = 0, ran = 0;
+  int waitingCount = 0, ran = 0;
   for (int i = 0; i < 60; ++i) {
-    Net net(4);
-    const auto k = net.key("k" + std::to_string(i));
+    Network network(4);
+    const auto k = network.key("k" + std::to_string(i));
     // Gateway 3 is configured for four gateways, the others for three.
     for (GatewayNumber n = 0; n < 3; ++n) {
-      net.settings.gateways = 3;
-      net.start(n);
+      network.settings.gateways = 3;
+      network.start(n);
     }
-    net.run(net.settings.retention + net.settings.maxRequestDuration);
-    net[0].claimKey(net.now, 1, k, false);
-    net.run(milliseconds(20));
-    net[3].claimKey(net.now, 1, k, true);
-    net.run(milliseconds(100));
-    const auto* d = net.decision(3, 1);
-    waits += !d;
+    network.run(network.settings.retention + network.settings.maxRequestDuration);
+    network[0].claimKey(network.now, 1, k, false);
+    network.run(milliseconds(20));
+    network[3].claimKey(network.now, 1, k, true);
+    network.run(milliseconds(100));
+    const auto* d = network.decision(3, 1);
+    waitingCount += !d;
     ran += d && d->kind == Kind::run;
   }
   EXPECT_EQ(ran, 0);
-  EXPECT_EQ(waits, 60);  // two of its three owners are owners for the others as well
+  EXPECT_EQ(waitingCount, 60);  // two of its three owners also are owners for the other gateways
 }
 
-// A claim that arrives after the end of its run must not restart it.
+// A claim may arrive after the notice that its run has finished.
 TEST(KeyOwnership, DelayedClaimDoesNotRestartFinishedRun) {
-  Net net(4);
-  const auto k = net.key("k");
+  Network network(4);
+  const auto k = network.key("k");
   const auto owner = [&] {
-    for (const GatewayNumber n : net[0].ownersOf(k.id))
+    for (const GatewayNumber n : network[0].ownersOf(k.id))
       if (n != 0) return n;
     return GatewayNumber{0};
   }();
-  net[0].claimKey(net.now, 1, k, false);
-  net.collect();
-  const auto late = net.flying;
-  net.run(milliseconds(20));
-  net.over(0, 1, KeyState::unused);
-  net.run(milliseconds(20));
-  for (const auto& f : late)
-    if (f.to == owner) net[owner].onMessage(net.now, f.from, f.epoch, f.payload);
-  net[1].claimKey(net.now, 1, k, true);
-  net.run(milliseconds(30));
-  ASSERT_TRUE(net.decision(1, 1));
-  EXPECT_EQ(net.decision(1, 1)->kind, Kind::run);
+  network[0].claimKey(network.now, 1, k, false);
+  network.collect();
+  const auto delayed = network.inTransit;
+  network.run(milliseconds(20));
+  network.finish(0, 1, KeyState::unused);
+  network.run(milliseconds(20));
+  for (const auto& f : delayed)
+    if (f.to == owner) network[owner].onMessage(network.now, f.from, f.epoch, f.payload);
+  network[1].claimKey(network.now, 1, k, true);
+  network.run(milliseconds(30));
+  ASSERT_TRUE(network.decision(1, 1));
+  EXPECT_EQ(network.decision(1, 1)->kind, Kind::run);
 }
 
-// Two gateways claim a key at the same moment and hold an owner each. One of them runs it, and the other gets
-// its response.
+// Two gateways claim a key at the same time, and each may be the runner at one of its owners. One of them
+// must run it, and the other gets its response.
 TEST(KeyOwnership, OneOfTwoSimultaneousClaimsRuns) {
   int decidedFirst[5] = {};
   for (int i = 0; i < 50; ++i) {
-    Net net(5);
-    net.rng.seed(static_cast<std::uint32_t>(i));
-    const auto k = net.key("k" + std::to_string(i));
-    net[1].claimKey(net.now, 1, k, true);
-    net[4].claimKey(net.now, 1, k, true);
-    net.run(milliseconds(300));
-    const bool one = net.decision(1, 1), four = net.decision(4, 1);
+    Network network(5);
+    network.rng.seed(static_cast<std::uint32_t>(i));
+    const auto k = network.key("k" + std::to_string(i));
+    network[1].claimKey(network.now, 1, k, true);
+    network[4].claimKey(network.now, 1, k, true);
+    network.run(milliseconds(300));
+    const bool one = network.decision(1, 1), four = network.decision(4, 1);
     ASSERT_NE(one, four) << i;
-    const GatewayNumber runs = one ? 1 : 4, waits = one ? 4 : 1;
-    ++decidedFirst[runs];
-    EXPECT_EQ(net.decision(runs, 1)->kind, Kind::run);
-    net.over(runs, 1, KeyState::completed, "once");
-    net.run(milliseconds(200));
-    ASSERT_TRUE(net.decision(waits, 1));
-    EXPECT_EQ(net.decision(waits, 1)->kind, Kind::response);
+    const GatewayNumber winner = one ? 1 : 4, loser = one ? 4 : 1;
+    ++decidedFirst[winner];
+    EXPECT_EQ(network.decision(winner, 1)->kind, Kind::run);
+    network.finish(winner, 1, KeyState::completed, "once");
+    network.run(milliseconds(200));
+    ASSERT_TRUE(network.decision(loser, 1));
+    EXPECT_EQ(network.decision(loser, 1)->kind, Kind::response);
   }
   EXPECT_GT(decidedFirst[1], 0);
 }
 
-// What a claimer decides on votes that the test gives it. It is not an owner of the key itself.
-KeyOwnership::Decision decisionOn(const std::vector<ClaimResponse>& rulings) {
-  Net net(6);
+// Returns the decision of a claimer that receives `responses` from the owners of a key. The claimer is not
+// an owner itself.
+KeyOwnership::Decision decisionOn(const std::vector<ClaimResponse>& responses) {
+  Network network(6);
   GatewayNumber at = 0;
   SharedKey k;
   std::vector<GatewayNumber> owners;
   for (int i = 0; owners.empty() || std::find(owners.begin(), owners.end(), at) != owners.end(); ++i) {
-    k = net.key("k" + std::to_string(i));
-    owners = net[0].ownersOf(k.id);
+    k = network.key("k" + std::to_string(i));
+    owners = network[0].ownersOf(k.id);
   }
-  net[at].claimKey(net.now, 1, k, true);
+  network[at].claimKey(network.now, 1, k, true);
   std::map<GatewayNumber, ClaimResponse> of;
-  for (std::size_t i = 0; i < rulings.size(); ++i) of[owners[i]] = rulings[i];
-  for (const auto& out : net[at].takeOutgoing()) {
-    if (!of.count(out.to)) continue;  // gives no vote
+  for (std::size_t i = 0; i < responses.size(); ++i) of[owners[i]] = responses[i];
+  for (const auto& out : network[at].takeOutgoing()) {
+    if (!of.count(out.to)) continue;  // does not answer
     ClaimResponse r = of[out.to];
     r.requestId = std::get<Claim>(*decodeOwnerMessage(out.payload)).requestId;
-    net[at].onMessage(net.now, out.to, 1, encode(r));
+    network[at].onMessage(network.now, out.to, 1, encode(r));
   }
-  net.lost = 1;
-  net.run(milliseconds(35));
-  const auto* d = net.decision(at, 1);
+  network.lossRate = 1;
+  network.run(milliseconds(35));
+  const auto* d = network.decision(at, 1);
   EXPECT_TRUE(d);
   return d ? *d : KeyOwnership::Decision{};
 }
-ClaimResponse says(ClaimResult known, const std::string& zone = "", bool mine = true) {
-  return {0, known, 1, mine, false, {zone, 1, zone.empty() ? AttemptLocation::kUnknownAge : 50}, 5000};
+ClaimResponse vote(ClaimResult state, const std::string& zone = "", bool senderIsOwner = true) {
+  return {0,   state, 1, senderIsOwner, false, {zone, 1, zone.empty() ? AttemptLocation::kUnknownAge : 50},
+          5000};
 }
 
 TEST(KeyOwnership, MajorityOfInformedOwnersDecides) {
-  const ClaimResponse free = says(ClaimResult::unused), east = says(ClaimResult::uncertain, "east"),
-                      west = says(ClaimResult::uncertain, "west"), full = says(ClaimResult::ownerFull),
-                      other = says(ClaimResult::unused, "",
-                                   false);  // by its own configuration it is not an owner
-  EXPECT_EQ(decisionOn({free, free, free}).kind, Kind::run);
-  EXPECT_EQ(decisionOn({free, free}).kind, Kind::run);
-  EXPECT_EQ(decisionOn({free}).kind, Kind::uncertain);
-  EXPECT_EQ(decisionOn({free, other, other}).kind, Kind::uncertain);
-  EXPECT_EQ(decisionOn({free, full}).kind, Kind::uncertain);
-  EXPECT_EQ(decisionOn({free, free, other}).kind, Kind::run);
-  EXPECT_EQ(decisionOn({free, says(ClaimResult::mismatch)}).kind, Kind::fingerprintMismatch);
-  EXPECT_EQ(decisionOn({east, free, free}).earlierAttempt.zone, "east");
-  EXPECT_EQ(decisionOn({east, free}).earlierAttempt.zone, "east");
-  EXPECT_EQ(decisionOn({east}).earlierAttempt.sentAt,
-            Time{});  // the other owners may know of another attempt
-  EXPECT_EQ(decisionOn({east, west, free}).earlierAttempt.sentAt, Time{});
-  EXPECT_EQ(decisionOn({east, east, west}).earlierAttempt.sentAt, Time{});
+  // foreignVote: the sender is not an owner by its own configuration.
+  const ClaimResponse unusedVote = vote(ClaimResult::unused), eastVote = vote(ClaimResult::uncertain, "east"),
+                      westVote = vote(ClaimResult::uncertain, "west"),
+                      fullVote = vote(ClaimResult::ownerFull),
+                      foreignVote = vote(ClaimResult::unused, "", false);
+  EXPECT_EQ(decisionOn({unusedVote, unusedVote, unusedVote}).kind, Kind::run);
+  EXPECT_EQ(decisionOn({unusedVote, unusedVote}).kind, Kind::run);
+  EXPECT_EQ(decisionOn({unusedVote}).kind, Kind::uncertain);
+  EXPECT_EQ(decisionOn({unusedVote, foreignVote, foreignVote}).kind, Kind::uncertain);
+  EXPECT_EQ(decisionOn({unusedVote, fullVote}).kind, Kind::uncertain);
+  EXPECT_EQ(decisionOn({unusedVote, unusedVote, foreignVote}).kind, Kind::run);
+  EXPECT_EQ(decisionOn({unusedVote, vote(ClaimResult::mismatch)}).kind, Kind::fingerprintMismatch);
+  EXPECT_EQ(decisionOn({eastVote, unusedVote, unusedVote}).earlierAttempt.zone, "east");
+  EXPECT_EQ(decisionOn({eastVote, unusedVote}).earlierAttempt.zone, "east");
+  // The other owners may have recorded another attempt.
+  EXPECT_EQ(decisionOn({eastVote}).earlierAttempt.sentAt, Time{});
+  EXPECT_EQ(decisionOn({eastVote, westVote, unusedVote}).earlierAttempt.sentAt, Time{});
+  EXPECT_EQ(decisionOn({eastVote, eastVote, westVote}).earlierAttempt.sentAt, Time{});
 }
 
 // The notice of a run arrives after the claim of the next run of that gateway.
 TEST(KeyOwnership, DelayedNoticeAfterNextClaimCounts) {
-  Net net(1);
-  net.settings.gateways = 3;
-  net.start(0);
-  net.run(net.settings.retention + net.settings.maxRequestDuration);
-  const auto k = net.key("k");
-  const auto ruled = [&](GatewayNumber from, std::uint64_t run) {
-    net[0].onMessage(net.now, from, 1, encode(Claim{1, k, run, 0, false}));
-    return std::get<ClaimResponse>(*decodeOwnerMessage(net[0].takeOutgoing().back().payload));
+  Network network(1);
+  network.settings.gateways = 3;
+  network.start(0);
+  network.run(network.settings.retention + network.settings.maxRequestDuration);
+  const auto k = network.key("k");
+  const auto claimAt = [&](GatewayNumber from, std::uint64_t run) {
+    network[0].onMessage(network.now, from, 1, encode(Claim{1, k, run, 0, false}));
+    return std::get<ClaimResponse>(*decodeOwnerMessage(network[0].takeOutgoing().back().payload));
   };
-  EXPECT_EQ(ruled(1, 1).result, ClaimResult::unused);
-  EXPECT_EQ(ruled(1, 1).result, ClaimResult::unused);  // a duplicate
-  const auto next = ruled(1, 2);                       // the end of the first run is not known yet
-  EXPECT_EQ(next.result, ClaimResult::uncertain);
-  EXPECT_EQ(next.attempt.ageMs, AttemptLocation::kUnknownAge);
-  net[0].onMessage(net.now, 1, 1,
-                   encode(RunFinishedNotice{2, k, 1, KeyState::uncertain, {"west", 3, 50}, 5000}));
-  EXPECT_EQ(ruled(2, 9).result, ClaimResult::running);
-  net[0].onMessage(net.now, 1, 1, encode(RunFinishedNotice{3, k, 2, KeyState::unused, {}, 0}));
-  const auto after = ruled(2, 9);
+  EXPECT_EQ(claimAt(1, 1).result, ClaimResult::unused);
+  EXPECT_EQ(claimAt(1, 1).result, ClaimResult::unused);  // a duplicate
+  const auto nextClaim = claimAt(1, 2);                  // the end of the first run has not been reported
+  EXPECT_EQ(nextClaim.result, ClaimResult::uncertain);
+  EXPECT_EQ(nextClaim.attempt.ageMs, AttemptLocation::kUnknownAge);
+  network[0].onMessage(network.now, 1, 1,
+                       encode(RunFinishedNotice{2, k, 1, KeyState::uncertain, {"west", 3, 50}, 5000}));
+  EXPECT_EQ(claimAt(2, 9).result, ClaimResult::running);
+  network[0].onMessage(network.now, 1, 1, encode(RunFinishedNotice{3, k, 2, KeyState::unused, {}, 0}));
+  const auto after = claimAt(2, 9);
   EXPECT_EQ(after.result, ClaimResult::uncertain);
   EXPECT_EQ(after.attempt.zone, "west");
 }
 
-TEST(KeyOwnership, OwnedKeysAreBoundedAndFullOwnerSaysSo) {
-  Net net(1);
-  net.settings.maxEntries = 50;
-  net.start(0);
-  net.run(net.settings.retention + net.settings.maxRequestDuration);
-  for (std::uint64_t i = 1; i <= 50; ++i) net[0].claimKey(net.now, i, net.key(std::to_string(i)), true);
-  net[0].claimKey(net.now, 51, net.key("more"), true);
-  net.run(milliseconds(1));
-  EXPECT_EQ(net.decision(0, 50)->kind, Kind::run);
-  EXPECT_EQ(net.decision(0, 51)->kind, Kind::uncertain);
-  EXPECT_EQ(net[0].ownedKeys(), 50u);
-  EXPECT_EQ(net[0].counts().rejectedForCapacity, 1u);
-  for (std::uint64_t i = 1; i <= 51; ++i) net.over(0, i, KeyState::completed, std::string(100, 'x'));
-  net.run(net.settings.retention + seconds(1));
-  net[0].claimKey(net.now, 52, net.key("later"), true);
-  net.run(milliseconds(1));
-  EXPECT_EQ(net.decision(0, 52)->kind, Kind::run);
-  EXPECT_EQ(net[0].ownedKeys(), 1u);
+TEST(KeyOwnership, OwnedKeysAreBoundedAndFullOwnerRejectsClaims) {
+  Network network(1);
+  network.settings.maxEntries = 50;
+  network.start(0);
+  network.run(network.settings.retention + network.settings.maxRequestDuration);
+  for (std::uint64_t i = 1; i <= 50; ++i)
+    network[0].claimKey(network.now, i, network.key(std::to_string(i)), true);
+  network[0].claimKey(network.now, 51, network.key("more"), true);
+  network.run(milliseconds(1));
+  EXPECT_EQ(network.decision(0, 50)->kind, Kind::run);
+  EXPECT_EQ(network.decision(0, 51)->kind, Kind::uncertain);
+  EXPECT_EQ(network[0].ownedKeys(), 50u);
+  EXPECT_EQ(network[0].counts().rejectedForCapacity, 1u);
+  for (std::uint64_t i = 1; i <= 51; ++i) network.finish(0, i, KeyState::completed, std::string(100, 'x'));
+  network.run(network.settings.retention + seconds(1));
+  network[0].claimKey(network.now, 52, network.key("later"), true);
+  network.run(milliseconds(1));
+  EXPECT_EQ(network.decision(0, 52)->kind, Kind::run);
+  EXPECT_EQ(network[0].ownedKeys(), 1u);
 }
 
 TEST(KeyOwnership, PendingMessagesAreBounded) {
-  Net net(4);
-  net.settings.maxPendingMessages = 30;
-  net.start(1);
-  net.lost = 1;
-  for (std::uint64_t i = 1; i <= 100; ++i) net[1].claimKey(net.now, i, net.key(std::to_string(i)), true);
-  EXPECT_LE(net[1].pendingMessages(), 30u);
-  EXPECT_GT(net[1].counts().notSent, 100u);
-  net.run(milliseconds(100));
-  EXPECT_EQ(net.all[1].decided.size(), 100u);
+  Network network(4);
+  network.settings.maxPendingMessages = 30;
+  network.start(1);
+  network.lossRate = 1;
+  for (std::uint64_t i = 1; i <= 100; ++i)
+    network[1].claimKey(network.now, i, network.key(std::to_string(i)), true);
+  EXPECT_LE(network[1].pendingMessages(), 30u);
+  EXPECT_GT(network[1].counts().notSent, 100u);
+  network.run(milliseconds(100));
+  EXPECT_EQ(network.members[1].decisions.size(), 100u);
 }
 
 TEST(KeyOwnership, MalformedMessageIsCountedAndIgnored) {
-  Net net(2);
-  net[0].onMessage(net.now, 1, 5, "");
-  net[0].onMessage(net.now, 1, 5, "\x01 cut");
-  net[0].onMessage(
-      net.now, 1, 5,
+  Network network(2);
+  network[0].onMessage(network.now, 1, 5, "");
+  network[0].onMessage(network.now, 1, 5, "\x01 cut");
+  network[0].onMessage(
+      network.now, 1, 5,
       encode(ClaimResponse{99, ClaimResult::unused, 0, true, false, {}, 0}));  // answers no claim
-  EXPECT_EQ(net[0].counts().malformed, 2u);
-  EXPECT_TRUE(net[0].takeOutgoing().empty());
+  EXPECT_EQ(network[0].counts().malformed, 2u);
+  EXPECT_TRUE(network[0].takeOutgoing().empty());
 }
 
-// Messages are lost, late and duplicated, and gateways restart one at a time, all from a fixed seed. Every
-// request waits for its decision. No key runs while it runs elsewhere, and none counts as unused while it may
-// have been executed.
+// Messages are lost, delayed and duplicated, and gateways restart one at a time, all from fixed seeds. Every
+// request waits for its decision. A key must not run in two gateways at once, and must not count as unused
+// while it may have been executed.
 TEST(KeyOwnership, NoKeyRunsTwiceUnderNetworkFaults) {
   std::size_t ran = 0, answered = 0, bound = 0, waited = 0, restarts = 0;
   for (std::uint32_t seed = 1; seed <= 25; ++seed) {
-    Net net(5);
-    net.rng.seed(seed);
-    net.lost = seed % 3 * 0.12;
-    net.twice = 0.1;
-    net.delayMost = milliseconds(seed % 2 ? 3 : 25);
-    struct Open {
+    Network network(5);
+    network.rng.seed(seed);
+    network.lossRate = seed % 3 * 0.12;
+    network.duplicationRate = 0.1;
+    network.maxDelay = milliseconds(seed % 2 ? 3 : 25);
+    struct OpenRequest {
       GatewayNumber at;
       std::uint64_t run;
       std::string key;
-      bool runs = false;
+      bool isRunning = false;
       Time until{};
     };
-    struct Truth {
+    struct KeyHistory {
       int running = 0;
       Time mayHaveRunUntil{};
       std::string zone;
-      // A bound run that ran again leaves two runs, both valid.
-      std::map<std::string, Time> answers;
+      // A bound run that was sent again leaves two responses, both valid.
+      std::map<std::string, Time> responseExpiry;
       std::map<GatewayNumber, Time> endedAt;
     };
-    std::vector<Open> open;
-    std::map<std::string, Truth> truth;
-    std::uint64_t next = 0;
-    Time startAnew = net.now + seconds(3);
+    std::vector<OpenRequest> openRequests;
+    std::map<std::string, KeyHistory> histories;
+    std::uint64_t lastRun = 0;
+    Time nextRestart = network.now + seconds(3);
     for (int step = 0; step < 2500; ++step) {
-      net.run(milliseconds(net.rng() % 12));
-      if (net.now >= startAnew) {  // one at a time, once the last one is not new any more
-        const auto n = static_cast<GatewayNumber>(net.rng() % 5);
-        net.start(n);
+      network.run(milliseconds(network.rng() % 12));
+      // The next restart follows when the restarted gateway is not new any more.
+      if (network.now >= nextRestart) {
+        const auto n = static_cast<GatewayNumber>(network.rng() % 5);
+        network.start(n);
         ++restarts;
-        for (auto it = open.begin(); it != open.end();) {
+        for (auto it = openRequests.begin(); it != openRequests.end();) {
           if (it->at != n) {
             ++it;
             continue;
           }
-          Truth& t = truth[it->key];
-          if (it->runs) --t.running, t.mayHaveRunUntil = net.now + net.settings.retention, t.zone.clear();
-          it = open.erase(it);
+          KeyHistory& t = histories[it->key];
+          if (it->isRunning)
+            --t.running, t.mayHaveRunUntil = network.now + network.settings.retention, t.zone.clear();
+          it = openRequests.erase(it);
         }
-        startAnew = net.now + net.settings.retention + net.settings.maxRequestDuration + seconds(1);
+        nextRestart =
+            network.now + network.settings.retention + network.settings.maxRequestDuration + seconds(1);
       }
-      if (open.size() < 40) {
-        Open o{static_cast<GatewayNumber>(net.rng() % 5), ++next, "k" + std::to_string(net.rng() % 30)};
-        // The store of a gateway has its own repeats join, so a gateway claims a key once at a time.
-        if (std::none_of(open.begin(), open.end(),
-                         [&](const Open& a) { return a.at == o.at && a.key == o.key; }) &&
-            // The store knows what it has run, and evicts it after some time at the earliest.
-            net.now - truth[o.key].endedAt[o.at] > milliseconds(200)) {
-          o.until = net.now + milliseconds(1500);
-          net[o.at].claimKey(net.now, o.run, net.key(o.key), true);
-          open.push_back(o);
+      if (openRequests.size() < 40) {
+        OpenRequest o{static_cast<GatewayNumber>(network.rng() % 5), ++lastRun,
+                      "k" + std::to_string(network.rng() % 30)};
+        // Repeats at the same gateway wait in its store, so a gateway has one claim of a key at a time.
+        if (std::none_of(openRequests.begin(), openRequests.end(),
+                         [&](const OpenRequest& a) { return a.at == o.at && a.key == o.key; }) &&
+            // The store answers repeats of its own runs until it evicts them, which takes some time.
+            network.now - histories[o.key].endedAt[o.at] > milliseconds(200)) {
+          o.until = network.now + milliseconds(1500);
+          network[o.at].claimKey(network.now, o.run, network.key(o.key), true);
+          openRequests.push_back(o);
           ++waited;
         }
       }
-      for (auto it = open.begin(); it != open.end();) {
-        Truth& t = truth[it->key];
-        if (!it->runs) {
-          const auto* d = net.decision(it->at, it->run);
+      for (auto it = openRequests.begin(); it != openRequests.end();) {
+        KeyHistory& t = histories[it->key];
+        if (!it->isRunning) {
+          const auto* d = network.decision(it->at, it->run);
           if (!d) {
-            if (net.now >= it->until) {  // the client's deadline
-              net.over(it->at, it->run, KeyState::unused);
-              it = open.erase(it);
+            if (network.now >= it->until) {  // at the client's deadline
+              network.finish(it->at, it->run, KeyState::unused);
+              it = openRequests.erase(it);
               continue;
             }
             ++it;
             continue;
           }
-          const bool mayHaveRun = net.now < t.mayHaveRunUntil;
+          const bool mayHaveRun = network.now < t.mayHaveRunUntil;
           if (d->kind == Kind::response) {
-            ASSERT_TRUE(t.answers.count(d->response.body)) << "seed " << seed << " step " << step;
-            ASSERT_LT(net.now, t.answers[d->response.body] + milliseconds(300)) << "kept for too long";
+            ASSERT_TRUE(t.responseExpiry.count(d->response.body)) << "seed " << seed << " step " << step;
+            ASSERT_LT(network.now, t.responseExpiry[d->response.body] + milliseconds(300))
+                << "response replayed after its retention";
             ++answered;
-            net.over(it->at, it->run, KeyState::unused);  // it was not executed here
-            it = open.erase(it);
+            network.finish(it->at, it->run, KeyState::unused);  // not executed at this gateway
+            it = openRequests.erase(it);
             continue;
           }
-          if (d->kind == Kind::uncertain && d->earlierAttempt.sentAt == Time{}) {  // it fails unsent
-            net.over(it->at, it->run, KeyState::unused);
-            it = open.erase(it);
+          if (d->kind == Kind::uncertain && d->earlierAttempt.sentAt == Time{}) {  // the run fails unsent
+            network.finish(it->at, it->run, KeyState::unused);
+            it = openRequests.erase(it);
             continue;
           }
-          ASSERT_EQ(t.running, 0) << "two at once: seed " << seed << " step " << step << " " << it->key;
+          ASSERT_EQ(t.running, 0) << "two concurrent runs: seed " << seed << " step " << step << " "
+                                  << it->key;
           if (d->kind == Kind::run) {
-            ASSERT_FALSE(mayHaveRun) << "twice: seed " << seed << " step " << step << " " << it->key;
+            ASSERT_FALSE(mayHaveRun) << "run twice: seed " << seed << " step " << step << " " << it->key;
             ++ran;
           } else {
             if (mayHaveRun && !t.zone.empty()) ASSERT_EQ(d->earlierAttempt.zone, t.zone);
@@ -588,19 +602,20 @@
             t.mayHaveRunUntil = std::max(t.mayHaveRunUntil, d->validUntil);
             ++bound;
           }
-          it->runs = true;
-          it->until = net.now + milliseconds(net.rng() % 400);
+          it->isRunning = true;
+          it->until = network.now + milliseconds(network.rng() % 400);
           ++t.running;
-        } else if (net.now >= it->until) {
+        } else if (network.now >= it->until) {
           --t.running;
-          const bool served = net.rng() % 2;
+          const bool served = network.rng() % 2;
           const std::string answer = "answer to " + it->key + " by " + std::to_string(it->run);
-          if (served) t.answers[answer] = net.now + net.settings.retention;
-          if (t.zone.empty() || net.now >= t.mayHaveRunUntil) t.zone = net.rng() % 2 ? "east" : "west";
-          net.over(it->at, it->run, served ? KeyState::completed : KeyState::uncertain, answer, t.zone);
-          t.mayHaveRunUntil = net.now + net.settings.retention - milliseconds(1);
-          t.endedAt[it->at] = net.now;
-          it = open.erase(it);
+          if (served) t.responseExpiry[answer] = network.now + network.settings.retention;
+          if (t.zone.empty() || network.now >= t.mayHaveRunUntil)
+            t.zone = network.rng() % 2 ? "east" : "west";
+          network.finish(it->at, it->run, served ? KeyState::completed : KeyState::uncertain, answer, t.zone);
+          t.mayHaveRunUntil = network.now + network.settings.retention - milliseconds(1);
+          t.endedAt[it->at] = network.now;
+          it = openRequests.erase(it);
           continue;
         }
         ++it;
@@ -611,8 +626,8 @@
   EXPECT_GT(answered, 1000u);
   EXPECT_GT(bound, 100u);
   EXPECT_GE(restarts, 25u);
-  std::printf("%zu requests waited: %zu ran, %zu answered, %zu bound, %zu starts anew\n", waited, ran,
-              answered, bound, restarts);
+  std::printf("%zu requests waited: %zu ran, %zu answered, %zu bound, %zu restarts\n", waited, ran, answered,
+              bound, restarts);
 }
 
 }  // namespace
--- a/tests/idempotency/log_record_test.cpp
+++ b/tests/idempotency/log_record_test.cpp
@@ -1,4 +1,4 @@
-// Encodes and decodes the records of the idempotency log. Nothing but a valid record is accepted.
+// The encoding of the records of the idempotency log, and the rejection of invalid records.
 #include "idempotency/log_record.hpp"
 
 #include <gtest/gtest.h>
@@ -60,7 +60,7 @@
   later[1] = 2;  // a later version
   EXPECT_FALSE(decode(later));
   std::string state = encode(examples()[7]);
-  state.back() = 1;  // finished, and running
+  state.back() = 1;  // `running` is not valid in RunFinished
   EXPECT_FALSE(decode(state));
   state.back() = 4;
   EXPECT_FALSE(decode(state));
@@ -71,7 +71,7 @@
   EXPECT_FALSE(decode(encode(odd)));
 }
 
-// A log outlives the process that wrote it, so its format is fixed by literal bytes of each kind.
+// A log outlives the version that wrote it, so the encoding of each kind must not change.
 TEST(LogRecord, BytesOfEachKindAreFixed) {
   const std::string key("k\0y", 3);
   const Fingerprint fingerprint{1, 0x0203040506070809};
--- a/tests/idempotency/owner_message_test.cpp
+++ b/tests/idempotency/owner_message_test.cpp
@@ -1,4 +1,4 @@
-// Encodes and decodes the messages between gateways. Nothing but a valid message is accepted.
+// The encoding of the messages between gateways, and the rejection of invalid messages.
 #include "idempotency/owner_message.hpp"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,7 @@
   EXPECT_EQ(r.attempt.ageMs, 120u);
 }
 
-// A zone name that is too long is left out, since a truncated one could be another zone's.
+// A truncated zone name could be that of another zone.
 TEST(OwnerMessage, OmitsZoneNameThatIsTooLong) {
   const auto m = decodeOwnerMessage(encode(RunFinishedNotice{
       8, {}, 9, KeyState::uncertain, {std::string(kMaxZoneNameBytes + 1, 'z'), 1, 120}, 5000}));
@@ -58,8 +58,8 @@
   EXPECT_FALSE(parseResponse("ab"));
 }
 
-// Gateways of two versions talk to each other during a deployment, so the format is fixed by literal bytes of
-// each kind.
+// Gateways of two versions exchange messages during a deployment, so the encoding of each kind must not
+// change.
 TEST(OwnerMessage, BytesOfEachKindAreFixed) {
   const SharedKey k{{1, 2}, 3};
   const std::vector<std::pair<OwnerMessage, const char*>> fixed = {
--- a/tests/idempotency/pending_messages_test.cpp
+++ b/tests/idempotency/pending_messages_test.cpp
@@ -1,4 +1,4 @@
-// Retransmission of messages between gateways.
+// Retransmission of messages to other gateways.
 #include "idempotency/pending_messages.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/idempotency/relative_time_test.cpp
+++ b/tests/idempotency/relative_time_test.cpp
@@ -1,4 +1,4 @@
-// Times in messages between gateways that share no clock.
+// Conversion of times in messages between gateways, which share no clock.
 #include "idempotency/relative_time.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/idempotency/shared_responses_test.cpp
+++ b/tests/idempotency/shared_responses_test.cpp
@@ -1,4 +1,4 @@
-// Responses that other gateways may fetch.
+// The responses that other gateways may fetch.
 #include "idempotency/shared_responses.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/idempotency/store_test.cpp
+++ b/tests/idempotency/store_test.cpp
@@ -1,4 +1,4 @@
-// Tests each transition of a key in the store, the limits of the store, and random operations against a
+// Each transition of a key in the store, the limits of the store, and random operations checked against a
 // reference model.
 #include "idempotency/store.hpp"
 
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using E = Store::RunOutcome;
+using Outcome = Store::RunOutcome;
 
 struct StoreTest : ::testing::Test {
   StoreLimits limits;
@@ -45,7 +45,7 @@
   EXPECT_EQ(arrive("k").admission, Admission::joinRunning);
   EXPECT_EQ(arrive("k").admission, Admission::joinRunning);  // a second waiter
   EXPECT_TRUE(store->hasWaiters(first.entry));
-  EXPECT_EQ(store->finishRun(now, first.entry, E::responded, ok()), (std::vector<Store::Waiter>{2, 3}));
+  EXPECT_EQ(store->finishRun(now, first.entry, Outcome::responded, ok()), (std::vector<Store::Waiter>{2, 3}));
   const auto replay = arrive("k");
   ASSERT_EQ(replay.admission, Admission::replayResponse);
   EXPECT_EQ(replay.response->body, "ok");
@@ -63,137 +63,135 @@
   make();
   const auto first = arrive("k", 1);
   EXPECT_EQ(arrive("k", 2).admission, Admission::fingerprintMismatch);
-  store->finishRun(now, first.entry, E::responded, ok());
+  store->finishRun(now, first.entry, Outcome::responded, ok());
   EXPECT_EQ(arrive("k", 2).admission, Admission::fingerprintMismatch);
   const auto other = arrive("u", 1);
-  store->finishRun(now, other.entry, E::mayHaveExecuted);
+  store->finishRun(now, other.entry, Outcome::mayHaveExecuted);
   EXPECT_EQ(arrive("u", 2).admission, Admission::fingerprintMismatch);
   EXPECT_EQ(arrive("u", 1).admission, Admission::retryUncertain);
 }
 
-// A first request that was rejected unsent leaves nothing, and its repeat runs as a new one.
+// A first request that was rejected unsent leaves no entry, and its repeat runs as a first one.
 TEST_F(StoreTest, ForgetsRunThatWasNotExecuted) {
   make();
   const auto first = arrive("k");
   arrive("k");
-  EXPECT_EQ(store->finishRun(now, first.entry, E::notExecuted).size(), 1u);
+  EXPECT_EQ(store->finishRun(now, first.entry, Outcome::notExecuted).size(), 1u);
   EXPECT_EQ(store->entries(), 0u);
   EXPECT_EQ(store->bytes(), 0u);
   EXPECT_EQ(arrive("k", 9).admission, Admission::firstRun);
 }
 
-// A first request fails after an attempt may have been executed. The first such attempt is the one that
-// counts.
+// A first request fails after an attempt may have been executed. Repeats are bound to the first such
+// attempt.
 TEST_F(StoreTest, RemembersLocationAndTimeOfRunThatMayHaveExecuted) {
   make();
   const auto first = arrive("k");
   store->onAttemptSent(first.entry, {"brasov", 1, now});
-  store->onAttemptSettled(first.entry, false);  // rejected by the host: it does not count
+  store->onAttemptSettled(first.entry, false);  // rejected by the host
   store->onAttemptSent(first.entry, {"cluj", 2, now + milliseconds(10)});
   store->onAttemptSettled(first.entry, true);
   store->onAttemptSent(first.entry, {"cluj", 3, now + milliseconds(20)});
   store->onAttemptSettled(first.entry, false);
-  store->finishRun(now + milliseconds(30), first.entry, E::mayHaveExecuted);
-  const auto again = arrive("k");
-  ASSERT_EQ(again.admission, Admission::retryUncertain);
-  EXPECT_EQ(again.earlierAttempt->zone, "cluj");
-  EXPECT_EQ(again.earlierAttempt->cell, 2);
-  EXPECT_EQ(again.earlierAttempt->sentAt, now + milliseconds(10));
+  store->finishRun(now + milliseconds(30), first.entry, Outcome::mayHaveExecuted);
+  const auto retry = arrive("k");
+  ASSERT_EQ(retry.admission, Admission::retryUncertain);
+  EXPECT_EQ(retry.earlierAttempt->zone, "cluj");
+  EXPECT_EQ(retry.earlierAttempt->cell, 2);
+  EXPECT_EQ(retry.earlierAttempt->sentAt, now + milliseconds(10));
   // The retry itself was not executed, but the run before it still may have been.
-  store->finishRun(now, again.entry, E::notExecuted);
+  store->finishRun(now, retry.entry, Outcome::notExecuted);
   const auto third = arrive("k");
   ASSERT_EQ(third.admission, Admission::retryUncertain);
   EXPECT_EQ(third.earlierAttempt->sentAt, now + milliseconds(10));
 }
 
-// A client that repeats an uncertain request again and again, and fails unsent each time, does not prolong
-// its retention.
+// A client that keeps repeating an uncertain request, which fails unsent each time, must not prolong its
+// retention.
 TEST_F(StoreTest, UnsentRetryDoesNotProlongRetention) {
   limits.retention = seconds(10);
   make();
   const auto first = arrive("k");
   store->onAttemptSent(first.entry, {"cluj", 2, now});
   store->onAttemptSettled(first.entry, true);
-  store->finishRun(now, first.entry, E::mayHaveExecuted);
-  const Time due = now + limits.retention;
-  for (now += seconds(1); now < due; now += seconds(1)) {
-    const auto again = arrive("k");
-    ASSERT_EQ(again.admission, Admission::retryUncertain);
-    EXPECT_EQ(again.earlierAttempt->zone, "cluj");
-    store->finishRun(now, again.entry, E::notExecuted);
+  store->finishRun(now, first.entry, Outcome::mayHaveExecuted);
+  const Time expiry = now + limits.retention;
+  for (now += seconds(1); now < expiry; now += seconds(1)) {
+    const auto retry = arrive("k");
+    ASSERT_EQ(retry.admission, Admission::retryUncertain);
+    EXPECT_EQ(retry.earlierAttempt->zone, "cluj");
+    store->finishRun(now, retry.entry, Outcome::notExecuted);
   }
   EXPECT_EQ(arrive("k").admission, Admission::firstRun);
   // A retry that is sent begins a new retention.
   const auto other = arrive("o");
   store->onAttemptSent(other.entry, {"cluj", 2, now});
   store->onAttemptSettled(other.entry, true);
-  store->finishRun(now, other.entry, E::mayHaveExecuted);
+  store->finishRun(now, other.entry, Outcome::mayHaveExecuted);
   now += seconds(9);
-  const auto again = arrive("o");
-  store->onAttemptSent(again.entry, {"cluj", 2, now});
-  store->finishRun(now, again.entry, E::notExecuted);
+  const auto retry = arrive("o");
+  store->onAttemptSent(retry.entry, {"cluj", 2, now});
+  store->finishRun(now, retry.entry, Outcome::notExecuted);
   now += seconds(9);
   EXPECT_EQ(arrive("o").admission, Admission::retryUncertain);
 }
 
-// An earlier attempt that another gateway knows of binds a run that has just begun, for as long as that
-// gateway says, whether it ends with the other gateway's response or unsent.
+// A run that is bound to an attempt reported by another gateway retains its key until the reported time,
+// whether it ends with the other gateway's response or unsent.
 TEST_F(StoreTest, BoundAttemptCountsUntilItsTime) {
   limits.retention = seconds(10);
   make();
-  for (const E how : {E::responded, E::notExecuted}) {
-    const std::string key = how == E::responded ? "a" : "u";
+  for (const Outcome outcome : {Outcome::responded, Outcome::notExecuted}) {
+    const std::string key = outcome == Outcome::responded ? "a" : "u";
     const auto r = arrive(key);
     store->bindToEarlierAttempt(r.entry, {"cluj", 2, now}, now + seconds(4));
-    store->finishRun(now + seconds(1), r.entry, how, ok());
+    store->finishRun(now + seconds(1), r.entry, outcome, ok());
   }
-  const Time began = now;
-  now = began + milliseconds(3999);
+  const Time start = now;
+  now = start + milliseconds(3999);
   EXPECT_EQ(arrive("a").admission, Admission::replayResponse);
-  const auto again = arrive("u");
-  ASSERT_EQ(again.admission, Admission::retryUncertain);
-  EXPECT_EQ(again.earlierAttempt->zone, "cluj");
-  // The same for a key that was uncertain here: its own earlier attempt stays, and the response lasts no
-  // longer.
-  store->bindToEarlierAttempt(again.entry, {"brasov", 1, now}, began + seconds(6));
-  store->finishRun(now, again.entry, E::responded, ok());
-  now = began + milliseconds(5999);
+  const auto retry = arrive("u");
+  ASSERT_EQ(retry.admission, Admission::retryUncertain);
+  EXPECT_EQ(retry.earlierAttempt->zone, "cluj");
+  // The same applies to a key that was uncertain before: its own earlier attempt is kept, and the response
+  // expires at the later of the two times.
+  store->bindToEarlierAttempt(retry.entry, {"brasov", 1, now}, start + seconds(6));
+  store->finishRun(now, retry.entry, Outcome::responded, ok());
+  now = start + milliseconds(5999);
   EXPECT_EQ(arrive("a").admission, Admission::firstRun);
   EXPECT_EQ(arrive("u").admission, Admission::replayResponse);
-  now = began + seconds(6);
+  now = start + seconds(6);
   EXPECT_EQ(arrive("u").admission, Admission::firstRun);
 }
 
-// A run that ends unsent after the time of the attempt that bound it leaves its key unused.
+// A retry that ends unsent after the retention of the earlier run leaves its key unused.
 TEST_F(StoreTest, ForgetsUnsentRetryThatOutlastsRetention) {
   limits.retention = seconds(10);
   make();
-  store->finishRun(now, arrive("k").entry, E::mayHaveExecuted);
+  store->finishRun(now, arrive("k").entry, Outcome::mayHaveExecuted);
   now += seconds(9);
-  const auto again = arrive("k");
+  const auto retry = arrive("k");
   now += seconds(2);
-  store->finishRun(now, again.entry, E::notExecuted);
+  store->finishRun(now, retry.entry, Outcome::notExecuted);
   EXPECT_EQ(store->entries(), 0u);
 }
 
-// A response that is larger than the store accepts.
 TEST_F(StoreTest, ResponseTooLargeLeavesKeyUncertain) {
   limits.maxResponseBytes = 10;
   make();
   const auto first = arrive("k");
   store->onAttemptSent(first.entry, {"cluj", 0, now});
   store->onAttemptSettled(first.entry, true);
-  store->finishRun(now, first.entry, E::responded, ok(std::string(11, 'x')));
+  store->finishRun(now, first.entry, Outcome::responded, ok(std::string(11, 'x')));
   EXPECT_EQ(store->countInState(KeyState::uncertain), 1u);
   EXPECT_EQ(arrive("k").admission, Admission::retryUncertain);
 }
 
-// A key is used again a millisecond before and after its retention.
 TEST_F(StoreTest, RetentionIsExact) {
   limits.retention = seconds(10);
   make();
-  store->finishRun(now, arrive("a").entry, E::responded, ok());
-  store->finishRun(now, arrive("u").entry, E::mayHaveExecuted);
+  store->finishRun(now, arrive("a").entry, Outcome::responded, ok());
+  store->finishRun(now, arrive("u").entry, Outcome::mayHaveExecuted);
   now += milliseconds(9999);
   EXPECT_EQ(arrive("a").admission, Admission::replayResponse);
   now += milliseconds(1);
@@ -205,29 +203,30 @@
   limits.retention = seconds(10);
   make();
   for (int i = 0; i < 1000; ++i, now += milliseconds(7))
-    store->finishRun(now, arrive(std::to_string(i)).entry, E::responded, ok());
+    store->finishRun(now, arrive(std::to_string(i)).entry, Outcome::responded, ok());
   now += seconds(11);
   store->expire(now);
   EXPECT_EQ(store->entries(), 0u);
   EXPECT_EQ(store->bytes(), 0u);
 }
 
-// A clock step far ahead removes all expired entries; a step back removes none.
+// A clock step forward removes all expired entries, also by more than one turn of the wheel; a step back
+// removes none.
 TEST_F(StoreTest, ClockStepsNeitherLoseNorRetainEntries) {
   limits.retention = seconds(10);
   make();
-  store->finishRun(now, arrive("a").entry, E::responded, ok());
+  store->finishRun(now, arrive("a").entry, Outcome::responded, ok());
   now += std::chrono::hours(1000);
   store->expire(now);
   EXPECT_EQ(store->entries(), 0u);
-  store->finishRun(now, arrive("b").entry, E::responded, ok());
+  store->finishRun(now, arrive("b").entry, Outcome::responded, ok());
   now -= std::chrono::hours(2);
   EXPECT_EQ(arrive("b").admission, Admission::replayResponse);
   now += std::chrono::hours(2) + seconds(10);
   EXPECT_EQ(arrive("b").admission, Admission::firstRun);
 }
 
-// A full store never removes running and uncertain entries. It removes completed ones, the oldest first.
+// A full store evicts completed entries, the oldest first, and never running and uncertain ones.
 TEST_F(StoreTest, EvictsCompletedEntriesOnlyThenReportsFull) {
   limits.maxEntries = 10;
   limits.maxTenantFraction = 1;
@@ -235,9 +234,9 @@
   std::vector<Store::EntryId> running;
   for (int i = 0; i < 4; ++i) running.push_back(arrive("r" + std::to_string(i)).entry);
   for (int i = 0; i < 3; ++i)
-    store->finishRun(now, arrive("u" + std::to_string(i)).entry, E::mayHaveExecuted);
+    store->finishRun(now, arrive("u" + std::to_string(i)).entry, Outcome::mayHaveExecuted);
   for (int i = 0; i < 3; ++i)
-    store->finishRun(now, arrive("a" + std::to_string(i)).entry, E::responded, ok());
+    store->finishRun(now, arrive("a" + std::to_string(i)).entry, Outcome::responded, ok());
   EXPECT_EQ(arrive("n0").admission, Admission::firstRun);  // evicts a0
   EXPECT_EQ(store->evictions(), 1u);
   EXPECT_EQ(arrive("a1").admission, Admission::replayResponse);
@@ -246,18 +245,18 @@
   EXPECT_EQ(arrive("n3").admission, Admission::storeFull);
   for (int i = 0; i < 4; ++i) EXPECT_EQ(arrive("r" + std::to_string(i)).admission, Admission::joinRunning);
   EXPECT_EQ(arrive("u0").admission, Admission::retryUncertain);
-  store->finishRun(now, running[0], E::notExecuted);
+  store->finishRun(now, running[0], Outcome::notExecuted);
   EXPECT_EQ(arrive("n3").admission, Admission::firstRun);
 }
 
-// Without eviction nothing is removed before its time, and new keys are not admitted.
+// Without eviction no entry is removed before it expires, and new keys are not admitted.
 TEST_F(StoreTest, KeepsCompletedEntriesWithoutEviction) {
   limits.maxEntries = 4;
   limits.maxTenantFraction = 1;
   limits.evictCompleted = false;
   make(1);
   for (int i = 0; i < 4; ++i)
-    store->finishRun(now, arrive("a" + std::to_string(i)).entry, E::responded, ok());
+    store->finishRun(now, arrive("a" + std::to_string(i)).entry, Outcome::responded, ok());
   EXPECT_EQ(arrive("n").admission, Admission::storeFull);
   for (int i = 0; i < 4; ++i) EXPECT_EQ(arrive("a" + std::to_string(i)).admission, Admission::replayResponse);
   EXPECT_EQ(store->evictions(), 0u);
@@ -271,29 +270,28 @@
   limits.maxTenantFraction = 0.5;
   make(3);
   for (int i = 0; i < 200; ++i)
-    store->finishRun(now, arrive("p" + std::to_string(i), 1, 1).entry, E::responded, ok());
+    store->finishRun(now, arrive("p" + std::to_string(i), 1, 1).entry, Outcome::responded, ok());
   for (int i = 0; i < 100'000; ++i)
-    store->finishRun(now, arrive("f" + std::to_string(i), 1, 0).entry, E::responded, ok());
+    store->finishRun(now, arrive("f" + std::to_string(i), 1, 0).entry, Outcome::responded, ok());
   for (int i = 0; i < 300; ++i)
-    store->finishRun(now, arrive("q" + std::to_string(i), 1, 2).entry, E::responded, ok());
+    store->finishRun(now, arrive("q" + std::to_string(i), 1, 2).entry, Outcome::responded, ok());
   for (int i = 0; i < 200; ++i)
     EXPECT_EQ(arrive("p" + std::to_string(i), 1, 1).admission, Admission::replayResponse) << i;
   EXPECT_LE(store->entries(), 1000u);
 }
 
-// A client that sends a million keys.
 TEST_F(StoreTest, StaysWithinLimitsForAMillionKeys) {
   limits.maxEntries = 5000;
   limits.maxBytes = 2 * 1024 * 1024;
   make();
-  std::size_t most = 0;
+  std::size_t peakBytes = 0;
   for (int i = 0; i < 1'000'000; ++i) {
     const auto r = arrive("key-" + std::to_string(i));
-    if (r.admission == Admission::firstRun) store->finishRun(now, r.entry, E::responded, ok());
-    most = std::max(most, store->bytes());
+    if (r.admission == Admission::firstRun) store->finishRun(now, r.entry, Outcome::responded, ok());
+    peakBytes = std::max(peakBytes, store->bytes());
     now += std::chrono::microseconds(10);
   }
-  EXPECT_LE(most, limits.maxBytes);
+  EXPECT_LE(peakBytes, limits.maxBytes);
   EXPECT_LE(store->entries(), 5000u);
 }
 
@@ -310,23 +308,23 @@
   const auto first = arrive("k");
   arrive("k"), arrive("k");
   store->removeWaiter(first.entry, 2);
-  store->removeWaiter(first.entry, 99);  // an unknown waiter has no effect
-  EXPECT_EQ(store->finishRun(now, first.entry, E::responded, ok()), (std::vector<Store::Waiter>{3}));
+  store->removeWaiter(first.entry, 99);  // not a waiter of this entry: no effect
+  EXPECT_EQ(store->finishRun(now, first.entry, Outcome::responded, ok()), (std::vector<Store::Waiter>{3}));
 }
 
-// Keys that collide in the hash: with two buckets each chain holds most of them.
+// Many keys in few buckets.
 TEST_F(StoreTest, SeparatesKeysInOneBucket) {
   limits.maxEntries = 16;
   limits.maxTenantFraction = 1;
   make(1);
   std::vector<Store::EntryId> ids;
   for (int i = 0; i < 16; ++i) ids.push_back(arrive("k" + std::to_string(i)).entry);
-  for (int i = 0; i < 16; i += 2) store->finishRun(now, ids[i], E::notExecuted);
+  for (int i = 0; i < 16; i += 2) store->finishRun(now, ids[i], Outcome::notExecuted);
   for (int i = 1; i < 16; i += 2) EXPECT_EQ(arrive("k" + std::to_string(i)).entry, ids[i]);
   for (int i = 0; i < 16; i += 2) EXPECT_EQ(arrive("k" + std::to_string(i)).admission, Admission::firstRun);
 }
 
-// Keys whose hashes are equal in all bits are told apart by key, class and tenant.
+// Keys whose used hash bits are equal are distinguished by key, class and tenant.
 TEST_F(StoreTest, SeparatesKeysWithEqualHash) {
   make(2, 1);
   const auto first = arrive("a", 1, 0, 0);
@@ -335,23 +333,23 @@
   EXPECT_EQ(arrive("a", 1, 1, 0).admission, Admission::firstRun);
   EXPECT_EQ(arrive("a", 1, 0, 1).admission, Admission::firstRun);
   EXPECT_EQ(arrive("a", 1, 0, 0).entry, first.entry);
-  store->finishRun(now, first.entry, E::responded, ok("of a"));
+  store->finishRun(now, first.entry, Outcome::responded, ok("of a"));
   EXPECT_EQ(arrive("k7").admission, Admission::joinRunning);
   EXPECT_EQ(arrive("a").response->body, "of a");
 }
 
-// If the limits of all tenants exceed the whole store, the tenant with the most bytes is evicted from, and
-// not one with few.
+// If the limits of all tenants add up to more than the store, entries of the tenant with the most bytes are
+// evicted.
 TEST_F(StoreTest, EvictsFromLargestTenantWhenStoreIsFull) {
   limits.maxEntries = 1000;
   limits.maxTenantFraction = 0.8;
   make(3);
   for (int i = 0; i < 200; ++i)
-    store->finishRun(now, arrive("p" + std::to_string(i), 1, 1).entry, E::responded, ok());
+    store->finishRun(now, arrive("p" + std::to_string(i), 1, 1).entry, Outcome::responded, ok());
   for (int i = 0; i < 5000; ++i)
-    store->finishRun(now, arrive("f" + std::to_string(i), 1, 0).entry, E::responded, ok());
+    store->finishRun(now, arrive("f" + std::to_string(i), 1, 0).entry, Outcome::responded, ok());
   for (int i = 0; i < 300; ++i)
-    store->finishRun(now, arrive("q" + std::to_string(i), 1, 2).entry, E::responded, ok());
+    store->finishRun(now, arrive("q" + std::to_string(i), 1, 2).entry, Outcome::responded, ok());
   EXPECT_EQ(store->entries(), 1000u);
   for (int i = 0; i < 200; ++i)
     EXPECT_EQ(arrive("p" + std::to_string(i), 1, 1).admission, Admission::replayResponse) << i;
@@ -359,21 +357,21 @@
     EXPECT_EQ(arrive("q" + std::to_string(i), 1, 2).admission, Admission::replayResponse) << i;
 }
 
-// The model consists of plain maps without limits other than the retention. The store has to agree with it
+// A model in plain maps, without limits other than the retention and the waiters. The store must match it
 // after each random operation.
 struct Model {
-  struct Item {
+  struct ModelEntry {
     KeyState state = KeyState::running;
     std::uint64_t body = 0;
-    bool earlier = false, again = false, tried = false;
-    Time due{};
+    bool executedBefore = false, retry = false, attemptSent = false;
+    Time expiry{};
     std::deque<std::uint64_t> waiters;
-    std::string answer;
+    std::string responseBody;
   };
-  std::map<std::string, Item> items;
+  std::map<std::string, ModelEntry> modelEntries;
   void expire(Time now) {
-    for (auto it = items.begin(); it != items.end();)
-      if (it->second.state != KeyState::running && now >= it->second.due) it = items.erase(it);
+    for (auto it = modelEntries.begin(); it != modelEntries.end();)
+      if (it->second.state != KeyState::running && now >= it->second.expiry) it = modelEntries.erase(it);
       else ++it;
   }
 };
@@ -387,48 +385,48 @@
     make(1);
     Model model;
     std::map<std::string, Store::EntryId> running;
-    std::map<std::string, bool> attempt;  // one is under way
+    std::map<std::string, bool> attempt;  // an attempt is in flight
     for (int step = 0; step < 20'000; ++step) {
       now += std::chrono::microseconds(rng() % 3000);
       model.expire(now);
       const std::string key = "k" + std::to_string(rng() % 40);
       const std::uint64_t body = rng() % 20 == 0 ? 2 : 1;
-      const auto it = model.items.find(key);
+      const auto it = model.modelEntries.find(key);
       switch (rng() % 4) {
         case 0:
         case 1: {
           const auto r = arrive(key, body);
-          if (it == model.items.end()) {
+          if (it == model.modelEntries.end()) {
             ASSERT_EQ(r.admission, Admission::firstRun);
-            model.items[key].body = body;
+            model.modelEntries[key].body = body;
             running[key] = r.entry;
           } else if (it->second.body != body) {
             ASSERT_EQ(r.admission, Admission::fingerprintMismatch);
           } else if (it->second.state == KeyState::running) {
-            const bool crowded = it->second.waiters.size() == 4;
-            ASSERT_EQ(r.admission, crowded ? Admission::tooManyWaiters : Admission::joinRunning);
-            if (!crowded) it->second.waiters.push_back(waiters);
+            const bool waitersFull = it->second.waiters.size() == 4;
+            ASSERT_EQ(r.admission, waitersFull ? Admission::tooManyWaiters : Admission::joinRunning);
+            if (!waitersFull) it->second.waiters.push_back(waiters);
           } else if (it->second.state == KeyState::completed) {
             ASSERT_EQ(r.admission, Admission::replayResponse);
-            ASSERT_EQ(r.response->body, it->second.answer);
+            ASSERT_EQ(r.response->body, it->second.responseBody);
           } else {
             ASSERT_EQ(r.admission, Admission::retryUncertain);
             it->second.state = KeyState::running;
-            it->second.again = true;
-            it->second.tried = false;
+            it->second.retry = true;
+            it->second.attemptSent = false;
             running[key] = r.entry;
           }
           break;
         }
-        case 2:  // an attempt is sent, or ends
+        case 2:  // an attempt is sent or ends
           if (!running.count(key)) break;
           if (!attempt[key]) {
             store->onAttemptSent(running[key], {"z", 0, now});
-            attempt[key] = it->second.tried = true;
+            attempt[key] = it->second.attemptSent = true;
           } else {
-            const bool may = rng() % 2;
-            store->onAttemptSettled(running[key], may);
-            it->second.earlier |= may;
+            const bool executed = rng() % 2;
+            store->onAttemptSettled(running[key], executed);
+            it->second.executedBefore |= executed;
             attempt[key] = false;
           }
           break;
@@ -439,34 +437,37 @@
             it->second.waiters.pop_front();
             break;
           }
-          const E how = attempt[key]                      ? (rng() % 2 ? E::responded : E::mayHaveExecuted)
-                        : it->second.earlier && rng() % 2 ? E::mayHaveExecuted
-                                                          : E::notExecuted;
-          const std::string answer = "a" + std::to_string(step);
-          const auto waiting = store->finishRun(now, running[key], how, {200, "", answer});
+          const Outcome outcome = attempt[key] ? (rng() % 2 ? Outcome::responded : Outcome::mayHaveExecuted)
+                                  : it->second.executedBefore && rng() % 2 ? Outcome::mayHaveExecuted
+                                                                           : Outcome::notExecuted;
+          const std::string responseBody = "a" + std::to_string(step);
+          const auto waiting = store->finishRun(now, running[key], outcome, {200, "", responseBody});
           ASSERT_TRUE(std::equal(waiting.begin(), waiting.end(), it->second.waiters.begin(),
                                  it->second.waiters.end()));
           running.erase(key);
           attempt[key] = false;
-          const bool asBefore = how == E::notExecuted && it->second.again && !it->second.tried;
-          if ((how == E::notExecuted && !it->second.earlier) || (asBefore && it->second.due <= now)) {
-            model.items.erase(it);
+          const bool keepsExpiry =
+              outcome == Outcome::notExecuted && it->second.retry && !it->second.attemptSent;
+          if ((outcome == Outcome::notExecuted && !it->second.executedBefore) ||
+              (keepsExpiry && it->second.expiry <= now)) {
+            model.modelEntries.erase(it);
             break;
           }
-          it->second.earlier = true;
+          it->second.executedBefore = true;
           it->second.waiters.clear();
-          it->second.state = how == E::responded ? KeyState::completed : KeyState::uncertain;
-          it->second.answer = answer;
-          if (!asBefore) it->second.due = now + limits.retention;
+          it->second.state = outcome == Outcome::responded ? KeyState::completed : KeyState::uncertain;
+          it->second.responseBody = responseBody;
+          if (!keepsExpiry) it->second.expiry = now + limits.retention;
         }
       }
       if (step % 64 == 0) {
         store->expire(now);
         std::size_t n[4] = {};
-        for (const auto& [k, item] : model.items) ++n[static_cast<std::size_t>(item.state)];
+        for (const auto& [k, entryModel] : model.modelEntries)
+          ++n[static_cast<std::size_t>(entryModel.state)];
         ASSERT_EQ(store->countInState(KeyState::running), n[1]);
-        ASSERT_GE(store->entries(),
-                  model.items.size());  // entries are removed up to a tick after their expiry
+        // Entries are removed up to a tick after their expiry.
+        ASSERT_GE(store->entries(), model.modelEntries.size());
       }
     }
     now += seconds(2);
--- a/tests/trace/log_auditor_test.cpp
+++ b/tests/trace/log_auditor_test.cpp
@@ -1,4 +1,4 @@
-// The audit of merged logs: each rule with records that keep it and records that break it.
+// The audit of merged logs: each rule with records that satisfy it and records that violate it.
 #include "trace/log_auditor.hpp"
 
 #include <algorithm>
@@ -45,7 +45,7 @@
   EXPECT_EQ(found(), Kinds{});
   lines.back() = request(0, 551, RequestEnd::failed);
   EXPECT_EQ(found(), Kinds{Kind::answeredAfterDeadline});
-  lines.back() = request(0, 900, RequestEnd::clientDisconnected);  // nobody waits for it
+  lines.back() = request(0, 900, RequestEnd::clientDisconnected);  // no client waits for the answer
   EXPECT_EQ(found(), Kinds{});
 }
 
@@ -60,8 +60,8 @@
   EXPECT_EQ(found(), Kinds{});
 }
 
-// A process that ended in order owes each request an answer. A process that was killed, or a log with gaps,
-// leads to no finding.
+// Only a process that shut down in order must have answered each request. A killed process or a log with
+// gaps leads to no finding.
 TEST_F(LogAuditorTest, ReportsMissingAnswersOnlyInCompleteLogs) {
   lines.push_back(attempt(0, 90, Outcome::reset, Execution::maybe));
   EXPECT_EQ(found(), Kinds{});
@@ -144,7 +144,7 @@
   EXPECT_EQ(found(), Kinds{Kind::unsafeRetry});
 }
 
-// Attempts of one id at two gateways are judged together.
+// Attempts of one request id at two gateways are checked together.
 TEST_F(LogAuditorTest, ReportsUnsafeRetriesAcrossGateways) {
   lines.push_back(attempt(0, 50, Outcome::reset, Execution::maybe));
   lines.push_back(attempt(300, 350, Outcome::served, Execution::yes));
@@ -177,7 +177,7 @@
   EXPECT_EQ(found(), Kinds{});
   std::get<AttemptLine>(lines[1]).firstByteAtUs = 951 * kMs;
   EXPECT_EQ(found(), Kinds{Kind::sentToDrainingHost});
-  std::get<HostLine>(lines[2]).gateway = "n2";  // the list of another gateway
+  std::get<HostLine>(lines[2]).gateway = "n2";  // recorded by another gateway
   EXPECT_EQ(found(), Kinds{});
   std::get<HostLine>(lines[2]).gateway = "n1";
   lines.push_back(HostLine{"n1", "s-1", 900 * kMs, HostPhase::active});  // the host is active again
@@ -207,7 +207,7 @@
   }
 }
 
-TEST(FindingName, IsThatOfTheOperatorsPage) {
+TEST(FindingName, MatchesOperatorDocumentation) {
   using Kind = Finding::Kind;
   std::string names;
   for (const Kind kind : {Kind::answeredTwice, Kind::answeredAfterDeadline, Kind::sentAfterAnswer,
--- a/tests/trace/log_merger_test.cpp
+++ b/tests/trace/log_merger_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_EQ(processAt(processes, "n2", 1200 * kMs), nullptr);
 }
 
-TEST_F(LogMergerTest, KnowsTheLatestPhaseOfAHostAtAGateway) {
+TEST_F(LogMergerTest, ReturnsLatestPhaseOfHostAtGateway) {
   lines.push_back(HostLine{"n1", "s-1", 300 * kMs, HostPhase::removed});
   lines.push_back(HostLine{"n1", "s-1", 100 * kMs, HostPhase::draining});
   const LogMerger log = merged();
--- a/tests/trace/request_sampling_test.cpp
+++ b/tests/trace/request_sampling_test.cpp
@@ -7,7 +7,7 @@
 namespace finchstile::trace {
 namespace {
 
-// All gateways keep the records of the same requests, so that a request can be followed through all of them.
+// The sample of a smaller fraction is a subset of that of a larger one.
 TEST(RequestSampling, ChoosesTheFractionAndNestsSmallerSamples) {
   int tenth = 0;
   int half = 0;
@@ -23,8 +23,8 @@
   EXPECT_NEAR(half, 10000, 400);
 }
 
-// Gateways of different versions have to agree.
-TEST(RequestSampling, ChoosesTheseIds) {
+// Gateways of different versions must choose the same requests.
+TEST(RequestSampling, ChoosesSameIdsInAllVersions) {
   std::string sampled;
   for (int i = 0; i < 100; ++i)
     if (isSampled("id-" + std::to_string(i), 0.1)) sampled += std::to_string(i) + " ";
--- a/tests/trace/trace_line_codec_test.cpp
+++ b/tests/trace/trace_line_codec_test.cpp
@@ -1,5 +1,4 @@
-// The text form of the attempt log's records: its bytes, reading back what was written, and typed parse
-// errors.
+// The text form of the records of the attempt log: its bytes, reading of written lines, and parse errors.
 #include "trace/trace_line_codec.hpp"
 
 #include <gtest/gtest.h>
@@ -141,7 +140,7 @@
   EXPECT_STREQ(name(HostPhase::removed), "out");
 }
 
-// Clients choose the ids of their requests.
+// Clients choose the ids of their requests, so ids may have any bytes.
 TEST(TraceLineCodec, EncodesAnyBytesInNames) {
   AttemptLine a = attempt();
   a.id = "a b=c%d\n\xff";
@@ -150,7 +149,7 @@
   EXPECT_EQ(std::get<AttemptLine>(parseLine(line).line).id, a.id);
 }
 
-TEST(TraceLineCodec, TellsApartLinesThatAreNotOfTheLog) {
+TEST(TraceLineCodec, ClassifiesLinesOutsideTheAttemptLogAsNotTrace) {
   for (const char* line : {"", "9.1 cutoff 100", "tracer x", "finchstile: drains"})
     EXPECT_EQ(parseLine(line).status, ParseResult::Status::notTrace) << line;
 }
@@ -177,7 +176,7 @@
               "longer than 16 KiB");
 }
 
-// A full disk may cut off a line.
+// A full disk may truncate a line.
 TEST(TraceLineCodec, ReportsTruncatedLinesAsMalformed) {
   const std::string whole = text(attempt());
   for (std::size_t n = 20; n < whole.find(" window_ms"); ++n)
--- a/tests/wal/log_directory_test.cpp
+++ b/tests/wal/log_directory_test.cpp
@@ -21,7 +21,7 @@
   throw std::logic_error(path + " can be opened");
 }
 
-TEST(LogDirectory, SaysWhyItCannotBeOpened) {
+TEST(LogDirectory, ReportsWhyItCannotBeOpened) {
   const finchstile::testing::TemporaryDirectory folder;
   EXPECT_EQ(errorOf("/proc/none/at/all"), LogDirectoryError::Code::cannotCreate);
   EXPECT_EQ(errorOf(folder.write("file", "")), LogDirectoryError::Code::cannotOpen);
--- a/tests/wal/log_test.cpp
+++ b/tests/wal/log_test.cpp
@@ -1,4 +1,4 @@
-// The log under failures: torn writes, lost writes, and a stop at each operation.
+// The log under faults: torn writes, lost writes, damage, and a stop at each operation.
 #include "wal/log.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 using testing::FaultyDirectory;
 
-std::string numbered(std::uint64_t n) {  // of any size up to more than two blocks
+std::string numbered(std::uint64_t n) {  // records of different sizes, up to more than two blocks
   std::string s = std::to_string(n) + ":";
   const std::size_t size = n % 97 == 0 ? 70'000 : n % 13 == 0 ? 3000 : n % 40;
   s.append(size, static_cast<char>('a' + n % 26));
@@ -27,13 +27,13 @@
   return n;
 }
 
-constexpr std::size_t kKept = 20;  // the state consists of the last numbers
+constexpr std::size_t kKeptNumbers = 20;  // the state consists of this many last numbers
 
 struct State {
   std::vector<std::uint64_t> last;
-  void take(std::string_view record) {
+  void push(std::string_view record) {
     last.push_back(numberOf(record));
-    if (last.size() > kKept) last.erase(last.begin());
+    if (last.size() > kKeptNumbers) last.erase(last.begin());
   }
 };
 
@@ -44,91 +44,97 @@
   return o;
 }
 
-// Appends until a call fails or `most` records are in; returns how many were tried and synced. Syncs are run
-// at once, or while more is appended, as another thread would. Old records are removed by snapshots or by
-// segments.
-struct Ran {
-  std::uint64_t tried = 0, synced = 0;
+// Appends the records with numbers from `from` to before `endNumber`, until a call fails. Returns the
+// numbers that follow the last record attempted and the last one synced. Syncs run immediately or, as on
+// another thread, while more records are appended. Old records are removed by snapshots, or segment by
+// segment.
+struct AppendResult {
+  std::uint64_t attempted = 0, synced = 0;
 };
-Ran run(Log& log, State& state, std::uint64_t from, std::uint64_t most, std::mt19937& rng,
-        bool snapshots = true) {
-  Ran r{from, from};
-  std::optional<Log::SyncTask> under;
-  std::map<std::uint64_t, std::uint64_t> lastOf;  // the last number in each segment
-  while (r.tried < most) {
-    const std::string record = numbered(r.tried);
-    ++r.tried;
+AppendResult run(Log& log, State& state, std::uint64_t from, std::uint64_t endNumber, std::mt19937& rng,
+                 bool snapshots = true) {
+  AppendResult r{from, from};
+  std::optional<Log::SyncTask> pendingSync;
+  std::map<std::uint64_t, std::uint64_t> lastInSegment;  // the last number in each segment
+  while (r.attempted < endNumber) {
+    const std::string record = numbered(r.attempted);
+    ++r.attempted;
     if (!log.append(record)) return r;
-    lastOf[log.currentSegment()] = r.tried;
-    state.take(record);
-    if (under) {
+    lastInSegment[log.currentSegment()] = r.attempted;
+    state.push(record);
+    if (pendingSync) {
       if (rng() % 3 != 0) continue;
-      const bool good = under->run();
-      if (!log.endSync(*under, good)) return r;
-      r.synced = from + under->throughRecord;
-      under.reset();
+      const bool succeeded = pendingSync->run();
+      if (!log.endSync(*pendingSync, succeeded)) return r;
+      r.synced = from + pendingSync->throughRecord;
+      pendingSync.reset();
     } else if (rng() % 5 == 0) {
       if (!log.sync()) return r;
-      r.synced = r.tried;
+      r.synced = r.attempted;
     } else if (rng() % 5 == 0) {
-      under = log.beginSync();
+      pendingSync = log.beginSync();
     } else if (!snapshots) {
-      while (!lastOf.empty() && lastOf.begin()->second + kKept < r.synced) {
-        if (lastOf.begin()->first < log.currentSegment()) log.removeSegmentsThrough(lastOf.begin()->first);
-        lastOf.erase(lastOf.begin());
+      while (!lastInSegment.empty() && lastInSegment.begin()->second + kKeptNumbers < r.synced) {
+        if (lastInSegment.begin()->first < log.currentSegment())
+          log.removeSegmentsThrough(lastInSegment.begin()->first);
+        lastInSegment.erase(lastInSegment.begin());
       }
     } else if (log.needsSnapshot() || rng() % 200 == 0) {
       if (log.writeSnapshot([&](const auto& put) {
             for (const std::uint64_t n : state.last) put(numbered(n));
           }))
-        r.synced = r.tried;
+        r.synced = r.attempted;
       else if (log.failed()) return r;
     }
   }
   return r;
 }
 
-// The process is killed at each operation of the log, restarted, and killed again.
+// Each operation of the log fails in turn; then the process or the machine crashes and the log is recovered,
+// three times.
 TEST(Log, CrashAtEachOperationKeepsSyncedRecords) {
-  std::size_t cut = 0, points = 0;
-  for (std::uint64_t stop = 1; stop <= 1200; ++stop) {
-    FaultyDirectory folder(static_cast<std::uint32_t>(stop));
-    std::mt19937 rng(static_cast<std::uint32_t>(stop * 7));
+  std::size_t tornTails = 0, crashes = 0;
+  for (std::uint64_t failAt = 1; failAt <= 1200; ++failAt) {
+    FaultyDirectory folder(static_cast<std::uint32_t>(failAt));
+    std::mt19937 rng(static_cast<std::uint32_t>(failAt * 7));
     State state;
     std::uint64_t next = 0, synced = 0;
-    bool loose = false;
-    for (int life = 0; life < 3; ++life) {
+    bool keepsUnsynced = false;
+    for (int processIndex = 0; processIndex < 3; ++processIndex) {
       Log log(folder, small());
       RecoveryReport recovery;
-      State back;
-      folder.failFrom = folder.operations + (life == 0 ? stop : 1 + rng() % 200);
-      const bool open = log.recover([&](std::string_view record) { back.take(record); }, recovery);
-      ASSERT_FALSE(recovery.damaged) << "stop " << stop << " life " << life << ": " << recovery.description;
-      cut += recovery.truncatedBytes > 0;
-      // The recovered records are what had been appended up to some point no earlier than the last sync.
-      const std::uint64_t count = back.last.empty() ? 0 : back.last.back() + 1;
-      ASSERT_GE(count, synced) << "stop " << stop << " life " << life;
-      ASSERT_LE(count, next) << "stop " << stop << " life " << life;
-      for (std::size_t i = 0; i < back.last.size(); ++i)
-        ASSERT_EQ(back.last[i] + back.last.size() - i, count);
-      ASSERT_EQ(back.last.size(), std::min<std::uint64_t>(kKept, count));
-      state = back;
+      State recovered;
+      folder.failFrom = folder.operations + (processIndex == 0 ? failAt : 1 + rng() % 200);
+      const bool writable = log.recover([&](std::string_view record) { recovered.push(record); }, recovery);
+      ASSERT_FALSE(recovery.damaged) << "failure at operation " << failAt << ", process " << processIndex
+                                     << ": " << recovery.description;
+      tornTails += recovery.truncatedBytes > 0;
+      // The recovered records are all that were appended up to some point, which is not before the last
+      // sync.
+      const std::uint64_t count = recovered.last.empty() ? 0 : recovered.last.back() + 1;
+      ASSERT_GE(count, synced) << "failure at operation " << failAt << ", process " << processIndex;
+      ASSERT_LE(count, next) << "failure at operation " << failAt << ", process " << processIndex;
+      for (std::size_t i = 0; i < recovered.last.size(); ++i)
+        ASSERT_EQ(recovered.last[i] + recovered.last.size() - i, count);
+      ASSERT_EQ(recovered.last.size(), std::min<std::uint64_t>(kKeptNumbers, count));
+      state = recovered;
       next = count;
-      if (open) {
-        const Ran r = run(log, state, next, next + 400, rng, stop % 2 == 0);
-        next = r.tried;
+      if (writable) {
+        const AppendResult r = run(log, state, next, next + 400, rng, failAt % 2 == 0);
+        next = r.attempted;
         synced = std::max(count, r.synced);
-      } else if (!loose) {
+      } else if (!keepsUnsynced) {
         synced = std::max(synced, count);  // recovered records are durable
       }
-      loose = rng() % 4 == 0;  // a killed process' writes may still be lost
-      if (loose) folder.kill();
+      // A killed process leaves its writes in the page cache, from which they may still be lost.
+      keepsUnsynced = rng() % 4 == 0;
+      if (keepsUnsynced) folder.kill();
       else folder.crash();
-      ++points;
+      ++crashes;
     }
   }
-  EXPECT_EQ(points, 3600u);
-  EXPECT_GT(cut, 200u);  // tails were torn
+  EXPECT_EQ(crashes, 3600u);
+  EXPECT_GT(tornTails, 200u);
 }
 
 TEST(Log, RecoversRecordsOfAnySizeInOrder) {
@@ -150,13 +156,13 @@
   }
   Log log(folder, {});
   RecoveryReport r;
-  std::vector<std::string> back;
-  ASSERT_TRUE(log.recover([&](std::string_view s) { back.emplace_back(s); }, r));
-  EXPECT_EQ(back, records);
+  std::vector<std::string> recovered;
+  ASSERT_TRUE(log.recover([&](std::string_view s) { recovered.emplace_back(s); }, r));
+  EXPECT_EQ(recovered, records);
   EXPECT_EQ(r.truncatedBytes, 0u);
 }
 
-// Damage in the middle is told from a torn tail, at each byte.
+// Damage in the middle of a log, at positions throughout, is distinguished from a torn tail.
 TEST(Log, ReportsDamageAndReadsTheRest) {
   FaultyDirectory folder(1);
   std::size_t appended = 0;
@@ -169,7 +175,7 @@
   }
   const auto [name, bytes] = *folder.contents().begin();
   ASSERT_GT(bytes.size(), 3 * kBlockBytes);
-  std::size_t told = 0, tails = 0;
+  std::size_t damagedRuns = 0, tornRuns = 0;
   for (std::size_t at = 40; at < bytes.size(); at += 997) {
     FaultyDirectory copy(1);
     auto file = copy.create(name);
@@ -181,16 +187,16 @@
     ASSERT_TRUE(log.recover([&](std::string_view) { ++records; }, r));
     EXPECT_LT(records, appended);
     EXPECT_TRUE(r.damaged || r.truncatedBytes > 0) << at;
-    told += r.damaged;
-    tails += r.truncatedBytes > 0;
+    damagedRuns += r.damaged;
+    tornRuns += r.truncatedBytes > 0;
     if (at < bytes.size() - kBlockBytes) EXPECT_TRUE(r.damaged) << at;
   }
-  EXPECT_GT(told, 100u);
-  EXPECT_GT(tails, 0u);
+  EXPECT_GT(damagedRuns, 100u);
+  EXPECT_GT(tornRuns, 0u);
 }
 
-// An older segment that was never synced may be a torn tail as well: the segments after it are removed, and
-// nothing is damaged. Once it is known to be synced, an unreadable part is damage.
+// An older segment that was never synced may have a torn tail as well: the segments after it are removed,
+// and no damage is reported. Once a sync mark shows that it was synced, an unreadable part is damage.
 TEST(Log, UnsyncedOlderSegmentIsTornTailUntilMarked) {
   for (const bool synced : {false, true}) {
     FaultyDirectory folder(1);
@@ -219,7 +225,7 @@
   }
 }
 
-// Wherever a mark stands in its block, the records after it are read.
+// A sync mark can be read at any position in its block.
 TEST(Log, SyncMarkFitsAtEndOfBlock) {
   for (std::size_t left = 0; left <= 40; ++left) {
     FaultyDirectory folder(1);
@@ -230,8 +236,8 @@
       RecoveryReport r;
       ASSERT_TRUE(log.recover([](std::string_view) {}, r));
       ASSERT_TRUE(log.append(std::string(200, 'a')));
-      // After the new segment's header of 21 bytes and its fragment header of 7, this many bytes are left of
-      // the block.
+      // After the header of the new segment (21 bytes) and the fragment header (7), `left` bytes of the
+      // block remain.
       ASSERT_TRUE(log.append(std::string(kBlockBytes - 28 - left, 'b')));
       ASSERT_TRUE(log.sync());
       o.maxSegmentBytes = 1 << 20;
@@ -250,19 +256,21 @@
     Log log(folder, o);
     RecoveryReport r;
     ASSERT_TRUE(log.recover([](std::string_view) {}, r));
-    EXPECT_TRUE(r.damaged) << left;  // the mark is read
+    EXPECT_TRUE(r.damaged) << left;  // since the mark was read
   }
 }
 
-// A file system need not keep the order of removals and creations.
+// A file system may reorder removals and creations.
 TEST(Log, SyncsRemovalsBeforeNewSegment) {
-  struct Told : FaultyDirectory {
-    Told() : FaultyDirectory(1) {}
-    std::string order;
-    bool remove(const std::string& name) override { return order += 'r', FaultyDirectory::remove(name); }
-    bool syncDirectory() override { return order += 's', FaultyDirectory::syncDirectory(); }
+  struct RecordingDirectory : FaultyDirectory {
+    RecordingDirectory() : FaultyDirectory(1) {}
+    std::string operationOrder;
+    bool remove(const std::string& name) override {
+      return operationOrder += 'r', FaultyDirectory::remove(name);
+    }
+    bool syncDirectory() override { return operationOrder += 's', FaultyDirectory::syncDirectory(); }
     std::unique_ptr<LogFile> create(const std::string& name) override {
-      return order += 'c', FaultyDirectory::create(name);
+      return operationOrder += 'c', FaultyDirectory::create(name);
     }
   } folder;
   {
@@ -272,11 +280,11 @@
     for (int i = 0; i < 150; ++i) ASSERT_TRUE(log.append(std::string(1000, 'a')));
   }
   folder.damage(folder.contents().begin()->first, folder.contents().begin()->second.size() - 1);
-  folder.order.clear();
+  folder.operationOrder.clear();
   Log log(folder, small());
   RecoveryReport r;
   ASSERT_TRUE(log.recover([](std::string_view) {}, r));
-  EXPECT_EQ(folder.order, "rrscs");
+  EXPECT_EQ(folder.operationOrder, "rrscs");
 }
 
 TEST(Log, ReportsMissingSegmentAsDamage) {
@@ -311,10 +319,10 @@
       if (log.currentSegment() > 3) log.removeSegmentsThrough(log.currentSegment() - 3);
       if (i % 50 == 0) ASSERT_TRUE(log.sync());
     }
-    std::size_t held = 0;
-    for (const auto& [name, bytes] : folder.contents()) held += bytes.size();
-    EXPECT_EQ(held, log.bytes());
-    EXPECT_LT(held, 300'000u);
+    std::size_t totalBytes = 0;
+    for (const auto& [name, bytes] : folder.contents()) totalBytes += bytes.size();
+    EXPECT_EQ(totalBytes, log.bytes());
+    EXPECT_LT(totalBytes, 300'000u);
   }
   Log log(folder, small());
   RecoveryReport r;
@@ -322,7 +330,7 @@
   EXPECT_FALSE(r.damaged) << r.description;
 }
 
-// Each segment has what its records need to be read, since older segments may have been removed.
+// Older segments may have been removed, so each segment needs its own preamble.
 TEST(Log, BeginsEachSegmentWithPreamble) {
   FaultyDirectory folder(1);
   {
@@ -335,11 +343,11 @@
   }
   Log log(folder, small());
   RecoveryReport r;
-  std::vector<std::string> back;
-  ASSERT_TRUE(log.recover([&](std::string_view s) { back.emplace_back(s); }, r));
-  ASSERT_FALSE(back.empty());
-  EXPECT_EQ(back[0], "how to read it");
-  EXPECT_GT(std::count(back.begin(), back.end(), back[0]), 1);
+  std::vector<std::string> recovered;
+  ASSERT_TRUE(log.recover([&](std::string_view s) { recovered.emplace_back(s); }, r));
+  ASSERT_FALSE(recovered.empty());
+  EXPECT_EQ(recovered[0], "how to read it");
+  EXPECT_GT(std::count(recovered.begin(), recovered.end(), recovered[0]), 1);
 }
 
 TEST(Log, BoundsSizeAndSnapshotMakesRoom) {
@@ -354,9 +362,9 @@
   EXPECT_TRUE(log.needsSnapshot());
   ASSERT_TRUE(log.writeSnapshot([](const auto& put) { put("all"); }));
   EXPECT_TRUE(log.append("more"));
-  std::size_t held = 0;
-  for (const auto& [name, bytes] : folder.contents()) held += bytes.size();
-  EXPECT_LT(held, 1000u);
+  std::size_t totalBytes = 0;
+  for (const auto& [name, bytes] : folder.contents()) totalBytes += bytes.size();
+  EXPECT_LT(totalBytes, 1000u);
 }
 
 TEST(Log, DoesNotRetryFailedSync) {
@@ -375,17 +383,17 @@
 
 TEST(Log, RecoversOnDisk) {
   finchstile::testing::TemporaryDirectory folder;
-  for (int life = 0; life < 3; ++life) {
+  for (int processIndex = 0; processIndex < 3; ++processIndex) {
     const auto directory = openLogDirectory(folder / "state");
     Log log(*directory, small());
     RecoveryReport r;
-    State back;
-    ASSERT_TRUE(log.recover([&](std::string_view s) { back.take(s); }, r));
+    State recovered;
+    ASSERT_TRUE(log.recover([&](std::string_view s) { recovered.push(s); }, r));
     EXPECT_FALSE(r.damaged);
-    const std::uint64_t count = back.last.empty() ? 0 : back.last.back() + 1;
-    EXPECT_EQ(count, static_cast<std::uint64_t>(life) * 300);
-    std::mt19937 rng(static_cast<std::uint32_t>(life));
-    run(log, back, count, count + 300, rng);
+    const std::uint64_t count = recovered.last.empty() ? 0 : recovered.last.back() + 1;
+    EXPECT_EQ(count, static_cast<std::uint64_t>(processIndex) * 300);
+    std::mt19937 rng(static_cast<std::uint32_t>(processIndex));
+    run(log, recovered, count, count + 300, rng);
   }
 }
 
--- a/tests/wal/segment_format_test.cpp
+++ b/tests/wal/segment_format_test.cpp
@@ -10,7 +10,7 @@
 
 using testing::fromHex;
 
-// Logs outlive the process that wrote them, so the header is fixed by literal bytes.
+// Logs outlive the version that wrote them, so the header's encoding must not change.
 TEST(SegmentFormat, HeaderBytesAreFixed) {
   EXPECT_EQ(encodeSegmentHeader({true, kAllBytes}), fromHex("4657414c3101ffffffffffffffff"));
   EXPECT_EQ(encodeSegmentHeader({false, kUnknownBytes}), fromHex("4657414c3100feffffffffffffff"));
