--- a/src/idempotency/key_ownership.cpp
+++ b/src/idempotency/key_ownership.cpp
@@ -8,7 +8,7 @@
 namespace finchstile::idempotency {
 namespace {
 
-// By which the poll interval is multiplied at the gateway that yields its claims to another one.
+// Multiplies the poll interval at the gateway that yields its claims to another one.
 constexpr int kYieldingPollFactor = 3;
 
 constexpr std::uint64_t kNoRun = 0;
--- a/src/idempotency/process_clock.cpp
+++ b/src/idempotency/process_clock.cpp
@@ -8,7 +8,7 @@
 namespace finchstile::idempotency {
 namespace {
 
-// Within which a request that is sent right before its client's timeout has ended.
+// A request that is sent right before its client's timeout ends within this time after it.
 constexpr Duration kCompletionMargin = std::chrono::seconds(1);
 
 }  // namespace
--- a/src/wal/log_directory.hpp
+++ b/src/wal/log_directory.hpp
@@ -14,8 +14,8 @@
  public:
   virtual ~LogFile() = default;
 
-  // Returns false on failure. Any part of the bytes may be in the file then, and the file must not be used
-  // any more.
+  // Returns false on failure. Any part of the bytes may be in the file then, and bytes appended later may
+  // not be readable.
   virtual bool append(std::string_view bytes) = 0;
 
   // Returns true if everything that was appended now survives a crash of the machine.
--- a/tests/idempotency/key_ownership_test.cpp
+++ b/tests/idempotency/key_ownership_test.cpp
@@ -389,11 +389,11 @@
     owners = network[0].ownersOf(k.id);
   }
   network[at].claimKey(network.now, 1, k, true);
-  std::map<GatewayNumber, ClaimResponse> of;
-  for (std::size_t i = 0; i < responses.size(); ++i) of[owners[i]] = responses[i];
+  std::map<GatewayNumber, ClaimResponse> responseByOwner;
+  for (std::size_t i = 0; i < responses.size(); ++i) responseByOwner[owners[i]] = responses[i];
   for (const auto& out : network[at].takeOutgoing()) {
-    if (!of.count(out.to)) continue;  // does not answer
-    ClaimResponse r = of[out.to];
+    if (!responseByOwner.count(out.to)) continue;  // does not answer
+    ClaimResponse r = responseByOwner[out.to];
     r.requestId = std::get<Claim>(*decodeOwnerMessage(out.payload)).requestId;
     network[at].onMessage(network.now, out.to, 1, encode(r));
   }
--- a/tests/idempotency/run_test.cpp
+++ b/tests/idempotency/run_test.cpp
@@ -325,7 +325,7 @@
   plan.store = false;
   Load without(plan);
   const Totals t = without.run();
-  print("without the store", t);
+  print("without", t);
   EXPECT_GT(t.doubleExecutions, 0u);  // otherwise the load causes no double execution to prevent
   plan.requests = requestsFromEnvironment() / 4;
   plan.store = true;
