--- a/src/app/membership_text.cpp
+++ b/src/app/membership_text.cpp
@@ -96,7 +96,7 @@
   const membership::HostState* state = hostStates_.find(name);
   std::string text = name + " at=" + host.endpoint.address().to_string() + ":" +
                      std::to_string(host.endpoint.port()) + " zone=" + host.listed.zone +
-                     " kind=" + host.listed.machineType + " now=" + phaseText(host.phaseInForce) + "\n";
+                     " kind=" + host.listed.machineType + " now=" + phaseText(host.effectivePhase) + "\n";
   const auto addLine = [&](const std::string& line) { text += "  " + line + "\n"; };
 
   addLine(describeList(host, state, now));
--- a/src/net/attempt_manager.cpp
+++ b/src/net/attempt_manager.cpp
@@ -55,7 +55,7 @@
   if (!attempt) return std::nullopt;
   ActiveRequest* const request = requests_.table().findUnfinished(attempt->request);
   const UpstreamHost* const host = hosts_.find(attempt->host);
-  if (!request || !host || host->phaseInForce != HostPhase::active) return std::nullopt;
+  if (!request || !host || host->effectivePhase != HostPhase::active) return std::nullopt;
   const Time now = clock_.now();
   const auto timeLeft = std::chrono::duration_cast<milliseconds>(attempt->deadline - now);
   if (timeLeft.count() <= 0 || now > attempt->sendDeadline) return std::nullopt;
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -233,7 +233,7 @@
 
 HostPhase Gateway::hostPhase(HostId host) const {
   const UpstreamHost* const known = hosts_.find(host);
-  return known ? known->phaseInForce : HostPhase::removed;
+  return known ? known->effectivePhase : HostPhase::removed;
 }
 
 // --- Actions of the load balancer
--- a/src/net/upstream_host_table.cpp
+++ b/src/net/upstream_host_table.cpp
@@ -29,7 +29,7 @@
     }
     UpstreamHost& host = hosts_[id];
     const bool isNew = host.endpoint == tcp::endpoint{};
-    if (isNew || host.phaseInForce != phase) changes.push_back({id, phase});
+    if (isNew || host.effectivePhase != phase) changes.push_back({id, phase});
     // Connections to the old address must not be used for the new one.
     if (host.endpoint != listed.endpoint) pool_.setOpen(id, false);
     // Signs of life count only for the process that showed them.
@@ -45,10 +45,10 @@
   for (auto& [id, host] : hosts_) {
     const bool leftOut = listIsComplete && !std::binary_search(named.begin(), named.end(), id);
     if (leftOut || !balancer_.isKnown(id)) {
-      if (host.phaseInForce != HostPhase::removed) changes.push_back({id, HostPhase::removed});
-      host.phaseInForce = host.listed.phase = HostPhase::removed;
+      if (host.effectivePhase != HostPhase::removed) changes.push_back({id, HostPhase::removed});
+      host.effectivePhase = host.listed.phase = HostPhase::removed;
     }
-    pool_.setOpen(id, host.phaseInForce == HostPhase::active);
+    pool_.setOpen(id, host.effectivePhase == HostPhase::active);
   }
   return changes;
 }
@@ -56,7 +56,7 @@
 void UpstreamHostTable::forgetRemoved() {
   for (auto it = hosts_.begin(); it != hosts_.end();) {
     const auto& [id, host] = *it;
-    if (host.phaseInForce == HostPhase::removed && !balancer_.isKnown(id) && pool_.forget(id))
+    if (host.effectivePhase == HostPhase::removed && !balancer_.isKnown(id) && pool_.forget(id))
       it = hosts_.erase(it);
     else ++it;
   }
@@ -93,7 +93,7 @@
   std::vector<UpstreamHostView> out;
   for (const auto& [id, host] : hosts_)
     if (host.listed.phase != HostPhase::removed)
-      out.push_back({host.listed, host.endpoint, host.phaseInForce, host.lastResponseAt,
+      out.push_back({host.listed, host.endpoint, host.effectivePhase, host.lastResponseAt,
                      balancer_.isAvoided(id), balancer_.streamCount(id)});
   std::sort(out.begin(), out.end(), [](const UpstreamHostView& a, const UpstreamHostView& b) {
     return a.listed.address < b.listed.address;
@@ -111,7 +111,7 @@
   std::size_t count = 0;
   for (const auto& [id, host] : hosts_) {
     if (host.listed.phase == HostPhase::removed) continue;
-    count += host.phaseInForce != HostPhase::active || balancer_.isAvoided(id);
+    count += host.effectivePhase != HostPhase::active || balancer_.isAvoided(id);
   }
   return count;
 }
--- a/src/net/upstream_host_table.hpp
+++ b/src/net/upstream_host_table.hpp
@@ -16,7 +16,7 @@
 struct UpstreamHost {
   tcp::endpoint endpoint;
   /// After the filters; may be worse than the phase that the list gives.
-  load_balancing::HostPhase phaseInForce = load_balancing::HostPhase::removed;
+  load_balancing::HostPhase effectivePhase = load_balancing::HostPhase::removed;
   load_balancing::HostEntry listed;  ///< As the list has it.
   Time lastResponseAt{};             ///< When an attempt last showed that it lives; 0: never.
   Time lastListedAt{};               ///< When a list last named it.
@@ -31,7 +31,7 @@
 struct UpstreamHostView {
   load_balancing::HostEntry listed;
   tcp::endpoint endpoint;
-  load_balancing::HostPhase phaseInForce{};
+  load_balancing::HostPhase effectivePhase{};
   Time lastResponseAt{};  ///< 0: never.
   bool avoided = false;   ///< The load balancer sends it nothing for now.
   std::size_t streams = 0;
