--- a/src/base/fields.hpp
+++ b/src/base/fields.hpp
@@ -34,7 +34,7 @@
   std::string bytes_;
 };
 
-// Once a field is not there, all that follow read as nothing, and `whole` is false.
+// Once a field is not there, all that follow read as nothing, and `isComplete` is false.
 class FieldReader {
  public:
   explicit FieldReader(std::string_view bytes) : rest_(bytes) {}
@@ -54,8 +54,8 @@
     return s;
   }
   std::string rest() { return std::string(std::exchange(rest_, {})); }
-  bool within(bool holds) { return good_ = good_ && holds; }  // a value that is read must be one that can be
-  bool whole() const { return good_ && rest_.empty(); }       // nothing is missing, and nothing more is there
+  bool require(bool holds) { return good_ = good_ && holds; }  // a value that is read must be one that can be
+  bool isComplete() const { return good_ && rest_.empty(); }  // nothing is missing, and nothing more is there
 
  private:
   std::string_view rest_;
--- a/src/idempotency/log_record.cpp
+++ b/src/idempotency/log_record.cpp
@@ -81,7 +81,7 @@
 
 Session readSession(FieldReader& reader) {
   Session session;
-  reader.within(reader.number<std::uint8_t>() == Session::kVersion);
+  reader.require(reader.number<std::uint8_t>() == Session::kVersion);
   session.seed.a = reader.number<std::uint64_t>();
   session.seed.b = reader.number<std::uint64_t>();
   session.timeBase.bootId = reader.text();
@@ -100,7 +100,7 @@
   started.className = reader.text();
   started.key = reader.text();
   const auto hasAttempt = reader.number<std::uint8_t>();
-  reader.within(hasAttempt <= 1);
+  reader.require(hasAttempt <= 1);
   if (hasAttempt == 1) started.earlierAttempt = readAttempt(reader);
   return started;
 }
@@ -118,11 +118,11 @@
   finished.finishedAt = readTime(reader);
   const auto state = reader.number<std::uint8_t>();
   finished.state = static_cast<KeyState>(state);
-  reader.within(state <= static_cast<std::uint8_t>(KeyState::uncertain) &&
-                finished.state != KeyState::running);
+  reader.require(state <= static_cast<std::uint8_t>(KeyState::uncertain) &&
+                 finished.state != KeyState::running);
   if (finished.state == KeyState::completed) {
     finished.response.status = reader.number<std::uint16_t>();
-    reader.within(finished.response.status >= kMinStatus && finished.response.status <= kMaxStatus);
+    reader.require(finished.response.status >= kMinStatus && finished.response.status <= kMaxStatus);
     finished.response.contentType = reader.text();
     finished.response.body = reader.text<std::uint32_t>();
   }
@@ -147,7 +147,7 @@
 std::optional<LogRecord> decode(std::string_view bytes) {
   FieldReader reader(bytes);
   auto record = readRecord(reader);
-  if (!reader.whole()) return std::nullopt;
+  if (!reader.isComplete()) return std::nullopt;
   return record;
 }
 
--- a/src/idempotency/owner_message.cpp
+++ b/src/idempotency/owner_message.cpp
@@ -47,7 +47,7 @@
 AttemptLocation readLocation(FieldReader& reader) {
   AttemptLocation location;
   location.zone = reader.text<std::uint8_t>();
-  reader.within(location.zone.size() <= kMaxZoneNameBytes);
+  reader.require(location.zone.size() <= kMaxZoneNameBytes);
   location.cell = reader.number<std::int64_t>();
   location.ageMs = reader.number<std::uint32_t>();
   return location;
@@ -113,7 +113,7 @@
   claim.run = reader.number<std::uint64_t>();
   claim.membershipHash = reader.number<std::uint32_t>();
   const auto unavailable = reader.number<std::uint8_t>();
-  reader.within(unavailable <= 1);
+  reader.require(unavailable <= 1);
   claim.responseUnavailable = unavailable == 1;
   return claim;
 }
@@ -122,11 +122,11 @@
   ClaimResponse response;
   response.requestId = reader.number<std::uint64_t>();
   const auto knowledge = reader.number<std::uint8_t>();
-  reader.within(knowledge <= static_cast<std::uint8_t>(KeyKnowledge::ownerFull));
+  reader.require(knowledge <= static_cast<std::uint8_t>(KeyKnowledge::ownerFull));
   response.knowledge = static_cast<KeyKnowledge>(knowledge);
   response.runner = reader.number<std::uint16_t>();
   const auto flags = reader.number<std::uint8_t>();
-  reader.within(flags <= (kSenderIsOwner | kSenderIsNew));
+  reader.require(flags <= (kSenderIsOwner | kSenderIsNew));
   response.senderIsOwner = (flags & kSenderIsOwner) != 0;
   response.senderIsNew = (flags & kSenderIsNew) != 0;
   response.attempt = readLocation(reader);
@@ -141,7 +141,8 @@
   notice.run = reader.number<std::uint64_t>();
   const auto state = reader.number<std::uint8_t>();
   notice.state = static_cast<KeyState>(state);
-  reader.within(state <= static_cast<std::uint8_t>(KeyState::uncertain) && notice.state != KeyState::running);
+  reader.require(state <= static_cast<std::uint8_t>(KeyState::uncertain) &&
+                 notice.state != KeyState::running);
   notice.attempt = readLocation(reader);
   notice.remainingMs = reader.number<std::uint32_t>();
   return notice;
@@ -161,8 +162,8 @@
   chunk.totalBytes = reader.number<std::uint16_t>();
   chunk.offset = reader.number<std::uint16_t>();
   chunk.bytes = reader.text<std::uint8_t>();
-  reader.within(chunk.bytes.size() <= kMaxChunkBytes &&
-                chunk.offset + chunk.bytes.size() <= chunk.totalBytes);
+  reader.require(chunk.bytes.size() <= kMaxChunkBytes &&
+                 chunk.offset + chunk.bytes.size() <= chunk.totalBytes);
   return chunk;
 }
 
@@ -185,7 +186,7 @@
 std::optional<OwnerMessage> decodeOwnerMessage(std::string_view bytes) {
   FieldReader reader(bytes);
   auto message = readMessage(reader);
-  if (!reader.whole()) return std::nullopt;
+  if (!reader.isComplete()) return std::nullopt;
   return message;
 }
 
@@ -203,7 +204,7 @@
   CachedResponse response;
   response.status = reader.number<std::uint16_t>();
   response.contentType = reader.text<std::uint8_t>();
-  if (!reader.within(response.status >= kMinStatus && response.status <= kMaxStatus)) return std::nullopt;
+  if (!reader.require(response.status >= kMinStatus && response.status <= kMaxStatus)) return std::nullopt;
   response.body = reader.rest();
   return response;
 }
