--- a/src/trace/settings.cpp
+++ b/src/trace/settings.cpp
@@ -5,7 +5,7 @@
 
 constexpr std::size_t kMaxPathBytes = 4096;
 constexpr double kMaxLinesPerSecond = 1e6;
-constexpr std::size_t kMinBufferBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMinLimitBytes = std::size_t{64} * 1024;
 constexpr std::size_t kMaxFileBytesLimit = std::size_t{1} << 40;
 constexpr std::size_t kMaxQueuedBytesLimit = std::size_t{1} << 30;
 
@@ -17,8 +17,8 @@
     if (table.text("file", out.file, kMaxPathBytes)) out.file = resolvePath(folder, out.file);
     table.number("share", out.sampleFraction, 0, 1);
     table.number("lines_per_second", out.linesPerSecond, 1, kMaxLinesPerSecond);
-    table.size("file_most", out.maxFileBytes, kMinBufferBytes, kMaxFileBytesLimit);
-    table.size("waiting_most", out.maxQueuedBytes, kMinBufferBytes, kMaxQueuedBytesLimit);
+    table.size("file_most", out.maxFileBytes, kMinLimitBytes, kMaxFileBytesLimit);
+    table.size("waiting_most", out.maxQueuedBytes, kMinLimitBytes, kMaxQueuedBytesLimit);
   });
 }
 
--- a/src/wal/log_recovery.cpp
+++ b/src/wal/log_recovery.cpp
@@ -75,9 +75,9 @@
   segments_.erase(segments_.begin(), segments_.begin() + static_cast<std::ptrdiff_t>(first));
 }
 
-void LogRecovery::describe(const Segment& segment, const char* what, std::size_t number) {
+void LogRecovery::describe(const Segment& segment, const char* problem, std::size_t number) {
   if (!report_.description.empty()) report_.description += "; ";
-  report_.description += segment.name + what + std::to_string(number);
+  report_.description += segment.name + problem + std::to_string(number);
 }
 
 void LogRecovery::checkSegment(std::size_t index) {
--- a/src/wal/log_recovery.hpp
+++ b/src/wal/log_recovery.hpp
@@ -59,7 +59,7 @@
   void checkSegment(std::size_t index);
   void removeFrom(std::size_t index);
   std::string contentOf(const Segment& segment) const;
-  void describe(const Segment& segment, const char* what, std::size_t number);
+  void describe(const Segment& segment, const char* problem, std::size_t number);
 
   LogDirectory& directory_;
   RecoveryReport& report_;
