--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -114,7 +114,7 @@
   error_code error;
   for (;;) switch (reader_.step(buffer_, error)) {
       case Step::needsBytes:
-        if (reader_.bufferedBody() > kMaxBufferedBody) return onRequestParsed(false);
+        if (reader_.bufferedBody() > kMaxBufferedBodyBytes) return onRequestParsed(false);
         return awaitBytes();
       case Step::malformed: return refuseInput(error);
       case Step::complete: return onRequestParsed(true);
@@ -307,7 +307,7 @@
   // then be silent for minutes.
   if (bodyIncomplete_ && now - lastByteAt_ > timeout) return true;
   double bytes = static_cast<double>(reader_.bodyRead());
-  if (bodyIncomplete_) bytes -= static_cast<double>(kMaxBufferedBody);
+  if (bodyIncomplete_) bytes -= static_cast<double>(kMaxBufferedBodyBytes);
   const auto timeForBytes = std::chrono::duration<double>(bytes / kMinBodyBytesPerSecond);
   const Duration unasked = bodyIncomplete_ ? unaskedTime_ : Duration{};
   return now - stateSince_ - unasked > timeout + std::chrono::duration_cast<Duration>(timeForBytes);
--- a/src/net/framing.hpp
+++ b/src/net/framing.hpp
@@ -18,8 +18,8 @@
 
 /// A body up to this length is buffered, so that the request can go to another host, and a broken response is
 /// detected before its client has a byte of it. A longer one is relayed piece by piece, and can be neither.
-inline constexpr std::size_t kMaxBufferedBody = std::size_t{64} * 1024;
-inline constexpr std::size_t kMaxBody = std::size_t{32} * 1024 * 1024;
+inline constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{64} * 1024;
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{32} * 1024 * 1024;
 /// Of a relayed body, under way at once in each direction.
 inline constexpr std::size_t kMaxPieceBytes = std::size_t{32} * 1024;
 inline constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;
@@ -92,7 +92,7 @@
 
   void restart() {
     parser_.emplace();
-    parser_->body_limit(kMaxBody);
+    parser_->body_limit(kMaxBodyBytes);
     parser_->header_limit(kMaxHeadBytes);
     headBytes_ = 0;
     headComplete_ = false;
@@ -122,7 +122,7 @@
           return Step::malformed;
         }
         const auto length = parser_->content_length();
-        if (length && *length > kMaxBody) {
+        if (length && *length > kMaxBodyBytes) {
           error = http::error::body_limit;
           return Step::malformed;
         }
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -200,11 +200,11 @@
         if (reader_.parser().get().result_int() >= 200) pool_.callbacks_.onResponseHeaders(attempt_);
         if (reader_.parser().get().result() == http::status::switching_protocols)
           return upgradeAsked_ ? onUpgrade() : endBroken();
-        if (reader_.parser().content_length().value_or(0) > kMaxBufferedBody) return beginLongResponse();
+        if (reader_.parser().content_length().value_or(0) > kMaxBufferedBodyBytes) return beginLongResponse();
         break;
       case Step::needsBytes:
         if (relaying_ && reader_.bufferedBody() > 0) return relayBody(false);
-        if (reader_.bufferedBody() > kMaxBufferedBody) return beginLongResponse();
+        if (reader_.bufferedBody() > kMaxBufferedBodyBytes) return beginLongResponse();
         watchForStall(relaying_ ? kMaxBodyStall : pool_.limits_.maxResponsePause, Outcome::reset);
         return read();
       case Step::complete:
