--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -110,7 +110,7 @@
 // the call.
 bool AdminApi::isKnownHost(const std::string& host) {
   if (readSharedState()) gateway_.reapplyHostFilters();
-  return gateway_.isListed(host) || cordon_.isRemembered(host);
+  return gateway_.isListed(host) || cordon_.isTracked(host);
 }
 
 // The call fails if the next process of the gateway would not know of the change.
--- a/src/ops/host_cordon.cpp
+++ b/src/ops/host_cordon.cpp
@@ -47,7 +47,7 @@
 }  // namespace
 
 bool HostCordon::cordon(const std::string& host) {
-  if (!isRemembered(host) && hosts_.size() >= kMaxHosts) return false;
+  if (!isTracked(host) && hosts_.size() >= kMaxHosts) return false;
   HostState& state = hosts_[host];
   if (!state.cordoned) ++cordonedHosts_;
   state.cordoned = true;
--- a/src/ops/host_cordon.hpp
+++ b/src/ops/host_cordon.hpp
@@ -36,7 +36,7 @@
 
   bool isCordoned(const std::string& host) const;
   std::size_t count() const { return cordonedHosts_; }
-  bool isRemembered(const std::string& host) const { return hosts_.count(host) > 0; }
+  bool isTracked(const std::string& host) const { return hosts_.count(host) > 0; }
 
   // Changes an entry of the list to what is in force.
   void apply(load_balancing::HostEntry& entry) const;
--- a/tests/ops/host_cordon_test.cpp
+++ b/tests/ops/host_cordon_test.cpp
@@ -65,9 +65,9 @@
   out.apply(later);
   EXPECT_EQ(later.startedAt, seconds(101));
   out.expire(seconds(105), seconds(9));
-  EXPECT_TRUE(out.isRemembered("a"));
+  EXPECT_TRUE(out.isTracked("a"));
   out.expire(seconds(110), seconds(9));
-  EXPECT_FALSE(out.isRemembered("a"));
+  EXPECT_FALSE(out.isTracked("a"));
 }
 
 TEST(HostCordon, BoundsRememberedHosts) {
