--- a/src/app/membership_service.cpp
+++ b/src/app/membership_service.cpp
@@ -406,7 +406,7 @@
       ++it;
       continue;
     }
-    gossip_->onHostForgotten(it->second);
+    gossip_->onHostErased(it->second);
     names_.erase(it->second);
     it = keys_.erase(it);
   }
--- a/src/membership/gossip.cpp
+++ b/src/membership/gossip.cpp
@@ -88,7 +88,7 @@
   if (host.version >= host.assertion->version || confirmed) closeAssertion(host, confirmed, now);
 }
 
-void Gossip::onHostForgotten(HostKey key) {
+void Gossip::onHostErased(HostKey key) {
   const auto it = hosts_.find(key);
   if (it == hosts_.end()) return;
   const Host& host = it->second;
--- a/src/membership/gossip.hpp
+++ b/src/membership/gossip.hpp
@@ -75,7 +75,7 @@
   void onUnresponsive(HostKey host, std::int64_t startedUnixMs, Time now);
   // An entry of our own list, `active` ones included: it confirms or ends what others assert.
   void onListed(HostKey host, std::int64_t startedUnixMs, HostPhase phase, std::uint64_t version, Time now);
-  void onHostForgotten(HostKey host);
+  void onHostErased(HostKey host);
 
   void onMessage(GatewayNumber from, std::string_view payload, Time now);
   void onUpdate(GatewayNumber from, const GossipUpdate& update, Time now);  // one, however it was received
--- a/tests/membership/gossip_test.cpp
+++ b/tests/membership/gossip_test.cpp
@@ -247,7 +247,7 @@
   gateway.gossip->onListed(3, 0, HostPhase::draining, 7, gateway.now);
   EXPECT_TRUE(gateway.sentUpdates().empty());  // unchanged
   gateway.gossip->onListed(3, 0, HostPhase::removed, 8, gateway.now);
-  gateway.gossip->onHostForgotten(3);
+  gateway.gossip->onHostErased(3);
   EXPECT_EQ(gateway.sentUpdates().at(0).kind,
             GossipUpdate::Kind::removed);  // still sent after the host is forgotten
 }
