--- a/tests/idempotency/journal_test.cpp
+++ b/tests/idempotency/journal_test.cpp
@@ -152,7 +152,7 @@
   EXPECT_EQ(retried.earlierAttempt->sentAt, Time{});
 }
 
-// Runs interrupted in the first process must not be retained anew by each restart.
+// Runs interrupted in the first process must not have their retention renewed by each restart.
 TEST_F(JournalTest, RestartDoesNotProlongRetention) {
   start();
   arrive("k");
