--- a/tests/wal/segment_format_test.cpp
+++ b/tests/wal/segment_format_test.cpp
@@ -10,7 +10,7 @@
 
 using testing::fromHex;
 
-// Logs outlive the process that wrote them, so the header is fixed by literal bytes.
+// Logs outlive the version that wrote them, so the header's encoding must not change.
 TEST(SegmentFormat, HeaderBytesAreFixed) {
   EXPECT_EQ(encodeSegmentHeader({true, kAllBytes}), fromHex("4657414c3101ffffffffffffffff"));
   EXPECT_EQ(encodeSegmentHeader({false, kUnknownBytes}), fromHex("4657414c3100feffffffffffffff"));
@@ -22,7 +22,7 @@
   SegmentHeader header;
   ASSERT_TRUE(decodeSegmentHeader(bytes, header));
   EXPECT_TRUE(header.snapshot);
-  EXPECT_EQ(header.previousBytes, 513u);
+  EXPECT_EQ(header.previousValidBytes, 513u);
   for (std::size_t size = 0; size < bytes.size(); ++size)
     EXPECT_FALSE(decodeSegmentHeader(bytes.substr(0, size), header)) << size;
   EXPECT_FALSE(decodeSegmentHeader(bytes + "x", header));
