--- a/bench/streams.cpp
+++ b/bench/streams.cpp
@@ -217,7 +217,7 @@
   s.enabled = true;
   s.most = streams + 16;
   s.descriptorShare = 0.9;
-  s.bufferBytes = std::max(s.bufferBytes, stream::bufferLeast(s.most));
+  s.bufferBytes = std::max(s.bufferBytes, stream::minBufferBytes(s.most));
   s.log = stream::LogEnds::none;
   stream::ListenSettings l;
   l.name = "bench";
--- a/src/app/gateway_program.cpp
+++ b/src/app/gateway_program.cpp
@@ -59,7 +59,7 @@
   if (const stream::StreamSettings& streams = operator_.file.streams; streams.enabled) {
     config.options.reservedDescriptorFraction = streams.descriptorShare;
     config.settings.maxStreams =
-        static_cast<std::uint32_t>(stream::streamsOf(streams, config.descriptorLimit));
+        static_cast<std::uint32_t>(stream::maxStreamsFor(streams, config.descriptorLimit));
     config.settings.maxStreamsPerHost = static_cast<std::uint32_t>(streams.hostStreams);
     config.settings.hostStreamRate = streams.hostRate;
     config.settings.streamRetrySpread = streams.returnWithin;
--- a/src/stream/buffers.hpp
+++ b/src/stream/buffers.hpp
@@ -16,11 +16,11 @@
 inline constexpr std::size_t kPieceLarge = std::size_t{16} * 1024;
 
 // The least that `streams` streams need.
-constexpr std::size_t bufferLeast(std::size_t streams) { return 4 * kPieceLeast * streams; }
+constexpr std::size_t minBufferBytes(std::size_t streams) { return 4 * kPieceLeast * streams; }
 
 class BufferBudget {
  public:
-  // `bytes` is `bufferLeast(streams)` or more.
+  // `bytes` is `minBufferBytes(streams)` or more.
   BufferBudget(std::size_t bytes, std::size_t streams)
       : half_(bytes / 2), small_(std::min(kPieceLarge, bytes / 2 / std::max<std::size_t>(1, 2 * streams))) {}
 
--- a/src/stream/settings.cpp
+++ b/src/stream/settings.cpp
@@ -52,8 +52,8 @@
     std::string log = "all";
     if (r.choice("log", log, {"all", "failed", "none"}))
       out.log = log == "all" ? LogEnds::all : log == "failed" ? LogEnds::failed : LogEnds::none;
-    if (out.bufferBytes < bufferLeast(out.most))
-      r.error("buffer_bytes", "must be " + std::to_string(bufferLeast(out.most)) + " at least for " +
+    if (out.bufferBytes < minBufferBytes(out.most))
+      r.error("buffer_bytes", "must be " + std::to_string(minBufferBytes(out.most)) + " at least for " +
                                   std::to_string(out.most) + " streams");
     if (more) more(r);
     r.tables("listen", kListenMost, [&](SettingReader& l) { readListen(l, out.listen.emplace_back()); });
@@ -64,7 +64,7 @@
   });
 }
 
-std::size_t streamsOf(const StreamSettings& s, std::size_t descriptors) {
+std::size_t maxStreamsFor(const StreamSettings& s, std::size_t descriptors) {
   const auto part = static_cast<std::size_t>(static_cast<double>(descriptors) * s.descriptorShare);
   const std::size_t over = std::min(kDescriptorsOver, part / 2);
   return std::max<std::size_t>(1, std::min(s.most, (part - over) / 2));
--- a/src/stream/settings.hpp
+++ b/src/stream/settings.hpp
@@ -42,6 +42,6 @@
                         const std::function<void(SettingReader&)>& more = {});
 
 // How many streams there may be, each with two descriptors, and some over for listeners and those to come.
-std::size_t streamsOf(const StreamSettings& settings, std::size_t descriptors);
+std::size_t maxStreamsFor(const StreamSettings& settings, std::size_t descriptors);
 
 }  // namespace finchstile::stream
--- a/src/stream/table.cpp
+++ b/src/stream/table.cpp
@@ -25,7 +25,7 @@
       most_(most),
       gateway_(gateway),
       say_(std::move(say)),
-      budget_(std::max(settings.bufferBytes, bufferLeast(most)), most),
+      budget_(std::max(settings.bufferBytes, minBufferBytes(most)), most),
       account_(settings.log),
       plan_(settings.drainRate, seed),
       timer_(io) {}
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -116,7 +116,7 @@
   return {reinterpret_cast<const char*>(out), static_cast<std::size_t>(n)};
 }
 
-bool asksForWebSocket(const RequestHead& head) { return names(head, http::field::upgrade, "websocket"); }
+bool requestsWebSocket(const RequestHead& head) { return names(head, http::field::upgrade, "websocket"); }
 
 HandshakeVerdict checkRequest(const RequestHead& head, const HandshakeRules& rules) {
   if (head.method() != http::verb::get || head.version() != 11) return {400, "not a GET of HTTP/1.1"};
@@ -144,7 +144,7 @@
   return {};
 }
 
-std::vector<HeaderLine> linesForHost(const RequestHead& head, const HandshakeRules& rules) {
+std::vector<HeaderLine> headersForHost(const RequestHead& head, const HandshakeRules& rules) {
   std::vector<HeaderLine> out{
       {"Connection", "Upgrade"},
       {"Upgrade", "websocket"},
--- a/src/websocket/handshake.hpp
+++ b/src/websocket/handshake.hpp
@@ -23,7 +23,7 @@
 };
 
 // The request speaks of WebSocket: its Upgrade names it, whatever else is wrong.
-bool asksForWebSocket(const RequestHead& head);
+bool requestsWebSocket(const RequestHead& head);
 
 struct HandshakeVerdict {
   unsigned status = 0;  // 0: good; else 400, 403 or 426
@@ -32,7 +32,7 @@
 HandshakeVerdict checkRequest(const RequestHead& head, const HandshakeRules& rules);
 
 // What an attempt says beside what every request says to a host.
-std::vector<HeaderLine> linesForHost(const RequestHead& head, const HandshakeRules& rules);
+std::vector<HeaderLine> headersForHost(const RequestHead& head, const HandshakeRules& rules);
 
 struct AcceptVerdict {
   bool good = false;
--- a/src/websocket/web_socket_handler.cpp
+++ b/src/websocket/web_socket_handler.cpp
@@ -36,7 +36,7 @@
       table_(table) {}
 
 bool WebSocketHandler::isUpgradeRequest(const ClientRequest& message) const {
-  return asksForWebSocket(message);
+  return requestsWebSocket(message);
 }
 
 std::optional<Response> WebSocketHandler::checkRequest(ClientRequest& message) {
@@ -67,7 +67,7 @@
 }
 
 std::vector<HeaderLine> WebSocketHandler::upstreamHeaders(const ClientRequest& message) const {
-  return linesForHost(message, settings_.rules);
+  return headersForHost(message, settings_.rules);
 }
 
 std::optional<UpgradeHandler::AcceptedUpgrade> WebSocketHandler::acceptResponse(
--- a/tests/fuzz/websocket_handshake.cpp
+++ b/tests/fuzz/websocket_handshake.cpp
@@ -17,7 +17,7 @@
   if (!request.is_header_done()) return 0;
   const RequestHead& head = request.get().base();
   HandshakeRules rules;
-  asksForWebSocket(head);
+  requestsWebSocket(head);
   if (checkRequest(head, rules).status != 0) return 0;
   Fields answer;
   answer.set("Connection", "Upgrade");
@@ -26,7 +26,7 @@
              acceptOf({head["Sec-WebSocket-Key"].data(), head["Sec-WebSocket-Key"].size()}));
   if (!checkAccept(head, answer, rules).good) std::abort();
   // Whatever else stands there: what the host may choose is what goes on to it.
-  for (const auto& line : linesForHost(head, rules))
+  for (const auto& line : headersForHost(head, rules))
     if (line.value.empty() || line.value.find_first_of("\r\n") != std::string::npos) std::abort();
   return 0;
 }
--- a/tests/stream/decisions_test.cpp
+++ b/tests/stream/decisions_test.cpp
@@ -81,8 +81,9 @@
 
 TEST(Buffers, NoDirectionOfAnyStreamWaitsForMemoryAndTheBoundHolds) {
   for (const std::size_t streams : {1u, 7u, 100u, 1000u})
-    for (const std::size_t bytes : {bufferLeast(streams), 4 * bufferLeast(streams), std::size_t{1} << 24}) {
-      if (bytes < bufferLeast(streams)) continue;
+    for (const std::size_t bytes :
+         {minBufferBytes(streams), 4 * minBufferBytes(streams), std::size_t{1} << 24}) {
+      if (bytes < minBufferBytes(streams)) continue;
       BufferBudget b(bytes, streams);
       std::vector<BufferBudget::Grant> held;
       for (std::size_t i = 0; i < 2 * streams; ++i) {  // every direction of every stream holds one
@@ -111,7 +112,7 @@
 
 TEST(Buffers, RandomTakingAndGivingBackEndsWithNothingHeld) {
   std::mt19937 dice(5);
-  BufferBudget b(bufferLeast(50) + 40'000, 50);
+  BufferBudget b(minBufferBytes(50) + 40'000, 50);
   std::vector<BufferBudget::Grant> held;
   for (int i = 0; i < 20'000; ++i) {
     if (held.size() < 100 && dice() % 2) {
@@ -121,7 +122,7 @@
       b.giveBack(held[at]);
       held.erase(held.begin() + static_cast<std::ptrdiff_t>(at));
     }
-    ASSERT_LE(b.held(), bufferLeast(50) + 40'000);
+    ASSERT_LE(b.held(), minBufferBytes(50) + 40'000);
   }
   for (const auto& g : held) b.giveBack(g);
   EXPECT_EQ(b.held(), 0u);
--- a/tests/stream/settings_test.cpp
+++ b/tests/stream/settings_test.cpp
@@ -93,9 +93,9 @@
   StreamSettings s;
   s.most = 1000;
   s.descriptorShare = 0.5;
-  EXPECT_EQ(streamsOf(s, 1024), 248u);
-  EXPECT_EQ(streamsOf(s, 100'000), 1000u);
-  EXPECT_GE(streamsOf(s, 4), 1u);
+  EXPECT_EQ(maxStreamsFor(s, 1024), 248u);
+  EXPECT_EQ(maxStreamsFor(s, 100'000), 1000u);
+  EXPECT_GE(maxStreamsFor(s, 4), 1u);
 }
 
 }  // namespace
--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -53,7 +53,7 @@
     change(config);
     GatewayConfig read = readConfig(config.dump(), clock);
     read.options.reservedDescriptorFraction = settings.descriptorShare;
-    read.settings.maxStreams = static_cast<std::uint32_t>(streamsOf(settings, read.descriptorLimit));
+    read.settings.maxStreams = static_cast<std::uint32_t>(maxStreamsFor(settings, read.descriptorLimit));
     read.settings.maxStreamsPerHost = static_cast<std::uint32_t>(settings.hostStreams);
     read.settings.hostStreamRate = settings.hostRate;
     read.settings.streamRetrySpread = settings.returnWithin;
--- a/tests/websocket/handshake_test.cpp
+++ b/tests/websocket/handshake_test.cpp
@@ -38,14 +38,14 @@
 TEST(Handshake, TheExampleOfTheStandardIsAccepted) {
   EXPECT_EQ(acceptOf(kKey), "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=");
   EXPECT_EQ(status(good()), 0u);
-  EXPECT_TRUE(asksForWebSocket(good()));
+  EXPECT_TRUE(requestsWebSocket(good()));
 }
 
 TEST(Handshake, TokensComeInAnyCaseAndList) {
   RequestHead h = good();
   h.set("Connection", "keep-alive, UPGRADE");
   h.set("Upgrade", "h2c, WebSocket");
-  EXPECT_TRUE(asksForWebSocket(h));
+  EXPECT_TRUE(requestsWebSocket(h));
   EXPECT_EQ(status(h), 0u);
   h.erase("Connection");
   h.insert("Connection", "keep-alive");
@@ -105,7 +105,7 @@
   h.set("Sec-WebSocket-Protocol", "chat, stock.v2");
   h.set("Sec-WebSocket-Extensions", "permessage-deflate; client_max_window_bits, x-secret; a=\"b,c\"");
   h.set("Origin", "https://a");
-  const auto lines = linesForHost(h, {});
+  const auto lines = headersForHost(h, {});
   EXPECT_EQ(line(lines, "Sec-WebSocket-Key"), kKey);
   EXPECT_EQ(line(lines, "Sec-WebSocket-Protocol"), "chat, stock.v2");
   EXPECT_EQ(line(lines, "Sec-WebSocket-Extensions"), "permessage-deflate; client_max_window_bits");
@@ -113,8 +113,8 @@
   HandshakeRules rules;
   rules.protocols = {"stock.v2"};
   rules.deflate = false;
-  EXPECT_EQ(line(linesForHost(h, rules), "Sec-WebSocket-Protocol"), "stock.v2");
-  EXPECT_EQ(line(linesForHost(h, rules), "Sec-WebSocket-Extensions"), "-");
+  EXPECT_EQ(line(headersForHost(h, rules), "Sec-WebSocket-Protocol"), "stock.v2");
+  EXPECT_EQ(line(headersForHost(h, rules), "Sec-WebSocket-Extensions"), "-");
 }
 
 Fields answer() {
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -74,7 +74,7 @@
     change(config);
     GatewayConfig read = readConfig(config.dump(), clock);
     read.options.reservedDescriptorFraction = streams.descriptorShare;
-    read.settings.maxStreams = static_cast<std::uint32_t>(streamsOf(streams, read.descriptorLimit));
+    read.settings.maxStreams = static_cast<std::uint32_t>(maxStreamsFor(streams, read.descriptorLimit));
     read.settings.hostStreamRate = streams.hostRate;
     read.settings.streamRetrySpread = streams.returnWithin;
     gateway = std::make_unique<Gateway>(io, clock, read);
