--- a/src/app/gateway_program.cpp
+++ b/src/app/gateway_program.cpp
@@ -60,9 +60,9 @@
     config.options.reservedDescriptorFraction = streams.descriptorShare;
     config.settings.maxStreams =
         static_cast<std::uint32_t>(stream::maxStreamsFor(streams, config.descriptorLimit));
-    config.settings.maxStreamsPerHost = static_cast<std::uint32_t>(streams.hostStreams);
-    config.settings.hostStreamRate = streams.hostRate;
-    config.settings.streamRetrySpread = streams.returnWithin;
+    config.settings.maxStreamsPerHost = static_cast<std::uint32_t>(streams.hostStreamLimit);
+    config.settings.hostStreamRate = streams.hostStreamRateLimit;
+    config.settings.streamRetrySpread = streams.retryInterval;
   }
   if (operator_.file.configuration.enabled) config.reservedDescriptors = configuration::kMaxClientDescriptors;
   const char* const inherited = std::getenv(kInheritedListenerVariable);
--- a/src/stream/settings.cpp
+++ b/src/stream/settings.cpp
@@ -44,9 +44,9 @@
     r.number("descriptor_share", out.descriptorShare, 0.01, 0.9);
     r.size("most", out.most, 1, 100'000);
     r.size("buffer_bytes", out.bufferBytes, std::size_t{64} * 1024, std::size_t{4} << 30);
-    r.size("host_streams", out.hostStreams, 0, 1'000'000);
-    r.number("host_rate", out.hostRate, 0, 100'000);
-    r.duration("return_within", out.returnWithin, milliseconds(100), hours(1));
+    r.size("host_streams", out.hostStreamLimit, 0, 1'000'000);
+    r.number("host_rate", out.hostStreamRateLimit, 0, 100'000);
+    r.duration("return_within", out.retryInterval, milliseconds(100), hours(1));
     r.duration("drain_within", out.drainWithin, milliseconds(0), hours(1));
     r.number("drain_rate", out.drainRate, 0, 100'000);
     std::string log = "all";
--- a/src/stream/settings.hpp
+++ b/src/stream/settings.hpp
@@ -28,11 +28,11 @@
   double descriptorShare = 0.2;  // of the process's; the two others have the rest, in their proportion
   std::size_t most = 1000;       // held by this gateway; less where the descriptors are too few
   std::size_t bufferBytes = std::size_t{16} * 1024 * 1024;  // between the two sides of all streams together
-  std::size_t hostStreams = 0;                              // held by one host, by all gateways; 0: no bound
-  double hostRate = 0;  // that begin at one host a second, by all gateways; 0: no bound
-  Duration returnWithin = std::chrono::seconds(10);  // who is refused is told to come back within
-  Duration drainWithin = std::chrono::seconds(10);   // over which those of a draining host are closed
-  double drainRate = 100;                            // so many a second at the most; 0: no bound
+  std::size_t hostStreamLimit = 0;                          // held by one host, by all gateways; 0: no bound
+  double hostStreamRateLimit = 0;  // that begin at one host a second, by all gateways; 0: no bound
+  Duration retryInterval = std::chrono::seconds(10);  // who is refused is told to come back within
+  Duration drainWithin = std::chrono::seconds(10);    // over which those of a draining host are closed
+  double drainRate = 100;                             // so many a second at the most; 0: no bound
   LogEnds log = LogEnds::all;
   std::vector<ListenSettings> listen;
 };
--- a/tests/stream/settings_test.cpp
+++ b/tests/stream/settings_test.cpp
@@ -48,8 +48,8 @@
   EXPECT_EQ(problems, std::vector<std::string>{});
   EXPECT_TRUE(s.enabled);
   EXPECT_EQ(s.most, 500u);
-  EXPECT_EQ(s.hostStreams, 200u);
-  EXPECT_EQ(s.hostRate, 20);
+  EXPECT_EQ(s.hostStreamLimit, 200u);
+  EXPECT_EQ(s.hostStreamRateLimit, 20);
   EXPECT_EQ(s.log, LogEnds::failed);
   ASSERT_EQ(s.listen.size(), 1u);
   EXPECT_EQ(s.listen[0].className, "log-in");
--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -54,9 +54,9 @@
     GatewayConfig read = readConfig(config.dump(), clock);
     read.options.reservedDescriptorFraction = settings.descriptorShare;
     read.settings.maxStreams = static_cast<std::uint32_t>(maxStreamsFor(settings, read.descriptorLimit));
-    read.settings.maxStreamsPerHost = static_cast<std::uint32_t>(settings.hostStreams);
-    read.settings.hostStreamRate = settings.hostRate;
-    read.settings.streamRetrySpread = settings.returnWithin;
+    read.settings.maxStreamsPerHost = static_cast<std::uint32_t>(settings.hostStreamLimit);
+    read.settings.hostStreamRate = settings.hostStreamRateLimit;
+    read.settings.streamRetrySpread = settings.retryInterval;
     gateway = std::make_unique<Gateway>(io, clock, read);
     table = std::make_unique<StreamTable>(io, clock, settings, read.settings.maxStreams, 5,
                                           gateway->protocolHandlerCallbacks(),
@@ -483,7 +483,7 @@
 // rate, plain requests are served meanwhile.
 TEST_F(StreamTest, AStormAfterADeployIsSpreadOverTheWorkers) {
   settings.most = 2000;
-  settings.hostRate = 40;
+  settings.hostStreamRateLimit = 40;
   settings.descriptorShare = 0.9;
   settings.log = LogEnds::none;
   for (int i = 0; i < 4; ++i) worker();
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -75,8 +75,8 @@
     GatewayConfig read = readConfig(config.dump(), clock);
     read.options.reservedDescriptorFraction = streams.descriptorShare;
     read.settings.maxStreams = static_cast<std::uint32_t>(maxStreamsFor(streams, read.descriptorLimit));
-    read.settings.hostStreamRate = streams.hostRate;
-    read.settings.streamRetrySpread = streams.returnWithin;
+    read.settings.hostStreamRate = streams.hostStreamRateLimit;
+    read.settings.streamRetrySpread = streams.retryInterval;
     gateway = std::make_unique<Gateway>(io, clock, read);
     table = std::make_unique<StreamTable>(io, clock, streams, read.settings.maxStreams, 5,
                                           gateway->protocolHandlerCallbacks(),
@@ -537,8 +537,8 @@
 
 // Upgrades beyond the rate are refused, each with a time of its own to come back; requests are served.
 TEST_F(WebSocketTest, AStormOfReconnectsIsRefusedWithTimesToComeBack) {
-  streams.hostRate = 20;
-  streams.returnWithin = seconds(10);
+  streams.hostStreamRateLimit = 20;
+  streams.retryInterval = seconds(10);
   worker([](const std::string& head) {
     return head.find("Upgrade") == std::string::npos
                ? std::string("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
