--- a/src/policy/action_queue.hpp
+++ b/src/policy/action_queue.hpp
@@ -1,4 +1,4 @@
-// The actions that the embedding proxy is to carry out, in their order.
+// Queue of actions for the embedding proxy, in the order in which they must be carried out.
 #pragma once
 
 #include <string>
@@ -20,7 +20,7 @@
     actions_.push_back({ActionKind::sendPeerMessage, 0, gateway, kNone, {}, false, std::move(bytes)});
   }
 
-  // Log lines are few: callers ask before they build one.
+  // Log lines are rate limited. Callers check this before they build a line.
   bool mayLog(Time now) const { return now - lastLogAt_ >= kMinLogInterval || lastLogAt_ == Time{}; }
   void log(Time now, std::string text) {
     actions_.push_back({ActionKind::log, 0, 0, kNone, {}, false, std::move(text)});
--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -1,5 +1,4 @@
-// What a load balancer keeps of a request and its attempts until all of them are over. Nothing is decided
-// here.
+// State of a request and its attempts, kept until the request and all of its attempts have ended.
 #pragma once
 
 #include <array>
@@ -11,18 +10,18 @@
 
 namespace finchstile::load_balancing {
 
-// Attempts that one request may have at most, whatever the settings allow.
+// Upper bound on the attempts of one request, whatever Settings::maxAttempts is.
 inline constexpr std::size_t kMaxAttemptsPerRequest = 8;
 
 struct Attempt {
   HostId host = kNone;
   Time sentAt{};
-  bool isPending = false;   // its result has not come
-  bool mayHaveRun = false;  // as far as is known
+  bool isPending = false;   // its result has not arrived
+  bool mayHaveRun = false;  // as far as known
   bool isCancelled = false;
   bool isInFlight = false;  // counted by InFlightTracker
   bool isStream = false;    // counted by StreamPlacement
-  LoadHint loadHint{};      // what the host's load report was worth when the attempt went out
+  LoadHint loadHint{};      // from the host's load report at the time of sending
 };
 
 struct ActiveRequest {
@@ -31,7 +30,7 @@
 
   // Times.
   Time arrivedAt{};
-  Time deadline{};               // when the client gives up
+  Time deadline{};               // when the client abandons the request
   Time objectiveAt{};            // an answer after this is late
   Duration latencyObjective{};   // of the class at the arrival
   double lateValueFraction = 0;  // of the class at the arrival
@@ -42,28 +41,26 @@
   bool hasAffinityKey = false;
   bool preferLocalZone = false;
   bool isStream = false;
-  bool isSingleAttempt = false;   // its body came piece by piece and cannot be sent again
-  bool isBodyIncomplete = false;  // the last byte of its body has not come
+  bool isSingleAttempt = false;   // its body was streamed and cannot be sent again
+  bool isBodyIncomplete = false;  // the last byte of its body has not arrived
 
   // Admission.
   double priorityWeight = 0;
   double score = 0;  // 1 to 100
 
   // Load probing.
-  double observedLoad =
-      -1;  // load of the least loaded host that reported, when the wait ended; below 0: not known
-  int awaitedReports = 0;      // probe results or recommendations that have not come
-  HostId leastLoaded = kNone;  // among the reports that have come
-  double leastLoad = 0;        // requests that host holds
+  double observedLoad = -1;    // lowest load reported by the end of the wait; below 0: unknown
+  int awaitedReports = 0;      // probe results or recommendations that are outstanding
+  HostId leastLoaded = kNone;  // among the reports received so far
+  double leastLoad = 0;        // in requests held
 
   // Attempts.
   std::optional<EarlierAttempt> earlierAttempt;
   std::array<Attempt, kMaxAttemptsPerRequest> attempts;
   std::uint32_t attemptCount = 0;
   std::uint32_t pendingAttempts = 0;
-  bool hasEnded = false;  // nothing more is owed to the client
-  bool hasResponseStarted =
-      false;  // bytes of the answer have gone to the client: no other attempt may follow
+  bool hasEnded = false;            // the client needs no further response
+  bool hasResponseStarted = false;  // response bytes were sent to the client: it is not sent again
 };
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -12,12 +12,12 @@
 namespace finchstile::load_balancing {
 namespace {
 
-constexpr double kMinQuotaBurst = 4;  // requests: a small quota would never fill a bucket of one second
-// Weights within these factors, or closer than the distance, are one level.
+constexpr double kMinQuotaBurst = 4;  // requests; one second of a small quota is less than one token
+// Weights within these factors or this distance of each other belong to the same level.
 constexpr double kSameLevelMinFactor = 0.999;
 constexpr double kSameLevelMaxFactor = 1.001;
 constexpr double kSameLevelDistance = 1e-12;
-constexpr double kForgottenRequests = 0.01;
+constexpr double kMinRecentRequests = 0.01;
 
 }  // namespace
 
@@ -70,7 +70,7 @@
 void AdmissionController::setQuota(Time now, std::uint32_t tenantIndex, double quotaPerSecond) {
   if (tenants_.size() <= tenantIndex) tenants_.resize(tenantIndex + 1);
   Tenant& tenant = tenants_[tenantIndex];
-  // While there was no quota, nothing was taken from the bucket: it is full.
+  // Without a quota no tokens were taken: the bucket starts full.
   if (tenant.quotaPerSecond <= 0) {
     tenant.tokens = kMinQuotaBurst;
     tenant.filledAt = now;
@@ -82,7 +82,7 @@
   for (PriorityLevel& level : levels_) level.recentRequests *= 1 - kSlowGain;
   levels_.erase(
       std::remove_if(levels_.begin(), levels_.end(),
-                     [](const PriorityLevel& level) { return level.recentRequests < kForgottenRequests; }),
+                     [](const PriorityLevel& level) { return level.recentRequests < kMinRecentRequests; }),
       levels_.end());
 }
 
--- a/src/policy/capacity_backoff.hpp
+++ b/src/policy/capacity_backoff.hpp
@@ -1,5 +1,6 @@
-// Decides when a host that rejects attempts for lack of capacity is sent some again. Inputs are the outcomes
-// of its attempts. Without it, a host that stays full, or drains without notice, would look idle.
+// Exponential backoff for hosts that reject attempts for lack of capacity. Inputs are the outcomes of their
+// attempts. Without it, a host that stays full, or drains without notice, would look idle and attract
+// attempts.
 #pragma once
 
 #include <algorithm>
@@ -12,12 +13,12 @@
 
 class CapacityBackoff {
  public:
-  // Rejections in a row from which on a host backs off; fewer are a short peak.
+  // Consecutive rejections after which a host backs off; fewer are taken for a short peak.
   static constexpr int kMinRejections = 3;
 
   static void onServed(Host& host) { host.capacity.consecutiveRejections = 0; }
 
-  // Draws once for each backoff.
+  // Draws one random number per backoff.
   static void onRejected(Host& host, Time now, RandomSource& random) {
     HostCapacity& capacity = host.capacity;
     if (++capacity.consecutiveRejections < kMinRejections) return;
@@ -25,8 +26,9 @@
     capacity.backoffUntil = now + scaled(kFirstBackoff * (1 << doublings), 0.5 + random.unit());
   }
 
-  // The host could not be reached by a gateway that keeps to a subset. Each such gateway meets a lost zone by
-  // itself, and until its hosts are ejected all retries would go there: the host backs off at once.
+  // A gateway that uses a subset of the hosts could not reach the host, which backs off immediately. Each
+  // such gateway discovers the loss of a zone on its own, and until the hosts are ejected all of its retries
+  // would go there.
   static void onUnreachable(Host& host, Time now, RandomSource& random) {
     HostCapacity& capacity = host.capacity;
     capacity.consecutiveRejections = std::max(capacity.consecutiveRejections, kMinRejections - 1);
--- a/src/policy/duration_math.hpp
+++ b/src/policy/duration_math.hpp
@@ -1,4 +1,4 @@
-// Arithmetic on durations that every rule of the module uses.
+// Conversion and scaling of durations.
 #pragma once
 
 #include "finchstile/load_balancer.hpp"
--- a/src/policy/dynamic_settings.cpp
+++ b/src/policy/dynamic_settings.cpp
@@ -7,7 +7,7 @@
 namespace finchstile::load_balancing {
 namespace {
 
-// The messages name the settings as the operator's file does.
+// Error messages use the setting names of the configuration file.
 void require(bool isValid, const std::string& problem) {
   if (!isValid) throw std::invalid_argument("load balancer settings change: " + problem);
 }
--- a/src/policy/dynamic_settings.hpp
+++ b/src/policy/dynamic_settings.hpp
@@ -1,4 +1,4 @@
-// Settings of classes and tenants that change while a load balancer runs. Nothing is decided here.
+// Applies settings of classes and tenants that change while a load balancer runs.
 #pragma once
 
 #include "policy/admission_controller.hpp"
@@ -7,8 +7,8 @@
 
 namespace finchstile::load_balancing {
 
-// Checks all of `update` first, and throws std::invalid_argument that names what is wrong; else applies it in
-// one step. `settings` are those of the start.
+// Validates all of `update` before applying any of it. Throws std::invalid_argument naming the invalid value.
+// `settings` are the initial settings.
 void applyDynamicSettings(Time now, const Settings& settings, const DynamicSettings& update,
                           TrafficStatistics& traffic, AdmissionController& admission, LoadProbing& probing);
 
--- a/src/policy/fleet_shape.hpp
+++ b/src/policy/fleet_shape.hpp
@@ -1,5 +1,5 @@
-// Decides which rules apply for the number of gateways beside the number of hosts. A gateway of a small bank
-// sees most of what a host carries; one among hundreds sees next to nothing of it.
+// Selects rules by the number of gateways relative to the number of hosts. A gateway of a small cluster sees
+// most of the load of a host; one among hundreds sees almost none of it.
 #pragma once
 
 #include <algorithm>
@@ -14,31 +14,32 @@
   // Both must outlive this.
   FleetShape(const Settings& settings, const HostRegistry& hosts) : settings_(settings), hosts_(hosts) {}
 
-  // Own in-flight counts and rates then say next to nothing of what a host carries.
+  // If so, the gateway's own in-flight counts and rates say little about the load of a host.
   bool gatewaysOutnumberHosts() const { return settings_.gatewayCount > hosts_.active().size(); }
 
-  // Not every gateway is to meet every host: there are more gateways than hosts, or than kLargeBankGateways.
-  bool isLargeBank() const {
-    return settings_.gatewayCount > std::min(hosts_.active().size(), kLargeBankGateways);
+  // Whether there are too many gateways for each of them to use every host: more than there are hosts, or
+  // more than kLargeClusterGateways.
+  bool isLargeCluster() const {
+    return settings_.gatewayCount > std::min(hosts_.active().size(), kLargeClusterGateways);
   }
 
-  // Load probing stands in for the own in-flight counts.
+  // Whether load probing replaces the gateway's own in-flight counts.
   bool probesLoad() const {
     return gatewaysOutnumberHosts() && (settings_.probingEnabled || settings_.peerMessagesEnabled);
   }
 
-  // Each gateway keeps to a subset of the hosts. Where every gateway of a large bank met every host,
-  // connections would carry a request or two and fill the hosts' tables. Where load probing compares hosts it
-  // does the work of a subset.
-  bool usesSubsets() const { return isLargeBank() && !probesLoad(); }
+  // Whether each gateway uses a subset of the hosts. If every gateway of a large cluster used every host,
+  // connections would carry only one or two requests each and exhaust the connection limits of the hosts.
+  // Load probing makes subsets unnecessary, since it compares few hosts per attempt.
+  bool usesSubsets() const { return isLargeCluster() && !probesLoad(); }
 
-  // Attempts and outcomes are reported to the gateway that tracks the host's group.
+  // Whether attempts and outcomes are reported to the gateway that tracks the host's group.
   bool usesGroupTrackers() const {
     return gatewaysOutnumberHosts() && settings_.peerMessagesEnabled && !settings_.probingEnabled;
   }
 
  private:
-  static constexpr std::size_t kLargeBankGateways = 32;
+  static constexpr std::size_t kLargeClusterGateways = 32;
   const Settings& settings_;
   const HostRegistry& hosts_;
 };
--- a/src/policy/hashing.hpp
+++ b/src/policy/hashing.hpp
@@ -1,4 +1,4 @@
-// Hashes that give equal results in every process: gateways refer to hosts and groups by them.
+// Hashes that are equal in every process, by which gateways refer to hosts and groups.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/host.hpp
+++ b/src/policy/host.hpp
@@ -1,5 +1,4 @@
-// What a load balancer keeps of one host: a record for each rule, which alone writes it. Nothing is decided
-// here.
+// State of one host. Each rule has its own record, which only that rule writes.
 #pragma once
 
 #include <cstddef>
@@ -13,16 +12,16 @@
 
 // Written by InFlightTracker.
 struct HostInFlight {
-  int count = 0;                       // attempts of this gateway that the host holds
-  std::size_t busyIndex = 0;           // place in InFlightTracker::busyHosts() while `count` is above 0
-  std::deque<RequestId> sentRequests;  // in the order of sending; those that are over are dropped lazily
+  int count = 0;                       // attempts of this gateway in flight at the host
+  std::size_t busyIndex = 0;           // index in InFlightTracker::busyHosts() while `count` > 0
+  std::deque<RequestId> sentRequests;  // in the order of sending; ended ones are removed lazily
 };
 
 // Written by TrafficStatistics.
 struct HostTraffic {
-  double relativeLatency = 1;   // time taken, divided by the typical latency of the request's class
+  double relativeLatency = 1;   // latency divided by the typical latency of the class
   double servedSinceSweep = 0;  // answers
-  double answerRate = 0;        // answers a second
+  double answerRate = 0;        // answers per second
 };
 
 // Written by OverloadEstimator; decayed counts of attempts.
@@ -38,9 +37,9 @@
   HealthState state = HealthState::healthy;
   double failureRate = 0;  // decayed fraction of failed attempts, 0 to 1
   Time ejectedUntil{};
-  int ejections = 0;          // in a row; lengthens the next one
-  bool unresponsive = false;  // holds attempts and has shown no sign of life for too long
-  Time lastSeenAlive{};       // when it last showed life; zero: never
+  int ejections = 0;          // consecutive; lengthens the next one
+  bool unresponsive = false;  // has attempts in flight and has not responded for too long
+  Time lastResponseAt{};      // last response of any kind; zero: never
 
   // Whether the host gets no ordinary traffic because of its health.
   bool isUnhealthy() const { return state != HealthState::healthy || unresponsive; }
@@ -58,9 +57,9 @@
   Time filledAt{};
 };
 
-// Written by StreamPlacement. Tokens are streams that may begin.
+// Written by StreamPlacement. Tokens are new streams.
 struct HostStreams {
-  std::size_t count = 0;  // that the host holds or is being sent
+  std::size_t count = 0;  // open or being established
   double tokens = 1;
   Time filledAt{};
 };
@@ -68,8 +67,8 @@
 // Written by LoadProbing.
 struct HostProbing {
   std::deque<RequestId> waitingRequests;  // in the order of their probes
-  std::uint64_t group = 0;                // hosts of one group have one tracker
-  std::deque<Time> assignedUntil;  // as the group's tracker: when each assigned attempt is over at the latest
+  std::uint64_t group = 0;                // hosts of a group have the same tracker
+  std::deque<Time> assignedUntil;         // if this gateway tracks the group: expiry of each assigned attempt
 };
 
 struct Host {
@@ -77,7 +76,7 @@
   HostId id = kNone;  // kNone: an unused slot
   HostEntry entry;
   std::uint64_t hash = 0;       // of the address
-  bool isLocal = false;         // in the gateway's own zone
+  bool isLocal = false;         // in the zone of the gateway
   std::size_t machineType = 0;  // index into HostRegistry::machineTypes()
   std::size_t references = 0;   // attempts of active requests
 
@@ -91,7 +90,7 @@
   HostProbing probing;
   ReportedLoad reportedLoad;
 
-  // The part of the hash by which peer messages name the host.
+  // The part of the hash that identifies the host in peer messages.
   std::uint32_t wireHash() const { return static_cast<std::uint32_t>(hash); }
 };
 
--- a/src/policy/host_picker.cpp
+++ b/src/policy/host_picker.cpp
@@ -10,19 +10,22 @@
 namespace finchstile::load_balancing {
 namespace {
 
-constexpr std::size_t kMaxCandidates = 24;  // for one pick: more would cost processor time and gain little
-constexpr std::size_t kMaxSubset = 4;       // hosts of one gateway of a large bank,
-constexpr double kMinGatewaysPerHost = 6;   // but each host is met by about so many gateways at least
-constexpr double kMaxGatewaysPerHost = 40;  // and at most
-constexpr double kSubsetHostsPerRequest = 0.5;  // more hosts for each request in flight
-constexpr double kLocalZoneWeight = 2;  // in the draw: yields to a host elsewhere that is 1.4 times as fast
-constexpr std::size_t kAffinityCandidates = 3;  // hosts that share the cache of one key
+constexpr std::size_t kMaxCandidates = 24;  // per pick; more would cost CPU time for little gain
+// The subset of a gateway has kMaxSubset hosts, or fewer so that a host is in at most about
+// kMaxGatewaysPerHost subsets, but enough that it is in at least about kMinGatewaysPerHost.
+constexpr std::size_t kMaxSubset = 4;
+constexpr double kMinGatewaysPerHost = 6;
+constexpr double kMaxGatewaysPerHost = 40;
+constexpr double kSubsetHostsPerRequest = 0.5;  // additional hosts per request in flight
+// In the draw. A host of another zone that is 1.4 times as fast has the same weight.
+constexpr double kLocalZoneWeight = 2;
+constexpr std::size_t kAffinityCandidates = 3;  // hosts among which a key's requests are spread
 constexpr double kMinRelativeLatency = 0.05;
 constexpr double kMinLatencyPower = 0.01;
-// Exponent of the relative latency in the weight. Beside many gateways the own in-flight counts say little
-// and every host looks idle, so the draw leans more towards hosts that answer fast.
+// Exponent of the relative latency in the weight of a host. In a large cluster the gateway's own in-flight
+// counts say little and every host looks idle, so the draw favors fast hosts more strongly.
 constexpr int kLatencyExponent = 2;
-constexpr int kLatencyExponentOfLargeBank = 4;
+constexpr int kLargeClusterLatencyExponent = 4;
 
 }  // namespace
 
@@ -38,9 +41,9 @@
   std::vector<std::uint64_t> hashes;
   hashes.reserve(active.size());
   for (const HostId id : active) hashes.push_back(inputs_.hosts[id].hash);
-  const auto places =
+  const auto order =
       subsetOrder(hashes, inputs_.settings.gatewayIndex, inputs_.settings.gatewayCount, baseSubsetSize_);
-  for (std::size_t i = 0; i < places.size(); ++i) preferenceOrder_[i] = active[places[i]];
+  for (std::size_t i = 0; i < order.size(); ++i) preferenceOrder_[i] = active[order[i]];
 }
 
 HostId HostPicker::pick(const ActiveRequest& request, Time now, RandomSource& random) {
@@ -49,7 +52,7 @@
   gatherCandidates(request, Health::required, request.preferLocalZone ? Zone::local : Zone::any, now, random);
   if (request.preferLocalZone && !localZoneHasCapacity(now))
     gatherCandidates(request, Health::required, Zone::any, now, random);
-  // Without a healthy host, any that the rules allow is better than none.
+  // Without a usable host, any that the rule on repeats allows is better than none.
   if (candidates_.empty()) gatherCandidates(request, Health::ignored, Zone::any, now, random);
   if (candidates_.empty())
     return drawWarmingHost(request, SlowStart::kCollapseFraction * inputs_.settings.collapseLoadFactor - 1,
@@ -57,7 +60,7 @@
   if (inputs_.settings.keyAffinity && request.hasAffinityKey)
     if (const HostId id = pickByAffinity(request); id != kNone) return id;
   if (const HostId id = drawIdleHost(now, random); id != kNone) return id;
-  return lighterOfTwo(now, random);
+  return pickLessLoadedOfTwo(now, random);
 }
 
 HostId HostPicker::pickForStream(const ActiveRequest& request, Time now, RandomSource& random) {
@@ -69,19 +72,19 @@
   return inputs_.streams.choose(inputs_.hosts, candidates_, random);
 }
 
-// A gateway of a large bank offers each attempt to one host of its subset, which takes it if it is warming up
-// and the draw falls so (slow_start.hpp).
+// A gateway of a large cluster offers each attempt to one random host of its subset, which takes it with some
+// probability if it is warming up (slow_start.hpp).
 HostId HostPicker::drawWarmingHost(const ActiveRequest& request, double share, Time now,
                                    RandomSource& random) const {
-  if (!inputs_.shape.isLargeBank() || inputs_.hosts.active().empty()) return kNone;
+  if (!inputs_.shape.isLargeCluster() || inputs_.hosts.active().empty()) return kNone;
   const HostId id = preferenceOrder_[random.below(std::min(subsetSize(), preferenceOrder_.size()))];
   const Host& host = inputs_.hosts[id];
   if (!inputs_.slowStart.isWarmingUp(host, now) || !isUsable(request, id, now)) return kNone;
   return random.unit() < inputs_.slowStart.offerProbability(host, inputs_.hosts, share, now) ? id : kNone;
 }
 
-// The first idle host in the key's rendezvous order, which all gateways share; if none is, only the first few
-// remain candidates.
+// The first idle host in the rendezvous order of the key, which is the same at all gateways. If none of the
+// first few is idle, these remain the only candidates.
 HostId HostPicker::pickByAffinity(const ActiveRequest& request) {
   const std::size_t count = std::min(kAffinityCandidates, candidates_.size());
   std::partial_sort(candidates_.begin(), candidates_.begin() + static_cast<std::ptrdiff_t>(count),
@@ -95,10 +98,10 @@
   return kNone;
 }
 
-// Draws once for each idle candidate. The local zone weighs only a little more, or it would be overrun where
-// every host looks idle.
+// Draws one random number per idle candidate. The weight of the local zone is only moderately higher: where
+// every host looks idle, a strong preference would overload it.
 HostId HostPicker::drawIdleHost(Time now, RandomSource& random) const {
-  const int exponent = inputs_.shape.isLargeBank() ? kLatencyExponentOfLargeBank : kLatencyExponent;
+  const int exponent = inputs_.shape.isLargeCluster() ? kLargeClusterLatencyExponent : kLatencyExponent;
   double weightSum = 0;
   HostId chosen = kNone;
   for (const HostId id : candidates_) {
@@ -112,13 +115,14 @@
   return chosen;
 }
 
-HostId HostPicker::lighterOfTwo(Time now, RandomSource& random) const {
+HostId HostPicker::pickLessLoadedOfTwo(Time now, RandomSource& random) const {
   const HostId a = candidates_[random.below(candidates_.size())];
   const HostId b = candidates_[random.below(candidates_.size())];
   return load(inputs_.hosts[a], now) <= load(inputs_.hosts[b], now) ? a : b;
 }
 
-// From a random place in the subset on, then from the hosts behind it. Draws once.
+// Starts at a random position of the subset and wraps around, then continues with the hosts after the subset.
+// Draws one random number.
 void HostPicker::gatherCandidates(const ActiveRequest& request, Health health, Zone zone, Time now,
                                   RandomSource& random) {
   candidates_.clear();
@@ -142,7 +146,7 @@
   if (host.health.state == HealthState::ejected) return false;
   if (host.health.state == HealthState::trial) {
     const ClassSettings& settings = inputs_.traffic.classes()[request.classIndex].settings;
-    if (!inputs_.outliers.mayTry(host, settings.idempotency, now)) return false;
+    if (!inputs_.outliers.mayServeAsTrial(host, settings.idempotency, now)) return false;
   }
   return !wasTried(request, id) && inputs_.retries.mayRunOn(request, host, now);
 }
@@ -164,27 +168,28 @@
                                      inputs_.traffic.startedAt(), now);
 }
 
-// One of the candidates, all of the local zone, holds less than its part of the pool's in-flight threshold,
-// or answers so fast that what it holds takes no larger part of the objective. Beyond, latency would grow.
+// Whether one of the candidates, all of the local zone, has fewer requests in flight than an even share of
+// the pool's in-flight threshold, or answers so fast that its requests in flight stay within that fraction of
+// the objective. Above that, latency would grow.
 bool HostPicker::localZoneHasCapacity(Time now) const {
   const double hostCount = static_cast<double>(std::max<std::size_t>(inputs_.hosts.active().size(), 1));
-  const double part =
+  const double hostShare =
       std::max(1.0, OverloadEstimator::kInFlightThreshold * inputs_.overload.inFlightLimit(now) / hostCount);
   const double seconds = OverloadEstimator::kInFlightThreshold * OverloadEstimator::kMaxObjectiveFraction *
                          inputs_.traffic.meanLatencyObjective();
   return std::any_of(candidates_.begin(), candidates_.end(), [&](HostId id) {
     const Host& host = inputs_.hosts[id];
-    return host.inFlight.count + 1 <= std::max(part, seconds * host.traffic.answerRate);
+    return host.inFlight.count + 1 <= std::max(hostShare, seconds * host.traffic.answerRate);
   });
 }
 
-// Holds nothing of this gateway; a fast host may hold more.
+// Whether the host has no requests of this gateway in flight; a fast host may have more.
 bool HostPicker::isIdle(const Host& host) const {
   return host.inFlight.count < std::max(1.0, inputs_.traffic.medianRelativeLatency() /
                                                  std::max(host.traffic.relativeLatency, kMinRelativeLatency));
 }
 
-// With what the host's last load report adds, as far as such reports have proven worth anything.
+// The relative latency, scaled by the prediction from the host's last load report.
 double HostPicker::currentRelativeLatency(const Host& host, Time now) const {
   return host.traffic.relativeLatency * inputs_.loadReports.latencyFactorAt(host.reportedLoad, now);
 }
@@ -193,7 +198,8 @@
   return (host.inFlight.count + 1) * currentRelativeLatency(host, now);
 }
 
-// The next hosts in the order stand in for those that are not usable, and help while the gateway holds more.
+// Grows with the requests in flight. Hosts after the subset also replace those of it that are not usable
+// (gatherCandidates).
 std::size_t HostPicker::subsetSize() const {
   if (!inputs_.shape.usesSubsets()) return baseSubsetSize_;
   return baseSubsetSize_ +
--- a/src/policy/host_picker.hpp
+++ b/src/policy/host_picker.hpp
@@ -1,6 +1,6 @@
-// Decides which host gets an attempt: gathers candidates, and draws one by weight among those that are idle,
-// else takes the lighter of two (power of two choices). Inputs are the registry and const views of the other
-// rules; a large bank's gateway keeps to a subset of the hosts (subset.hpp).
+// Chooses the host of an attempt: gathers candidates, then draws one of the idle candidates by weight, or, if
+// none is idle, takes the less loaded of two random ones (power of two choices). Inputs are the host registry
+// and const views of the other rules. A gateway of a large cluster uses a subset of the hosts (subset.hpp).
 #pragma once
 
 #include <cstddef>
@@ -22,8 +22,8 @@
 
 class HostPicker {
  public:
-  // What the pick reads; all must outlive the picker. It writes nothing but the token buckets of the hosts
-  // that it asks for capacity.
+  // State read by the picker; all must outlive it. The picker modifies only the token buckets of the hosts
+  // whose capacity it checks.
   struct Inputs {
     const Settings& settings;
     HostRegistry& hosts;
@@ -39,14 +39,15 @@
 
   explicit HostPicker(const Inputs& inputs) : inputs_(inputs) {}
 
-  // Call when the list of active hosts has changed.
+  // Must be called when the list of active hosts changes.
   void rebuildPreferenceOrder();
 
-  // The host for the next attempt of a request, or kNone.
+  // The host for the next attempt of a request; kNone if there is none.
   HostId pick(const ActiveRequest& request, Time now, RandomSource& random);
 
-  // Whether the host is healthy or open to a trial, not in capacity backoff, not yet tried for the request,
-  // and allowed by the rule on repeats. Slow start and stream limits (hasCapacity) are not checked.
+  // Whether the host is healthy or available for a trial, not in capacity backoff, not yet tried for the
+  // request, and allowed by the rule on repeats. Does not check the limits of slow start and streams
+  // (hasCapacity).
   bool isUsable(const ActiveRequest& request, HostId id, Time now) const;
 
  private:
@@ -57,7 +58,7 @@
   HostId drawWarmingHost(const ActiveRequest& request, double share, Time now, RandomSource& random) const;
   HostId pickByAffinity(const ActiveRequest& request);
   HostId drawIdleHost(Time now, RandomSource& random) const;
-  HostId lighterOfTwo(Time now, RandomSource& random) const;
+  HostId pickLessLoadedOfTwo(Time now, RandomSource& random) const;
   void gatherCandidates(const ActiveRequest& request, Health health, Zone zone, Time now,
                         RandomSource& random);
   bool hasCapacity(const ActiveRequest& request, Host& host, Time now) const;
@@ -70,9 +71,9 @@
   std::size_t subsetSize() const;
 
   const Inputs inputs_;
-  std::vector<HostId> preferenceOrder_;  // of the active hosts; the subset comes first
+  std::vector<HostId> preferenceOrder_;  // the active hosts, those of the subset first
   std::size_t baseSubsetSize_ = 0;
-  std::vector<HostId> candidates_;  // of the pick at hand; kept to spare an allocation for each pick
+  std::vector<HostId> candidates_;  // of the current pick; a member to avoid an allocation per pick
 };
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/host_registry.cpp
+++ b/src/policy/host_registry.cpp
@@ -21,7 +21,7 @@
     if (hasStarted) onStarted(*host);
   }
   rebuildPhaseLists();
-  forgetUnreferenced();
+  eraseUnreferenced();
   std::sort(active_.begin(), active_.end(),
             [this](HostId a, HostId b) { return hosts_[a].entry.address < hosts_[b].entry.address; });
 }
@@ -58,8 +58,8 @@
   }
 }
 
-void HostRegistry::forgetUnreferenced() {
-  const auto forget = [this](HostId id) {
+void HostRegistry::eraseUnreferenced() {
+  const auto eraseIfUnreferenced = [this](HostId id) {
     const Host& host = hosts_[id];
     if (host.references > 0 || !host.probing.waitingRequests.empty()) return false;
     idsByAddress_.erase(host.entry.address);
@@ -68,7 +68,7 @@
     hosts_.remove(id);
     return true;
   };
-  removed_.erase(std::remove_if(removed_.begin(), removed_.end(), forget), removed_.end());
+  removed_.erase(std::remove_if(removed_.begin(), removed_.end(), eraseIfUnreferenced), removed_.end());
 }
 
 HostId HostRegistry::findByAddress(std::string_view address) const {
--- a/src/policy/host_registry.hpp
+++ b/src/policy/host_registry.hpp
@@ -1,6 +1,6 @@
-// Decides which hosts there are: from endpoint lists it keeps each host's phase, incarnation and machine
-// type. A removed host is forgotten when nothing refers to it any more, so that fleets that are replaced for
-// days do not fill the memory; a host that is listed again after that is a new one.
+// Registry of hosts: keeps the phase, process incarnation and machine type of each host, from endpoint lists.
+// A removed host is erased once nothing refers to it, so that memory use stays bounded while fleets are
+// replaced for days. A host that is listed again after that is a new one.
 #pragma once
 
 #include <functional>
@@ -18,14 +18,14 @@
  public:
   explicit HostRegistry(std::string ownZone) : ownZone_(std::move(ownZone)) {}
 
-  // Takes over a list. One that is not incremental removes the hosts that it leaves out. `onStarted` is
-  // called for each host that is new or runs as a new process, with its entry in place. Hosts beyond the
-  // table's capacity are ignored.
+  // Applies a list. Unless it is incremental, hosts that are not in it are removed. Calls `onStarted` for
+  // each host that is new or whose process has restarted, after its entry is set. Hosts beyond the capacity
+  // of the table are ignored.
   void apply(HostListUpdate kind, const std::vector<HostEntry>& entries,
              const std::function<void(Host&)>& onStarted);
 
-  // Forgets removed hosts that no attempt and no probe refers to.
-  void forgetUnreferenced();
+  // Erases removed hosts that no attempt and no probe refers to.
+  void eraseUnreferenced();
 
   Host& operator[](HostId id) { return hosts_[id]; }
   const Host& operator[](HostId id) const { return hosts_[id]; }
@@ -33,7 +33,7 @@
   HostId findByAddress(std::string_view address) const;  // kNone if there is none
   HostId findByWireHash(std::uint32_t hash) const;       // kNone if there is none
 
-  // Hosts of phase `active` in the order of their addresses: one order at every start.
+  // Hosts of phase `active`, ordered by address, which gives the same order after every start.
   const std::vector<HostId>& active() const { return active_; }
 
   std::vector<MachineType>& machineTypes() { return machineTypes_; }
@@ -49,7 +49,7 @@
   std::unordered_map<std::string, HostId> idsByAddress_;
   std::unordered_map<std::uint32_t, HostId> idsByWireHash_;
   std::vector<HostId> active_;
-  std::vector<HostId> removed_;  // and not yet forgotten
+  std::vector<HostId> removed_;  // and not yet erased
   std::vector<MachineType> machineTypes_;
 };
 
--- a/src/policy/host_table.hpp
+++ b/src/policy/host_table.hpp
@@ -8,8 +8,8 @@
 
 namespace finchstile::load_balancing {
 
-// Slots are reused, ids only after 65,535 other hosts have used the slot: an id that something still refers
-// to never comes to mean another host.
+// Slots are reused; an id is reused only after 65,535 other hosts have used its slot, so an id that is still
+// referred to is never reassigned to another host.
 class HostTable {
  public:
   Host& operator[](HostId id) { return slots_[id & kSlotMask]; }
@@ -38,7 +38,7 @@
     freeIds_.push_back(id + kSlotMask + 1);
   }
 
-  // All slots, unused ones (id kNone) among them.
+  // Iterates over all slots, including unused ones (id kNone).
   auto begin() { return slots_.begin(); }
   auto end() { return slots_.end(); }
 
--- a/src/policy/in_flight_tracker.hpp
+++ b/src/policy/in_flight_tracker.hpp
@@ -1,4 +1,4 @@
-// Counts the attempts that each host holds for this gateway. Nothing is decided here.
+// Counts the attempts of this gateway that are in flight at each host.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 class InFlightTracker {
  public:
-  // The attempt's host begins to hold it.
+  // Counts the attempt as in flight at its host.
   void begin(HostRegistry& hosts, RequestId request, Attempt& attempt) {
     HostInFlight& inFlight = hosts[attempt.host].inFlight;
     attempt.isInFlight = true;
@@ -22,7 +22,7 @@
     busyHosts_.push_back(attempt.host);
   }
 
-  // The attempt's host holds it no longer. A second call does nothing.
+  // Stops counting the attempt. A second call does nothing.
   void end(HostRegistry& hosts, Attempt& attempt) {
     HostInFlight& inFlight = hosts[attempt.host].inFlight;
     if (!std::exchange(attempt.isInFlight, false) || --inFlight.count > 0) return;
@@ -31,7 +31,7 @@
     busyHosts_.pop_back();
   }
 
-  // Hosts that hold at least one attempt, in no particular order.
+  // Hosts with at least one attempt in flight, in no particular order.
   const std::vector<HostId>& busyHosts() const { return busyHosts_; }
 
  private:
--- a/src/policy/late_retry_detector.hpp
+++ b/src/policy/late_retry_detector.hpp
@@ -1,9 +1,10 @@
-// Decides how much of its client's patience a request had spent before it came, from the time that the client
-// leaves it. What was spent counts against the latency objective: a late retry earns less.
+// Estimates how much of its client's total wait was spent before a request arrived, from the time that the
+// client has left for it. The time spent counts against the latency objective, which lowers the value of a
+// late retry.
 //
-// A client gives a first request a fixed time, and a retry only what is left of its total wait
-// (clientTimeout). So a request whose time is not the typical one of its class, a running median, is taken
-// for a late retry.
+// A client gives a first request a fixed timeout, and a retry only the rest of its total wait
+// (clientTimeout). So a request whose time left differs from the running median of its class is taken for a
+// late retry.
 #pragma once
 
 #include <algorithm>
@@ -16,8 +17,8 @@
 
 class LateRetryDetector {
  public:
-  // The time that the client of an arriving request has spent on earlier attempts. Updates the class's
-  // typical time and fraction of late retries.
+  // Returns the time that the client spent on earlier attempts. Updates the class's typical time left and its
+  // fraction of late retries.
   static Duration timeSpentBefore(TrafficClass& trafficClass, Duration timeLeft) {
     const ClassSettings& settings = trafficClass.settings;
     Duration& typical = trafficClass.typicalTimeLeft;
@@ -28,8 +29,9 @@
     const bool isLate = spent > scaled(settings.latencyObjective, kLateObjectiveFraction);
     trafficClass.lateRetryFraction +=
         kFiftySampleGain * ((isLate ? 1.0 : 0.0) - trafficClass.lateRetryFraction);
-    // Late retries follow requests that went unserved for long and cannot be a large part of the traffic.
-    // Beyond, clients have turned impatient, many at once, and none of them is to be rejected for it.
+    // Late retries follow requests that went unserved for long, so they cannot be a large part of the
+    // traffic. A larger fraction means that many clients have shortened their timeouts, which is no reason to
+    // reject them.
     if (isLate && trafficClass.lateRetryFraction > kMaxLateFraction) spent = {};
     typical += timeLeft < typical ? -tolerance / 8 : tolerance / 8;
     return spent;
@@ -37,7 +39,7 @@
 
  private:
   static constexpr double kToleranceFraction = 0.02;     // of the client's total wait
-  static constexpr double kLateObjectiveFraction = 0.5;  // spent more than this of the objective: late
+  static constexpr double kLateObjectiveFraction = 0.5;  // of the objective; late if more was spent
   static constexpr double kMaxLateFraction = 0.2;        // of the recent requests of a class
 };
 
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -7,12 +7,13 @@
 namespace finchstile::load_balancing {
 namespace {
 
-// Start times closer than this are one start: each process ties its clock to the calendar by itself.
+// Start times that differ by less are the same start: each process maps its clock to calendar time
+// independently.
 constexpr Duration kSameStartTolerance = std::chrono::seconds(1);
 constexpr Duration kMaxEjection = std::chrono::minutes(5);
 constexpr int kMaxEjections = 3;
 
-// Zero for a start that is long past.
+// Time since the start; zero if the host started long ago.
 Duration ageOf(Time startedAt, Time now) {
   return startedAt > Time{} ? std::max(now - startedAt, Duration(1)) : Duration{};
 }
@@ -32,7 +33,7 @@
 }
 
 void restoreHost(Host& host, const LearnedState::Host& learned, Time now) {
-  // What was learned of another process of the host is void.
+  // Statistics on an earlier process of the host do not apply.
   if (!isSameStart(ageOf(host.entry.startedAt, now), learned.uptime)) return;
   if (host.traffic.servedSinceSweep > 0 || host.inFlight.count > 0) return;
   host.traffic.relativeLatency =
--- a/src/policy/learned_state.hpp
+++ b/src/policy/learned_state.hpp
@@ -1,4 +1,4 @@
-// Carries what a load balancer has learned to the next one of its gateway. Nothing is decided here.
+// Captures and restores the statistics that a load balancer hands over to the next process of its gateway.
 #pragma once
 
 #include "policy/admission_controller.hpp"
@@ -12,7 +12,7 @@
                                  const OverloadEstimator& overload, const AdmissionController& admission,
                                  const HostRegistry& hosts);
 
-// Takes over what fits (see LoadBalancer::restoreLearnedState). Does nothing if as much was learned here.
+// Restores the statistics; see LoadBalancer::restoreLearnedState.
 void restoreLearnedState(Time now, const LearnedState& learned, TrafficStatistics& traffic,
                          OverloadEstimator& overload, AdmissionController& admission, HostRegistry& hosts);
 
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -1,13 +1,13 @@
-// Ties the rules of the decision module together: events become calls of the rules, and what they decide
-// becomes actions. Interface: include/finchstile/load_balancer.hpp; the rules: one header each in this
-// folder.
+// Implementation of LoadBalancer: dispatches events to the rules and turns their decisions into actions. Each
+// rule has its own header in this folder.
 //
-// A request is scored by its priority and rejected unsent if it scores below the cutoff (AdmissionController,
-// OverloadEstimator); else it is sent to a host (HostPicker, after LoadProbing where gateways outnumber
-// hosts), and again if that is allowed and useful (RetryPolicy). Outcomes feed the statistics and the health
-// of hosts.
+// A request is scored by its priority and rejected before it is sent if its score is below the cutoff
+// (AdmissionController, OverloadEstimator). Otherwise it is sent to a host (HostPicker, after LoadProbing if
+// gateways outnumber hosts), and retried if that is allowed and useful (RetryPolicy). Outcomes update the
+// statistics and the health of hosts.
 //
-// The rules draw from one random source, and sums depend on their order: both are part of the behaviour.
+// The rules share one random source, and floating-point sums depend on their order, so reordering calls
+// changes decisions.
 #include "finchstile/load_balancer.hpp"
 
 #include <algorithm>
@@ -46,8 +46,8 @@
 namespace finchstile::load_balancing {
 namespace {
 
-constexpr double kMinLatencySeconds = 1e-6;   // zero would make ratios meaningless
-constexpr double kMinRelativeLatency = 0.05;  // of a host, as a divisor
+constexpr double kMinLatencySeconds = 1e-6;   // a latency of zero would make ratios meaningless
+constexpr double kMinRelativeLatency = 0.05;  // lower bound of a host's relative latency as a divisor
 
 }  // namespace
 
@@ -55,15 +55,15 @@
   Impl(Settings initialSettings, Time startedAt)
       : settings(std::move(initialSettings)), now(startedAt), nextSweepAt(startedAt + kSweepInterval) {}
 
-  Impl(const Impl&) = delete;  // the rules refer to one another
+  Impl(const Impl&) = delete;  // the rules hold references to one another
   Impl& operator=(const Impl&) = delete;
 
   // --- Events ---------------------------------------------------------------------------------------------
 
-  // Handles one event at its time, then does what is due after each: polls discovery and sets the timer.
+  // Handles one event, then polls discovery and sets the timer if due.
   template <class Event>
   void handle(Time at, Event event) {
-    now = std::max(now, at);  // a clock that goes back would make ages negative
+    now = std::max(now, at);  // a clock that goes backwards would make ages negative
     event(*this);
     pollDiscovery();
     setTimer();
@@ -79,7 +79,7 @@
     picker.rebuildPreferenceOrder();
   }
 
-  // What was learned of an earlier process of the host is void, except a capacity backoff that still runs.
+  // Resets the statistics of the host's previous process, except a capacity backoff that is in progress.
   void onHostStarted(Host& host) {
     OutlierDetector::onHostStarted(host);
     CapacityBackoff::onHostStarted(host);
@@ -93,7 +93,7 @@
     const auto [it, isNew] = requests.try_emplace(arriving.id);
     if (!isNew) return;
     ActiveRequest& request = it->second;
-    describe(request, arriving);
+    initialize(request, arriving);
     TrafficClass& trafficClass = traffic.classes()[request.classIndex];
     retries.onArrival();
     outliers.onArrival(now, trafficClass.settings.idempotency);
@@ -112,7 +112,8 @@
     ActiveRequest* request = find(id);
     if (!request || !std::exchange(request->isBodyIncomplete, false)) return {};
     if (request->hasEnded || request->pendingAttempts == 0) return {};
-    // A body that comes slowly must not look like a slow or silent host, nor like load: times count from now.
+    // A body that arrives slowly must not count as load or make the host look slow or unresponsive, so times
+    // are counted from now.
     request->objectiveAt += now - request->arrivedAt;
     request->deadline += now - request->arrivedAt;
     timers.add(request->deadline - settings.eventInterval, id);
@@ -122,14 +123,14 @@
     return retries.attemptTimeout(*request, now);
   }
 
-  // An answer that trickles in over a slow line, or is long, is no load of the host: counted, it would fill
-  // the pool's in-flight limit, and requests that idle hosts could do would be rejected.
+  // A response that is long or is transferred slowly is not load of the host. If counted, it would use up the
+  // pool's in-flight limit, and requests would be rejected although hosts are idle.
   void onResponseHeaders(RequestId id, std::uint32_t number) {
     ActiveRequest* request = find(id);
     if (!request || number >= request->attemptCount || !request->attempts[number].isPending) return;
     Attempt& attempt = request->attempts[number];
     inFlight.end(hosts, attempt);
-    hosts[attempt.host].health.lastSeenAlive = now;
+    hosts[attempt.host].health.lastResponseAt = now;
   }
 
   void onResponseStarted(RequestId id, std::uint32_t number) {
@@ -179,7 +180,7 @@
     if (gateway >= settings.gatewayCount || !settings.peerMessagesEnabled || !peer::decode(bytes, message))
       return;
     const HostId id = hosts.findByWireHash(message.hostHash);
-    if (id == kNone) return;  // the own list may lag behind the sender's
+    if (id == kNone) return;  // this gateway's list may lag behind the sender's
     switch (message.kind) {
       case peer::MessageKind::recommendation: return onRecommendation(id, message);
       case peer::MessageKind::recommendationRequest: {
@@ -190,7 +191,7 @@
       case peer::MessageKind::attemptStarted: return probing.onAttemptStarted(hosts[id], now);
       case peer::MessageKind::attemptEnded:
         probing.onAttemptEnded(hosts[id], now);
-        return learnOfHost(hosts[id], message.outcome, message.value, false);
+        return learnAboutHost(hosts[id], message.outcome, message.value, false);
     }
   }
 
@@ -210,7 +211,7 @@
   void onRequestTimer(RequestId id) {
     ActiveRequest* request = find(id);
     if (!request || request->hasEnded || request->hasResponseStarted) return;
-    // A result that never comes must not leave the client without an answer.
+    // The client must get an answer even if a result never arrives.
     if (now >= request->deadline - settings.eventInterval) return rejectOrFail(*request);
     if (request->awaitedReports == 0) return;
     if (!settings.probingEnabled && hosts.contains(request->leastLoaded))
@@ -220,7 +221,7 @@
 
   // --- Requests -------------------------------------------------------------------------------------------
 
-  void describe(ActiveRequest& request, const Request& arriving) {
+  void initialize(ActiveRequest& request, const Request& arriving) {
     request.id = arriving.id;
     request.classIndex = traffic.classIndexOf(arriving);
     TrafficClass& trafficClass = traffic.classes()[request.classIndex];
@@ -243,13 +244,13 @@
     traffic.onDemand(trafficClass, request.relativeWork);
   }
 
-  // Sends the request, or begins to probe for a host. False: no attempt is pending or will be.
+  // Sends the request or starts load probing. Returns false if neither was possible.
   bool route(ActiveRequest& request) {
     if (!retries.maySend(request, now)) return false;
     const HostId drawn = picker.pick(request, now, random);
     if (drawn == kNone) return false;
     request.observedLoad = -1;
-    if (!probing.isWorthwhile(request, retries.latestUsefulAnswer(request), now))
+    if (!probing.shouldProbe(request, retries.latestUsefulAnswer(request), now))
       return send(request, drawn, false);
     LoadProbing::begin(request);
     if (settings.probingEnabled) {
@@ -279,7 +280,8 @@
     }
   }
 
-  // The reports have come, or the wait for them is over. `isRecommended`: a tracker has assigned the host.
+  // Called when the reports have arrived or the wait for them is over. `isRecommended`: whether a tracker has
+  // assigned the host.
   void sendAfterProbing(ActiveRequest& request, bool isRecommended) {
     LoadProbing::end(request);
     const bool isRejected =
@@ -313,14 +315,15 @@
     traffic.onSend();
     Action& action = actions.push(ActionKind::sendAttempt, request.id, request.attemptCount++, id,
                                   retries.attemptTimeout(request, now));
-    action.verifyConnection = retries.needsLiveConnection(request);
+    action.verifyConnection = retries.needsVerifiedConnection(request);
     action.sendDeadline = sendDeadline;
     if (!isRecommended) probing.reportAttemptStarted(host, now);
     return true;
   }
 
   void retryOrGiveUp(ActiveRequest& request, Outcome outcome) {
-    if (outcome == Outcome::invalidRequest) {  // every host would answer so, and a rejection invites a retry
+    // Every host would give the same result, and a rejection would invite the client to retry.
+    if (outcome == Outcome::invalidRequest) {
       actions.push(ActionKind::fail, request.id);
       return end(request);
     }
@@ -330,8 +333,8 @@
     else rejectOrFail(request);
   }
 
-  // Ends a request that cannot be served, since no host, time, attempt or retry is left: rejects it if a
-  // client's retry is harmless, otherwise fails it. Only streams get a Retry-After.
+  // Ends a request that cannot be served because no host, time, attempt or retry is left. Rejects it if a
+  // retry by the client is harmless, otherwise fails it. Only streams get a Retry-After.
   void rejectOrFail(ActiveRequest& request) {
     if (retries.mayReject(request)) {
       const Duration retryAfter = request.isStream ? admission.retryAfter(request, random) : Duration{};
@@ -342,7 +345,7 @@
     end(request);
   }
 
-  // Rejects an unsent request because of overload.
+  // Rejects a request that was not sent, because of overload.
   void rejectForOverload(ActiveRequest& request) {
     actions.push(ActionKind::reject, request.id, 0, kNone, admission.retryAfter(request, random));
     end(request);
@@ -364,7 +367,7 @@
     }
   }
 
-  // Forgets the request once nothing is owed and nothing pending. `request` is then no longer valid.
+  // Erases the request, which invalidates `request`, if it has ended and no attempt is pending.
   void release(const ActiveRequest& request) {
     if (!request.hasEnded || request.pendingAttempts > 0) return;
     for (std::uint32_t i = 0; i < request.attemptCount; ++i) --hosts[request.attempts[i].host].references;
@@ -379,7 +382,7 @@
     ActiveRequest* request = find(id);
     return request && !request->hasEnded && request->awaitedReports > 0 ? request : nullptr;
   }
-  // The attempt of a request that a host holds, or null.
+  // The attempt of a request that is in flight at a host, or null.
   const Attempt* findInFlight(RequestId id, HostId host) {
     const ActiveRequest* request = find(id);
     if (!request) return nullptr;
@@ -395,11 +398,13 @@
   void learnFromResult(const ActiveRequest& request, const Attempt& attempt, const AttemptResult& result) {
     Host& host = hosts[attempt.host];
     const Outcome outcome = result.outcome;
-    // What went out before the host's start was answered by another process, whose load says nothing of it.
+    // An attempt sent before the host's start was answered by its previous process, whose load does not
+    // apply.
     if (result.report && attempt.sentAt >= host.entry.startedAt)
       LoadReportModel::onReport(host.reportedLoad, *result.report, now);
-    if (request.isStream) {  // how long a stream lasts, or took to begin, says nothing of the host's latency
-      learnOfHost(host, outcome, 0, true);
+    // Neither the duration of a stream nor the time to establish it reflects the host's latency.
+    if (request.isStream) {
+      learnAboutHost(host, outcome, 0, true);
       overload.onOutcome(host, outcome);
       return;
     }
@@ -409,34 +414,34 @@
     if (outcome == Outcome::served || outcome == Outcome::timeout)
       loadReports.onAnswer(attempt.loadHint,
                            relativeLatency / std::max(host.traffic.relativeLatency, kMinRelativeLatency));
-    learnOfHost(host, outcome, relativeLatency, true);
+    learnAboutHost(host, outcome, relativeLatency, true);
     probing.reportAttemptEnded(host, outcome, relativeLatency, now);
     overload.onOutcome(host, outcome);
-    if (!saysSomethingOfHost(outcome)) return;
+    if (!reflectsHostHealth(outcome)) return;
     retries.onResult(request, outcome, result.elapsed, seconds);
     traffic.onServedOrNot(outcome == Outcome::served);
   }
 
-  // `firstHand`: the attempt was this gateway's own, and not reported to it as the tracker of the host's
-  // group.
-  void learnOfHost(Host& host, Outcome outcome, double relativeLatency, bool firstHand) {
+  // `isOwnAttempt`: whether the attempt was made by this gateway; if not, it was reported to it as the
+  // tracker of the host's group.
+  void learnAboutHost(Host& host, Outcome outcome, double relativeLatency, bool isOwnAttempt) {
     traffic.learnRelativeLatency(host, outcome, relativeLatency, hosts);
     const bool isUnreachable = (outcome == Outcome::connectFailed || outcome == Outcome::reset) &&
                                !OutlierDetector::isResponsive(host, now);
     if (outcome == Outcome::served) CapacityBackoff::onServed(host);
     if (outcome == Outcome::rejectedForCapacity) CapacityBackoff::onRejected(host, now, random);
     if (isUnreachable && shape.usesSubsets()) CapacityBackoff::onUnreachable(host, now, random);
-    outliers.onOutcome(now, host, outcome, firstHand, random);
+    outliers.onOutcome(now, host, outcome, isOwnAttempt, random);
   }
 
-  // Renews statistics, health and cutoff. The order matters: later steps read what earlier ones renewed.
+  // Updates statistics, health and cutoff. The order matters: later steps read what earlier ones updated.
   void sweep() {
     traffic.beginSweep(hosts.active().size());
     nextSweepAt = now + traffic.sweepInterval();
-    hosts.forgetUnreferenced();
+    hosts.eraseUnreferenced();
     const double fastGain = traffic.sweepGain(kFastGain);
     traffic.sweepHosts(hosts, shape);
-    overload.fadeOutcomes(hosts, fastGain);
+    overload.decayOutcomes(hosts, fastGain);
     outliers.sweep(now, random, [this](RequestId id, HostId host) { return findInFlight(id, host); });
     slowStart.sweepMachineTypes(hosts, now);
     traffic.sweepPool(hosts);
@@ -475,7 +480,7 @@
   std::unordered_map<RequestId, ActiveRequest> requests;
   RequestTimers timers;
 
-  // The rules. Each refers to those above it only.
+  // The rules. Each refers only to those declared before it.
   HostRegistry hosts{settings.zone};
   FleetShape shape{settings, hosts};
   InFlightTracker inFlight;
--- a/src/policy/load_probing.cpp
+++ b/src/policy/load_probing.cpp
@@ -12,18 +12,19 @@
 namespace {
 
 constexpr double kMaxWaitObjectiveFraction = 0.1;
-constexpr double kIdleLoad = 0.5;  // a host that holds fewer requests is idle: no need to wait for others
-// The time that the lightest host would need, as a fraction of the latency objective: nothing is rejected
-// below the first, everything from the second on.
+constexpr double kIdleLoad = 0.5;  // in requests held; a host with fewer is idle, so the wait for others ends
+// Time that the least loaded host would need, as a fraction of the latency objective: below the first nothing
+// is rejected, from the second on everything.
 constexpr double kThresholdFraction = 0.45;
 constexpr double kMaxFraction = 0.85;
-constexpr double kFirstLatencyPerRequest = 0.15;  // assumed fraction of the objective,
-constexpr double kFirstLatencySamples = 10;       // with the weight of so many samples
-constexpr double kMaxLatencySamples = 30;         // the mean is over so many at most
-constexpr double kUnfitRank = 1000;               // more than any host holds: ranks behind all that are fit
-constexpr double kWarmingRank = -1;               // ranks before all others
-constexpr double kHostsPerGroup = 24;             // of one zone: the lightest of so many is almost the pool's
-constexpr Duration kSilentTrackerSpan = std::chrono::seconds(3);
+constexpr double kFirstLatencyPerRequest = 0.15;  // initial estimate, as a fraction of the objective,
+constexpr double kFirstLatencySamples = 10;       // with the weight of this many samples
+constexpr double kMaxLatencySamples = 30;         // maximum number of samples in the mean
+constexpr double kUnusableRank = 1000;  // more requests than any host holds: ranks after all usable hosts
+constexpr double kWarmingRank = -1;     // ranks before all other hosts
+// Hosts of one zone per group. The least loaded of them is close to the least loaded of the pool.
+constexpr double kHostsPerGroup = 24;
+constexpr Duration kSilentTrackerSkipTime = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -41,7 +42,7 @@
     onLatencyObjective(classSettings.latencyObjective);
 }
 
-bool LoadProbing::isWorthwhile(const ActiveRequest& request, Time latestUsefulAnswer, Time now) const {
+bool LoadProbing::shouldProbe(const ActiveRequest& request, Time latestUsefulAnswer, Time now) const {
   return !request.isStream && shape_.probesLoad() && latestUsefulAnswer - now >= 2 * maxWait(request);
 }
 
@@ -93,7 +94,8 @@
   latencyPerRequest_ += (sample - latencyPerRequest_) / latencySamples_;
 }
 
-// A zone is parted into a power of two of groups, so that gateways whose lists differ by a few hosts agree.
+// The number of groups of a zone is a power of two, so that gateways whose lists differ by a few hosts agree
+// on it.
 void LoadProbing::assignGroups() {
   std::unordered_map<std::string, double> hostsInZone;
   for (const HostId id : hosts_.active()) hostsInZone[hosts_[id].entry.zone] += 1;
@@ -106,13 +108,13 @@
 }
 
 std::uint32_t LoadProbing::trackerOf(std::uint64_t group, Time now) const {
-  const auto it = silentTrackers_.find(group);
-  const std::uint64_t standIn = it != silentTrackers_.end() && now < it->second ? 1 : 0;
-  return static_cast<std::uint32_t>(mixBits(group + standIn) % settings_.gatewayCount);
+  const auto it = trackersSkippedUntil_.find(group);
+  const std::uint64_t fallbackOffset = it != trackersSkippedUntil_.end() && now < it->second ? 1 : 0;
+  return static_cast<std::uint32_t>(mixBits(group + fallbackOffset) % settings_.gatewayCount);
 }
 
 void LoadProbing::onTrackerSilent(std::uint64_t group, Time now) {
-  silentTrackers_[group] = now + kSilentTrackerSpan;
+  trackersSkippedUntil_[group] = now + kSilentTrackerSkipTime;
 }
 
 void LoadProbing::reportAttemptStarted(Host& host, Time now) {
@@ -140,12 +142,12 @@
     Host& host = hosts_[id];
     const bool isWarming = slowStart_.isWarmingUp(host, now);
     if (host.probing.group != hosts_[drawn].probing.group || (isWarming && id != drawn)) continue;
-    const double slowness =
+    const double slowdown =
         isWarming ? 1 : std::max(host.traffic.relativeLatency / traffic_.medianRelativeLatency(), 1.0);
-    const double load = static_cast<double>(assignedCount(host, now) + 1) * slowness - 1;
-    const bool isUnfit =
+    const double load = static_cast<double>(assignedCount(host, now) + 1) * slowdown - 1;
+    const bool isUnusable =
         host.health.isUnhealthy() || CapacityBackoff::isBackingOff(host, now) || (isWarming && load > 0);
-    const double rank = isWarming && !isUnfit ? kWarmingRank : load + (isUnfit ? kUnfitRank : 0);
+    const double rank = isWarming && !isUnusable ? kWarmingRank : load + (isUnusable ? kUnusableRank : 0);
     if (rank < lowestRank) equalRanks = 0;
     if (rank > lowestRank || random.unit() * ++equalRanks >= 1) continue;
     best = {id, load};
@@ -177,7 +179,7 @@
   longestObjective_ = std::max(longestObjective_, objective);
 }
 
-// Drops attempts that must be over by now.
+// Removes expired attempts first.
 std::size_t LoadProbing::assignedCount(Host& host, Time now) {
   std::deque<Time>& assignedUntil = host.probing.assignedUntil;
   while (!assignedUntil.empty() && assignedUntil.front() <= now) assignedUntil.pop_front();
--- a/src/policy/load_probing.hpp
+++ b/src/policy/load_probing.hpp
@@ -1,16 +1,16 @@
-// Decides by the load of a few hosts where an attempt goes, and whether it is admitted, where gateways
-// outnumber hosts. There the own in-flight counts leave every host looking idle; chosen by them, some hosts
-// would be overloaded while others idle. So before an attempt a gateway either
+// Selects hosts and admits requests by the load of a few hosts, where gateways outnumber hosts. There, by a
+// gateway's own in-flight counts every host looks idle, and choosing by them would overload some hosts while
+// others stay idle. So before an attempt a gateway either
 //
-// - probes a few drawn hosts for the requests that they hold, or
-// - asks the tracker of the drawn host's group for a recommendation. The tracker is a gateway, found by hash,
-//   to which attempts and outcomes at the hosts of the group are reported.
+// - probes a few randomly chosen hosts for the number of requests that they hold, or
+// - requests a recommendation from the tracker of the chosen host's group. The tracker is a gateway,
+// determined by hash, to which attempts and outcomes at the hosts of the group are reported.
 //
-// Inputs are probe results and peer messages. All of it is advisory: late, lost or wrong, the ordinary pick
-// stands in, and endpoint lists and the rule on repeats always hold.
+// Inputs are probe results and peer messages. They are advisory: if they are late, lost or wrong, the
+// ordinary pick is used, and endpoint lists and the rule on repeats always take precedence.
 //
-// Only the simulator uses it: a gateway carries out neither probes nor messages of the decision module
-// (src/net/gateway.cpp).
+// Used only in the simulator: the real gateway carries out neither the probes nor the peer messages of this
+// module (src/net/gateway.cpp).
 #pragma once
 
 #include <cmath>
@@ -31,12 +31,12 @@
 
 struct Recommendation {
   HostId host = kNone;
-  double load = HUGE_VAL;  // requests that it holds, lengthened by its relative latency
+  double load = HUGE_VAL;  // requests held, scaled by the host's relative latency
 };
 
 class LoadProbing {
  public:
-  // Hosts probed for one attempt: the gain beyond three is small.
+  // Hosts probed per attempt; more than three gain little.
   static constexpr int kProbedHosts = 3;
 
   // All must outlive this.
@@ -45,46 +45,47 @@
 
   // --- Before an attempt
 
-  // Whether the request's attempt waits for reports: not for streams, and not if little time is left.
-  bool isWorthwhile(const ActiveRequest& request, Time latestUsefulAnswer, Time now) const;
-  // How long an attempt waits for reports at most.
+  // Whether an attempt of the request waits for reports. Streams do not, nor requests with little time left.
+  bool shouldProbe(const ActiveRequest& request, Time latestUsefulAnswer, Time now) const;
+  // Maximum time that an attempt waits for reports.
   static Duration maxWait(const ActiveRequest& request);
   static void begin(ActiveRequest& request);
   void probe(ActiveRequest& request, HostId host);
   void requestRecommendation(ActiveRequest& request, HostId drawn, std::uint32_t tracker);
-  // Takes a probe's result over. Returns whether to decide now: all reports are in, or the host is idle.
+  // Records the result of a probe. Returns whether the wait is over: all reports have arrived, or the host is
+  // idle.
   static bool onProbeResult(ActiveRequest& request, const ProbeResult& result);
-  // Ends the wait: `observedLoad` becomes that of the least loaded host.
+  // Ends the wait: sets `observedLoad` to the load of the least loaded host.
   static void end(ActiveRequest& request);
-  // The cutoff, 0 to 100, for a first attempt at the least loaded host: by the time that it would need for
-  // the request, against the latency objective. Without it low scores would crowd out high ones, and crowded
-  // hosts turn slow for long.
+  // The admission cutoff, 0 to 100, for a first attempt, from the time that the least loaded host would need
+  // for the request relative to the latency objective. Without it, requests of low scores would crowd out
+  // those of high ones, and overloaded hosts stay slow for long.
   double cutoff(const ActiveRequest& request) const;
-  // An attempt ended: learns the time that one request held costs.
+  // Updates the mean latency per request held from an attempt that ended.
   void onResult(const ActiveRequest& request, Outcome outcome, double seconds);
 
   // --- Group trackers
 
-  void assignGroups();  // call when the list of active hosts has changed
-  // The gateway that tracks a group; a stand-in while the first one does not answer.
+  void assignGroups();  // must be called when the list of active hosts changes
+  // The gateway that tracks a group; a fallback for some seconds after the first one did not answer.
   std::uint32_t trackerOf(std::uint64_t group, Time now) const;
   bool isOwnTracker(std::uint32_t tracker) const { return tracker == settings_.gatewayIndex; }
   void onTrackerSilent(std::uint64_t group, Time now);
-  // Tells the tracker of the host's group, if trackers are in use.
+  // Report to the tracker of the host's group, if trackers are in use.
   void reportAttemptStarted(Host& host, Time now);
   void reportAttemptEnded(Host& host, Outcome outcome, double relativeLatency, Time now);
 
   // --- As a tracker
 
-  // The least loaded host of the drawn one's group, which is then taken to be assigned. Of warming hosts only
-  // the drawn one counts, and only while it is idle. Draws once for each host that is no heavier than those
-  // before it.
+  // Returns the least loaded host of the group of `drawn`, and counts an attempt as assigned to it. Of the
+  // warming hosts only `drawn` is considered, and only while it is idle. Draws one random number for each
+  // host that is no more loaded than those before it.
   Recommendation recommend(HostId drawn, Time now, RandomSource& random);
   void sendRecommendation(std::uint32_t gateway, const Recommendation& recommendation,
                           std::uint64_t correlationId);
   void onAttemptStarted(Host& host, Time now);
   void onAttemptEnded(Host& host, Time now);
-  // An assigned attempt is taken to be over this long after it at the latest.
+  // Assigned attempts expire after the longest objective that was passed here.
   void onLatencyObjective(Duration objective);
 
   static void onHostStarted(Host& host) { host.probing.assignedUntil.clear(); }
@@ -100,10 +101,11 @@
   const TrafficStatistics& traffic_;
   const SlowStart& slowStart_;
   ActionQueue& actions_;
-  std::unordered_map<std::uint64_t, Time> silentTrackers_;  // groups whose tracker is passed over: until when
+  std::unordered_map<std::uint64_t, Time>
+      trackersSkippedUntil_;  // by group: until when its tracker is skipped
   Duration longestObjective_{};
-  double latencyPerRequest_;  // time for each request that a host holds, as a fraction of the objective
-  double latencySamples_;     // in it
+  double latencyPerRequest_;  // latency per request held, as a fraction of the objective
+  double latencySamples_;     // samples in latencyPerRequest_
 };
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/load_report_model.cpp
+++ b/src/policy/load_report_model.cpp
@@ -8,21 +8,22 @@
 namespace finchstile::load_balancing {
 namespace {
 
-// Bands of age end at 100, 200, 400, 800 and 1,600 ms; the last is open. A queue lasts for a few answers, so
-// each doubling of the age predicts something else.
+// The age bands end at 100, 200, 400, 800 and 1,600 ms; the last one is unbounded. A queue persists only for
+// a few answers, so reports are fitted separately for each doubling of their age.
 constexpr Duration kFirstAgeBand = std::chrono::milliseconds(100);
-constexpr double kUsualSpanSeconds = 5;  // the usual report of a host is a mean over so long
-constexpr double kDecay = 0.998;         // per answer of a band: over the last five hundred
-constexpr double kMinAnswers = 60;       // before a band counts for anything
-// The squared distance of a slope from 0, in standard errors, is 1 on average for pure noise. What is nearer
-// than this is not believed, and what is farther is shrunk by it: with twelve bands and signals that are
-// looked at for hours, less would let chance through every few minutes.
-constexpr double kMinSquaredDistance = 10;
-// Where reports hardly ever change, chance makes a slope of any size out of the few that do.
+constexpr double kBaselineSeconds = 5;  // the baseline of a host is a moving average over this time
+constexpr double kDecay = 0.998;        // per answer in an age band: averages over about five hundred answers
+constexpr double kMinAnswers = 60;      // in an age band before it is used
+// Threshold of the squared t-statistic of a slope, which is 1 on average for pure noise. Slopes below it are
+// ignored, and slopes above it are shrunk accordingly. With twelve combinations of age band and signal
+// evaluated for hours, a lower threshold would accept noise every few minutes.
+constexpr double kMinSquaredT = 10;
+// Minimum standard deviation of the reports: where they hardly ever change, the few changes give slopes of
+// any size by chance.
 constexpr double kMinSpread = 0.1;
-constexpr double kMaxSlope = 1;      // all that waits is waited for, one by one: no report can predict more
-constexpr double kMaxDeviation = 3;  // e^3, twenty times the usual report: more is a wrong one
-constexpr double kMaxFactor = 3;     // a report outweighs the host's own answers by no more
+constexpr double kMaxSlope = 1;      // latency proportional to the queue length; no report can predict more
+constexpr double kMaxDeviation = 3;  // e^3, twenty times the baseline; larger deviations are taken for errors
+constexpr double kMaxFactor = 3;     // maximum influence of a report relative to the host's measured latency
 constexpr double kMinLatencyMs = 0.1;
 constexpr double kMinResidual = 1e-12;
 
@@ -33,15 +34,15 @@
   if (report.queue >= 0) waiting = std::log1p(report.queue);
   else if (report.inflight >= 0) waiting = std::log1p(report.inflight);
   const double latency = report.latencyMs >= 0 ? std::log(std::max(report.latencyMs, kMinLatencyMs)) : NAN;
-  const std::array<double, ReportedLoad::kSignals> figures{waiting, latency};
-  const double passed = toSeconds(now - reported.reportedAt);
-  for (std::size_t i = 0; i < figures.size(); ++i) {
-    if (!std::isfinite(figures[i])) continue;
-    if (!reported.isKnown[i]) reported.usual[i] = figures[i];
+  const std::array<double, ReportedLoad::kSignals> signals{waiting, latency};
+  const double elapsedSeconds = toSeconds(now - reported.reportedAt);
+  for (std::size_t i = 0; i < signals.size(); ++i) {
+    if (!std::isfinite(signals[i])) continue;
+    if (!reported.isKnown[i]) reported.baseline[i] = signals[i];
     else
-      reported.usual[i] +=
-          (1 - std::exp(-passed / kUsualSpanSeconds)) * (reported.last[i] - reported.usual[i]);
-    reported.last[i] = figures[i];
+      reported.baseline[i] +=
+          (1 - std::exp(-elapsedSeconds / kBaselineSeconds)) * (reported.last[i] - reported.baseline[i]);
+    reported.last[i] = signals[i];
     reported.isKnown[i] = true;
   }
   reported.reportedAt = now;
@@ -54,7 +55,7 @@
     ++hint.ageBand;
   for (std::size_t i = 0; i < hint.deviation.size(); ++i) {
     if (!reported.isKnown[i]) continue;
-    hint.deviation[i] = std::clamp(reported.last[i] - reported.usual[i], -kMaxDeviation, kMaxDeviation);
+    hint.deviation[i] = std::clamp(reported.last[i] - reported.baseline[i], -kMaxDeviation, kMaxDeviation);
     hint.isKnown = true;
   }
   return hint;
@@ -65,19 +66,19 @@
   double sum = 0;
   for (std::size_t i = 0; i < hint.deviation.size(); ++i)
     sum += fits_[hint.ageBand][i].slope * hint.deviation[i];
-  if (sum == 0) return 1;  // the ordinary case, and called for each candidate of each pick
+  if (sum == 0) return 1;  // fast path: this is called for each candidate of each pick
   return std::clamp(std::exp(sum), 1 / kMaxFactor, kMaxFactor);
 }
 
 void LoadReportModel::onAnswer(const LoadHint& hint, double ratio) {
   if (!hint.isKnown || !(ratio > 0)) return;
-  double unexplained = std::log(ratio);
+  double residualLogRatio = std::log(ratio);
   for (std::size_t i = 0; i < hint.deviation.size(); ++i) {
     Fit& fit = fits_[hint.ageBand][i];
     const double deviation = hint.deviation[i];
-    fit.add(deviation, unexplained);
+    fit.add(deviation, residualLogRatio);
     fit.renewSlope();
-    unexplained -= fit.slope * deviation;  // the next signal is fitted to what this one leaves open
+    residualLogRatio -= fit.slope * deviation;  // the next signal is fitted to the residual of this one
   }
 }
 
@@ -96,12 +97,13 @@
   const double xy = sumXY - sumX * sumY / count;
   const double yy = sumYY - sumY * sumY / count;
   slope = 0;
-  // A slope below zero would send most to where most waits; it can only be chance or a false report.
-  const bool isProven = count >= kMinAnswers && xx > kMinSpread * kMinSpread * count && xy > 0;
-  if (!isProven) return;
+  // A negative slope would favor the hosts with the longest queues; it can only result from chance or wrong
+  // reports.
+  const bool isSignificant = count >= kMinAnswers && xx > kMinSpread * kMinSpread * count && xy > 0;
+  if (!isSignificant) return;
   const double residual = std::max(yy - xy * xy / xx, kMinResidual);
-  const double squaredDistance = xy * xy / xx * (count - 2) / residual;
-  slope = std::min(xy / xx * std::max(0.0, 1 - kMinSquaredDistance / squaredDistance), kMaxSlope);
+  const double squaredT = xy * xy / xx * (count - 2) / residual;
+  slope = std::min(xy / xx * std::max(0.0, 1 - kMinSquaredT / squaredT), kMaxSlope);
 }
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/load_report_model.hpp
+++ b/src/policy/load_report_model.hpp
@@ -1,10 +1,10 @@
-// Decides what the load reports of hosts are worth to the pick. Inputs are the reports and the relative
-// latency of the answers that followed them.
+// Predicts latency from the load reports of hosts, for the choice of hosts. Inputs are the reports and the
+// relative latency of the answers that follow them.
 //
-// A host reports how much waits there and how long its work lately took. The figures are old when they are
-// sent, older when they are used, and may be wrong. So a report counts as far as reports of its age have
-// lately predicted how long an answer took beyond the host's relative latency; one that predicts nothing
-// counts for nothing.
+// A host reports its queue length and its recent processing time. These values are stale when they are sent,
+// staler when they are used, and may be wrong. So a report is weighted by how well reports of its age have
+// recently predicted the latency of an answer relative to the host's relative latency; a report without
+// predictive value is ignored.
 #pragma once
 
 #include <array>
@@ -15,43 +15,43 @@
 
 namespace finchstile::load_balancing {
 
-// The last report of one host and its usual one, in logarithms.
+// The last report of a host and its baseline, on a logarithmic scale.
 struct ReportedLoad {
-  static constexpr std::size_t kSignals = 2;  // work that waits; how long work takes
+  static constexpr std::size_t kSignals = 2;  // queue length; processing time
   std::array<double, kSignals> last{};
-  std::array<double, kSignals> usual{};
+  std::array<double, kSignals> baseline{};
   std::array<bool, kSignals> isKnown{};
   Time reportedAt{};  // zero: never
 };
 static_assert(ReportedLoad::kSignals == 2);
 
-// A host's report as it stands at one time, for instance when an attempt goes out.
+// Features of a host's report at one point in time, for instance when an attempt is sent.
 struct LoadHint {
-  std::array<double, ReportedLoad::kSignals> deviation{};  // from the usual report, in logarithms
+  std::array<double, ReportedLoad::kSignals> deviation{};  // from the baseline, in logarithms
   std::uint8_t ageBand = 0;
   bool isKnown = false;
 };
 
 class LoadReportModel {
  public:
-  // Takes a report into the host's record. Figures that are not finite or below 0 count as not reported.
+  // Records a report of the host. Values that are negative or not finite count as not reported.
   static void onReport(ReportedLoad& reported, const LoadReport& report, Time now);
   static LoadHint hintAt(const ReportedLoad& reported, Time now);
 
-  // How many times its relative latency an answer of the host is expected to take; 1: nothing is known.
+  // Predicted latency of an answer relative to the host's relative latency; 1: no prediction.
   double latencyFactor(const LoadHint& hint) const;
 
-  // The factor of a host's report as it stands now. Called for each candidate of each pick.
+  // The factor for the host's current report. Called for each candidate of each pick.
   double latencyFactorAt(const ReportedLoad& reported, Time now) const {
     const bool isReported = reported.isKnown[0] || reported.isKnown[1];
     return isReported ? latencyFactor(hintAt(reported, now)) : 1;
   }
 
-  // An answer took `ratio` times what the host's relative latency predicted.
+  // Trains the model: an answer took `ratio` times what the host's relative latency predicted.
   void onAnswer(const LoadHint& hint, double ratio);
 
  private:
-  // A linear fit of the logarithm of the ratio to the deviation, by decayed sums.
+  // Linear regression of the logarithm of the ratio on the deviation, with exponentially decayed sums.
   struct Fit {
     double count = 0;
     double sumX = 0;
@@ -59,7 +59,7 @@
     double sumXX = 0;
     double sumXY = 0;
     double sumYY = 0;
-    double slope = 0;  // as far as it is proven
+    double slope = 0;  // shrunk towards 0 by its uncertainty
 
     void add(double x, double y);
     void renewSlope();
--- a/src/policy/machine_type.hpp
+++ b/src/policy/machine_type.hpp
@@ -1,4 +1,4 @@
-// What is known of the machines of one size. Nothing is decided here.
+// Statistics on the hosts of one machine type.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 struct MachineType {
   std::string name;
-  double provenRate = 0;  // answers a second that a warm host of this type gave this gateway; by SlowStart
-  double relativeLatency = 1;  // mean over the last fifty answers of its hosts; by TrafficStatistics
+  double provenRate = 0;  // recent peak of answers per second of a warm host to this gateway; by SlowStart
+  double relativeLatency = 1;  // mean over about the last fifty answers of its hosts; by TrafficStatistics
 };
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/outcomes.hpp
+++ b/src/policy/outcomes.hpp
@@ -1,13 +1,13 @@
-// What an outcome says of the host. Nothing is decided here.
+// Classification of outcomes.
 #pragma once
 
 #include "finchstile/load_balancer.hpp"
 
 namespace finchstile::load_balancing {
 
-// Whether the outcome tells anything of how well the host works. What a client, the proxy or the request
-// itself ended does not.
-constexpr bool saysSomethingOfHost(Outcome outcome) {
+// Whether the outcome is evidence of the host's health. Attempts ended by the client, by the proxy or because
+// of the request itself are not.
+constexpr bool reflectsHostHealth(Outcome outcome) {
   return outcome != Outcome::cancelled && outcome != Outcome::notSent && outcome != Outcome::invalidRequest;
 }
 
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -8,34 +8,38 @@
 namespace finchstile::load_balancing {
 namespace {
 
-constexpr double kFailureGain = 0.12;  // per outcome: five failures in a row make one half
-// Per error answer in a large bank: a gateway there sees few outcomes of a host, and errors are rare in
-// health.
-constexpr double kLargeBankErrorGain = 0.5;
-constexpr double kEjectionFailureRate = 0.45;   // a host is ejected above this
-constexpr double kEjectionPeerFactor = 2.5;     // and above so many times the rate of its good peers
-constexpr double kMaxUnhealthyFraction = 0.5;   // of the active hosts
-constexpr double kRecoveredFailureRate = 0.05;  // a host below it counts its ejections anew
-constexpr int kRecoverySpan = 4;                // first ejections that have to pass before
-constexpr double kMaxVisitFactor = 8;           // the first ejection is lengthened so many times at most
+// Per outcome; five consecutive failures raise the rate to about one half.
+constexpr double kFailureGain = 0.12;
+// Per error response in a large cluster, where a gateway sees few outcomes of a host, and errors of healthy
+// hosts are rare.
+constexpr double kLargeClusterErrorGain = 0.5;
+constexpr double kEjectionFailureRate = 0.45;  // a host is ejected above this rate
+constexpr double kEjectionPeerFactor = 2.5;    // and above this multiple of its peers' lower quartile
+constexpr double kMaxUnhealthyFraction = 0.5;  // of the active hosts
+// The count of consecutive ejections is reset below this failure rate, once this many first ejection times
+// have passed since the last ejection ended.
+constexpr double kRecoveredFailureRate = 0.05;
+constexpr int kRecoveryEjectionTimes = 4;
+constexpr double kMaxFirstEjectionFactor = 8;  // maximum factor by which low traffic lengthens an ejection
 constexpr int kMaxEjectionDoublings = 3;
-constexpr double kSilentLatencies = 4;  // typical latencies without any sign of life
+constexpr double kSilenceLatencyMultiple = 4;  // typical latencies without a response
 
 }  // namespace
 
-void OutlierDetector::onOutcome(Time now, Host& host, Outcome outcome, bool firstHand, RandomSource& random) {
+void OutlierDetector::onOutcome(Time now, Host& host, Outcome outcome, bool isOwnAttempt,
+                                RandomSource& random) {
   HostHealth& health = host.health;
   bool failed = false;
   switch (outcome) {
-    case Outcome::served: health.lastSeenAlive = now; break;
+    case Outcome::served: health.lastResponseAt = now; break;
     case Outcome::rejectedForCapacity:
-    case Outcome::invalidRequest: health.lastSeenAlive = now; return;
+    case Outcome::invalidRequest: health.lastResponseAt = now; return;
     case Outcome::timeout:
-      if (!firstHand || isResponsive(host, now)) return;
+      if (!isOwnAttempt || isResponsive(host, now)) return;
       failed = true;
       break;
     case Outcome::error:
-      health.lastSeenAlive = now;
+      health.lastResponseAt = now;
       failed = true;
       break;
     case Outcome::connectFailed:
@@ -46,7 +50,8 @@
     case Outcome::cancelled:
     case Outcome::notSent: return;
   }
-  const double gain = outcome == Outcome::error && shape_.isLargeBank() ? kLargeBankErrorGain : kFailureGain;
+  const double gain =
+      outcome == Outcome::error && shape_.isLargeCluster() ? kLargeClusterErrorGain : kFailureGain;
   health.failureRate += gain * ((failed ? 1.0 : 0.0) - health.failureRate);
   if (health.state != HealthState::trial) return;
   if (failed) return eject(now, host, "trial_failed", random);
@@ -59,10 +64,12 @@
 void OutlierDetector::eject(Time now, Host& host, const char* reason, RandomSource& random) {
   HostHealth& health = host.health;
   health.state = HealthState::ejected;
-  // With little traffic a host is met so seldom that a short ejection would spare it nothing.
-  const double visitSeconds = static_cast<double>(hosts_.active().size()) *
-                              toSeconds(traffic_.sweepInterval()) / std::max(traffic_.arrivalRate(), 0.001);
-  const double first = std::clamp(visitSeconds / toSeconds(kFirstEjection), 1.0, kMaxVisitFactor);
+  // With little traffic a host receives attempts so rarely that a short ejection would have no effect.
+  const double secondsBetweenAttempts = static_cast<double>(hosts_.active().size()) *
+                                        toSeconds(traffic_.sweepInterval()) /
+                                        std::max(traffic_.arrivalRate(), 0.001);
+  const double first =
+      std::clamp(secondsBetweenAttempts / toSeconds(kFirstEjection), 1.0, kMaxFirstEjectionFactor);
   const double jitter = 0.75 + 0.5 * random.unit();
   health.ejectedUntil = now + scaled(kFirstEjection * (1 << health.ejections), first * jitter);
   health.ejections = std::min(health.ejections + 1, kMaxEjectionDoublings);
@@ -81,7 +88,7 @@
       eject(now, host, "failing", random);
       ++unhealthy;
     } else if (health.ejections > 0 && health.failureRate < kRecoveredFailureRate &&
-               now > health.ejectedUntil + kRecoverySpan * kFirstEjection) {
+               now > health.ejectedUntil + kRecoveryEjectionTimes * kFirstEjection) {
       health.ejections = 0;
     }
   }
@@ -94,11 +101,11 @@
 
 Duration OutlierDetector::silenceLimit(const Host& host) const {
   return std::max(kMinSilence,
-                  scaled(std::chrono::seconds(1), kSilentLatencies * traffic_.meanTypicalLatency() *
+                  scaled(std::chrono::seconds(1), kSilenceLatencyMultiple * traffic_.meanTypicalLatency() *
                                                       std::max(1.0, host.traffic.relativeLatency)));
 }
 
-double OutlierDetector::goodPeersFailureRate(std::vector<double>& failureRates) {
+double OutlierDetector::lowerQuartileFailureRate(std::vector<double>& failureRates) {
   return quantile(failureRates, 0.25, 0);
 }
 
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -1,9 +1,9 @@
-// Decides which hosts are unhealthy: suspects hosts that fall silent, ejects those that fail more than their
-// peers, tries ejected ones with real requests and returns them. Inputs are outcomes of attempts, own ones
-// and those that other gateways report to the tracker of a host's group.
+// Outlier detection: marks hosts that stop responding, ejects those that fail more than their peers, and
+// returns ejected hosts to service after a trial with real requests. Inputs are the outcomes of attempts,
+// both own ones and those that other gateways report to the tracker of a host's group.
 //
-// A host is judged against the better quarter of its peers, and at most half of the pool is unhealthy, so a
-// fault of the whole pool ejects nobody.
+// A host is compared with the lower quartile of its peers' failure rates, and at most half of the hosts are
+// ejected or in trial, so a fault of the whole pool ejects none.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
 
 class OutlierDetector {
  public:
-  // Time within which any healthy host under load shows life; short pauses are normal.
+  // A healthy host under load responds at least this often; shorter pauses are normal.
   static constexpr Duration kMinSilence = std::chrono::milliseconds(150);
 
   // All must outlive this.
@@ -26,32 +26,32 @@
                   ActionQueue& actions)
       : hosts_(hosts), shape_(shape), traffic_(traffic), actions_(actions) {}
 
-  // `firstHand`: the attempt was this gateway's own. Time-outs that others report are not counted: in an
-  // overload a tracker would eject its whole group. Draws once if the host is ejected.
-  void onOutcome(Time now, Host& host, Outcome outcome, bool firstHand, RandomSource& random);
+  // `isOwnAttempt`: whether the attempt was made by this gateway. Timeouts reported by other gateways are
+  // ignored: under overload a tracker would eject its whole group. Draws one random number if the host is
+  // ejected.
+  void onOutcome(Time now, Host& host, Outcome outcome, bool isOwnAttempt, RandomSource& random);
 
-  // Begins trials, renews the suspicion of silence, and ejects outliers. Draws once for each ejection. `find`
-  // returns the attempt of a request that a host holds, or null.
+  // Starts trials, updates which hosts are unresponsive, and ejects outliers. Draws one random number per
+  // ejection. `find` returns the attempt of a request that is in flight at a host, or null.
   template <class FindAttempt>
   void sweep(Time now, RandomSource& random, const FindAttempt& find);
 
-  // The host has shown life so lately that it is not down, whatever became of one connection. Where
-  // connections break all over the fleet, hosts that do most of their work would be ejected and the rest
-  // overloaded; a process that died answers no more and is ejected a moment later.
+  // Whether the host responded so recently that it is not down, even if a connection to it failed. Without
+  // this check, connection failures across the fleet would eject hosts that serve most of their requests and
+  // overload the rest. A process that has died stops responding and is ejected shortly afterwards.
   static bool isResponsive(const Host& host, Time now) {
-    return host.health.lastSeenAlive > Time{} && now - host.health.lastSeenAlive < kMinSilence;
+    return host.health.lastResponseAt > Time{} && now - host.health.lastResponseAt < kMinSilence;
   }
 
-  // Whether a request may serve as the trial of a host after its ejection. Every gateway tries a host on its
-  // own, and a host that fails immediately would cost one non-idempotent request for each gateway and trial.
-  // So trials are left to idempotent requests for some seconds, while there are any.
-  bool mayTry(const Host& host, Idempotency idempotency, Time now) const {
-    const bool leftToIdempotent =
+  // Whether a request may serve as the trial of a host after its ejection. Every gateway runs its own trials,
+  // and a host that fails immediately would cost one non-idempotent request per gateway and trial. So for the
+  // first seconds trials are reserved for idempotent requests, if any arrive.
+  bool mayServeAsTrial(const Host& host, Idempotency idempotency, Time now) const {
+    const bool reservedForIdempotent =
         now - lastIdempotentAt_ < kFirstEjection && now < host.health.ejectedUntil + kIdempotentTrialSpan;
-    return host.inFlight.count == 0 && (!leftToIdempotent || idempotency == Idempotency::idempotent);
+    return host.inFlight.count == 0 && (!reservedForIdempotent || idempotency == Idempotency::idempotent);
   }
 
-  // A request of this idempotency has come.
   void onArrival(Time now, Idempotency idempotency) {
     if (idempotency == Idempotency::idempotent) lastIdempotentAt_ = now;
   }
@@ -63,9 +63,9 @@
   void ejectOutliers(Time now, std::size_t unhealthy, double peerFailureRate, RandomSource& random);
   void endEjection(Time now, Host& host) const;
   Duration silenceLimit(const Host& host) const;
-  static double goodPeersFailureRate(std::vector<double>& failureRates);
+  static double lowerQuartileFailureRate(std::vector<double>& failureRates);
 
-  static constexpr Duration kFirstEjection = std::chrono::seconds(1);  // doubled for each one in a row
+  static constexpr Duration kFirstEjection = std::chrono::seconds(1);  // doubled for each consecutive one
   static constexpr Duration kIdempotentTrialSpan = std::chrono::seconds(4);
 
   HostRegistry& hosts_;
@@ -84,14 +84,14 @@
     endEjection(now, host);
     if (host.health.state != HealthState::healthy) ++unhealthy;
     failureRates.push_back(host.health.failureRate);
-    // A paused or lost host would gather requests until they time out.
+    // A paused or lost host would accumulate requests until they time out.
     std::deque<RequestId>& sent = host.inFlight.sentRequests;
     while (!sent.empty() && !find(sent.front(), id)) sent.pop_front();
     host.health.unresponsive =
         !sent.empty() &&
-        now - std::max(host.health.lastSeenAlive, find(sent.front(), id)->sentAt) > silenceLimit(host);
+        now - std::max(host.health.lastResponseAt, find(sent.front(), id)->sentAt) > silenceLimit(host);
   }
-  ejectOutliers(now, unhealthy, goodPeersFailureRate(failureRates), random);
+  ejectOutliers(now, unhealthy, lowerQuartileFailureRate(failureRates), random);
 }
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/overload_estimator.cpp
+++ b/src/policy/overload_estimator.cpp
@@ -11,25 +11,30 @@
 namespace finchstile::load_balancing {
 namespace {
 
-constexpr double kArrivalGain = 0.05;  // per arrival: mean in-flight count over the last twenty
-constexpr double kSweepGain = 0.5;     // per sweep: mean in-flight count
-constexpr double kFirstPerHost = 6;    // in flight a host, by all gateways, before anything was measured
-constexpr double kMinPerHost = 2;      // and the least that the learned limit is ever taken for
-// Hosts that were overloaded stay slow for long, and rejections are the first sign of it. So many times the
-// fraction of rejections is taken off the limit, up to a half; it is forgotten in half a second.
+// Per arrival; the in-flight count is averaged over about twenty arrivals.
+constexpr double kArrivalGain = 0.05;
+constexpr double kSweepGain = 0.5;  // per sweep; for the same average
+// Initial limit per host, over all gateways, before there are measurements.
+constexpr double kInitialInFlightPerHost = 6;
+constexpr double kMinInFlightPerHost = 2;  // lower bound of the limit per host, over all gateways
+// Overloaded hosts stay slow for long, and capacity rejections are the first sign of overload. The limit is
+// reduced by this multiple of the fraction of rejections, by at most a half. The fraction decays within half
+// a second.
 constexpr double kRejectionFactor = 4;
 constexpr double kMaxRejectionReduction = 0.5;
-// A limit that follows a sinking rate would idle slow hosts. What a host held without overload stays allowed,
-// and is forgotten in some minutes (per sweep).
-constexpr double kUnloadedConcurrencyFade = 0.001;
-constexpr int kMinUnloadedSweeps = 15;   // since the start, before it is learned
-constexpr double kUnloadedCutoff = 1;    // it is learned up to this cutoff
-constexpr double kErrorThreshold = 0.1;  // fraction of failed attempts: a few per cent are everyday noise
+// Decay per sweep of the concurrency per host that was reached without overload; it fades within minutes. It
+// is a lower bound of the limit: a limit that follows a falling rate of answers would leave slow hosts idle.
+constexpr double kUnloadedConcurrencyDecay = 0.001;
+constexpr int kMinUnloadedSweeps = 15;   // since the start, before unloadedConcurrency_ is updated
+constexpr double kUnloadedCutoff = 1;    // maximum cutoff at which unloadedConcurrency_ is updated
+constexpr double kErrorThreshold = 0.1;  // fraction of failed attempts; a few percent are normal
 constexpr double kMaxErrorFraction = 0.7;
-// What a subset rejects is rejected whatever its priority, once retries are used up: lower there.
+// Lower with subsets: once retries are used up, what the hosts of the subset reject is rejected regardless of
+// its priority.
 constexpr double kMaxErrorFractionOfSubset = 0.4;
-constexpr double kRejectionError = 0.5;  // weight of a rejection where load probing chooses by reported load
-constexpr double kPriorOutcomes = 10;    // attempts assumed good, so that a handful of samples proves nothing
+constexpr double kRejectionError = 0.5;  // weight of a rejection as an error with load probing
+// Attempts assumed to be served, so that a few samples carry little weight.
+constexpr double kPriorOutcomes = 10;
 constexpr int kCutoffLogStep = 20;
 
 }  // namespace
@@ -55,35 +60,35 @@
 }
 
 void OverloadEstimator::onOutcome(Host& host, Outcome outcome) {
-  if (!saysSomethingOfHost(outcome)) return;
+  if (!reflectsHostHealth(outcome)) return;
   const bool rejected = outcome == Outcome::rejectedForCapacity;
   recentOutcomes_ += 1;
   host.outcomes.attempts += 1;
-  // A host that rejects on and on is in trouble by itself; the pool is not.
+  // A host that keeps rejecting has a problem of its own; that is no sign of overload of the pool.
   if (rejected && host.capacity.consecutiveRejections <= CapacityBackoff::kMinRejections)
     recentRejections_ += 1;
   if (outcome != Outcome::served)
     host.outcomes.errors += rejected && shape_.probesLoad() ? kRejectionError : 1;
 }
 
-void OverloadEstimator::fadeOutcomes(HostRegistry& hosts, double gain) const {
-  const double fade = 1 - gain;
+void OverloadEstimator::decayOutcomes(HostRegistry& hosts, double gain) const {
+  const double retainedFraction = 1 - gain;
   for (const HostId id : hosts.active()) {
-    hosts[id].outcomes.attempts *= fade;
-    hosts[id].outcomes.errors *= fade;
+    hosts[id].outcomes.attempts *= retainedFraction;
+    hosts[id].outcomes.errors *= retainedFraction;
   }
 }
 
 void OverloadEstimator::sweep(Time now, double gain) {
   const std::size_t hostCount = hosts_.active().size();
-  unloadedConcurrency_ *= 1 - kUnloadedConcurrencyFade;
+  unloadedConcurrency_ *= 1 - kUnloadedConcurrencyDecay;
   if (cutoff_ <= kUnloadedCutoff && now - traffic_.startedAt() > kMinUnloadedSweeps * kSweepInterval &&
       hostCount > 0)
     unloadedConcurrency_ = std::max(unloadedConcurrency_, smoothedInFlight_ / static_cast<double>(hostCount));
   recentRejections_ *= 1 - gain;
   recentOutcomes_ += gain * (kPriorOutcomes - recentOutcomes_);
   errorOverload_ = poolErrorOverload();
-  // With few arrivals a burst would linger in the mean over arrivals.
+  // With few arrivals, a burst would persist in the average over arrivals.
   smoothedInFlight_ += (currentInFlight() - smoothedInFlight_) * traffic_.sweepGain(kSweepGain);
   renewCutoff(now);
   logCutoff(now);
@@ -93,23 +98,24 @@
   const double hostCount = static_cast<double>(std::max<std::size_t>(hosts_.active().size(), 1));
   const double reduction =
       1 - std::min(kRejectionFactor * recentRejections_ / recentOutcomes_, kMaxRejectionReduction);
-  // Before anything was measured (an own start in an overload) and after a lull, guesses per host stand in.
-  const double leastPerHost = traffic_.isLearning(now)
-                                  ? kFirstPerHost * reduction / settings_.gatewayCount
-                                  : std::max(kMinPerHost / settings_.gatewayCount, unloadedConcurrency_);
+  // Limits per host apply before there are measurements (if the gateway starts during an overload) and after
+  // a period of little traffic.
+  const double minPerHost =
+      traffic_.isLearning(now) ? kInitialInFlightPerHost * reduction / settings_.gatewayCount
+                               : std::max(kMinInFlightPerHost / settings_.gatewayCount, unloadedConcurrency_);
   const double rate = std::max(traffic_.inTimeRate(), traffic_.initialInTimeRate(now));
   return std::max(rate * traffic_.meanLatencyObjective() * kMaxObjectiveFraction * reduction,
-                  leastPerHost * hostCount + 2);
+                  minPerHost * hostCount + 2);
 }
 
 double OverloadEstimator::currentInFlight() const {
   double inFlight = 0;
   for (const HostId id : inFlight_.busyHosts()) {
     const Host& host = hosts_[id];
-    // One bad host must not raise the cutoff of the pool.
+    // One unhealthy host must not raise the cutoff of the pool.
     if (host.entry.phase == HostPhase::active && !host.health.isUnhealthy()) inFlight += host.inFlight.count;
   }
-  // Nor must lost attempts, which nobody works on.
+  // Lost attempts are not load either: no host is processing them.
   return retries_.isLosingAttempts() ? inFlight * (1 - retries_.lostTimeFraction()) : inFlight;
 }
 
--- a/src/policy/overload_estimator.hpp
+++ b/src/policy/overload_estimator.hpp
@@ -1,11 +1,12 @@
-// Decides the admission cutoff: the score, 0 to 100, below which requests are rejected unsent. It is
-// 100 x^3, where x is the larger of two overloads of the pool, each 0 at its threshold and 1 at its maximum:
+// Computes the admission cutoff: the score, 0 to 100, below which requests are rejected before they are sent.
+// It is 100 x^3, where x is the larger of two overload measures of the pool, each 0 at its threshold and 1 at
+// its maximum:
 //
-// - in-flight overload: attempts of this gateway in flight, against what the pool can hold. By Little's law
-//   the pool holds `rate x latency objective` at most if answers are to be in time. Where load probing is in
-//   use, the figures of the probed hosts stand in for it (load_probing.hpp).
-// - error overload: the fraction of attempts that were not served, capacity rejections and time-outs
-// included.
+// - in-flight overload: attempts of this gateway in flight, relative to the limit of the pool. By Little's
+// law, answers are in time if the pool holds at most `rate x latency objective`. Not used with load probing,
+// which has its own cutoff from the load of the probed hosts (load_probing.hpp).
+// - error overload: the fraction of attempts that were not served, including capacity rejections and
+// timeouts.
 #pragma once
 
 #include <cstddef>
@@ -19,12 +20,12 @@
 
 namespace finchstile::load_balancing {
 
-// The cutoff for an overload, 0 to 100.
+// The cutoff, 0 to 100, for an overload; values outside 0 to 1 are clamped.
 double cubicCutoff(double overload);
 
 class OverloadEstimator {
  public:
-  // Mean time in flight that a full pool is allowed, as a fraction of the latency objective.
+  // Mean time in flight at the in-flight limit, as a fraction of the latency objective.
   static constexpr double kMaxObjectiveFraction = 0.38;
   // Fraction of the in-flight maximum below which nothing is rejected.
   static constexpr double kInFlightThreshold = 0.5;
@@ -34,19 +35,19 @@
                     const TrafficStatistics& traffic, const InFlightTracker& inFlight,
                     const RetryPolicy& retries, ActionQueue& actions);
 
-  // A request has come. Renews the cutoff.
+  // A request has arrived. Updates the cutoff.
   void onArrival(Time now);
-  // Counts an attempt's outcome for the pool.
+  // Counts the outcome of an attempt for the host and the pool.
   void onOutcome(Host& host, Outcome outcome);
 
-  // The parts of a sweep: the counts of the hosts fade, by the gain from before the traffic's own sweep; then
-  // the estimates and the cutoff are renewed.
-  void fadeOutcomes(HostRegistry& hosts, double gain) const;
+  // The two parts of a sweep: decaying the counts of the hosts, and updating the estimates and the cutoff.
+  // `gain` is TrafficStatistics::sweepGain(kFastGain), taken before its sweepPool.
+  void decayOutcomes(HostRegistry& hosts, double gain) const;
   void sweep(Time now, double gain);
 
   double cutoff() const { return cutoff_; }
   double smoothedInFlight() const { return smoothedInFlight_; }
-  // Attempts of this gateway that the pool may hold.
+  // Maximum number of attempts of this gateway in flight at the whole pool.
   double inFlightLimit(Time now) const;
 
   void capture(LearnedState& learned) const { learned.unloadedConcurrency = unloadedConcurrency_; }
@@ -69,7 +70,7 @@
   double cutoff_ = 0;
   double errorOverload_ = 0;
   double smoothedInFlight_ = 0;
-  double unloadedConcurrency_ = 0;  // in flight a host while nothing is rejected
+  double unloadedConcurrency_ = 0;  // in flight per host while nothing is rejected
   double recentRejections_ = 0;     // decayed count of attempts rejected for capacity
   double recentOutcomes_;           // decayed count of attempts
   int loggedCutoffStep_ = 0;
--- a/src/policy/peer_message.cpp
+++ b/src/policy/peer_message.cpp
@@ -7,7 +7,7 @@
 namespace finchstile::load_balancing::peer {
 namespace {
 
-constexpr std::uint8_t kVersion = 0x10;  // upper half of the first byte; the lower half is the kind
+constexpr std::uint8_t kVersion = 0x10;  // upper four bits of the first byte; the lower four are the kind
 constexpr std::uint8_t kVersionMask = 0xf0;
 constexpr std::uint8_t kKindMask = 0x0f;
 constexpr double kValueUnit = 1.0 / 12;
--- a/src/policy/random_source.hpp
+++ b/src/policy/random_source.hpp
@@ -1,5 +1,5 @@
-// The only source of randomness of a load balancer. One seed gives one sequence on every platform: the
-// distributions of the standard library differ between implementations and are not used.
+// The only source of randomness of a load balancer. A seed gives the same sequence on every platform; the
+// distributions of the standard library are not used, since they differ between implementations.
 #pragma once
 
 #include <cstddef>
--- a/src/policy/request_timers.hpp
+++ b/src/policy/request_timers.hpp
@@ -1,4 +1,4 @@
-// The times at which active requests are looked at again. Nothing is decided here.
+// Timers of active requests, ordered by time and then by request id.
 #pragma once
 
 #include <functional>
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -8,19 +8,19 @@
 namespace finchstile::load_balancing {
 namespace {
 
-constexpr double kRetriesPerRequest = 0.3;  // tokens added by each new request
+constexpr double kRetriesPerRequest = 0.3;  // tokens added per request
 constexpr double kMaxTokens = 30;
-constexpr double kReservedTokens = 25;  // kept from requests of next to no priority
+constexpr double kReservedTokens = 25;  // withheld from requests of the lowest priority
 
-// A pool that loses a part of what it is sent looks overloaded: lost attempts are held until their time is
-// up, and a request that may be repeated has no time left by then. So an attempt is given up after half of
-// the time that is left, if that is longer than the first of these; and after the second at the latest.
-constexpr double kLostLatencies = 2;  // typical latencies
-constexpr double kMaxPatienceLatencies = 3;
+// A pool that loses part of its attempts looks overloaded: lost attempts stay in flight until they time out,
+// and a request that may be retried has no time left by then. So an attempt times out after half of the time
+// left, if that is longer than the first of these, and after the second at the latest.
+constexpr double kLossTimeoutLatencies = 2;  // in typical latencies
+constexpr double kMaxAttemptLatencies = 3;
 
-// Whether a host that may have run an attempt drops repeats together with `other`.
-bool dropsRepeatsWith(const ClassSettings& settings, const std::string& zone, std::int64_t cell,
-                      const HostEntry& other) {
+// Whether a repeat at `other` is harmless after an attempt that may have run in the given zone and cell.
+bool isRepeatHarmlessOn(const ClassSettings& settings, const std::string& zone, std::int64_t cell,
+                        const HostEntry& other) {
   if (settings.idempotency != Idempotency::idempotentWithKey)
     return settings.idempotency == Idempotency::idempotent;
   if (settings.deduplicationScope != DeduplicationScope::all && zone != other.zone) return false;
@@ -37,11 +37,11 @@
   const ClassSettings& settings = settingsOf(request);
   if (now > repeatDeadline(request)) return false;
   const std::optional<EarlierAttempt>& earlier = request.earlierAttempt;
-  if (earlier && !dropsRepeatsWith(settings, earlier->zone, earlier->cell, host.entry)) return false;
+  if (earlier && !isRepeatHarmlessOn(settings, earlier->zone, earlier->cell, host.entry)) return false;
   for (std::uint32_t i = 0; i < request.attemptCount; ++i) {
     const Attempt& attempt = request.attempts[i];
     const HostEntry& first = hosts_[attempt.host].entry;
-    if (attempt.mayHaveRun && !dropsRepeatsWith(settings, first.zone, first.cell, host.entry)) return false;
+    if (attempt.mayHaveRun && !isRepeatHarmlessOn(settings, first.zone, first.cell, host.entry)) return false;
   }
   return true;
 }
@@ -62,15 +62,16 @@
                                   settingsOf(request).idempotency != Idempotency::nonIdempotent &&
                                   tokens_ >= 1;
   if (!leavesTimeForRetry || left / 2 <= lost) return left;
-  return std::min(left / 2, scaled(lost, kMaxPatienceLatencies / kLostLatencies));
+  return std::min(left / 2, scaled(lost, kMaxAttemptLatencies / kLossTimeoutLatencies));
 }
 
 void RetryPolicy::onArrival() { tokens_ = std::min(tokens_ + kRetriesPerRequest, kMaxTokens); }
 
 bool RetryPolicy::mayRetry(const ActiveRequest& request, double highestPriorityWeight, Time now) const {
-  // Where much is rejected, retries run out and the most valuable requests would be rejected like any other.
-  // In a small bank each gateway sees so much that what can be saved lasts for a tenth of a second.
-  const bool reserves = shape_.isLargeBank() && highestPriorityWeight > 0;
+  // Under many rejections the retry budget runs out, so a part of it is reserved for requests of high
+  // priority. In a small cluster a gateway has so much traffic that the reserve would last for only a tenth
+  // of a second.
+  const bool reserves = shape_.isLargeCluster() && highestPriorityWeight > 0;
   const double reserved =
       reserves ? kReservedTokens * (1 - request.priorityWeight / highestPriorityWeight) : 0;
   return latestUsefulAnswer(request) > now && tokens_ >= 1 + reserved;
@@ -85,8 +86,9 @@
 
 Duration RetryPolicy::lossTimeout(const ActiveRequest& request) const {
   const double typicalLatency = traffic_.classes()[request.classIndex].typicalLatency;
-  return std::max(OutlierDetector::kMinSilence,
-                  scaled(std::chrono::seconds(1), kLostLatencies * typicalLatency * request.relativeWork));
+  return std::max(
+      OutlierDetector::kMinSilence,
+      scaled(std::chrono::seconds(1), kLossTimeoutLatencies * typicalLatency * request.relativeWork));
 }
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,9 +1,10 @@
-// Decides whether a request may be sent again, to which hosts, until when, and how long each attempt may
-// take. Inputs are the request's attempts so far, the idempotency of its class, the retry budget and the
-// recent fraction of lost attempts.
+// Retry policy: whether a request may be sent again, to which hosts, until when, and the timeout of each
+// attempt. Inputs are the previous attempts of the request, the idempotency of its class, the retry budget
+// and the recent fraction of lost attempts.
 //
-// The rule on repeats: an attempt that may have run forbids another one unless the class is idempotent, or
-// has an idempotency key and the other host drops repeats together with the first one, within the window.
+// The rule on repeats: after an attempt that may have run, another one is allowed only if the class is
+// idempotent, or if it has an idempotency key and the other host deduplicates together with the first one,
+// within the deduplication window.
 #pragma once
 
 #include <algorithm>
@@ -24,12 +25,12 @@
 
   // --- The rule on repeats
 
-  // Whether the request may run on this host now, after all that may have run of it.
+  // Whether the rule allows an attempt at this host now, given the previous attempts that may have run.
   bool mayRunOn(const ActiveRequest& request, const Host& host, Time now) const {
     const bool isFirst = request.attemptCount == 0 && !request.earlierAttempt;
     return isFirst || mayRepeatOn(request, host, now);
   }
-  // No byte of another attempt may go out later: the first host may have forgotten the key.
+  // No byte of another attempt may be sent after this time: the first host may have dropped the key by then.
   Time repeatDeadline(const ActiveRequest& request) const {
     const ClassSettings& settings = settingsOf(request);
     Time first = request.earlierAttempt ? request.earlierAttempt->sentAt : Time::max();
@@ -38,33 +39,34 @@
     if (settings.idempotency != Idempotency::idempotentWithKey || first == Time::max()) return Time::max();
     return first + settings.deduplicationWindow - 2 * settings_.eventInterval;
   }
-  // Whether a retry by the client is harmless: no attempt may have run, or the hosts tolerate a repeat
-  // (idempotent, or one deduplication scope for all hosts and nothing pending). Otherwise the request fails.
+  // Whether a retry by the client is harmless: no attempt may have run, or the hosts tolerate a repeat (the
+  // class is idempotent, or all hosts deduplicate together and no attempt is pending). Otherwise the request
+  // fails.
   bool mayReject(const ActiveRequest& request) const;
-  // An attempt that dies with its connection may have run. What may not run again anywhere is sent only on a
-  // connection that has shown life; an idempotent request is sent again anyway and spared the wait.
-  bool needsLiveConnection(const ActiveRequest& request) const {
+  // Whether an attempt may be sent only on a connection verified to be alive, since an attempt whose
+  // connection breaks may have run. Idempotent requests can be sent again anyway and avoid the delay.
+  bool needsVerifiedConnection(const ActiveRequest& request) const {
     return settingsOf(request).idempotency != Idempotency::idempotent;
   }
 
   // --- Time
 
-  // The latest time at which an answer still has value and still reaches the client.
+  // The latest time at which an answer still has value and can reach the client.
   Time latestUsefulAnswer(const ActiveRequest& request) const {
     const Time end = request.deadline - 2 * settings_.eventInterval;
     return request.lateValueFraction > 0 ? end
                                          : std::min(end, request.objectiveAt - 2 * settings_.eventInterval);
   }
-  // Whether there is time, and an attempt left, to send the request.
+  // Whether there is time for an attempt, and the limit on attempts allows one.
   bool maySend(const ActiveRequest& request, Time now) const {
     const std::size_t maxAttempts =
         std::min<std::size_t>(request.isSingleAttempt ? 1 : settings_.maxAttempts, kMaxAttemptsPerRequest);
     return latestUsefulAnswer(request) > now && request.attemptCount < maxAttempts;
   }
-  // How long an attempt that goes out now may take.
+  // Timeout of an attempt that is sent now.
   Duration attemptTimeout(const ActiveRequest& request, Time now) const;
 
-  // --- The retry budget. Tokens are retries.
+  // --- The retry budget: a token bucket, one token per retry
 
   void onArrival();
   bool mayRetry(const ActiveRequest& request, double highestPriorityWeight, Time now) const;
@@ -72,11 +74,12 @@
 
   // --- Lost attempts
 
-  // An attempt ended after `seconds`; not for streams.
+  // An attempt ended after `seconds`. Not called for streams.
   void onResult(const ActiveRequest& request, Outcome outcome, Duration elapsed, double seconds);
-  // Many attempts are lost, as far as can be told: they got no answer in a time that is long for their class.
+  // Whether many recent attempts were lost, that is, got no answer within a time that is long for their
+  // class.
   bool isLosingAttempts() const { return lostFraction_ > kLostAttemptFraction; }
-  // Time that lost attempts are in flight, as a fraction of that of all.
+  // Time in flight of lost attempts, as a fraction of that of all attempts.
   double lostTimeFraction() const { return lostSeconds_ / attemptSeconds_; }
 
  private:
@@ -86,8 +89,8 @@
   bool mayRepeatOn(const ActiveRequest& request, const Host& host, Time now) const;
   Duration lossTimeout(const ActiveRequest& request) const;
 
-  // Attempts are abandoned early only once this fraction of recent attempts got no answer: where answers are
-  // late and not lost, what is abandoned has cost work.
+  // Attempts are abandoned early only if more than this fraction of recent attempts got no answer: if answers
+  // are late rather than lost, abandoned attempts waste work of the hosts.
   static constexpr double kLostAttemptFraction = 0.1;
 
   const Settings& settings_;
@@ -95,9 +98,9 @@
   const FleetShape& shape_;
   const TrafficStatistics& traffic_;
   double tokens_;
-  double lostFraction_ = 0;    // of the last fifty attempts
-  double lostSeconds_ = 0;     // mean over the last fifty attempts; 0 for those not lost
-  double attemptSeconds_ = 0;  // mean over the last fifty attempts
+  double lostFraction_ = 0;    // over about the last fifty attempts
+  double lostSeconds_ = 0;     // mean, counting 0 for attempts that were not lost
+  double attemptSeconds_ = 0;  // mean over about the last fifty attempts
 };
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -14,7 +14,7 @@
   if (!isValid) throw std::invalid_argument("load balancer settings: " + problem);
 }
 
-// A setting as it was read, for messages with its path.
+// The text of a setting, with its path for error messages.
 struct SettingText {
   std::string_view path;
   std::string_view text;
@@ -36,8 +36,8 @@
   }
 };
 
-// Splits "<head>.<index>.<field>" and returns the item of that index, which is added if need be, or null for
-// any other path.
+// Splits a path of the form "<head>.<index>.<field>" and returns the item of that index, which is added if
+// missing. Returns null for any other path.
 template <class T>
 T* findItem(std::vector<T>& items, std::size_t maxItems, std::string_view path, std::string_view head,
             std::string_view& field) {
@@ -49,8 +49,8 @@
   std::size_t index = 0;
   const auto [end, error] = std::from_chars(path.data(), path.data() + dot, index);
   if (error != std::errc{} || end != path.data() + dot) return nullptr;
-  // An item that was skipped would be a class or tenant whose requests are rejected later, and an absurd
-  // index must not fill the memory: it is an error.
+  // An index out of range is an error: ignoring the item would reject the requests of that class or tenant
+  // later, and adding it could exhaust memory.
   require(index < maxItems, std::string(head) + " has more than " + std::to_string(maxItems) +
                                 " items: there is one numbered " + std::to_string(index));
   field = path.substr(dot + 1);
@@ -113,7 +113,7 @@
     classSettings.clientTimeout = std::max(classSettings.clientTimeout, classSettings.latencyObjective);
 }
 
-// The messages name the settings as operators and the simulator do.
+// Error messages use the setting names of the configuration file and the simulator.
 void validate(const Settings& settings) {
   require(settings.gatewayCount >= 1, "groupSize must be at least 1");
   require(settings.gatewayIndex < settings.gatewayCount,
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -1,5 +1,6 @@
-// Reads settings by the names of the simulator's wire, and checks them. This is the one place where those
-// names are mapped to the fields of Settings; the adapter and the gateway both read through here.
+// Reads and validates settings. The setting names of the simulator's protocol are mapped to the fields of
+// Settings here and nowhere else; both the simulator's adapter and the gateway read settings through this
+// file.
 #pragma once
 
 #include <string_view>
@@ -8,14 +9,14 @@
 
 namespace finchstile::load_balancing {
 
-// Takes one setting, for instance "grades.0.aimNs"; unknown names are skipped. Throws std::invalid_argument
-// that names the setting if its value is none of its type.
+// Applies one setting, for instance "grades.0.aimNs". Unknown names are ignored. Throws std::invalid_argument
+// naming the setting if the value does not have its type.
 void applySetting(Settings& settings, std::string_view path, std::string_view value);
 
-// Call after the last setting: fills in what follows from others.
+// Must be called after the last applySetting: raises each clientTimeout to at least the latency objective.
 void completeSettings(Settings& settings);
 
-// Throws std::invalid_argument that names the invalid setting.
+// Throws std::invalid_argument naming the invalid setting.
 void validate(const Settings& settings);
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,9 +5,9 @@
 namespace finchstile::load_balancing {
 namespace {
 
-constexpr double kProvenRateDecay = 0.997;  // per sweep: over half a minute
+constexpr double kProvenRateDecay = 0.997;  // per sweep; averages over about half a minute
 constexpr double kMinWindowSeconds = 0.1;
-constexpr double kBurstFraction = 0.25;  // of what one window allows, at once
+constexpr double kBurstFraction = 0.25;  // maximum burst, as a fraction of the attempts allowed per window
 constexpr double kMinTokens = -1;
 
 }  // namespace
@@ -31,8 +31,8 @@
 
 double SlowStart::offerProbability(const Host& host, const HostRegistry& hosts, double share,
                                    Time now) const {
-  // Where most hosts are replaced, the last warm ones reject most attempts and would starve the others: what
-  // the pool lately served counts too.
+  // While most hosts are being replaced, the last warm ones reject most attempts, and the fraction served
+  // would starve the warming ones. So the recent peak rate of the pool is taken into account too.
   const double provenFraction = std::min(
       traffic_.provenServedRate() * static_cast<double>(hosts.active().size()) / traffic_.sendRate(), 1.0);
   return capacityFraction(host, now) * share * std::max(traffic_.servedFraction(), provenFraction);
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,10 +1,10 @@
-// Decides what a warming host may take. All gateways together must not push it over, so each keeps to its own
-// part, from what warm hosts of the machine type lately carried, the age of the host's process and the size
-// of the bank. Rejected attempts count too: they cost the host work.
+// Slow start: limits the attempts sent to a warming host. All gateways together must not overload it, so each
+// keeps to a share derived from the recent throughput of warm hosts of the machine type, the age of the
+// host's process and the number of gateways. Rejected attempts count too, since they cost the host work.
 //
-// A gateway of a small bank has a token bucket for each warming host. Among a thousand gateways each would
-// claim at least one attempt in every window; there a gateway offers each of its attempts to one drawn host,
-// and a warming one takes it with a small probability.
+// A gateway of a small cluster has a token bucket for each warming host. With a thousand gateways, each would
+// claim at least one attempt per window. So in a large cluster a gateway offers each of its attempts to one
+// randomly chosen host, and a warming host takes it with a small probability.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 class SlowStart {
  public:
-  // Load of a warming host, as a fraction of the load that makes it collapse.
+  // Target load of a warming host, as a fraction of the load that makes it collapse.
   static constexpr double kCollapseFraction = 0.45;
 
   // All must outlive this.
@@ -29,7 +29,7 @@
     return host.entry.startedAt > Time{} && now - host.entry.startedAt < settings_.warmUpTime;
   }
 
-  // What the host can carry, as a fraction of a warm host's capacity: linear in its age.
+  // Capacity of the host as a fraction of a warm host's capacity; linear in its age.
   double capacityFraction(const Host& host, Time now) const {
     if (!isWarmingUp(host, now)) return 1;
     return settings_.initialCapacityFraction + (1 - settings_.initialCapacityFraction) *
@@ -37,20 +37,21 @@
                                                    toSeconds(settings_.warmUpTime);
   }
 
-  // Whether the host may take an attempt from the token bucket; always if it is warm, and never in a large
-  // bank if it is not (see `offerProbability`). Fills the bucket.
+  // Whether the host may be sent an attempt. A warming host needs a token in its bucket; in a large cluster
+  // it is never chosen this way (see `offerProbability`). Refills the bucket.
   bool hasCapacity(Host& host, const HostRegistry& hosts, Time now) const {
-    return !isWarmingUp(host, now) || (!shape_.isLargeBank() && fillBucket(host, hosts, now));
+    return !isWarmingUp(host, now) || (!shape_.isLargeCluster() && fillBucket(host, hosts, now));
   }
   void onSend(Host& host, Time now) const;
 
-  // The probability that a drawn warming host takes an attempt in a large bank. `share` is its part of an
-  // even share of the pool's work. The sum over all gateways keeps to that part whatever they carry: the
-  // fraction of attempts that are served takes out what an overload sends again and again.
+  // The probability that a randomly chosen warming host takes an attempt in a large cluster. `share` scales
+  // its load relative to an even share of the pool's load. The sum over all gateways keeps to that share at
+  // any traffic: multiplying by the fraction of attempts that are served excludes the retries of an overload.
   double offerProbability(const Host& host, const HostRegistry& hosts, double share, Time now) const;
 
-  // Renews what a warm host of each machine type has lately carried. It decays slowly: in a deploy of nearly
-  // all hosts the last warm ones are overloaded, and their sinking rates would starve the warming ones.
+  // Updates the recent peak rate of a warm host of each machine type. The peak decays slowly: in a deploy of
+  // nearly all hosts the last warm ones are overloaded, and their falling rates would starve the warming
+  // hosts.
   void sweepMachineTypes(HostRegistry& hosts, Time now) const;
 
   static void onHostStarted(Host& host, Time now) { host.slowStart = {1, now}; }
--- a/src/policy/stream_placement.cpp
+++ b/src/policy/stream_placement.cpp
@@ -7,13 +7,16 @@
 namespace finchstile::load_balancing {
 namespace {
 
-constexpr Duration kBurstSpan = std::chrono::milliseconds(250);  // of a host's rate that may begin at once
+// Burst of new streams, as the time over which the rate may accumulate.
+constexpr Duration kBurstWindow = std::chrono::milliseconds(250);
 
-// Weight of a host in the draw: 1 for one with the mean number of streams, one more for each stream fewer.
-// These bounds even out what chance does, and do not send one empty host all that comes.
+// Bounds of a host's weight in the draw, which is 1 at the mean number of streams and increases by 1 for each
+// stream fewer. They are wide enough to even out random differences, and narrow enough that one empty host
+// does not receive all new streams.
 constexpr double kMinWeight = 0.25;
 constexpr double kMaxWeight = 4;
-// Where a rate guards the hosts it bounds the draw too, and an empty host would stay behind for long.
+// Wider bounds if a rate limit protects the hosts; with the narrow ones an empty host would lag behind for
+// long.
 constexpr double kMinRateLimitedWeight = 0.02;
 constexpr double kMaxRateLimitedWeight = 16;
 
@@ -21,14 +24,14 @@
 
 bool StreamPlacement::hasCapacity(Host& host, double capacityFraction, Time startedAt, Time now) const {
   HostStreams& streams = host.streams;
-  const double part = capacityFraction / settings_.gatewayCount;
+  const double gatewayShare = capacityFraction / settings_.gatewayCount;
   if (settings_.maxStreamsPerHost > 0 &&
-      static_cast<double>(streams.count) >= std::max(1.0, settings_.maxStreamsPerHost * part))
+      static_cast<double>(streams.count) >= std::max(1.0, settings_.maxStreamsPerHost * gatewayShare))
     return false;
   if (!limitsRate()) return true;
-  const double rate = settings_.hostStreamRate * part;
+  const double rate = settings_.hostStreamRate * gatewayShare;
   streams.tokens = std::min(streams.tokens + rate * toSeconds(now - std::max(streams.filledAt, startedAt)),
-                            std::max(1.0, rate * toSeconds(kBurstSpan)));
+                            std::max(1.0, rate * toSeconds(kBurstWindow)));
   streams.filledAt = now;
   return streams.tokens >= 1;
 }
@@ -37,14 +40,14 @@
                                RandomSource& random) const {
   const double minWeight = limitsRate() ? kMinRateLimitedWeight : kMinWeight;
   const double maxWeight = limitsRate() ? kMaxRateLimitedWeight : kMaxWeight;
-  double all = 0;
-  for (const HostId id : candidates) all += static_cast<double>(hosts[id].streams.count);
+  double streamSum = 0;
+  for (const HostId id : candidates) streamSum += static_cast<double>(hosts[id].streams.count);
   double weightSum = 0;
   HostId chosen = kNone;
   for (const HostId id : candidates) {
-    const double fewerThanMean =
-        all / static_cast<double>(candidates.size()) - static_cast<double>(hosts[id].streams.count);
-    const double weight = std::clamp(1 + fewerThanMean, minWeight, maxWeight);
+    const double belowMean =
+        streamSum / static_cast<double>(candidates.size()) - static_cast<double>(hosts[id].streams.count);
+    const double weight = std::clamp(1 + belowMean, minWeight, maxWeight);
     weightSum += weight;
     if (random.unit() * weightSum < weight) chosen = id;
   }
--- a/src/policy/stream_placement.hpp
+++ b/src/policy/stream_placement.hpp
@@ -1,6 +1,6 @@
-// Decides where a long-lived stream goes: to a host with few streams, within what each host and this gateway
-// may hold and, where a rate is set, begin. Inputs are the streams held and the rates of the settings. Bounds
-// of a host hold for the bank; each gateway keeps to its part, for a warming host to its capacity's part.
+// Chooses the host of a long-lived stream: one with few streams, within the limits on open streams per host
+// and gateway and, if set, on the rate of new streams per host. Limits per host apply to the whole cluster:
+// each gateway uses an equal share of them, reduced for a warming host in proportion to its capacity.
 #pragma once
 
 #include <cstddef>
@@ -18,21 +18,21 @@
   // `settings` must outlive this.
   explicit StreamPlacement(const Settings& settings) : settings_(settings) {}
 
-  // The gateway may hold another stream.
+  // Whether the gateway may open another stream.
   bool hasGatewayCapacity() const { return settings_.maxStreams == 0 || streamCount_ < settings_.maxStreams; }
 
-  // Streams have a rate of their own. Where they are all the traffic there is, a budget that is measured by
-  // requests would allow a warming host next to none.
+  // Whether new streams have their own rate limit. If all traffic is streams, the slow-start budget, which is
+  // derived from the rate of answers, would allow a warming host almost none.
   bool limitsRate() const { return settings_.hostStreamRate > 0; }
 
-  // The host may hold another stream, and its rate allows one now: clients whose streams ended together come
-  // back together. Fills the host's token bucket. `startedAt` is the load balancer's start,
-  // `capacityFraction` that of the host.
+  // Whether the limits of the host allow another stream now. The rate limit spreads clients that reconnect
+  // together because their streams ended together. Refills the host's token bucket. `capacityFraction` is
+  // that of the host, `startedAt` the start of the load balancer.
   bool hasCapacity(Host& host, double capacityFraction, Time startedAt, Time now) const;
 
-  // Draws one of the candidates, those with fewer streams with a higher weight; kNone if there are none. All
-  // of them are drawn from: after a deploy every stream would go to the emptiest host at once. Draws once for
-  // each candidate.
+  // Draws one of the candidates, with a higher weight for fewer streams; kNone if there are none. Always
+  // taking the host with the fewest streams would send every stream after a deploy to the emptiest one. Draws
+  // one random number per candidate.
   HostId choose(const HostRegistry& hosts, const std::vector<HostId>& candidates, RandomSource& random) const;
 
   void begin(HostRegistry& hosts, Attempt& attempt) {
@@ -42,14 +42,14 @@
     ++streamCount_;
     streams.tokens -= 1;
   }
-  // A call for an attempt that is no stream, or a second one, does nothing.
+  // Does nothing for an attempt that is not a stream, or that has already ended.
   void end(HostRegistry& hosts, Attempt& attempt) {
     if (!std::exchange(attempt.isStream, false)) return;
     --hosts[attempt.host].streams.count;
     --streamCount_;
   }
 
-  std::size_t streamCount() const { return streamCount_; }  // that this gateway holds or is placing
+  std::size_t streamCount() const { return streamCount_; }  // open or being established
 
  private:
   const Settings& settings_;
--- a/src/policy/subset.cpp
+++ b/src/policy/subset.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Gateways of a round. It follows the number of hosts only in doublings: each host that comes or goes could
-// otherwise move every gateway to another round, and all connections with it.
+// Minimum number of gateways per round. The size follows the number of hosts only in powers of two; otherwise
+// adding or removing a host could move every gateway to another round, and with it all connections.
 constexpr std::size_t kMinRoundSize = 16;
 
 }  // namespace
@@ -19,7 +19,8 @@
                                      std::uint32_t gatewayCount, std::size_t subsetSize) {
   std::size_t roundSize = kMinRoundSize;
   while (roundSize * 2 * std::max<std::size_t>(subsetSize, 1) <= hashes.size()) roundSize *= 2;
-  // The last round is as full as the others, or its hosts would be met more often.
+  // Gateways are spread evenly over the rounds, since a partly filled last round would use its hosts
+  // unevenly.
   const std::size_t rounds = std::max<std::size_t>(gatewayCount / roundSize, 1);
   roundSize = std::max<std::size_t>((gatewayCount + rounds - 1) / rounds, 1);
   const std::uint64_t roundHash = mixBits(gatewayIndex / roundSize);
--- a/src/policy/traffic_class.hpp
+++ b/src/policy/traffic_class.hpp
@@ -1,4 +1,4 @@
-// What is known of the requests of one class. Nothing is decided here.
+// Settings and statistics of one class of requests.
 #pragma once
 
 #include "finchstile/load_balancer.hpp"
@@ -6,11 +6,11 @@
 namespace finchstile::load_balancing {
 
 struct TrafficClass {
-  ClassSettings settings;        // as last changed by DynamicSettings
-  double typicalLatency = 0;     // seconds, of a request of mean work; 0 until the first answer
+  ClassSettings settings;        // including changes by DynamicSettings
+  double typicalLatency = 0;     // in seconds, of a request of mean work; 0 before the first answer
   double meanExpectedWork = 0;   // seconds
-  Duration typicalTimeLeft{};    // that clients give an attempt; by LateRetryDetector
-  double lateRetryFraction = 0;  // of its recent requests; by LateRetryDetector
+  Duration typicalTimeLeft{};    // time left of a typical request; by LateRetryDetector
+  double lateRetryFraction = 0;  // among recent requests; by LateRetryDetector
 };
 
 }  // namespace finchstile::load_balancing
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -11,11 +11,11 @@
 namespace finchstile::load_balancing {
 namespace {
 
-constexpr double kHostsPerSweepInterval = 32;  // beyond, the interval grows in proportion
-constexpr double kHostLatencyGain = 0.1;       // per answer: over the last ten
-constexpr double kIdleLatencyGain = 0.05;      // per sweep without answers: forgotten in two seconds
-constexpr double kProvenRateDecay = 0.99;      // per sweep: about ten seconds
-constexpr double kMaxRelativeLatency = 20;     // one sample weighs no more
+constexpr double kHostsPerSweepInterval = 32;  // with more, the interval grows in proportion
+constexpr double kHostLatencyGain = 0.1;       // per answer; averages over about ten answers
+constexpr double kIdleLatencyGain = 0.05;      // per sweep without answers; decays within two seconds
+constexpr double kProvenRateDecay = 0.99;      // per sweep; about ten seconds
+constexpr double kMaxRelativeLatency = 20;     // upper bound of one sample
 constexpr double kMinSeconds = 1e-6;           // a latency of zero would make ratios meaningless
 constexpr double kMinRelativeWork = 0.2;
 constexpr double kMaxRelativeWork = 5;
@@ -26,17 +26,17 @@
 }  // namespace
 
 TrafficStatistics::TrafficStatistics(const Settings& settings, Time now)
-    : describedClasses_(static_cast<std::uint32_t>(settings.classes.size())), startedAt_(now) {
+    : knownClassCount_(static_cast<std::uint32_t>(settings.classes.size())), startedAt_(now) {
   for (const ClassSettings& classSettings : settings.classes) {
     classes_.push_back({classSettings, 0, 0, {}, 0});
     meanLatencyObjective_ +=
         toSeconds(classSettings.latencyObjective) / static_cast<double>(settings.classes.size());
   }
-  ClassSettings undescribed = settings.classes.front();
-  undescribed.name = "unknown";
-  undescribed.idempotency = Idempotency::nonIdempotent;
-  undescribed.priorityWeight = 0;
-  classes_.push_back({undescribed, 0, 0, {}, 0});
+  ClassSettings unknownClass = settings.classes.front();
+  unknownClass.name = "unknown";
+  unknownClass.idempotency = Idempotency::nonIdempotent;
+  unknownClass.priorityWeight = 0;
+  classes_.push_back({unknownClass, 0, 0, {}, 0});
 }
 
 double TrafficStatistics::onExpectedWork(TrafficClass& trafficClass, Duration expectedWork) {
@@ -49,7 +49,7 @@
 
 void TrafficStatistics::onDemand(const TrafficClass& trafficClass, double relativeWork) {
   const ClassSettings& settings = trafficClass.settings;
-  // Where late answers still have value, the time that counts reaches past the objective by that fraction.
+  // If late answers still have value, the objective is extended in proportion to that value.
   const Duration lateExtension =
       scaled(std::min(trafficClass.typicalTimeLeft - settings.latencyObjective, settings.latencyObjective),
              settings.lateValueFraction);
@@ -72,15 +72,15 @@
   served_ += 1;
   host.traffic.servedSinceSweep += 1;
   typical += kFiftySampleGain * (seconds / request.relativeWork - typical);
-  // An answer weighs as its work. Counted one by one, heavy answers would make a gateway that is down to a
-  // heavy class take the pool for slow, and starve it.
+  // Answers are weighted by their work. Otherwise a gateway whose traffic is reduced to a class of heavy
+  // requests would see few answers, take the pool for slow and lower its limit.
   const double weight =
       meanTypicalLatency_ > 0
           ? std::clamp(typical * request.relativeWork / meanTypicalLatency_, kMinWorkWeight, kMaxWorkWeight)
           : 1;
   const bool inTime = now <= request.objectiveAt;
   inTimeAnswers_ += weight * (inTime ? 1 : request.lateValueFraction);
-  if (isLearning(now)) firstInTimeAnswers_ += inTime ? 1 : 0;
+  if (isLearning(now)) inTimeAnswersWhileLearning_ += inTime ? 1 : 0;
   return relativeLatency;
 }
 
@@ -116,9 +116,9 @@
     HostTraffic& traffic = host.traffic;
     traffic.answerRate +=
         kFastGain * (traffic.servedSinceSweep / toSeconds(sweepInterval_) - traffic.answerRate);
-    // A relative latency that was learned in a fault keeps requests away, and without them it would never
-    // change. It returns to that of the machine type, which is learned sooner; where load probing compares
-    // hosts, to the median.
+    // A high relative latency measured during a fault keeps requests away from the host, so it would never be
+    // updated. It decays to that of the machine type, which recovers sooner, or with load probing to the
+    // median.
     if (traffic.servedSinceSweep <= 0 && host.inFlight.count == 0)
       traffic.relativeLatency +=
           kIdleLatencyGain * ((shape.probesLoad() ? medianRelativeLatency_
@@ -139,16 +139,17 @@
   inTimeRate_ += gain * (inTimeAnswers_ / seconds - inTimeRate_);
   inTimeAnswers_ = 0;
   sendRate_ += gain * (std::exchange(sends_, 0) / seconds - sendRate_);
-  // Slower than the others: the best of it is kept, and chance must not show there.
+  // Smoothed more than the other rates, since its peak is kept and must not reflect noise.
   servedRate_ += gain / 3 * (std::exchange(served_, 0) / seconds - servedRate_);
   provenServedRate_ = std::max(servedRate_ / static_cast<double>(hosts.active().size() + 1),
                                provenServedRate_ * kProvenRateDecay);
 }
 
 double TrafficStatistics::initialInTimeRate(Time now) const {
-  if (!isLearning(now) || firstInTimeAnswers_ < kMinSamples || now - firstArrivalAt_ < kMinInitialSpan)
+  if (!isLearning(now) || inTimeAnswersWhileLearning_ < kMinSamples ||
+      now - firstArrivalAt_ < kMinInitialSpan)
     return 0;
-  return firstInTimeAnswers_ / toSeconds(now - firstArrivalAt_);
+  return inTimeAnswersWhileLearning_ / toSeconds(now - firstArrivalAt_);
 }
 
 void TrafficStatistics::capture(LearnedState& learned, Time now) const {
--- a/tests/policy/fleet_shape_test.cpp
+++ b/tests/policy/fleet_shape_test.cpp
@@ -23,7 +23,7 @@
 TEST_F(FleetShapeTest, SmallBankMeetsAllHosts) {
   setFleet(32, 40);
   EXPECT_FALSE(shape.gatewaysOutnumberHosts());
-  EXPECT_FALSE(shape.isLargeBank());
+  EXPECT_FALSE(shape.isLargeCluster());
   EXPECT_FALSE(shape.usesSubsets());
 }
 
--- a/tests/policy/host_registry_test.cpp
+++ b/tests/policy/host_registry_test.cpp
@@ -125,7 +125,7 @@
   hosts.apply(HostListUpdate::complete, {}, [](Host&) {});
   EXPECT_TRUE(hosts.contains(id));
   hosts[id].references = 0;
-  hosts.forgetUnreferenced();
+  hosts.eraseUnreferenced();
   EXPECT_FALSE(hosts.contains(id));
   EXPECT_EQ(hosts.findByAddress("host-100"), kNone);
 }
--- a/tests/policy/load_probing_test.cpp
+++ b/tests/policy/load_probing_test.cpp
@@ -12,7 +12,7 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-Settings largeBankSettings(bool probes) {
+Settings largeClusterSettings(bool probes) {
   Settings s = makeSettings();
   s.gatewayCount = 500;
   s.gatewayIndex = 3;
@@ -36,7 +36,7 @@
 }
 
 TEST(LoadProbing, SendsToLeastLoadedProbedHost) {
-  Driver d(largeBankSettings(true), 20);
+  Driver d(largeClusterSettings(true), 20);
   d.request(0);
   const std::vector<Action> probes = of(d, ActionKind::probeHost);
   ASSERT_GE(probes.size(), 2u);
@@ -47,7 +47,7 @@
 }
 
 TEST(LoadProbing, SendsToIdleHostAtOnce) {
-  Driver d(largeBankSettings(true), 20);
+  Driver d(largeClusterSettings(true), 20);
   d.request(0);
   const std::vector<Action> probes = of(d, ActionKind::probeHost);
   report(d, probes[0].host, 0);
@@ -58,7 +58,7 @@
 }
 
 TEST(LoadProbing, FallsBackToOrdinaryPickWithoutReports) {
-  Driver d(largeBankSettings(true), 20);
+  Driver d(largeClusterSettings(true), 20);
   d.request(0);
   d.advance(milliseconds(50));
   EXPECT_EQ(d.sent.size(), 1u);
@@ -66,7 +66,7 @@
 
 TEST(LoadProbing, InvalidReportsDoNoHarm) {
   for (double held : {std::nan(""), -5.0, HUGE_VAL}) {
-    Driver d(largeBankSettings(true), 20);
+    Driver d(largeClusterSettings(true), 20);
     for (int i = 0; i < 30; ++i) {
       d.forget();
       const RequestId id = d.request(0);
@@ -80,7 +80,7 @@
 }
 
 TEST(LoadProbing, FailedProbeIsNoCandidate) {
-  Driver d(largeBankSettings(true), 20);
+  Driver d(largeClusterSettings(true), 20);
   d.request(0);
   const std::vector<Action> probes = of(d, ActionKind::probeHost);
   for (std::size_t i = 1; i < probes.size(); ++i) report(d, probes[i].host, 0, false);
@@ -91,7 +91,7 @@
 
 // Where every host is warming up, a further draw may find none.
 TEST(LoadProbing, ProbesOnlyHostsThatWereDrawn) {
-  Driver d(largeBankSettings(true), 20);
+  Driver d(largeClusterSettings(true), 20);
   std::vector<HostEntry> restarted;
   for (int i = 0; i < 20; ++i) {
     restarted.push_back(makeHost(i, "east", i % 2));
@@ -113,7 +113,7 @@
 }
 
 TEST(LoadProbing, IgnoresUnrequestedResults) {
-  Driver d(largeBankSettings(true), 20);
+  Driver d(largeClusterSettings(true), 20);
   report(d, d.host(0), 0);
   report(d, kNone, 0);
   report(d, 4000, 0);
@@ -123,7 +123,7 @@
 
 // In an overload the lowest scores are refused, unsent, by what the look shows.
 TEST(LoadProbing, CrowdedHostsShedLowScoresFirst) {
-  Driver d(largeBankSettings(true), 20);
+  Driver d(largeClusterSettings(true), 20);
   int low = 0, high = 0;
   for (int i = 0; i < 300; ++i) {
     const std::uint32_t cls = i % 3 == 0 ? 0 : 1;
@@ -139,7 +139,7 @@
 }
 
 TEST(LoadProbing, SmallBankDoesNotProbe) {
-  Settings s = largeBankSettings(true);
+  Settings s = largeClusterSettings(true);
   s.gatewayCount = 2;
   s.gatewayIndex = 0;
   Driver d(s, 20);
@@ -149,7 +149,7 @@
 }
 
 TEST(LoadProbing, AnswersAtDeadlineDuringProbe) {
-  Settings s = largeBankSettings(true);
+  Settings s = largeClusterSettings(true);
   for (ClassSettings& c : s.classes) c.latencyObjective = c.clientTimeout = seconds(1);
   Driver d(s, 20);
   const RequestId id = d.request(0, milliseconds(210));
@@ -158,7 +158,7 @@
 }
 
 TEST(GroupTracker, ItsRecommendationIsFollowed) {
-  Driver d(largeBankSettings(false), 20);
+  Driver d(largeClusterSettings(false), 20);
   const RequestId id = d.request(0);
   const std::vector<Action> requests = of(d, ActionKind::sendPeerMessage);
   ASSERT_EQ(requests.size(), 1u);
@@ -167,7 +167,7 @@
   EXPECT_EQ(question.kind, peer::MessageKind::recommendationRequest);
   EXPECT_TRUE(d.sent.empty());
 
-  Driver tracker(largeBankSettings(false), 20);  // any gateway can answer
+  Driver tracker(largeClusterSettings(false), 20);  // any gateway can answer
   tracker.balancer.onPeerMessage(tracker.now, 3, requests[0].text);
   tracker.collect();
   const std::vector<Action> recommendations = of(tracker, ActionKind::sendPeerMessage);
@@ -184,7 +184,7 @@
 }
 
 TEST(GroupTracker, SpreadsItsRecommendations) {
-  Driver asker(largeBankSettings(false), 20), tracker(largeBankSettings(false), 20);
+  Driver asker(largeClusterSettings(false), 20), tracker(largeClusterSettings(false), 20);
   std::map<std::uint32_t, int> recommended;
   for (int i = 0; i < 20; ++i) {
     asker.forget();
@@ -202,7 +202,7 @@
 }
 
 TEST(GroupTracker, SilentOneIsPassedOver) {
-  Driver d(largeBankSettings(false), 20);
+  Driver d(largeClusterSettings(false), 20);
   d.request(0);
   const std::uint32_t tracker = of(d, ActionKind::sendPeerMessage).at(0).attempt;
   d.advance(milliseconds(60));
@@ -213,7 +213,7 @@
 }
 
 TEST(GroupTracker, RecommendedDrainingHostGetsNothing) {
-  Driver d(largeBankSettings(false), 20);
+  Driver d(largeClusterSettings(false), 20);
   for (int i = 0; i < 20; ++i) {
     d.forget();
     d.request(0);
@@ -235,7 +235,7 @@
 }
 
 TEST(GroupTracker, IgnoresNoise) {
-  Driver d(largeBankSettings(false), 20);
+  Driver d(largeClusterSettings(false), 20);
   std::mt19937 engine(11);
   for (int i = 0; i < 5000; ++i) {
     std::string bytes(engine() % 20, '\0');
@@ -251,7 +251,7 @@
 }
 
 TEST(GroupTracker, RecommendsDrawnWarmingHostOnlyWhileIdle) {
-  Settings s = largeBankSettings(false);
+  Settings s = largeClusterSettings(false);
   s.initialCapacityFraction = 1;  // drawn as often as any
   Driver tracker(s, 20);
   HostEntry cold = makeHost(7, "east", 1);
@@ -286,7 +286,7 @@
   }
   Host& host(int number) { return hosts[hosts.findByAddress(makeHost(number).address)]; }
 
-  Settings settings = largeBankSettings(false);
+  Settings settings = largeClusterSettings(false);
   HostRegistry hosts{"east"};
   FleetShape shape{settings, hosts};
   TrafficStatistics traffic{settings, {}};
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -297,7 +297,7 @@
 TEST(OutlierDetector, HostIsResponsiveForAMomentAfterAnAnswer) {
   Host host;
   EXPECT_FALSE(OutlierDetector::isResponsive(host, seconds(1))) << "never heard";
-  host.health.lastSeenAlive = seconds(1);
+  host.health.lastResponseAt = seconds(1);
   EXPECT_TRUE(OutlierDetector::isResponsive(host, seconds(1) + milliseconds(149)));
   EXPECT_FALSE(OutlierDetector::isResponsive(host, seconds(1) + milliseconds(150)));
 }
--- a/tests/policy/traffic_statistics_test.cpp
+++ b/tests/policy/traffic_statistics_test.cpp
@@ -84,10 +84,10 @@
   const TrafficStatistics traffic(settings, {});
   Request request;
   request.classIndex = 57;
-  const ClassSettings& standIn = traffic.classes()[traffic.classIndexOf(request)].settings;
-  EXPECT_EQ(standIn.name, "unknown");
-  EXPECT_EQ(standIn.idempotency, Idempotency::nonIdempotent);
-  EXPECT_EQ(standIn.priorityWeight, 0);
+  const ClassSettings& unknownClass = traffic.classes()[traffic.classIndexOf(request)].settings;
+  EXPECT_EQ(unknownClass.name, "unknown");
+  EXPECT_EQ(unknownClass.idempotency, Idempotency::nonIdempotent);
+  EXPECT_EQ(unknownClass.priorityWeight, 0);
 }
 
 }  // namespace
