--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -11,14 +11,14 @@
 namespace finchstile::load_balancing::simulator {
 namespace {
 
-constexpr std::size_t kMaxQuotedLine = 120;  // characters of a line that a complaint repeats
+constexpr std::size_t kMaxQuotedCharacters = 120;  // characters of a malformed line that are quoted
 
-// The value of the first field with that name; empty if there is none. Parts that are no fields are passed
-// over.
+// The value of the first field with that name; empty if there is none. Tokens that are not fields are
+// skipped.
 std::string_view findField(std::string_view fields, std::string_view nameAndEquals) {
   while (!fields.empty()) {
-    const std::string_view part = nextPart(fields);
-    if (part.substr(0, nameAndEquals.size()) == nameAndEquals) return part.substr(nameAndEquals.size());
+    const std::string_view token = nextToken(fields);
+    if (token.substr(0, nameAndEquals.size()) == nameAndEquals) return token.substr(nameAndEquals.size());
   }
   return {};
 }
@@ -27,11 +27,11 @@
   std::uint64_t key = 0;
   const char* const last = digits.data() + digits.size();
   const auto [end, error] = std::from_chars(digits.data(), last, key, 16);
-  if (error != std::errc{} || end != last) throw ProtocolError("bad routeKey");
+  if (error != std::errc{} || end != last) throw ProtocolError("routeKey is not a 64-bit hexadecimal number");
   return key;
 }
 
-// Without its id, which the caller assigns.
+// Reads all of a request but its id, which the caller assigns.
 Request readRequest(const SimulatedGateway& gateway, std::string_view fields) {
   Request request;
   Field field;
@@ -52,11 +52,11 @@
       request.affinityKey = readAffinityKey(field.value);
       request.hasAffinityKey = true;
     } else if (field.name == "repeat") {
-      field.boolean();  // only its form is checked: the time left says more about a retry
+      field.boolean();  // only validated: retries are detected by the time left instead
     }
   }
-  if (!hasTimeLeft) throw ProtocolError("no leftNs");
-  if (!hasClass) throw ProtocolError("no tierClass");
+  if (!hasTimeLeft) throw ProtocolError("leftNs missing");
+  if (!hasClass) throw ProtocolError("tierClass missing");
   return request;
 }
 
@@ -64,17 +64,18 @@
   if (text == "update") return HostListUpdate::incremental;
   if (text == "replace") return HostListUpdate::complete;
   if (text == "restored") return HostListUpdate::restored;
-  throw ProtocolError("unknown kind of news");
+  throw ProtocolError("unknown kind of list update");
 }
 
 }  // namespace
 
-Adapter::Adapter(std::ostream& complaints) : complaints_(complaints) {}
+Adapter::Adapter(std::ostream& diagnostics) : diagnostics_(diagnostics) {}
 Adapter::~Adapter() = default;
 
-void Adapter::complain(std::string_view line, std::string_view cause) {
+void Adapter::reportMalformedLine(std::string_view line, std::string_view cause) {
   malformed_ = true;
-  complaints_ << "line " << lineNumber_ << ": " << cause << ": " << line.substr(0, kMaxQuotedLine) << '\n';
+  diagnostics_ << "line " << lineNumber_ << ": " << cause << ": " << line.substr(0, kMaxQuotedCharacters)
+               << '\n';
 }
 
 bool Adapter::feed(std::string_view line, std::string& reply) {
@@ -82,11 +83,11 @@
   if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
   if (line.empty()) return false;
   std::string_view fields = line;
-  const std::string_view event = nextPart(fields);
+  const std::string_view event = nextToken(fields);
   try {
-    if (lists_.awaitsRows() && event != "ROW") {
-      lists_.stopAwaitingRows();
-      complain(line, "rows missing from the list before this line");
+    if (lists_.expectsRows() && event != "ROW") {
+      lists_.discardMissingRows();
+      reportMalformedLine(line, "list has fewer rows than announced before this line");
     }
     if (event == "FRAME") {
       beginBatch(line, fields);
@@ -94,17 +95,17 @@
       endBatch(line, reply);
       return true;
     } else {
-      if (!insideBatch_) throw ProtocolError("outside a batch");
+      if (!insideBatch_) throw ProtocolError("event outside a batch");
       onEvent(event, fields);
     }
   } catch (const ProtocolError& error) {
-    complain(line, error.what());
+    reportMalformedLine(line, error.what());
   }
   return false;
 }
 
 void Adapter::beginBatch(std::string_view line, std::string_view fields) {
-  if (insideBatch_) complain(line, "a batch begins inside another");
+  if (insideBatch_) reportMalformedLine(line, "batch begins inside another batch");
   insideBatch_ = true;
   Field field;
   bool hasTime = false;
@@ -113,11 +114,11 @@
     now_ = std::max(now_, Time(field.nanoseconds()));
     hasTime = true;
   }
-  if (!hasTime) throw ProtocolError("no tNs");
+  if (!hasTime) throw ProtocolError("tNs missing");
 }
 
 void Adapter::endBatch(std::string_view line, std::string& reply) {
-  if (!insideBatch_) complain(line, "a batch ends that never began");
+  if (!insideBatch_) reportMalformedLine(line, "batch ends without a beginning");
   insideBatch_ = false;
   for (SimulatedGateway* gateway : gatewaysInBatch_) {
     reply += gateway->takeLines();
@@ -129,10 +130,10 @@
 
 SimulatedGateway& Adapter::gatewayOf(std::string_view fields) {
   while (!fields.empty()) {
-    const std::string_view part = nextPart(fields);
-    if (part.substr(0, 2) != "i=") continue;
-    const auto it = gateways_.find(part.substr(2));
-    if (it == gateways_.end()) throw ProtocolError("unknown instance");
+    const std::string_view token = nextToken(fields);
+    if (token.substr(0, 2) != "i=") continue;
+    const auto it = gateways_.find(token.substr(2));
+    if (it == gateways_.end()) throw ProtocolError("unknown gateway instance");
     SimulatedGateway& gateway = *it->second;
     if (!gateway.hasEventInBatch) {
       gateway.hasEventInBatch = true;
@@ -140,7 +141,7 @@
     }
     return gateway;
   }
-  throw ProtocolError("no instance");
+  throw ProtocolError("gateway instance missing");
 }
 
 void Adapter::onEvent(std::string_view event, std::string_view fields) {
@@ -175,14 +176,15 @@
   }
 }
 
-// A gateway of the same name is a process that has been replaced: nothing of it goes on.
+// Replaces a gateway of the same name, whose process has ended: its state and its actions of this batch are
+// dropped.
 void Adapter::addGateway(std::string_view fields) {
   std::string_view scan = fields;
   std::string_view name;
   Field field;
   while (name.empty() && nextField(scan, field))
     if (field.name == "i") name = field.value;
-  if (name.empty()) throw ProtocolError("no instance");
+  if (name.empty()) throw ProtocolError("gateway instance missing");
   if (const auto old = gateways_.find(name); old != gateways_.end()) {
     gatewaysInBatch_.erase(std::remove(gatewaysInBatch_.begin(), gatewaysInBatch_.end(), old->second.get()),
                            gatewaysInBatch_.end());
@@ -197,7 +199,7 @@
   gatewayOf(fields);
 }
 
-// Its actions of this batch go with it.
+// Drops the gateway's actions of this batch, too.
 void Adapter::removeGateway(std::string_view fields) {
   SimulatedGateway& gateway = gatewayOf(fields);
   gatewaysInBatch_.erase(std::find(gatewaysInBatch_.begin(), gatewaysInBatch_.end(), &gateway));
@@ -217,17 +219,17 @@
   } else {
     const HostListUpdate update = readUpdateKind(kind);
     const std::vector<HostEntry>* const entries = lists_.find(number);
-    if (!entries) throw ProtocolError("unknown list");
+    if (!entries) throw ProtocolError("unknown list number");
     gateway.loadBalancer().onHostListUpdate(now_, update, *entries);
   }
   gateway.writeActions();
 }
 
 void Adapter::onRequest(SimulatedGateway& gateway, std::string_view fields) {
-  // The name comes first, so that a request that is otherwise malformed can still be answered.
+  // The name is read first, so that a request that is otherwise malformed can be answered with an error.
   const std::string_view name = findField(fields, "ref=");
-  if (name.empty()) throw ProtocolError("no ref");
-  if (gateway.requests().isOpen(name)) throw ProtocolError("an id that is still open");
+  if (name.empty()) throw ProtocolError("ref missing");
+  if (gateway.requests().isOpen(name)) throw ProtocolError("a request with this ref is still open");
   Request request;
   try {
     request = readRequest(gateway, fields);
@@ -265,13 +267,13 @@
   }
   if (name.empty() || !hasAttempt || !hasOutcome) throw ProtocolError("ref, go or disposition missing");
   OpenRequest* const request = gateway.requests().find(name);
-  if (!request) return;  // forgotten: it has ended, and no attempt of it was in flight
+  if (!request) return;  // the request has ended, and no attempt of it was in flight
   result.request = gateway.requests().idOf(name);
   if (request->attemptsInFlight > 0) --request->attemptsInFlight;
   if (result.requestEnded) request->ended = true;
   gateway.loadBalancer().onAttemptResult(now_, result);
   gateway.writeActions();
-  if (gateway.requests().isOpen(name)) gateway.requests().forgetIfOver(result.request);
+  if (gateway.requests().isOpen(name)) gateway.requests().releaseIfEnded(result.request);
 }
 
 Adapter::RequestReference Adapter::readReference(std::string_view fields) {
@@ -281,19 +283,19 @@
     if (field.name == "ref") reference.name = field.value;
     else if (field.name == "go") reference.attempt = field.number<std::uint32_t>();
   }
-  if (reference.name.empty()) throw ProtocolError("no ref");
+  if (reference.name.empty()) throw ProtocolError("ref missing");
   return reference;
 }
 
 void Adapter::onClientDisconnected(SimulatedGateway& gateway, std::string_view fields) {
   const RequestReference reference = readReference(fields);
   OpenRequest* const request = gateway.requests().find(reference.name);
-  if (!request) return;  // it may have been forgotten already
+  if (!request) return;  // the request may have been released already
   const RequestId id = gateway.requests().idOf(reference.name);
   gateway.loadBalancer().onClientDisconnected(now_, id);
   request->ended = true;
   gateway.writeActions();
-  if (gateway.requests().isOpen(reference.name)) gateway.requests().forgetIfOver(id);
+  if (gateway.requests().isOpen(reference.name)) gateway.requests().releaseIfEnded(id);
 }
 
 void Adapter::onResponseStarted(SimulatedGateway& gateway, std::string_view fields) {
@@ -317,7 +319,7 @@
       result.report = gateway.readLoadReport(field.value);
     }
   }
-  if (!hasOutcome) throw ProtocolError("no disposition");
+  if (!hasOutcome) throw ProtocolError("disposition missing");
   gateway.loadBalancer().onProbeResult(now_, result);
   gateway.writeActions();
 }
@@ -330,7 +332,7 @@
     if (field.name == "by") sender = field.number<std::uint32_t>();
     else if (field.name == "octets" && field.value != "-") message = bytesFromHex(field.value);
   }
-  if (sender == kNone) throw ProtocolError("no sender");
+  if (sender == kNone) throw ProtocolError("sender (by) missing");
   gateway.loadBalancer().onPeerMessage(now_, sender, message);
   gateway.writeActions();
 }
--- a/src/simulator/adapter.hpp
+++ b/src/simulator/adapter.hpp
@@ -1,6 +1,7 @@
-// Runs decision modules behind the simulator's line protocol: events come in batches of lines, and the
-// actions of each gateway go back when a batch ends. Nothing is decided here; the protocol's names are mapped
-// to those of the decision module here and in the readers beside this file, and nowhere else.
+// Adapter between the simulator's line protocol and the decision modules of the simulated gateways. Events
+// arrive in batches of lines; the actions of each gateway are written as the reply at the end of a batch. The
+// names of the protocol are mapped to those of the decision module only here and in the readers in this
+// folder.
 #pragma once
 
 #include <cstdint>
@@ -19,21 +20,21 @@
 
 class Adapter {
  public:
-  // Complaints about lines that the protocol does not allow go to `complaints`, which must outlive the
-  // adapter.
-  explicit Adapter(std::ostream& complaints);
+  // Malformed lines are reported to `diagnostics`, which must outlive the adapter.
+  explicit Adapter(std::ostream& diagnostics);
   ~Adapter();
 
-  // Takes one line without its line end. When the line closes a batch, appends the reply to `reply` and
-  // returns true. A line that the protocol does not allow has no effect but a complaint.
+  // Processes one line, without its line end. If the line ends a batch, appends the reply to `reply` and
+  // returns true. A malformed line is reported and otherwise ignored, except that a malformed request with an
+  // id is answered with an error.
   bool feed(std::string_view line, std::string& reply);
 
   bool insideBatch() const { return insideBatch_; }
   std::size_t lineNumber() const { return lineNumber_; }
-  bool malformed() const { return malformed_; }  // a complaint has been made
+  bool malformed() const { return malformed_; }  // a malformed line has been reported
 
  private:
-  // The request, and the attempt where the event has one, that an event names.
+  // The request that an event refers to, and the attempt, for events that have one.
   struct RequestReference {
     std::string_view name;
     std::uint32_t attempt = 0;
@@ -55,13 +56,13 @@
 
   static RequestReference readReference(std::string_view fields);
   SimulatedGateway& gatewayOf(std::string_view fields);
-  void complain(std::string_view line, std::string_view cause);
+  void reportMalformedLine(std::string_view line, std::string_view cause);
 
-  std::ostream& complaints_;
+  std::ostream& diagnostics_;
   TextMap<std::unique_ptr<SimulatedGateway>> gateways_;
-  std::vector<SimulatedGateway*> gatewaysInBatch_;  // in the order of their first event
+  std::vector<SimulatedGateway*> gatewaysInBatch_;  // in the order of their first event in the batch
   EndpointLists lists_;
-  Time now_{};  // never goes back
+  Time now_{};  // never decreases
   std::size_t lineNumber_ = 0;
   bool insideBatch_ = false;
   bool malformed_ = false;
--- a/src/simulator/endpoint_lists.cpp
+++ b/src/simulator/endpoint_lists.cpp
@@ -11,7 +11,7 @@
   if (text == "IN") return HostPhase::active;
   if (text == "LAME") return HostPhase::draining;
   if (text == "OUT") return HostPhase::removed;
-  throw ProtocolError("unknown phase");
+  throw ProtocolError("unknown host phase");
 }
 
 HostEntry readHostEntry(std::string_view fields) {
@@ -25,7 +25,7 @@
     else if (field.name == "upSinceNs") entry.startedAt = field.nanoseconds();
     else if (field.name == "phase") entry.phase = readPhase(field.value);
   }
-  if (entry.address.empty()) throw ProtocolError("no host");
+  if (entry.address.empty()) throw ProtocolError("host missing");
   return entry;
 }
 
@@ -41,19 +41,19 @@
   }
   if (number >= kMaxLists) throw ProtocolError("list number missing or out of range");
   current_ = &lists_[number];
-  current_->known = true;
+  current_->hasBegun = true;
   current_->entries.clear();
-  rowsDue_ = rows;
+  remainingRows_ = rows;
 }
 
 void EndpointLists::addRow(std::string_view fields) {
-  if (rowsDue_ == 0) throw ProtocolError("a row outside a list");
-  --rowsDue_;
+  if (remainingRows_ == 0) throw ProtocolError("row outside a list");
+  --remainingRows_;
   current_->entries.push_back(readHostEntry(fields));
 }
 
 const std::vector<HostEntry>* EndpointLists::find(std::size_t number) const {
-  return number < kMaxLists && lists_[number].known ? &lists_[number].entries : nullptr;
+  return number < kMaxLists && lists_[number].hasBegun ? &lists_[number].entries : nullptr;
 }
 
 }  // namespace finchstile::load_balancing::simulator
--- a/src/simulator/endpoint_lists.hpp
+++ b/src/simulator/endpoint_lists.hpp
@@ -1,4 +1,4 @@
-// The lists of hosts that the simulator sends ahead of the events that refer to them by number.
+// Host lists, which the simulator sends before the events that refer to them by number.
 #pragma once
 
 #include <array>
@@ -12,27 +12,28 @@
 
 class EndpointLists {
  public:
-  // A LEDGER line: begins a list, of as many rows as it says. Throws ProtocolError on a number out of range.
+  // Handles a LEDGER line, which begins a list and gives its number of rows. Throws ProtocolError if the
+  // number of the list is out of range.
   void begin(std::string_view fields);
-  // A ROW line: adds a host to the list that was begun last. Throws ProtocolError if all of its rows are
-  // there, or if the host makes no sense.
+  // Handles a ROW line, which adds a host to the list begun last. Throws ProtocolError if the list is already
+  // complete or the host is invalid.
   void addRow(std::string_view fields);
 
-  bool awaitsRows() const { return rowsDue_ > 0; }
-  void stopAwaitingRows() { rowsDue_ = 0; }
+  bool expectsRows() const { return remainingRows_ > 0; }
+  void discardMissingRows() { remainingRows_ = 0; }
 
-  // Null if no list of that number has begun.
+  // Null if no list with that number has begun.
   const std::vector<HostEntry>* find(std::size_t number) const;
   static constexpr std::size_t kMaxLists = 16;
 
  private:
   struct List {
-    bool known = false;
+    bool hasBegun = false;
     std::vector<HostEntry> entries;
   };
 
   std::array<List, kMaxLists> lists_;
-  std::size_t rowsDue_ = 0;
+  std::size_t remainingRows_ = 0;
   List* current_ = nullptr;
 };
 
--- a/src/simulator/protocol_line.cpp
+++ b/src/simulator/protocol_line.cpp
@@ -5,23 +5,23 @@
 bool Field::boolean() const {
   if (value == "1" || value == "true") return true;
   if (value == "0" || value == "false") return false;
-  throw ProtocolError("'" + std::string(value) + "' is no bool (" + std::string(name) + ")");
+  throw ProtocolError("'" + std::string(value) + "' is not a boolean (" + std::string(name) + ")");
 }
 
-std::string_view nextPart(std::string_view& rest) {
+std::string_view nextToken(std::string_view& rest) {
   const std::size_t end = rest.find(' ');
-  const std::string_view part = rest.substr(0, end);
+  const std::string_view token = rest.substr(0, end);
   rest = end == std::string_view::npos ? std::string_view{} : rest.substr(end + 1);
-  return part;
+  return token;
 }
 
 bool nextField(std::string_view& rest, Field& field) {
   while (!rest.empty()) {
-    const std::string_view part = nextPart(rest);
-    if (part.empty()) continue;
-    const std::size_t equals = part.find('=');
-    if (equals == std::string_view::npos) throw ProtocolError("no '=' in '" + std::string(part) + "'");
-    field = {part.substr(0, equals), part.substr(equals + 1)};
+    const std::string_view token = nextToken(rest);
+    if (token.empty()) continue;
+    const std::size_t equals = token.find('=');
+    if (equals == std::string_view::npos) throw ProtocolError("missing '=' in '" + std::string(token) + "'");
+    field = {token.substr(0, equals), token.substr(equals + 1)};
     return true;
   }
   return false;
@@ -48,7 +48,7 @@
     unsigned value = 0;
     const char* const begin = digits.data() + i;
     const auto [end, error] = std::from_chars(begin, begin + 2, value, 16);
-    if (error != std::errc{} || end != begin + 2) throw ProtocolError("bad hex digits");
+    if (error != std::errc{} || end != begin + 2) throw ProtocolError("invalid hex digits");
     bytes.push_back(static_cast<char>(value));
   }
   return bytes;
--- a/src/simulator/protocol_line.hpp
+++ b/src/simulator/protocol_line.hpp
@@ -1,5 +1,5 @@
-// Reads one line of the simulator's protocol: a name, then fields "name=value" with spaces between. Values
-// are converted to the types of the decision module here; nothing else of the adapter looks at their text.
+// Parsing of one line of the simulator's protocol: an event name, then space-separated fields "name=value".
+// Values are converted to the types of the decision module.
 #pragma once
 
 #include <charconv>
@@ -13,7 +13,7 @@
 
 namespace finchstile::load_balancing::simulator {
 
-// A line that is not what the protocol allows. `what()` says what is wrong with it.
+// Thrown for a malformed line. `what()` describes the error.
 class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -23,33 +23,34 @@
 struct Field {
   std::string_view name, value;
 
-  // Throws ProtocolError if the value is not a number of this type from its first to its last character.
+  // Throws ProtocolError unless the whole value is a number of this type.
   template <class Number>
   Number number() const {
     Number result{};
     const char* const end = value.data() + value.size();
     const auto [parsed, error] = std::from_chars(value.data(), end, result);
     if (error != std::errc{} || parsed != end)
-      throw ProtocolError("'" + std::string(value) + "' is no number (" + std::string(name) + ")");
+      throw ProtocolError("'" + std::string(value) + "' is not a number (" + std::string(name) + ")");
     return result;
   }
   Duration nanoseconds() const { return Duration(number<std::int64_t>()); }
-  // "1" and "true", "0" and "false"; throws ProtocolError on anything else.
+  // Accepts "1", "true", "0" and "false"; throws ProtocolError on other values.
   bool boolean() const;
 };
 
-// Takes the next part up to a space off the front of `rest`; it is empty between two spaces.
-std::string_view nextPart(std::string_view& rest);
+// Removes the text up to the next space from the front of `rest` and returns it; empty between two adjacent
+// spaces.
+std::string_view nextToken(std::string_view& rest);
 
-// Takes the next field off the front of `rest`. Returns false at the end of the line, and throws
-// ProtocolError at a part without "=".
+// Removes the next field from the front of `rest`. Returns false at the end of the line. Throws ProtocolError
+// on a token without "=".
 bool nextField(std::string_view& rest, Field& field);
 
-// The outcome that a number stands for; throws ProtocolError if it stands for none.
+// The outcome for a number of the protocol; throws ProtocolError if it is unknown.
 Outcome outcomeOf(int code);
 
-// Both ways between bytes and hexadecimal digits. No bytes are written as "-". `bytesFromHex` throws
-// ProtocolError on an odd number of digits and on anything that is no digit.
+// Conversion between bytes and hexadecimal digits. `appendHex` writes "-" for no bytes. `bytesFromHex` throws
+// ProtocolError on an odd number of digits or on other characters.
 std::string bytesFromHex(std::string_view digits);
 void appendHex(std::string& out, std::string_view bytes);
 
--- a/src/simulator/request_ids.cpp
+++ b/src/simulator/request_ids.cpp
@@ -31,7 +31,7 @@
 
 RequestId RequestIds::idOf(std::string_view name) const { return idOfSlot(slots_.find(name)->second); }
 
-void RequestIds::forgetIfOver(RequestId id) {
+void RequestIds::releaseIfEnded(RequestId id) {
   const std::uint32_t slot = slotOf(id);
   OpenRequest& request = requests_[slot];
   if (!request.ended || request.attemptsInFlight > 0) return;
--- a/src/simulator/request_ids.hpp
+++ b/src/simulator/request_ids.hpp
@@ -1,4 +1,4 @@
-// The simulator's names of requests and the decision module's numbers, of one gateway.
+// Mapping between the simulator's request names and the decision module's request ids, for one gateway.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace finchstile::load_balancing::simulator {
 
-// Lets maps with keys of std::string be searched by a view, without an allocation.
+// Allows lookups by std::string_view in maps with std::string keys, without an allocation.
 struct TransparentTextHash {
   using is_transparent = void;
   std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>{}(text); }
@@ -19,27 +19,27 @@
 template <class Value>
 using TextMap = std::unordered_map<std::string, Value, TransparentTextHash, std::equal_to<>>;
 
-// A request that the simulator has opened: until it has ended, and all of its attempts have.
+// An open request. It stays open until it and all of its attempts have ended.
 struct OpenRequest {
   std::string name;
-  std::uint32_t generation = 0;  // of its slot; part of the number, so that no number is used again
+  std::uint32_t generation = 0;  // of its slot; part of the id, so that ids are never reused
   std::uint32_t attemptsInFlight = 0;
   bool ended = false;
 };
 
-// Slots are used again; the number of a request is its slot with the slot's generation above it.
+// Slots are reused. The lower half of an id is the slot, the upper half the slot's generation.
 class RequestIds {
  public:
   RequestId open(std::string_view name);
-  // Null if no open request has that name. The pointer is valid until the next `open`.
+  // Null if no open request has that name. The pointer is valid until the next call of `open`.
   OpenRequest* find(std::string_view name);
   bool isOpen(std::string_view name) const { return slots_.find(name) != slots_.end(); }
-  // The number of an open request.
+  // The id of a request, which must be open.
   RequestId idOf(std::string_view name) const;
-  // A request by its number; it may have been forgotten, its name is empty then.
+  // A request by its id. Its name is empty if the request has been released.
   OpenRequest& byId(RequestId id) { return requests_[slotOf(id)]; }
-  // Forgets a request that has ended, unless an attempt of it is in flight.
-  void forgetIfOver(RequestId id);
+  // Releases a request that has ended, unless an attempt of it is in flight.
+  void releaseIfEnded(RequestId id);
 
  private:
   static std::uint32_t slotOf(RequestId id) { return static_cast<std::uint32_t>(id); }
--- a/src/simulator/settings_reader.hpp
+++ b/src/simulator/settings_reader.hpp
@@ -1,5 +1,5 @@
-// Reads what an ENLIST line says of a gateway. The names that the simulator gives to settings are mapped to
-// those of the decision module in policy/settings.cpp, which the gateway's configuration goes through as
+// Reads the settings of a simulated gateway from an ENLIST line. The simulator's names of settings are mapped
+// to those of the decision module in policy/settings.cpp, which the configuration of the real gateway uses as
 // well.
 #pragma once
 
@@ -11,10 +11,10 @@
 
 namespace finchstile::load_balancing::simulator {
 
-// Settings that are not known are skipped. Throws std::invalid_argument with the setting that makes no sense.
+// Unknown settings are ignored. Throws std::invalid_argument naming an invalid setting.
 Settings readSettings(std::string_view fields);
 
-// The names of the values in a load report, in the order in which reports have them.
+// The names of the values in a load report, in the order in which reports list them.
 std::vector<std::string> readReportFields(std::string_view fields);
 
 }  // namespace finchstile::load_balancing::simulator
--- a/src/simulator/simulated_gateway.cpp
+++ b/src/simulator/simulated_gateway.cpp
@@ -57,10 +57,10 @@
 void SimulatedGateway::writeActions() {
   std::vector<Action>& actions = loadBalancer_.actions();
   for (const Action& action : actions) writeAction(action);
-  // A request is forgotten only after all lines that name it are written.
+  // A request is released only after all lines that refer to it are written.
   for (const Action& action : actions) {
     if (action.kind != ActionKind::reject && action.kind != ActionKind::fail) continue;
-    if (!requests_.byId(action.request).name.empty()) requests_.forgetIfOver(action.request);
+    if (!requests_.byId(action.request).name.empty()) requests_.releaseIfEnded(action.request);
   }
   actions.clear();
 }
--- a/src/simulator/simulated_gateway.hpp
+++ b/src/simulator/simulated_gateway.hpp
@@ -1,4 +1,5 @@
-// One gateway of the simulator: a decision module, and what is needed to name things to it.
+// One simulated gateway: a decision module, and the mappings from the simulator's names to its indices and
+// ids.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 class SimulatedGateway {
  public:
-  // Throws std::invalid_argument as LoadBalancer does. `reportFields`: see readReportFields.
+  // Throws std::invalid_argument on invalid settings. `reportFields`: see readReportFields.
   SimulatedGateway(std::string_view name, const Settings& settings, std::vector<std::string> reportFields,
                    Time now);
 
@@ -21,22 +22,21 @@
   LoadBalancer& loadBalancer() { return loadBalancer_; }
   RequestIds& requests() { return requests_; }
 
-  // Index into the settings; kNone if they have no class or tenant of that name.
+  // Index into the settings; kNone if there is no class or tenant with that name.
   std::uint32_t classIndex(std::string_view name) const;
   std::uint32_t tenantIndex(std::string_view name) const;
 
-  // A load report from its comma-separated values. Throws ProtocolError if one is no number.
+  // Parses the comma-separated values of a load report. Throws ProtocolError if one is not a number.
   LoadReport readLoadReport(std::string_view values) const;
 
-  // Writes the decision module's actions as lines, after those that are there, and forgets the requests that
-  // they have ended.
+  // Appends the decision module's actions as lines, and releases the requests that they end.
   void writeActions();
-  // Writes that a request, by the simulator's name, ends with an error; the decision module was not asked.
+  // Appends a line that ends a request with an error, without the decision module. `request` is its name.
   void writeError(std::string_view request);
-  // The lines of this batch, which are cleared.
+  // Returns the lines of this batch and clears them.
   std::string takeLines();
 
-  bool hasEventInBatch = false;  // kept by the adapter
+  bool hasEventInBatch = false;  // maintained by the adapter
 
  private:
   void writeAction(const Action& action);
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -21,8 +21,8 @@
 
 // An adapter, fed with text of several lines.
 struct Conversation {
-  std::ostringstream complaints;
-  Adapter adapter{complaints};
+  std::ostringstream diagnostics;
+  Adapter adapter{diagnostics};
   std::string feed(const std::string& text) {
     std::string reply;
     std::istringstream in(text);
@@ -88,7 +88,7 @@
       "terminal=1\n"
       "LEFT i=gateway-0 ref=a-1\nEOF_BATCH\n");
   EXPECT_EQ(count(reply, "a-1"), 0u);
-  EXPECT_EQ(conversation.complaints.str(), "");
+  EXPECT_EQ(conversation.diagnostics.str(), "");
 }
 
 TEST(SimulatorAdapter, ComplainsOfAMalformedLineAndStillAnswersTheBatch) {
@@ -110,7 +110,8 @@
                                                 req("gateway-0", "ok-1") + "EOF_BATCH\n");
     EXPECT_EQ(count(reply, "ref=ok-1"), 1u) << line;
     EXPECT_EQ(count(reply, "OK\n"), 1u) << line;
-    EXPECT_EQ(count(conversation.complaints.str(), "line 9: "), 1u) << line << conversation.complaints.str();
+    EXPECT_EQ(count(conversation.diagnostics.str(), "line 9: "), 1u)
+        << line << conversation.diagnostics.str();
   }
 }
 
@@ -122,7 +123,7 @@
     const std::string reply = conversation.feed(std::string("FRAME tNs=1005000000\nREQ i=gateway-0 ref=b-1") +
                                                 rest + "\nEOF_BATCH\n");
     EXPECT_EQ(count(reply, "RESPOND_ERROR i=gateway-0 ref=b-1\n"), 1u) << rest;
-    EXPECT_NE(conversation.complaints.str(), "");
+    EXPECT_NE(conversation.diagnostics.str(), "");
   }
 }
 
@@ -146,14 +147,14 @@
                             " disposition=10 timeTakenNs=900 metrics=0.7,0\nEOF_BATCH\n");
   EXPECT_EQ(count(reply, "FORWARD i=gateway-0 ref=p-1 host=" + host), 1u);
   conversation.feed("FRAME tNs=1007000000\nFROM_PEER i=gateway-0 by=3 octets=11aabbccdd\nEOF_BATCH\n");
-  EXPECT_EQ(conversation.complaints.str(), "");
+  EXPECT_EQ(conversation.diagnostics.str(), "");
   EXPECT_FALSE(conversation.adapter.malformed());
   for (const char* bad : {"PROBED i=gateway-0 host=1 metrics=1,2", "FROM_PEER i=gateway-0 by=1 octets=abc",
                           "FROM_PEER i=gateway-0 by=1 octets=zz", "FROM_PEER i=gateway-0 octets=aa",
                           "PROBED i=gateway-0 host=1 disposition=10 metrics=x,2"}) {
-    const std::size_t before = conversation.complaints.str().size();
+    const std::size_t before = conversation.diagnostics.str().size();
     conversation.feed("FRAME tNs=1008000000\n" + std::string(bad) + "\nEOF_BATCH\n");
-    EXPECT_GT(conversation.complaints.str().size(), before) << bad;
+    EXPECT_GT(conversation.diagnostics.str().size(), before) << bad;
     EXPECT_TRUE(conversation.adapter.malformed());
   }
 }
--- a/tests/simulator/endpoint_lists_test.cpp
+++ b/tests/simulator/endpoint_lists_test.cpp
@@ -10,9 +10,9 @@
 TEST(EndpointLists, MapsTheProtocolsNamesOfAHost) {
   EndpointLists lists;
   lists.begin("buffer=3 rowsIn=1");
-  EXPECT_TRUE(lists.awaitsRows());
+  EXPECT_TRUE(lists.expectsRows());
   lists.addRow("host=10.0.0.1:80 locality=north machine=big block=7 upSinceNs=5 phase=LAME");
-  EXPECT_FALSE(lists.awaitsRows());
+  EXPECT_FALSE(lists.expectsRows());
   const std::vector<HostEntry>* const entries = lists.find(3);
   ASSERT_NE(entries, nullptr);
   ASSERT_EQ(entries->size(), 1u);
--- a/tests/simulator/line_format_test.cpp
+++ b/tests/simulator/line_format_test.cpp
@@ -87,13 +87,13 @@
 )";
 
 TEST(SimulatorLineFormat, RepliesWithTheSameBytesToARecordedConversation) {
-  std::ostringstream complaints;
-  Adapter adapter(complaints);
+  std::ostringstream diagnostics;
+  Adapter adapter(diagnostics);
   std::string reply;
   std::istringstream events(kEvents);
   for (std::string line; std::getline(events, line);) adapter.feed(line, reply);
   EXPECT_EQ(reply, kReply);
-  EXPECT_EQ(complaints.str(), "");
+  EXPECT_EQ(diagnostics.str(), "");
 }
 
 }  // namespace
--- a/tests/simulator/request_ids_test.cpp
+++ b/tests/simulator/request_ids_test.cpp
@@ -12,10 +12,10 @@
   ASSERT_NE(request, nullptr);
   request->ended = true;
   request->attemptsInFlight = 1;
-  ids.forgetIfOver(id);
+  ids.releaseIfEnded(id);
   EXPECT_TRUE(ids.isOpen("a"));
   request->attemptsInFlight = 0;
-  ids.forgetIfOver(id);
+  ids.releaseIfEnded(id);
   EXPECT_FALSE(ids.isOpen("a"));
 }
 
@@ -23,7 +23,7 @@
   RequestIds ids;
   const RequestId first = ids.open("a");
   ids.find("a")->ended = true;
-  ids.forgetIfOver(first);
+  ids.releaseIfEnded(first);
   const RequestId second = ids.open("a");
   EXPECT_NE(first, second);
   EXPECT_EQ(ids.idOf("a"), second);
