--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -1,4 +1,4 @@
-// The example of the README, kept the same by .ci/run.
+// The example of the README; .ci/run checks that both are the same.
 #include <cstdio>
 #include <finchstile/load_balancer.hpp>
 
@@ -14,7 +14,7 @@
   reads.clientTimeout = 1s;
   settings.classes = {reads};
 
-  LoadBalancer balancer(settings, 0ns);  // throws std::invalid_argument if a setting makes no sense
+  LoadBalancer balancer(settings, 0ns);  // throws std::invalid_argument on invalid settings
   HostEntry host;
   host.address = "10.0.0.1:8080";
   balancer.onHostListUpdate(0ns, HostListUpdate::complete, {host});
--- a/tests/policy/action_queue_test.cpp
+++ b/tests/policy/action_queue_test.cpp
@@ -1,4 +1,4 @@
-// ActionQueue: actions in their order, and few log lines.
+// ActionQueue: order of actions, and rate limit of log lines.
 #include "policy/action_queue.hpp"
 
 #include "support/driver.hpp"
@@ -6,7 +6,7 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-TEST(ActionQueue, KeepsTheOrder) {
+TEST(ActionQueue, KeepsOrderOfActions) {
   ActionQueue queue;
   queue.push(ActionKind::sendAttempt, 7, 1, 3, seconds(2)).verifyConnection = true;
   queue.pushPeerMessage(5, "bytes");
@@ -24,7 +24,7 @@
   EXPECT_EQ(queue.actions()[1].text, "bytes");
 }
 
-TEST(ActionQueue, AllowsOneLogLineASecond) {
+TEST(ActionQueue, AllowsOneLogLinePerSecond) {
   ActionQueue queue;
   EXPECT_TRUE(queue.mayLog(milliseconds(1)));
   queue.log(milliseconds(1), "line");
--- a/tests/policy/admission_controller_test.cpp
+++ b/tests/policy/admission_controller_test.cpp
@@ -17,7 +17,8 @@
     const std::uint32_t cls = engine() % 4 == 0 ? 0 : 1;
     const RequestId id = d.request(cls);
     if (d.out.size() > 44) d.serve(Sent(d.out[engine() % d.out.size()]));
-    if (d.balancer.admissionCutoff() > 60) continue;  // high worth holds the top quarter of the scores
+    // The high-priority class has the top quarter of the scores.
+    if (d.balancer.admissionCutoff() > 60) continue;
     low += cls == 1 && d.refused(id);
     high += cls == 0 && d.refused(id);
   }
@@ -25,7 +26,7 @@
   EXPECT_EQ(high, 0);
 }
 
-TEST(AdmissionController, EqualPrioritiesShareTheLoss) {
+TEST(AdmissionController, EqualPrioritiesAreRejectedEqually) {
   Settings s = makeSettings();
   Driver d(s, 10);
   std::map<std::uint32_t, int> refused;
@@ -63,9 +64,9 @@
   }
 }
 
-// Clients that were rejected together come back together: a burst is shed by priority and has no
-// after-effect.
-TEST(AdmissionController, ShedsSynchronisedBurstAndRecovers) {
+// Clients that were rejected together return together. Each burst is rejected by priority and has no lasting
+// effect.
+TEST(AdmissionController, RejectsSynchronizedBurstsByPriorityAndRecovers) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
   int high = 0;
@@ -86,7 +87,7 @@
   EXPECT_EQ(after, 0);
 }
 
-TEST(AdmissionController, ScoreIsTheRankInTheRecentTraffic) {
+TEST(AdmissionController, ScoreIsRankInRecentTraffic) {
   const Settings settings = makeSettings();
   AdmissionController admission(settings, {});
   RandomSource random(1);
@@ -94,7 +95,7 @@
   for (int i = 0; i < 100; ++i) {
     const double low = admission.score(1, random);
     EXPECT_GE(low, 1);
-    EXPECT_LE(low, 88) << "three in four requests are of this level or more";
+    EXPECT_LE(low, 88) << "at most three in four requests have the low weight";
     const double high = admission.score(10, random);
     EXPECT_GE(high, 50);
     EXPECT_LE(high, 100);
@@ -115,7 +116,7 @@
   request.lateValueFraction = 0.25;
   for (int i = 0; i < 4; ++i) EXPECT_EQ(admission.priorityWeight(seconds(1), request, 8, 0), 8);
   EXPECT_EQ(admission.priorityWeight(seconds(1), request, 8, 0), 4);
-  EXPECT_EQ(admission.priorityWeight(seconds(2), request, 8, 0), 8) << "one token a second";
+  EXPECT_EQ(admission.priorityWeight(seconds(2), request, 8, 0), 8) << "one token per second";
   EXPECT_EQ(admission.priorityWeight(seconds(10), request, 8, 1), 2) << "late, without a quota";
 }
 
--- a/tests/policy/capacity_backoff_test.cpp
+++ b/tests/policy/capacity_backoff_test.cpp
@@ -1,4 +1,4 @@
-// CapacityBackoff: pauses of hosts that reject attempts for lack of capacity.
+// CapacityBackoff: backoff of hosts that reject attempts for lack of capacity.
 #include "policy/capacity_backoff.hpp"
 
 #include "support/driver.hpp"
@@ -6,8 +6,8 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-// A host that rejects at once holds nothing and looks idle: it must not draw all retries.
-TEST(CapacityBackoff, HostThatRejectsAllBacksOff) {
+// A host that rejects immediately has nothing in flight and looks idle. It must not attract all retries.
+TEST(CapacityBackoff, HostRejectingAllAttemptsBacksOff) {
   Driver d(makeSettings(), 4);
   d.warmUp(0, 40);
   const HostId full = d.host(3);
@@ -37,10 +37,10 @@
   EXPECT_TRUE(CapacityBackoff::isBackingOff(host, seconds(2) + milliseconds(19)));
   CapacityBackoff::onServed(host);
   CapacityBackoff::onRejected(host, seconds(3), random);
-  EXPECT_FALSE(CapacityBackoff::isBackingOff(host, seconds(3))) << "an answer ends the row";
+  EXPECT_FALSE(CapacityBackoff::isBackingOff(host, seconds(3))) << "an answer resets the count of rejections";
 }
 
-TEST(CapacityBackoff, UnreachableHostBacksOffAtOnce) {
+TEST(CapacityBackoff, UnreachableHostBacksOffImmediately) {
   RandomSource random(1);
   Host host;
   CapacityBackoff::onUnreachable(host, seconds(1), random);
--- a/tests/policy/dynamic_settings_test.cpp
+++ b/tests/policy/dynamic_settings_test.cpp
@@ -1,4 +1,4 @@
-// DynamicSettings: classes and tenants change while requests are active.
+// DynamicSettings: changes of classes and tenants while requests are active.
 #include <limits>
 #include <stdexcept>
 
@@ -15,11 +15,11 @@
   return s;
 }
 
-// Requests of two tenants; so many attempts end in errors that the lowest scores are rejected.
+// Requests of two tenants, with so many failed attempts that the lowest scores are rejected.
 struct Overload {
   explicit Overload(const Settings& s) : driver(s, 8) {}
 
-  void play(int rounds) {
+  void run(int rounds) {
     refused = {};
     for (int i = 0; i < rounds; ++i) {
       driver.advance(milliseconds(5));
@@ -50,51 +50,51 @@
   int answers = 0;
 };
 
-TEST(DynamicSettings, NewQuotaDecidesWhoIsRejected) {
+TEST(DynamicSettings, NewQuotaAppliesToLaterRequests) {
   Overload overload(withTenants(20, 1000));
-  overload.play(600);
+  overload.run(600);
   ASSERT_GT(overload.driver.balancer.admissionCutoff(), 1);
   const int heavyBefore = overload.refused[kHeavyTenant], lightBefore = overload.refused[kLightTenant];
   EXPECT_GT(heavyBefore, 20);
   EXPECT_GT(heavyBefore, 10 * lightBefore);
-  DynamicSettings swapped;
-  swapped.tenants = {{kHeavyTenant, 1000}, {kLightTenant, 5}};
-  overload.driver.balancer.onDynamicSettings(overload.driver.now, swapped);
-  overload.play(3000);  // the mix of priorities is remembered for some seconds
-  overload.play(600);
+  DynamicSettings swappedQuotas;
+  swappedQuotas.tenants = {{kHeavyTenant, 1000}, {kLightTenant, 5}};
+  overload.driver.balancer.onDynamicSettings(overload.driver.now, swappedQuotas);
+  overload.run(3000);  // the recent mix of priorities averages over some seconds
+  overload.run(600);
   EXPECT_GT(overload.refused[kLightTenant], 20);
   EXPECT_GT(overload.refused[kLightTenant], 10 * overload.refused[kHeavyTenant]);
 }
 
-TEST(DynamicSettings, NewTenantIsHeldToItsQuota) {
+TEST(DynamicSettings, QuotaOfNewTenantIsEnforced) {
   Settings s = makeSettings();
   Overload overload(s);
   DynamicSettings update;
   update.tenants = {{kLightTenant, 1000}, {kHeavyTenant, 20}};
   overload.driver.balancer.onDynamicSettings(overload.driver.now, update);
-  overload.play(600);
+  overload.run(600);
   EXPECT_GT(overload.refused[kHeavyTenant], 20);
   EXPECT_GT(overload.refused[kHeavyTenant], 10 * overload.refused[kLightTenant]);
 }
 
-// Many changes must not give a tenant a full bucket each time.
-TEST(DynamicSettings, ChangeOfQuotaDoesNotFillItsBucket) {
+// Frequent changes of a quota must not refill the tenant's bucket each time.
+TEST(DynamicSettings, ChangeOfQuotaDoesNotRefillBucket) {
   Overload overload(withTenants(20, 1000));
-  overload.play(600);
+  overload.run(600);
   const int before = overload.refused[kHeavyTenant];
   overload.refused = {};
   int refused = 0;
   for (int i = 0; i < 600; ++i) {
-    DynamicSettings same;
-    same.tenants = {{kHeavyTenant, i % 2 == 0 ? 20.0 : 20.5}};
-    overload.driver.balancer.onDynamicSettings(overload.driver.now, same);
-    overload.play(1);
+    DynamicSettings sameQuota;
+    sameQuota.tenants = {{kHeavyTenant, i % 2 == 0 ? 20.0 : 20.5}};
+    overload.driver.balancer.onDynamicSettings(overload.driver.now, sameQuota);
+    overload.run(1);
     refused += overload.refused[kHeavyTenant];
   }
   EXPECT_GT(refused, before / 2);
 }
 
-// An answer past the objective had value when the first request came, and has none for the second.
+// Late answers had value when the first request arrived, and have none for the second.
 TEST(DynamicSettings, ActiveRequestsKeepTheSettingsOfTheirArrival) {
   Settings s = makeSettings();
   s.classes[0].lateValueFraction = 0.5;
@@ -104,7 +104,7 @@
   update.classes = {{0, milliseconds(400), 10, 0}};
   d.balancer.onDynamicSettings(d.now, update);
   const RequestId after = d.request(0);
-  d.advance(milliseconds(500));  // past the aim of both
+  d.advance(milliseconds(500));  // past the objective of both
   const std::size_t sentBefore = d.sent.size();
   for (const Sent& sent : std::vector<Sent>(d.out)) d.settle(sent, Outcome::connectFailed, false);
   ASSERT_EQ(d.sent.size(), sentBefore + 1);
@@ -112,17 +112,17 @@
   EXPECT_TRUE(d.refused(after));
 }
 
-TEST(DynamicSettings, NewObjectiveHoldsForLaterRequests) {
+TEST(DynamicSettings, NewObjectiveAppliesToLaterRequests) {
   Driver d(makeSettings());
   DynamicSettings update;
   update.classes = {{0, milliseconds(900), 10, 0}};
   d.balancer.onDynamicSettings(d.now, update);
   d.request(0);
-  EXPECT_GT(d.lastSent().limit, milliseconds(600));  // 400 ms by the start's aim
+  EXPECT_GT(d.lastSent().limit, milliseconds(600));  // 400 ms by the initial objective
   EXPECT_LE(d.lastSent().limit, milliseconds(900));
 }
 
-TEST(DynamicSettings, OneInvalidValueRejectsAll) {
+TEST(DynamicSettings, OneInvalidValueRejectsWholeUpdate) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
   const auto withClass = [](DynamicSettings::ClassUpdate c) {
     DynamicSettings t;
@@ -143,7 +143,7 @@
         withTenant({0, nan}), withTenant({static_cast<std::uint32_t>(kMaxTenants), 1})}) {
     EXPECT_THROW(d.balancer.onDynamicSettings(d.now, bad), std::invalid_argument);
     d.request(0);
-    EXPECT_LE(d.lastSent().limit, milliseconds(400));  // still the aim of the start
+    EXPECT_LE(d.lastSent().limit, milliseconds(400));  // still the initial objective
   }
 }
 
--- a/tests/policy/fleet_shape_test.cpp
+++ b/tests/policy/fleet_shape_test.cpp
@@ -1,4 +1,4 @@
-// FleetShape: which rules apply for the number of gateways beside the number of hosts.
+// FleetShape: selection of rules by the number of gateways relative to the number of hosts.
 #include "policy/fleet_shape.hpp"
 
 #include "support/driver.hpp"
@@ -20,14 +20,14 @@
   FleetShape shape{settings, hosts};
 };
 
-TEST_F(FleetShapeTest, SmallBankMeetsAllHosts) {
+TEST_F(FleetShapeTest, SmallClusterUsesAllHosts) {
   setFleet(32, 40);
   EXPECT_FALSE(shape.gatewaysOutnumberHosts());
   EXPECT_FALSE(shape.isLargeCluster());
   EXPECT_FALSE(shape.usesSubsets());
 }
 
-TEST_F(FleetShapeTest, LargeBankUsesSubsets) {
+TEST_F(FleetShapeTest, LargeClusterUsesSubsets) {
   setFleet(33, 40);
   EXPECT_FALSE(shape.gatewaysOutnumberHosts());
   EXPECT_TRUE(shape.usesSubsets());
@@ -36,7 +36,7 @@
   EXPECT_TRUE(shape.usesSubsets());
 }
 
-TEST_F(FleetShapeTest, LoadProbingStandsInForSubsets) {
+TEST_F(FleetShapeTest, LoadProbingReplacesSubsets) {
   settings.peerMessagesEnabled = true;
   setFleet(100, 20);
   EXPECT_TRUE(shape.probesLoad());
@@ -44,7 +44,7 @@
   EXPECT_FALSE(shape.usesSubsets());
   settings.probingEnabled = true;
   EXPECT_TRUE(shape.probesLoad());
-  EXPECT_FALSE(shape.usesGroupTrackers()) << "probes come first";
+  EXPECT_FALSE(shape.usesGroupTrackers()) << "probes take precedence over trackers";
   setFleet(100, 200);
   EXPECT_FALSE(shape.probesLoad()) << "there are more hosts than gateways";
   EXPECT_TRUE(shape.usesSubsets());
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -1,5 +1,5 @@
-// A hundred load balancers against sixty modelled hosts: what is harmless at one gateway and harmful when all
-// do it, and what each learns too late. Counts are of the whole fleet.
+// A hundred load balancers with sixty modelled hosts: effects that appear only when many gateways act alike,
+// and effects of stale information. Counts are over the whole fleet.
 #include "support/fleet.hpp"
 
 #include <gtest/gtest.h>
@@ -10,11 +10,11 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-// The four rules, by the counts and by the audit.
+// Checks the four rules by the counts and by the audit.
 void expectRules(const Fleet& f, const std::string& day) {
   EXPECT_EQ(f.counts.duplicateAnswers, 0u) << day;
   EXPECT_EQ(f.counts.sentToDraining, 0u) << day;
-  EXPECT_LT(f.counts.maxWarmingLoad, 2.5) << day << ": at 3 it falls over";
+  EXPECT_LT(f.counts.maxWarmingLoad, 2.5) << day << ": a host collapses at 3";
   EXPECT_TRUE(f.audit.violations().empty())
       << day << ": " << f.audit.violations().size() << ", the first: " << f.audit.violations().front();
 }
@@ -33,7 +33,7 @@
 };
 INSTANTIATE_TEST_SUITE_P(Seeds, FleetDays, ::testing::Values(1, 2, 3));
 
-// Where every gateway meets every host, some hosts reach their 88 connections and refuse hundreds.
+// If every gateway used every host, some hosts would reach their limit of 88 connections and refuse hundreds.
 TEST_P(FleetDays, ConnectionsStayUnderTheLimitOfHosts) {
   Fleet f(settings());
   f.run(seconds(6));
@@ -70,8 +70,9 @@
   EXPECT_GT(valueFraction(f), 0.78);
 }
 
-// Six in ten hosts drain within seven seconds; their successors warm up and are published late. Judged by the
-// fraction of attempts that the last warm ones still serve, the warming ones would idle beside them.
+// Six in ten hosts drain within seven seconds; their successors warm up and are listed late. If slow start
+// considered only the fraction of attempts that the last warm hosts still serve, the warming hosts would stay
+// idle.
 TEST_P(FleetDays, SixInTenHostsAreReplacedInSevenSeconds) {
   FleetSettings s = settings(2600);
   s.queue = 3;
@@ -85,10 +86,10 @@
   EXPECT_GT(valueFraction(f), 0.75);
   std::size_t fresh = 0;
   for (int h = f.settings.hosts; h < f.settings.hosts + 36; ++h) fresh += f.counts.servedBy[h];
-  EXPECT_GT(fresh, 4400u) << "without what they lately did: 4,150 to 4,260";
+  EXPECT_GT(fresh, 4400u) << "4,150 to 4,260 without the recent peak rate";
 }
 
-// --- The rules, by an audit that shares nothing with the decision module
+// --- The rules, checked by an audit that shares no code with the decision module
 
 struct FleetRules : FleetDays {
   FleetSettings late() const {
@@ -114,7 +115,7 @@
   EXPECT_GT(valueFraction(f), 0.75);
 }
 
-// One gateway gets five times as many requests as the mean.
+// One gateway receives five times the mean number of requests.
 TEST_P(FleetRules, RollingRestartWithOneGatewayAtFiveTimesTheMean) {
   FleetSettings s = late();
   s.heavyGatewayFactor = 5;
@@ -125,7 +126,7 @@
   EXPECT_GT(valueFraction(f), 0.75);
 }
 
-// A fifth of the hosts fall silent for six seconds, with attempts pending there, and recover.
+// A fifth of the hosts become unreachable for six seconds, with attempts pending, and recover.
 TEST_P(FleetRules, FifthOfTheHostsUnreachable) {
   Fleet f(settings());
   play(
@@ -141,7 +142,7 @@
   EXPECT_GT(valueFraction(f), 0.75);
 }
 
-// Seven in ten gateways crash at once and come back with a list that is seconds old.
+// Seven in ten gateways crash at once and restart with a list that is seconds old.
 TEST_P(FleetRules, SevenInTenGatewaysCrashAtOnce) {
   Fleet f(late());
   play(
@@ -158,7 +159,7 @@
   EXPECT_GT(valueFraction(f), 0.6);
 }
 
-// One answer in twenty is lost, all over the fleet. Nothing non-idempotent is repeated for it.
+// One answer in twenty is lost, across the fleet. Non-idempotent requests must not be repeated.
 TEST_P(FleetRules, AnswersAreLostAllOverTheFleet) {
   Fleet f(settings(1800));
   f.lostAnswerFraction = 0.05;
@@ -168,7 +169,7 @@
   EXPECT_GT(valueFraction(f), 0.7);
 }
 
-// Each rule is broken on purpose: the audit must detect it, or it proves nothing above.
+// Each rule is violated on purpose: the audit must detect it, otherwise the tests above prove nothing.
 struct FleetAuditTest : ::testing::Test {
   FleetSettings settings() const {
     FleetSettings s;
@@ -249,11 +250,11 @@
       if (a.kind == ActionKind::sendAttempt && cold != kNone) a.host = cold;
   };
   EXPECT_GT(violations('4', f, [&] { f.addHost("east"); }), 0u);
-  EXPECT_GT(f.audit.worstBudgetExcess, 0) << "the budget of calls, too";
+  EXPECT_GT(f.audit.worstBudgetExcess, 0) << "the budget of attempts is exceeded, too";
 }
 
-// A gateway alone, a few of them, and as many as hosts: each meets every host.
-TEST(Fleet, SmallBanksMeetAllHosts) {
+// One gateway, a few, and as many as hosts: each of them uses every host.
+TEST(Fleet, SmallClustersUseAllHosts) {
   for (const std::uint32_t gateways : {1u, 3u, 12u}) {
     FleetSettings s;
     s.gateways = gateways;
@@ -267,7 +268,7 @@
   }
 }
 
-TEST(Fleet, AThousandGatewaysBeforeTwentyHosts) {
+TEST(Fleet, ThousandGatewaysWithTwentyHosts) {
   FleetSettings s;
   s.gateways = 1000;
   s.hosts = 20;
--- a/tests/policy/host_picker_test.cpp
+++ b/tests/policy/host_picker_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Three hosts of the local zone, three of another.
-Driver twoZones() {
+Driver driverWithTwoZones() {
   Driver d(makeSettings(), 0);
   std::vector<HostEntry> list;
   for (int i = 0; i < 6; ++i) list.push_back(makeHost(i, i < 3 ? "east" : "west"));
@@ -40,7 +40,7 @@
     d.request(0);
     used.insert(d.lastSent().host);
   }
-  EXPECT_EQ(used.size(), 6u) << "each host gets one before any gets a second";
+  EXPECT_EQ(used.size(), 6u) << "each host gets one request before any gets a second";
 }
 
 TEST(HostPicker, SlowHostsGetFewerRequests) {
@@ -59,7 +59,7 @@
   EXPECT_GT(d.sentTo(slow), 5u);
 }
 
-TEST(HostPicker, AffinityKeysGoToOneHostAtEveryGateway) {
+TEST(HostPicker, AffinityKeysMapToSameHostAtEveryGateway) {
   Settings s = makeSettings();
   s.keyAffinity = true;
   Driver a(s, 8);
@@ -86,66 +86,66 @@
     d.request(0);
     d.serve(d.lastSent());
   }
-  const std::size_t own = d.sentTo(d.host(0)) + d.sentTo(d.host(1));
-  EXPECT_GT(own, 115u);
-  EXPECT_LT(own, 200u);
+  const std::size_t sentToLocalZone = d.sentTo(d.host(0)) + d.sentTo(d.host(1));
+  EXPECT_GT(sentToLocalZone, 115u);
+  EXPECT_LT(sentToLocalZone, 200u);
   d.forget();
   for (int i = 0; i < 4; ++i) d.request(0);
   EXPECT_GT(d.sentTo(d.host(2)) + d.sentTo(d.host(3)), 0u);
 }
 
-// Where every host looks idle, the local zone must not be overrun while the other stands free.
-TEST(HostPicker, SlowLocalZoneYields) {
+// Where every host looks idle, the local zone must not be overloaded while the other zone has capacity.
+TEST(HostPicker, SlowLocalZoneGetsFewerRequests) {
   Driver d(makeSettings(), 0);
   d.balancer.onHostListUpdate(d.now, HostListUpdate::complete,
                               {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
-  const auto time = [&](HostId h) {
+  const auto latencyOf = [&](HostId h) {
     return h == d.host(0) || h == d.host(1) ? milliseconds(120) : milliseconds(40);
   };
   for (int i = 0; i < 400; ++i) {
     if (i == 200) d.forget();
     d.request(0);
     d.advance(milliseconds(40));
-    serveDue(d, [&](HostId h) { return Duration(time(h)); });
+    serveDue(d, [&](HostId h) { return Duration(latencyOf(h)); });
   }
   EXPECT_GT(d.sentTo(d.host(2)) + d.sentTo(d.host(3)), 130u);
 }
 
 TEST(HostPicker, StaysInLocalZoneWhileItHasCapacity) {
-  for (const bool homeFirst : {false, true}) {
-    Driver d = twoZones();
+  for (const bool prefersLocal : {false, true}) {
+    Driver d = driverWithTwoZones();
     for (int i = 0; i < 200; ++i) {
-      request(d, homeFirst);
+      request(d, prefersLocal);
       if (d.out.size() >= 2) d.serve(Sent(d.out.front()));
       d.advance(milliseconds(10));
     }
-    if (homeFirst) EXPECT_EQ(sentToOtherZone(d), 0u);
+    if (prefersLocal) EXPECT_EQ(sentToOtherZone(d), 0u);
     else EXPECT_GT(sentToOtherZone(d), 20u);
   }
 }
 
-TEST(HostPicker, FastLocalHostsCarryAllRequests) {
-  Driver d = twoZones();
+TEST(HostPicker, FastLocalHostsServeAllRequests) {
+  Driver d = driverWithTwoZones();
   for (int i = 0; i < 3000; ++i) {
     request(d, true);
-    if (d.out.size() > 6) d.serve(Sent(d.out.front()));  // two held by each, for 12 ms
+    if (d.out.size() > 6) d.serve(Sent(d.out.front()));  // two in flight at each local host, for 12 ms
     d.advance(milliseconds(2), milliseconds(2));
-    if (i == 300) d.forget();  // learned by then
+    if (i == 300) d.forget();  // their latency is known by then
   }
   EXPECT_LT(sentToOtherZone(d), 30u);
 }
 
-TEST(HostPicker, CrossesZonesBeforeThePoolRejects) {
-  Driver d = twoZones();
-  std::vector<RequestId> asked;
-  for (int i = 0; i < 18; ++i) asked.push_back(request(d, true));
+TEST(HostPicker, UsesOtherZonesBeforePoolRejects) {
+  Driver d = driverWithTwoZones();
+  std::vector<RequestId> requestIds;
+  for (int i = 0; i < 18; ++i) requestIds.push_back(request(d, true));
   EXPECT_GT(sentToOtherZone(d), 0u);
-  EXPECT_GE(d.sent.size() - sentToOtherZone(d), 6u);  // home came first
-  for (const RequestId id : asked) EXPECT_FALSE(d.refused(id));
+  EXPECT_GE(d.sent.size() - sentToOtherZone(d), 6u);  // the local zone was preferred
+  for (const RequestId id : requestIds) EXPECT_FALSE(d.refused(id));
 }
 
-TEST(HostPicker, ServesElsewhereWithoutLocalHosts) {
-  Driver d = twoZones();
+TEST(HostPicker, UsesOtherZonesWithoutLocalHosts) {
+  Driver d = driverWithTwoZones();
   d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, {makeHost(3, "west"), makeHost(4, "west")});
   d.collect();
   for (int i = 0; i < 20; ++i) {
@@ -156,7 +156,7 @@
 }
 
 TEST(HostPicker, RetryStaysInLocalZone) {
-  Driver d = twoZones();
+  Driver d = driverWithTwoZones();
   d.warmUp(0, 50);
   d.forget();
   request(d, true);
@@ -166,7 +166,7 @@
   EXPECT_NE(d.sent[0].host, d.sent[1].host);
 }
 
-// --- The class alone
+// --- HostPicker in isolation
 
 class HostPickerTest : public ::testing::Test {
  protected:
@@ -195,7 +195,7 @@
   ActiveRequest request;
 };
 
-TEST_F(HostPickerTest, UsesHealthyHostsThatWereNotTried) {
+TEST_F(HostPickerTest, UsesOnlyHealthyHostsNotYetTried) {
   EXPECT_TRUE(picker.isUsable(request, host(0).id, seconds(1)));
   host(0).health.unresponsive = true;
   EXPECT_FALSE(picker.isUsable(request, host(0).id, seconds(1)));
--- a/tests/policy/host_registry_test.cpp
+++ b/tests/policy/host_registry_test.cpp
@@ -1,4 +1,4 @@
-// HostRegistry: phases, incarnations, machine types, and hosts that are forgotten.
+// HostRegistry: phases, process incarnations, machine types, and erasure of removed hosts.
 #include "policy/host_registry.hpp"
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 
 TEST(HostRegistry, DrainingAndRemovedHostsGetNoRequests) {
   Driver d(makeSettings(), 3);
-  HostEntry lame = makeHost(0), gone = makeHost(1);
-  lame.phase = HostPhase::draining;
-  gone.phase = HostPhase::removed;
-  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {lame, gone});
+  HostEntry draining = makeHost(0), removed = makeHost(1);
+  draining.phase = HostPhase::draining;
+  removed.phase = HostPhase::removed;
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {draining, removed});
   d.forget();
   for (int i = 0; i < 30; ++i) {
     d.request(0);
@@ -22,7 +22,7 @@
   EXPECT_EQ(d.sentTo(d.host(2)), 30u);
 }
 
-TEST(HostRegistry, CompleteListRemovesHostsItLeavesOut) {
+TEST(HostRegistry, CompleteListRemovesUnlistedHosts) {
   Driver d(makeSettings(), 3);
   d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, {makeHost(2)});
   d.forget();
@@ -33,8 +33,9 @@
   EXPECT_EQ(d.sentTo(d.host(2)), 10u);
 }
 
-// Fleets are replaced for days: a removed host is kept as long as a request refers to it, and then forgotten.
-TEST(HostRegistry, ForgetsRemovedHostsOnceUnreferenced) {
+// A removed host is kept while a request refers to it and erased afterwards, since fleets may be replaced for
+// days.
+TEST(HostRegistry, ErasesRemovedHostsOnceUnreferenced) {
   Driver d(makeSettings(), 1);
   const HostId first = d.host(0);
   d.request(1);
@@ -43,7 +44,8 @@
   for (int i = 1; i <= 300; ++i) {
     d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, {makeHost(i)});
     d.advance(milliseconds(5));
-    EXPECT_TRUE(std::find(ids.begin(), ids.end(), d.host(i)) == ids.end()) << "an id means another host";
+    EXPECT_TRUE(std::find(ids.begin(), ids.end(), d.host(i)) == ids.end())
+        << "an id was reassigned to another host";
     ids.push_back(d.host(i));
     EXPECT_FALSE(i > 1 && d.balancer.isKnown(ids[static_cast<std::size_t>(i) - 1]));
   }
@@ -58,12 +60,12 @@
 }
 
 // A simulated hour in which every host is replaced every ten seconds: 368,640 hosts in all.
-TEST(HostRegistry, KeepsNothingOfHostsReplacedForAnHour) {
+TEST(HostRegistry, ErasesAllHostsReplacedForAnHour) {
   constexpr int kHosts = 1024, kRounds = 360;
   Settings s = makeSettings();
   s.gatewayCount = 350;
   Driver d(s, kHosts);
-  const auto tell = [&](int from, HostPhase phase) {
+  const auto update = [&](int from, HostPhase phase) {
     std::vector<HostEntry> hosts;
     for (int i = from; i < from + kHosts; ++i) {
       hosts.push_back(makeHost(i));
@@ -72,8 +74,8 @@
     d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, hosts);
   };
   for (int round = 0; round < kRounds; ++round) {
-    tell((round + 1) * kHosts, HostPhase::active);
-    tell(round * kHosts, HostPhase::removed);
+    update((round + 1) * kHosts, HostPhase::active);
+    update(round * kHosts, HostPhase::removed);
     d.advance(seconds(5), seconds(5));
     d.request(0);
     ASSERT_EQ(d.sent.size(), 1u) << round;
@@ -87,7 +89,7 @@
   EXPECT_EQ(known, kHosts);
 }
 
-TEST(HostRegistry, TellsOfNewProcessesOnly) {
+TEST(HostRegistry, ReportsOnlyNewAndRestartedHosts) {
   HostRegistry hosts("east");
   std::vector<std::string> started;
   const auto onStarted = [&](Host& host) { started.push_back(host.entry.address); };
@@ -96,7 +98,7 @@
   EXPECT_EQ(started, (std::vector<std::string>{"host-100", "host-101"}));
   started.clear();
   hosts.apply(HostListUpdate::incremental, {a}, onStarted);
-  EXPECT_TRUE(started.empty()) << "one process";
+  EXPECT_TRUE(started.empty()) << "the process has not restarted";
   a.startedAt = seconds(5);
   hosts.apply(HostListUpdate::incremental, {a}, onStarted);
   EXPECT_EQ(started, (std::vector<std::string>{"host-100"}));
--- a/tests/policy/in_flight_tracker_test.cpp
+++ b/tests/policy/in_flight_tracker_test.cpp
@@ -1,4 +1,4 @@
-// InFlightTracker: the list of busy hosts follows every begin and end, in any order.
+// InFlightTracker: the list of busy hosts stays correct for begins and ends in any order.
 #include "policy/in_flight_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -34,7 +34,7 @@
       } else {
         const std::size_t at = engine() % inFlight.size();
         tracker.end(hosts, inFlight[at]);
-        tracker.end(hosts, inFlight[at]);  // a second time does nothing
+        tracker.end(hosts, inFlight[at]);  // a second call does nothing
         inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(at));
       }
       std::set<HostId> expected;
@@ -46,9 +46,9 @@
   }
 }
 
-// The count of attempts in flight follows hosts that drain and answer in any order: a full pool raises the
-// cutoff, and one that has answered all does not.
-TEST(InFlightTracker, FollowsDrainsAndAnswers) {
+// The count of attempts in flight stays correct while hosts drain and answer in any order: a full pool raises
+// the cutoff, and a pool that has answered everything does not.
+TEST(InFlightTracker, CountFollowsDrainsAndAnswers) {
   Settings s = makeSettings();
   Driver d(s, 4);
   d.warmUp(0, 60);
--- a/tests/policy/incomplete_body_test.cpp
+++ b/tests/policy/incomplete_body_test.cpp
@@ -1,4 +1,4 @@
-// Requests whose bodies are incomplete, and answers that have begun: neither is load on a host.
+// Requests with incomplete bodies and responses in transfer: neither counts as load of a host.
 #include "support/driver.hpp"
 
 namespace finchstile::load_balancing::testing {
@@ -21,30 +21,30 @@
   ASSERT_EQ(d.sent.size(), 1u);
   d.settle(d.lastSent(), Outcome::connectFailed, false);
   EXPECT_EQ(d.sent.size(), 1u);
-  EXPECT_TRUE(d.refused(id));  // it never ran
-  const RequestId ran = sendIncomplete(d, 1);
-  d.balancer.onRequestBodyComplete(d.now, ran);
+  EXPECT_TRUE(d.refused(id));  // the attempt never ran
+  const RequestId completed = sendIncomplete(d, 1);
+  d.balancer.onRequestBodyComplete(d.now, completed);
   d.settle(d.lastSent(), Outcome::reset, false);
-  EXPECT_TRUE(d.failed(ran));
+  EXPECT_TRUE(d.failed(completed));
   EXPECT_EQ(d.sent.size(), 2u);
 }
 
-TEST(IncompleteBody, TimeCountsFromTheLastByte) {
+TEST(IncompleteBody, TimeoutsCountFromTheLastByte) {
   Driver d(makeSettings());
   const RequestId id = sendIncomplete(d, 0);
-  d.advance(seconds(5));  // many times what its client would wait
+  d.advance(seconds(5));  // several times the client's timeout
   EXPECT_FALSE(d.refused(id) || d.failed(id));
-  const Duration span = d.balancer.onRequestBodyComplete(d.now, id);
+  const Duration timeout = d.balancer.onRequestBodyComplete(d.now, id);
   d.collect();
-  EXPECT_GT(span, Duration{});
-  EXPECT_LE(span, milliseconds(400));                                  // within the aim, from now on
-  EXPECT_EQ(d.balancer.onRequestBodyComplete(d.now, id), Duration{});  // once
+  EXPECT_GT(timeout, Duration{});
+  EXPECT_LE(timeout, milliseconds(400));  // within the objective, counted from now
+  EXPECT_EQ(d.balancer.onRequestBodyComplete(d.now, id), Duration{});  // a second call has no effect
   d.advance(milliseconds(1100));
-  EXPECT_TRUE(d.refused(id));  // safe to repeat
+  EXPECT_TRUE(d.refused(id));  // idempotent, so a retry is harmless
   EXPECT_EQ(d.balancer.onRequestBodyComplete(d.now, 999), Duration{});
 }
 
-TEST(IncompleteBody, SlowBodiesLookNeitherLikeLoadNorLikeSilentHosts) {
+TEST(IncompleteBody, SlowBodiesAreNeitherLoadNorSignOfUnresponsiveHosts) {
   Driver d(makeSettings());
   d.warmUp(0, 100);
   for (int i = 0; i < 300; ++i) sendIncomplete(d, 1, milliseconds(1000));
@@ -54,21 +54,21 @@
   for (RequestId id = d.last - 299; id <= d.last; ++id) d.balancer.onRequestBodyComplete(d.now, id);
   d.collect();
   d.advance(milliseconds(200));
-  EXPECT_GT(d.balancer.admissionCutoff(), 90);  // now it is
+  EXPECT_GT(d.balancer.admissionCutoff(), 90);  // with complete bodies they are load
 }
 
-// A host that has begun to answer is done with the request, however long the answer takes on its way.
-TEST(ResponseHeaders, EndTheAttemptsTimeInFlight) {
-  for (const bool begun : {false, true}) {
+// A host that has sent response headers has processed the request, however long the transfer takes.
+TEST(ResponseHeaders, EndLoadOfAttempt) {
+  for (const bool hasBegun : {false, true}) {
     Driver d(makeSettings());
     d.warmUp(0, 100);
     for (int i = 0; i < 60; ++i) {
       d.request(0);
-      if (begun && !d.out.empty())
+      if (hasBegun && !d.out.empty())
         d.balancer.onResponseHeaders(d.now, d.lastSent().request, d.lastSent().attempt);
     }
     d.advance(milliseconds(200));
-    if (begun) EXPECT_EQ(d.balancer.admissionCutoff(), 0);
+    if (hasBegun) EXPECT_EQ(d.balancer.admissionCutoff(), 0);
     else EXPECT_GT(d.balancer.admissionCutoff(), 90);
     while (!d.out.empty()) d.serve(Sent(d.out.front()));
     d.advance(seconds(2));
--- a/tests/policy/late_retry_detector_test.cpp
+++ b/tests/policy/late_retry_detector_test.cpp
@@ -1,4 +1,4 @@
-// LateRetryDetector: which requests are late retries of their clients.
+// LateRetryDetector: detection of late retries by the time that the client has left.
 #include "policy/late_retry_detector.hpp"
 
 #include "support/driver.hpp"
@@ -6,17 +6,17 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-// A client's later attempt has less time left; what it spent before no longer earns.
+// A retry has less time left, and the time spent before counts against its objective.
 TEST(LateRetryDetector, RejectsRetryPastItsObjective) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 30);
-  const RequestId id = d.request(0, milliseconds(500));  // 500 of 1000 ms spent, the aim is 400
+  const RequestId id = d.request(0, milliseconds(500));  // 500 of 1000 ms spent; the objective is 400 ms
   EXPECT_TRUE(d.refused(id));
 }
 
-// A client's last attempt gets all that is left of its wait, often more than its first ones. Taken for the
-// typical time, it would make every first attempt look late.
-TEST(LateRetryDetector, LongLastAttemptDoesNotMakeFirstOnesLate) {
+// A client gives its last attempt all of its remaining wait, often more than its first ones. If that became
+// the typical time left, every first attempt would look late.
+TEST(LateRetryDetector, LongLastAttemptsDoNotMakeFirstAttemptsLate) {
   Driver d(makeSettings(), 6);
   for (int i = 0; i < 60; ++i) {
     d.request(0, i % 4 == 3 ? milliseconds(950) : milliseconds(600));
@@ -28,12 +28,12 @@
   }
 }
 
-// Clients that turn impatient, many at once, are no late retries.
-TEST(LateRetryDetector, ServesCrowdOfImpatientClients) {
+// Many clients that shorten their timeouts at once are not taken for late retries.
+TEST(LateRetryDetector, ManyClientsWithShortTimeoutsAreNotLateRetries) {
   Driver d(makeSettings());
   d.warmUp(1, 60, milliseconds(5));
   int refused = 0;
-  for (int i = 0; i < 200; ++i) {  // times all of their own
+  for (int i = 0; i < 200; ++i) {  // 20 different timeouts
     refused += d.refused(d.request(1, milliseconds(150 + 7 * (i % 20))));
     d.advance(milliseconds(20));
     while (!d.out.empty()) d.serve(Sent(d.out.front()));
@@ -41,7 +41,7 @@
   EXPECT_LT(refused, 20);
 }
 
-TEST(LateRetryDetector, TimeSpentIsWhatIsMissingFromTheClientsWait) {
+TEST(LateRetryDetector, TimeSpentIsClientTimeoutMinusTimeLeft) {
   TrafficClass trafficClass;
   trafficClass.settings = makeSettings().classes[0];
   for (int i = 0; i < 20; ++i)
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -1,4 +1,4 @@
-// LearnedState: what a load balancer has learned is restored by the next one of its gateway.
+// LearnedState: statistics are handed over to the next process of a gateway.
 #include <cmath>
 
 #include "support/driver.hpp"
@@ -6,7 +6,7 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-// Plays fast hosts behind a closed loop of many clients; returns the number of rejected requests.
+// Simulates fast hosts with a closed loop of many clients. Returns the number of rejected requests.
 std::size_t refusedIn(Driver& d, Duration time) {
   std::size_t refused = 0;
   const Time end = d.now + time;
@@ -18,12 +18,12 @@
   return refused;
 }
 
-TEST(LearnedState, NextProcessDoesNotStartFromGuesses) {
+TEST(LearnedState, NextProcessStartsWithRestoredLimit) {
   Driver old(makeSettings());
   refusedIn(old, seconds(3));
   EXPECT_EQ(refusedIn(old, milliseconds(200)), 0u);
   Driver fresh(makeSettings());
-  EXPECT_GT(refusedIn(fresh, milliseconds(200)), 0u);  // it takes fast hosts for usual ones at first
+  EXPECT_GT(refusedIn(fresh, milliseconds(200)), 0u);  // the initial limit is too low for fast hosts
   Driver next(makeSettings());
   next.balancer.restoreLearnedState(next.now, old.balancer.learnedState());
   next.collect();
@@ -56,7 +56,7 @@
   EXPECT_FALSE(restarted.balancer.isAvoided(restarted.host(0)));
 }
 
-TEST(LearnedState, IsIgnoredWhereAsMuchWasLearned) {
+TEST(LearnedState, IsIgnoredIfAsManyAnswersWereSeen) {
   Driver old(makeSettings()), other(makeSettings());
   old.warmUp(0, 30, milliseconds(300));
   other.warmUp(0, 60, milliseconds(50));
@@ -65,7 +65,7 @@
   EXPECT_EQ(other.balancer.learnedState().classes[0].typicalLatency, before);
 }
 
-TEST(LearnedState, InvalidFiguresAreIgnored) {
+TEST(LearnedState, InvalidValuesAreIgnored) {
   Driver old(makeSettings());
   old.warmUp(0, 60);
   LearnedState bad = old.balancer.learnedState();
@@ -83,11 +83,11 @@
     next.balancer.restoreLearnedState(next.now, bad);
     next.warmUp(0, 60);
     EXPECT_EQ(next.balancer.admissionCutoff(), 0);
-    EXPECT_EQ(next.answers.size(), 0u);  // nobody was refused or failed
+    EXPECT_EQ(next.answers.size(), 0u);  // no request was rejected or failed
   }
 }
 
-// What the next process knows from its own list is never undone.
+// Restored state must not override the next process's own host list.
 TEST(LearnedState, DrainingHostGetsNothing) {
   Driver old(makeSettings());
   old.warmUp(0, 60);
--- a/tests/policy/load_probing_test.cpp
+++ b/tests/policy/load_probing_test.cpp
@@ -1,4 +1,4 @@
-// LoadProbing: probes, and recommendations of group trackers, where gateways outnumber hosts.
+// LoadProbing: probes and recommendations of group trackers, with more gateways than hosts.
 #include "policy/load_probing.hpp"
 
 #include <cmath>
@@ -21,14 +21,14 @@
   return s;
 }
 
-std::vector<Action> of(const Driver& d, ActionKind kind) {
+std::vector<Action> actionsOfKind(const Driver& d, ActionKind kind) {
   std::vector<Action> found;
   for (const Action& a : d.all)
     if (a.kind == kind) found.push_back(a);
   return found;
 }
 
-void report(Driver& d, HostId host, double held, bool ok = true) {
+void reportLoad(Driver& d, HostId host, double held, bool ok = true) {
   LoadReport load;
   load.inflight = held;
   d.balancer.onProbeResult(d.now, {host, ok, load});
@@ -38,23 +38,23 @@
 TEST(LoadProbing, SendsToLeastLoadedProbedHost) {
   Driver d(largeClusterSettings(true), 20);
   d.request(0);
-  const std::vector<Action> probes = of(d, ActionKind::probeHost);
+  const std::vector<Action> probes = actionsOfKind(d, ActionKind::probeHost);
   ASSERT_GE(probes.size(), 2u);
-  EXPECT_TRUE(d.sent.empty()) << "it waits for what the hosts say";
-  for (std::size_t i = 0; i < probes.size(); ++i) report(d, probes[i].host, i == 1 ? 1 : 2);
+  EXPECT_TRUE(d.sent.empty()) << "the attempt waits for the reports";
+  for (std::size_t i = 0; i < probes.size(); ++i) reportLoad(d, probes[i].host, i == 1 ? 1 : 2);
   ASSERT_EQ(d.sent.size(), 1u);
   EXPECT_EQ(d.lastSent().host, probes[1].host);
 }
 
-TEST(LoadProbing, SendsToIdleHostAtOnce) {
+TEST(LoadProbing, SendsToIdleHostImmediately) {
   Driver d(largeClusterSettings(true), 20);
   d.request(0);
-  const std::vector<Action> probes = of(d, ActionKind::probeHost);
-  report(d, probes[0].host, 0);
+  const std::vector<Action> probes = actionsOfKind(d, ActionKind::probeHost);
+  reportLoad(d, probes[0].host, 0);
   ASSERT_EQ(d.sent.size(), 1u);
   EXPECT_EQ(d.lastSent().host, probes[0].host);
-  for (std::size_t i = 1; i < probes.size(); ++i) report(d, probes[i].host, 0);
-  EXPECT_EQ(d.sent.size(), 1u) << "later reports change nothing";
+  for (std::size_t i = 1; i < probes.size(); ++i) reportLoad(d, probes[i].host, 0);
+  EXPECT_EQ(d.sent.size(), 1u) << "later reports have no effect";
 }
 
 TEST(LoadProbing, FallsBackToOrdinaryPickWithoutReports) {
@@ -64,13 +64,13 @@
   EXPECT_EQ(d.sent.size(), 1u);
 }
 
-TEST(LoadProbing, InvalidReportsDoNoHarm) {
+TEST(LoadProbing, InvalidReportsAreHarmless) {
   for (double held : {std::nan(""), -5.0, HUGE_VAL}) {
     Driver d(largeClusterSettings(true), 20);
     for (int i = 0; i < 30; ++i) {
       d.forget();
       const RequestId id = d.request(0);
-      for (const Action& a : of(d, ActionKind::probeHost)) report(d, a.host, held);
+      for (const Action& a : actionsOfKind(d, ActionKind::probeHost)) reportLoad(d, a.host, held);
       d.advance(milliseconds(50));
       EXPECT_FALSE(d.refused(id));
       ASSERT_EQ(d.out.size(), 1u);
@@ -79,17 +79,17 @@
   }
 }
 
-TEST(LoadProbing, FailedProbeIsNoCandidate) {
+TEST(LoadProbing, HostWithFailedProbeIsNotChosen) {
   Driver d(largeClusterSettings(true), 20);
   d.request(0);
-  const std::vector<Action> probes = of(d, ActionKind::probeHost);
-  for (std::size_t i = 1; i < probes.size(); ++i) report(d, probes[i].host, 0, false);
-  report(d, probes[0].host, 2);
+  const std::vector<Action> probes = actionsOfKind(d, ActionKind::probeHost);
+  for (std::size_t i = 1; i < probes.size(); ++i) reportLoad(d, probes[i].host, 0, false);
+  reportLoad(d, probes[0].host, 2);
   ASSERT_EQ(d.sent.size(), 1u);
   EXPECT_EQ(d.lastSent().host, probes[0].host);
 }
 
-// Where every host is warming up, a further draw may find none.
+// If every host is warming up, the picker may find no further host to probe.
 TEST(LoadProbing, ProbesOnlyHostsThatWereDrawn) {
   Driver d(largeClusterSettings(true), 20);
   std::vector<HostEntry> restarted;
@@ -102,7 +102,7 @@
   for (int i = 0; i < 300; ++i) {
     d.forget();
     d.request(0);
-    for (const Action& a : of(d, ActionKind::probeHost)) {
+    for (const Action& a : actionsOfKind(d, ActionKind::probeHost)) {
       ++probes;
       ASSERT_NE(a.host, kNone);
     }
@@ -114,22 +114,23 @@
 
 TEST(LoadProbing, IgnoresUnrequestedResults) {
   Driver d(largeClusterSettings(true), 20);
-  report(d, d.host(0), 0);
-  report(d, kNone, 0);
-  report(d, 4000, 0);
+  reportLoad(d, d.host(0), 0);
+  reportLoad(d, kNone, 0);
+  reportLoad(d, 4000, 0);
   EXPECT_TRUE(d.sent.empty());
   EXPECT_EQ(d.balancer.openRequests(), 0u);
 }
 
-// In an overload the lowest scores are refused, unsent, by what the look shows.
-TEST(LoadProbing, CrowdedHostsShedLowScoresFirst) {
+// In an overload the lowest scores are rejected before sending, based on the probed loads.
+TEST(LoadProbing, LoadedHostsRejectLowScoresFirst) {
   Driver d(largeClusterSettings(true), 20);
   int low = 0, high = 0;
   for (int i = 0; i < 300; ++i) {
     const std::uint32_t cls = i % 3 == 0 ? 0 : 1;
     d.forget();
     const RequestId id = d.request(cls);
-    for (const Action& a : of(d, ActionKind::probeHost)) report(d, a.host, 4);  // some cut, not all
+    for (const Action& a : actionsOfKind(d, ActionKind::probeHost))
+      reportLoad(d, a.host, 4);  // rejects some requests, not all
     (cls == 0 ? high : low) += d.refused(id);
     d.advance(milliseconds(50));
     while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::served, true, milliseconds(300));
@@ -138,7 +139,7 @@
   EXPECT_LT(high, low / 10 + 1);
 }
 
-TEST(LoadProbing, SmallBankDoesNotProbe) {
+TEST(LoadProbing, SmallClusterDoesNotProbe) {
   Settings s = largeClusterSettings(true);
   s.gatewayCount = 2;
   s.gatewayIndex = 0;
@@ -148,7 +149,7 @@
   EXPECT_EQ(d.sent.size(), 1u);
 }
 
-TEST(LoadProbing, AnswersAtDeadlineDuringProbe) {
+TEST(LoadProbing, EndsRequestAtDeadlineDuringProbe) {
   Settings s = largeClusterSettings(true);
   for (ClassSettings& c : s.classes) c.latencyObjective = c.clientTimeout = seconds(1);
   Driver d(s, 20);
@@ -157,59 +158,60 @@
   EXPECT_TRUE(d.refused(id) || d.failed(id));
 }
 
-TEST(GroupTracker, ItsRecommendationIsFollowed) {
+TEST(GroupTracker, RecommendationIsFollowed) {
   Driver d(largeClusterSettings(false), 20);
   const RequestId id = d.request(0);
-  const std::vector<Action> requests = of(d, ActionKind::sendPeerMessage);
+  const std::vector<Action> requests = actionsOfKind(d, ActionKind::sendPeerMessage);
   ASSERT_EQ(requests.size(), 1u);
-  peer::Message question;
-  ASSERT_TRUE(peer::decode(requests[0].text, question));
-  EXPECT_EQ(question.kind, peer::MessageKind::recommendationRequest);
+  peer::Message messageToTracker;
+  ASSERT_TRUE(peer::decode(requests[0].text, messageToTracker));
+  EXPECT_EQ(messageToTracker.kind, peer::MessageKind::recommendationRequest);
   EXPECT_TRUE(d.sent.empty());
 
-  Driver tracker(largeClusterSettings(false), 20);  // any gateway can answer
+  Driver tracker(largeClusterSettings(false), 20);  // any gateway answers recommendation requests
   tracker.balancer.onPeerMessage(tracker.now, 3, requests[0].text);
   tracker.collect();
-  const std::vector<Action> recommendations = of(tracker, ActionKind::sendPeerMessage);
+  const std::vector<Action> recommendations = actionsOfKind(tracker, ActionKind::sendPeerMessage);
   ASSERT_EQ(recommendations.size(), 1u);
   EXPECT_EQ(recommendations[0].attempt, 3u);
   d.balancer.onPeerMessage(d.now, requests[0].attempt, recommendations[0].text);
   d.collect();
   ASSERT_EQ(d.sent.size(), 1u);
   EXPECT_EQ(d.lastSent().request, id);
-  d.balancer.onPeerMessage(d.now, requests[0].attempt, recommendations[0].text);  // repeated by the network
+  d.balancer.onPeerMessage(d.now, requests[0].attempt, recommendations[0].text);  // duplicated by the network
   d.collect();
   EXPECT_EQ(d.sent.size(), 1u);
   for (const Action& a : d.all) EXPECT_LE(a.text.size(), 256u);
 }
 
 TEST(GroupTracker, SpreadsItsRecommendations) {
-  Driver asker(largeClusterSettings(false), 20), tracker(largeClusterSettings(false), 20);
+  Driver gateway(largeClusterSettings(false), 20), tracker(largeClusterSettings(false), 20);
   std::map<std::uint32_t, int> recommended;
   for (int i = 0; i < 20; ++i) {
-    asker.forget();
+    gateway.forget();
     tracker.forget();
-    asker.request(0);
-    const std::vector<Action> requests = of(asker, ActionKind::sendPeerMessage);
+    gateway.request(0);
+    const std::vector<Action> requests = actionsOfKind(gateway, ActionKind::sendPeerMessage);
     tracker.balancer.onPeerMessage(tracker.now, 3, requests.at(0).text);
     tracker.collect();
     peer::Message m;
-    ASSERT_TRUE(peer::decode(of(tracker, ActionKind::sendPeerMessage).at(0).text, m));
-    EXPECT_EQ(m.value, 0) << "an idle host is left";
+    ASSERT_TRUE(peer::decode(actionsOfKind(tracker, ActionKind::sendPeerMessage).at(0).text, m));
+    EXPECT_EQ(m.value, 0) << "an idle host is available";
     ++recommended[m.hostHash];
   }
-  EXPECT_EQ(recommended.size(), 20u) << "each host once";
+  EXPECT_EQ(recommended.size(), 20u) << "each host is recommended once";
 }
 
-TEST(GroupTracker, SilentOneIsPassedOver) {
+TEST(GroupTracker, SilentTrackerIsSkipped) {
   Driver d(largeClusterSettings(false), 20);
   d.request(0);
-  const std::uint32_t tracker = of(d, ActionKind::sendPeerMessage).at(0).attempt;
+  const std::uint32_t tracker = actionsOfKind(d, ActionKind::sendPeerMessage).at(0).attempt;
   d.advance(milliseconds(60));
   ASSERT_EQ(d.sent.size(), 1u);
   d.forget();
   d.request(0);
-  EXPECT_NE(of(d, ActionKind::sendPeerMessage).at(0).attempt, tracker) << "a stand-in is asked instead";
+  EXPECT_NE(actionsOfKind(d, ActionKind::sendPeerMessage).at(0).attempt, tracker)
+      << "the fallback tracker is used";
 }
 
 TEST(GroupTracker, RecommendedDrainingHostGetsNothing) {
@@ -217,7 +219,7 @@
   for (int i = 0; i < 20; ++i) {
     d.forget();
     d.request(0);
-    const std::vector<Action> requests = of(d, ActionKind::sendPeerMessage);
+    const std::vector<Action> requests = actionsOfKind(d, ActionKind::sendPeerMessage);
     peer::Message m;
     ASSERT_TRUE(peer::decode(requests.at(0).text, m));
     HostEntry leaving = makeHost(i, "east", i % 2);
@@ -234,7 +236,7 @@
   }
 }
 
-TEST(GroupTracker, IgnoresNoise) {
+TEST(GroupTracker, IgnoresRandomBytes) {
   Driver d(largeClusterSettings(false), 20);
   std::mt19937 engine(11);
   for (int i = 0; i < 5000; ++i) {
@@ -247,12 +249,12 @@
   EXPECT_TRUE(d.sent.empty());
   EXPECT_EQ(d.balancer.openRequests(), 0u);
   d.warmUp(0, 3, milliseconds(60));
-  EXPECT_EQ(d.sent.size(), 3u) << "and serves on";
+  EXPECT_EQ(d.sent.size(), 3u) << "the gateway continues to serve";
 }
 
 TEST(GroupTracker, RecommendsDrawnWarmingHostOnlyWhileIdle) {
   Settings s = largeClusterSettings(false);
-  s.initialCapacityFraction = 1;  // drawn as often as any
+  s.initialCapacityFraction = 1;  // chosen as often as a warm host
   Driver tracker(s, 20);
   HostEntry cold = makeHost(7, "east", 1);
   cold.startedAt = tracker.now;
@@ -265,7 +267,7 @@
                                    peer::encode({peer::MessageKind::recommendationRequest, hash, 99, {}, 0}));
     tracker.collect();
     peer::Message m;
-    ASSERT_TRUE(peer::decode(of(tracker, ActionKind::sendPeerMessage).at(0).text, m));
+    ASSERT_TRUE(peer::decode(actionsOfKind(tracker, ActionKind::sendPeerMessage).at(0).text, m));
     recommended.push_back(m.hostHash == hash);
     if (i == 1)
       tracker.balancer.onPeerMessage(
@@ -274,7 +276,7 @@
   EXPECT_EQ(recommended, (std::vector<bool>{true, false, true}));
 }
 
-// --- The class alone
+// --- LoadProbing in isolation
 
 class LoadProbingTest : public ::testing::Test {
  protected:
@@ -296,7 +298,7 @@
   RandomSource random{1};
 };
 
-TEST_F(LoadProbingTest, SilentTrackerHasAStandInForThreeSeconds) {
+TEST_F(LoadProbingTest, SilentTrackerIsReplacedForThreeSeconds) {
   const std::uint64_t group = host(0).probing.group;
   const std::uint32_t tracker = probing.trackerOf(group, seconds(1));
   probing.onTrackerSilent(group, seconds(1));
@@ -312,7 +314,7 @@
   const Recommendation second = probing.recommend(host(0).id, seconds(1), random);
   EXPECT_NE(second.host, first.host);
   probing.onAttemptStarted(hosts[first.host], seconds(1) + milliseconds(400));
-  EXPECT_EQ(hosts[first.host].probing.assignedUntil.size(), 1U) << "the first one must be over";
+  EXPECT_EQ(hosts[first.host].probing.assignedUntil.size(), 1U) << "the first attempt has expired";
   probing.onAttemptEnded(hosts[first.host], seconds(1) + milliseconds(401));
   EXPECT_EQ(hosts[first.host].probing.assignedUntil.size(), 0U);
 }
@@ -322,7 +324,7 @@
   request.latencyObjective = milliseconds(400);
   LoadProbing::begin(request);
   LoadProbing::end(request);
-  EXPECT_EQ(request.observedLoad, -1) << "no report came";
+  EXPECT_EQ(request.observedLoad, -1) << "no report arrived";
   EXPECT_EQ(probing.cutoff(request), 0);
   request.observedLoad = 2;  // three requests, each 0.15 of the objective
   EXPECT_NEAR(probing.cutoff(request), 0, 1e-9);
--- a/tests/policy/load_report_model_test.cpp
+++ b/tests/policy/load_report_model_test.cpp
@@ -1,4 +1,4 @@
-// LoadReportModel: reports count as far as reports of their age have predicted latency, and no further.
+// LoadReportModel: reports are weighted by how well reports of their age have predicted latency.
 #include "policy/load_report_model.hpp"
 
 #include <cmath>
@@ -15,12 +15,12 @@
   return r;
 }
 
-// One host whose reports swing. Each is used at the age of `age`, and an answer then takes
-// exp(`slope` x deviation of the report) times the host's relative latency, times some noise.
+// A host whose reports alternate. Each report is used at age `age`, and the answer then takes exp(`slope` x
+// deviation of the report) times the host's relative latency, with log-normal noise.
 struct ReportingHost {
   LoadReportModel reports;
   ReportedLoad host;
-  std::mt19937 dice{5};
+  std::mt19937 engine{5};
   Time now = seconds(100);
   std::normal_distribution<double> noise{0, 0.5};
 
@@ -29,66 +29,66 @@
     reports.onReport(host, queueOf(queue), now);
     return reports.hintAt(host, now + age);
   }
-  void teach(int answers, Duration age, double slope) {
+  void train(int answers, Duration age, double slope) {
     for (int i = 0; i < answers; ++i) {
-      const LoadHint h = report(dice() % 2 ? 0 : 8, age);
-      reports.onAnswer(h, std::exp(slope * h.deviation[0] + noise(dice)));
+      const LoadHint h = report(engine() % 2 ? 0 : 8, age);
+      reports.onAnswer(h, std::exp(slope * h.deviation[0] + noise(engine)));
     }
   }
   double factorOf(double queue, Duration age) { return reports.latencyFactor(report(queue, age)); }
 };
 
-TEST(LoadReportModel, FollowsReportsThatPredict) {
+TEST(LoadReportModel, AppliesReportsThatPredictLatency) {
   ReportingHost t;
-  EXPECT_EQ(t.factorOf(8, {}), 1);  // nothing is known of reports yet
-  t.teach(400, milliseconds(20), 0.5);
+  EXPECT_EQ(t.factorOf(8, {}), 1);  // the model is untrained
+  t.train(400, milliseconds(20), 0.5);
   EXPECT_GT(t.factorOf(8, milliseconds(20)), 1.4);
   EXPECT_LT(t.factorOf(0, milliseconds(20)), 0.8);
 }
 
-TEST(LoadReportModel, IgnoresReportsThatPredictNothing) {
+TEST(LoadReportModel, IgnoresReportsWithoutPredictiveValue) {
   ReportingHost t;
-  t.teach(5000, milliseconds(20), 0);
+  t.train(5000, milliseconds(20), 0);
   EXPECT_EQ(t.factorOf(8, milliseconds(20)), 1);
   EXPECT_EQ(t.factorOf(0, milliseconds(20)), 1);
 }
 
-// By chance alone, over many trials, a report is hardly ever believed.
-TEST(LoadReportModel, SeldomBelievesChance) {
+// With pure noise, a report must almost never be used.
+TEST(LoadReportModel, RarelyFitsNoise) {
   int believed = 0;
   for (unsigned seed = 1; seed <= 200; ++seed) {
     ReportingHost t;
-    t.dice.seed(seed);
-    t.teach(500, milliseconds(20), 0);
+    t.engine.seed(seed);
+    t.train(500, milliseconds(20), 0);
     believed += t.factorOf(8, milliseconds(20)) != 1;
   }
   EXPECT_LE(believed, 4);
 }
 
-// reports that are late by seconds do no harm, and spoil nothing for fresh ones.
-TEST(LoadReportModel, JudgesEachAgeByItself) {
+// Reports that are seconds old are not used, and do not affect the use of fresh ones.
+TEST(LoadReportModel, FitsEachAgeBandSeparately) {
   ReportingHost t;
   for (int i = 0; i < 100; ++i) {
-    t.teach(5, milliseconds(20), 0.5);
-    t.teach(5, seconds(3), 0);
+    t.train(5, milliseconds(20), 0.5);
+    t.train(5, seconds(3), 0);
   }
   EXPECT_GT(t.factorOf(8, milliseconds(20)), 1.4);
   EXPECT_EQ(t.factorOf(8, seconds(3)), 1);
 }
 
-// A report that says the contrary of what follows is wrong, and no guide by being inverted.
-TEST(LoadReportModel, NeverInvertsAReport) {
+// A report that is negatively correlated with latency is wrong and must not be used inverted.
+TEST(LoadReportModel, IgnoresReportsWithNegativeCorrelation) {
   ReportingHost t;
-  t.teach(2000, milliseconds(20), -0.5);
+  t.train(2000, milliseconds(20), -0.5);
   EXPECT_EQ(t.factorOf(8, milliseconds(20)), 1);
 }
 
-// a report that says 0 for ever.
-TEST(LoadReportModel, ConstantReportPredictsNothing) {
+// A host that always reports 0.
+TEST(LoadReportModel, ConstantReportsHaveNoEffect) {
   ReportingHost t;
   for (int i = 0; i < 1000; ++i) {
     const LoadHint h = t.report(0, milliseconds(20));
-    t.reports.onAnswer(h, std::exp(t.noise(t.dice)));
+    t.reports.onAnswer(h, std::exp(t.noise(t.engine)));
   }
   EXPECT_EQ(t.factorOf(0, milliseconds(20)), 1);
   EXPECT_EQ(t.factorOf(1e300, milliseconds(20)), 1);
@@ -96,12 +96,12 @@
 
 TEST(LoadReportModel, FactorIsBounded) {
   ReportingHost t;
-  t.teach(2000, milliseconds(20), 1);
+  t.train(2000, milliseconds(20), 1);
   EXPECT_LE(t.factorOf(1e6, milliseconds(20)), 3);
   EXPECT_GE(t.factorOf(0, milliseconds(20)), 1.0 / 3);
 }
 
-TEST(LoadReportModel, InvalidFiguresCountAsNotReported) {
+TEST(LoadReportModel, InvalidValuesCountAsNotReported) {
   LoadReportModel reports;
   ReportedLoad host;
   for (const double v : {-1.0, std::nan(""), HUGE_VAL}) {
@@ -114,32 +114,32 @@
   EXPECT_TRUE(reports.hintAt(host, seconds(2)).isKnown);
 }
 
-// What was learned is forgotten in about five hundred answers: hosts whose reports turn wrong are found out.
-TEST(LoadReportModel, ForgetsWhatReportsOncePredicted) {
+// The model averages over about five hundred answers, so reports that become wrong lose their effect.
+TEST(LoadReportModel, EffectFadesWhenReportsStopPredicting) {
   ReportingHost t;
-  t.teach(1000, milliseconds(20), 0.5);
+  t.train(1000, milliseconds(20), 0.5);
   ASSERT_GT(t.factorOf(8, milliseconds(20)), 1.4);
-  t.teach(4000, milliseconds(20), 0);
+  t.train(4000, milliseconds(20), 0);
   EXPECT_LT(t.factorOf(8, milliseconds(20)), 1.1);
 }
 
-// --- With the module: hosts that another gateway keeps busy by turns, which our own in-flight can't show.
+// --- With the whole module: another gateway loads the hosts in turn, which own in-flight counts don't show
 
-enum class Reporting { none, fresh, late, zero, mad };
+enum class Reporting { none, fresh, late, zero, random };
 
-// Mean time of our requests, one at a time.
+// Mean latency of this gateway's requests, sent one at a time.
 double meanTaken(Reporting how, unsigned seed) {
   Settings s = makeSettings();
   s.seed = seed;
   Driver d(s, 4);
-  std::mt19937 dice(seed);
-  std::vector<std::vector<double>> queues;  // by ten milliseconds
+  std::mt19937 engine(seed);
+  std::vector<std::vector<double>> queues;  // one entry per 10 ms
   std::vector<double> queue(4, 0);
   double sum = 0;
   int count = 0;
   for (int i = 0; i < 3000; ++i) {
     for (double& q : queue)
-      if (dice() % 50 == 0) q = dice() % 2 ? 9 : 0;
+      if (engine() % 50 == 0) q = engine() % 2 ? 9 : 0;
     queues.push_back(queue);
     d.request(0);
     const Sent sent = d.lastSent();
@@ -158,7 +158,7 @@
       case Reporting::fresh: r.report = queueOf(then(1)[at]); break;
       case Reporting::late: r.report = queueOf(then(300)[at]); break;
       case Reporting::zero: r.report = queueOf(0); break;
-      case Reporting::mad: r.report = queueOf(static_cast<double>(dice() % 1000)); break;
+      case Reporting::random: r.report = queueOf(static_cast<double>(engine() % 1000)); break;
     }
     d.balancer.onAttemptResult(d.now, r);
     d.collect();
@@ -168,25 +168,25 @@
   return sum / count;
 }
 
-TEST(LoadReportModel, HelpsThePickWhereReportsPredictAndDoesNoHarmElsewhere) {
-  double none = 0, fresh = 0, late = 0, zero = 0, mad = 0;
+TEST(LoadReportModel, LowersLatencyWhereReportsPredictAndDoesNoHarmElsewhere) {
+  double none = 0, fresh = 0, late = 0, zero = 0, random = 0;
   for (unsigned seed = 1; seed <= 6; ++seed) {
     none += meanTaken(Reporting::none, seed) / 6;
     fresh += meanTaken(Reporting::fresh, seed) / 6;
     late += meanTaken(Reporting::late, seed) / 6;
     zero += meanTaken(Reporting::zero, seed) / 6;
-    mad += meanTaken(Reporting::mad, seed) / 6;
+    random += meanTaken(Reporting::random, seed) / 6;
   }
   ::testing::Test::RecordProperty("none_ms", std::to_string(none));
-  printf("mean ms: none %.3f fresh %.3f late %.3f zero %.3f mad %.3f\n", none, fresh, late, zero, mad);
+  printf("mean ms: none %.3f fresh %.3f late %.3f zero %.3f random %.3f\n", none, fresh, late, zero, random);
   EXPECT_LT(fresh, 0.9 * none);
   EXPECT_LT(late, 1.03 * none);
   EXPECT_EQ(zero, none);
-  EXPECT_LT(mad, 1.03 * none);
+  EXPECT_LT(random, 1.03 * none);
 }
 
-// a worker restarts between two facts.
-TEST(LoadReportModel, RestartVoidsReportsOfTheHost) {
+// A host's process restarts between its report and the next requests.
+TEST(LoadReportModel, RestartDiscardsReportsOfTheHost) {
   Driver reporting(makeSettings(), 2), silent(makeSettings(), 2);
   for (Driver* d : {&reporting, &silent}) {
     d->request(0);
@@ -211,10 +211,9 @@
     ASSERT_EQ(reporting.sent[i].host, silent.sent[i].host);
 }
 
-// a report of one worker carried by another's address: the answer to what went out before the
-// host's start is the old process's. Reports are believed here, and the new process is judged by its own from
-// the first.
-TEST(LoadReportModel, LateAnswerOfTheOldProcessSaysNothingOfTheNewOne) {
+// An answer to an attempt that was sent before the host's restart carries a report of the old process. It
+// must not affect the new process, whose own reports are used from the first one.
+TEST(LoadReportModel, IgnoresReportOfOldProcessAfterRestart) {
   Settings settings = makeSettings();
   settings.warmUpTime = {};
   Driver reporting(settings, 2), silent(settings, 2);
@@ -231,7 +230,7 @@
     return d.lastSent();
   };
   for (Driver* d : {&reporting, &silent}) {
-    for (int i = 0; i < 600; ++i) {  // what was reported last is what comes
+    for (int i = 0; i < 600; ++i) {  // the latency follows the last report
       const double queue = i / 12 % 2 ? 9 : 0;
       answer(*d, request(*d), queue, milliseconds(queue > 0 ? 40 : 10));
     }
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-// OutlierDetector: silence, ejection, trial and return of hosts.
+// OutlierDetector: unresponsive hosts, ejection, trial and recovery.
 #include "policy/outlier_detector.hpp"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
   });
 }
 
-TEST(OutlierDetector, EjectsHostThatErrsAtOnceWithoutRaisingCutoff) {
+TEST(OutlierDetector, EjectsHostOfImmediateErrorsWithoutRaisingCutoff) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
   const HostId bad = d.host(2);
@@ -30,36 +30,36 @@
     }
     EXPECT_EQ(d.balancer.admissionCutoff(), 0);
   }
-  EXPECT_LT(d.sentTo(bad), 30u) << "it holds nothing in flight, so the pick would feed it";
-  EXPECT_GT(d.sentTo(bad), 3u) << "a trickle finds out when it is well again";
+  EXPECT_LT(d.sentTo(bad), 30u) << "without ejection it would look idle and attract requests";
+  EXPECT_GT(d.sentTo(bad), 3u) << "trials detect its recovery";
 }
 
 TEST(OutlierDetector, EjectedHostReturnsAfterRecovery) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
   const HostId bad = d.host(2);
-  bool broken = true;
+  bool isBroken = true;
   const auto run = [&](int n) {
     for (int i = 0; i < n; ++i) {
       d.request(0);
       d.advance(milliseconds(10));
       for (std::size_t k = 0; k < d.out.size();) {
         const Sent s = d.out[k];
-        if (s.host == bad && broken) d.settle(s, Outcome::connectFailed, false);
+        if (s.host == bad && isBroken) d.settle(s, Outcome::connectFailed, false);
         else if (d.now - s.at >= milliseconds(30)) d.serve(s);
         else ++k;
       }
     }
   };
   run(300);
-  broken = false;
+  isBroken = false;
   run(1200);
   d.forget();
   run(300);
   EXPECT_GT(d.sentTo(bad) * 12, d.sent.size());
 }
 
-TEST(OutlierDetector, SilentHostGetsNoMoreRequests) {
+TEST(OutlierDetector, UnresponsiveHostGetsNoMoreRequests) {
   Driver d(makeSettings(), 4);
   d.warmUp(0, 40);
   const HostId lost = d.host(1);
@@ -75,58 +75,58 @@
   EXPECT_LE(d.sentTo(lost), early + 6) << "of about 30: only trials after its requests timed out";
 }
 
-TEST(OutlierDetector, SilentHostIsPassedOverUnderLoad) {
+TEST(OutlierDetector, UnresponsiveHostIsSkippedUnderLoad) {
   Driver d(makeSettings(), 4);
   d.warmUp(0, 40);
   while (d.out.empty() || d.lastSent().host != d.host(1)) {
     while (!d.out.empty()) d.serve(Sent(d.out.front()));
     d.request(1);
   }
-  d.advance(milliseconds(320));  // far past the usual time, its time limit still to come
+  d.advance(milliseconds(320));  // far past the typical latency, but before the timeout
   d.forget();
   for (int i = 0; i < 12; ++i) d.request(0);
   EXPECT_GT(d.sent.size(), 8u);
   EXPECT_EQ(d.sentTo(d.host(1)), 0u);
 }
 
-// Every second request of one host ends in a broken connection: it answers the rest, so it is not down.
+// Every second request to one host ends in a broken connection. It answers the others, so it is not down.
 TEST(OutlierDetector, KeepsResponsiveHostWithBrokenConnections) {
   Driver d(makeSettings());
   d.warmUp(0, 60, milliseconds(20));
   d.forget();
-  int met = 0;
+  int attemptsAtHost = 0;
   for (int i = 0; i < 300; ++i) {
     for (int n = 0; n < 6; ++n) d.request(0);
     d.advance(milliseconds(20));
     while (!d.out.empty()) {
       const Sent s = d.out.front();
-      const bool breaks = s.host == d.host(0) && ++met % 2 == 0;
+      const bool breaks = s.host == d.host(0) && ++attemptsAtHost % 2 == 0;
       d.settle(s, breaks ? Outcome::reset : Outcome::served, !breaks);
     }
   }
-  EXPECT_GT(met, 100);
+  EXPECT_GT(attemptsAtHost, 100);
   EXPECT_FALSE(ejectedAny(d));
 }
 
 TEST(OutlierDetector, EjectsHostWhoseProcessDied) {
   Driver d(makeSettings());
   d.warmUp(0, 60, milliseconds(20));
-  int met = 0;
+  int attemptsAtHost = 0;
   for (int i = 0; i < 100; ++i) {
     for (int n = 0; n < 6; ++n) d.request(0);
     d.advance(milliseconds(20));
     while (!d.out.empty()) {
       const Sent s = d.out.front();
       const bool down = s.host == d.host(0);
-      met += down;
+      attemptsAtHost += down;
       d.settle(s, down ? Outcome::connectFailed : Outcome::served, !down);
     }
   }
   EXPECT_TRUE(ejectedAny(d));
-  EXPECT_LT(met, 40) << "of some 100";
+  EXPECT_LT(attemptsAtHost, 40) << "of some 100";
 }
 
-TEST(OutlierDetector, PoolWideFaultEjectsNobodyForLong) {
+TEST(OutlierDetector, PoolWideFaultCausesNoLastingEjection) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
   for (int i = 0; i < 100; ++i) {
@@ -141,7 +141,7 @@
   EXPECT_EQ(d.balancer.admissionCutoff(), 0);
 }
 
-TEST(OutlierDetector, RestartedHostStartsWithACleanRecord) {
+TEST(OutlierDetector, RestartResetsHealthOfHost) {
   Driver d(makeSettings(), 4);
   d.warmUp(0, 40);
   for (int i = 0; i < 200; ++i) {
@@ -163,8 +163,8 @@
   EXPECT_GT(d.sentTo(d.host(0)), 0u);
 }
 
-// Many hosts pause now and then: a short silence must not keep a host out for long.
-TEST(OutlierDetector, ForgivesShortPause) {
+// Hosts may pause briefly: a short silence must not take a host out of service for long.
+TEST(OutlierDetector, HostReturnsSoonAfterShortPause) {
   Driver d(makeSettings(), 3);
   d.warmUp(0, 60);
   Time pausedUntil = d.now + milliseconds(900);
@@ -181,7 +181,7 @@
   EXPECT_GT(d.sentTo(paused) - before, 30u);
 }
 
-// A host that is well for a second and dead for a second must never raise the cutoff.
+// A host that alternates between one second of health and one of failures must not raise the cutoff.
 TEST(OutlierDetector, FlappingHostCostsFewRequests) {
   Driver d(makeSettings(), 5);
   d.warmUp(0, 60);
@@ -203,17 +203,17 @@
     }
     EXPECT_LT(d.balancer.admissionCutoff(), 1);
   }
-  EXPECT_LT(failures, 120u) << "one in five requests would go there half of the time: 200";
+  EXPECT_LT(failures, 120u) << "200 without ejection: one request in five, half of the time";
 }
 
-// The reachable hosts serve all, and the zone returns by itself.
-TEST(OutlierDetector, LeavesUnreachableZoneUntilItReturns) {
+// The reachable hosts serve all requests, and the zone is used again after its recovery.
+TEST(OutlierDetector, AvoidsUnreachableZoneUntilItRecovers) {
   Driver d(makeSettings(), 0);
   std::vector<HostEntry> list;
   for (int i = 0; i < 8; ++i) list.push_back(makeHost(i, i < 4 ? "east" : "west"));
   d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
-  bool cutOff = true;
-  const auto far = [&](HostId h) { return d.balancer.hostAddress(h) >= "host-104"; };
+  bool isUnreachable = true;
+  const auto isInOtherZone = [&](HostId h) { return d.balancer.hostAddress(h) >= "host-104"; };
   const auto run = [&](int n) {
     std::size_t lost = 0;
     for (int i = 0; i < n; ++i) {
@@ -221,7 +221,7 @@
       d.advance(milliseconds(10));
       for (std::size_t k = 0; k < d.out.size();) {
         const Sent s = d.out[k];
-        if (cutOff && far(s.host)) {
+        if (isUnreachable && isInOtherZone(s.host)) {
           if (d.now - s.at >= milliseconds(200)) d.settle(s, Outcome::connectFailed, false);
           else ++k;
         } else if (d.now - s.at >= milliseconds(30)) {
@@ -231,20 +231,21 @@
         }
       }
     }
-    for (const Sent& s : d.sent) lost += far(s.host);
+    for (const Sent& s : d.sent) lost += isInOtherZone(s.host);
     return lost;
   };
   run(500);
   d.forget();
   EXPECT_LT(run(500), 60u);
-  cutOff = false;
+  isUnreachable = false;
   run(1500);
   d.forget();
   EXPECT_GT(run(500), 100u);
 }
 
-// A restored list may be long out of date: dead addresses prove that nothing ran and cost a retry, no answer.
-TEST(OutlierDetector, StaleListCostsRetriesOnly) {
+// A restored list may be stale. A dead address costs a retry but no request, since the attempt never
+// ran.
+TEST(OutlierDetector, StaleListCausesRetriesButNoRejections) {
   Driver d(makeSettings(), 9);
   int answered = 0;
   for (int i = 0; i < 300; ++i) {
@@ -258,7 +259,7 @@
     }
     answered += d.refused(id) || d.failed(id);
   }
-  EXPECT_LT(answered, 10) << "five of nine dead; with the median peer as the yardstick nobody is ejected";
+  EXPECT_LT(answered, 10) << "five of nine are dead, so the median failure rate would eject no host";
 }
 
 TEST(OutlierDetector, NeverEjectsTheOnlyHost) {
@@ -274,35 +275,35 @@
   EXPECT_EQ(d.sent.size(), 1u);
 }
 
-// Every gateway meets a host that errs at once by itself, and again at each trial.
+// Every gateway runs its own trials of a host that fails immediately. They must use idempotent requests.
 TEST(OutlierDetector, TriesEjectedHostWithIdempotentRequests) {
   Driver d(makeSettings(), 6);
   d.warmUp(1, 60, milliseconds(5));
   const HostId bad = d.host(3);
-  std::size_t unsafe = 0, safe = 0;
+  std::size_t nonIdempotentTrials = 0, idempotentTrials = 0;
   for (int i = 0; i < 4000; ++i) {
     d.request(i % 5 == 0 ? 0 : 1);
     while (!d.out.empty()) {
       const Sent s = d.out.front();
-      const bool may = d.classOf[s.request] == 0;
-      if (s.host == bad && i > 500) ++(may ? safe : unsafe);
+      const bool isIdempotent = d.classOf[s.request] == 0;
+      if (s.host == bad && i > 500) ++(isIdempotent ? idempotentTrials : nonIdempotentTrials);
       d.settle(s, s.host == bad ? Outcome::error : Outcome::served, s.host != bad, milliseconds(1));
     }
     d.advance(milliseconds(5));
   }
-  EXPECT_GE(safe, 2u) << "it is tried";
-  EXPECT_EQ(unsafe, 0u);
+  EXPECT_GE(idempotentTrials, 2u) << "trials take place";
+  EXPECT_EQ(nonIdempotentTrials, 0u);
 }
 
-TEST(OutlierDetector, HostIsResponsiveForAMomentAfterAnAnswer) {
+TEST(OutlierDetector, HostIsResponsiveFor150MsAfterResponse) {
   Host host;
-  EXPECT_FALSE(OutlierDetector::isResponsive(host, seconds(1))) << "never heard";
+  EXPECT_FALSE(OutlierDetector::isResponsive(host, seconds(1))) << "it has never responded";
   host.health.lastResponseAt = seconds(1);
   EXPECT_TRUE(OutlierDetector::isResponsive(host, seconds(1) + milliseconds(149)));
   EXPECT_FALSE(OutlierDetector::isResponsive(host, seconds(1) + milliseconds(150)));
 }
 
-TEST(OutlierDetector, FailedTrialEjectsAndServedTrialReturns) {
+TEST(OutlierDetector, FailedTrialEjectsAndServedTrialRestores) {
   const Settings settings = makeSettings();
   HostRegistry hosts("east");
   const FleetShape shape(settings, hosts);
--- a/tests/policy/overload_estimator_test.cpp
+++ b/tests/policy/overload_estimator_test.cpp
@@ -1,4 +1,4 @@
-// OverloadEstimator: the admission cutoff by load in flight and by errors.
+// OverloadEstimator: the admission cutoff by requests in flight and by errors.
 #include "policy/overload_estimator.hpp"
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 namespace {
 
 TEST(OverloadEstimator, CutoffIsZeroBelowThresholdThenCubic) {
-  Driver d(makeSettings(), 10);  // a first maximum of 6 a host and 2 over: 62
+  Driver d(makeSettings(), 10);  // initial limit: 6 per host plus 2, so 62
   bool rose = false, zero = false;
   double smooth = 0;
   for (int i = 0; i < 300; ++i) {
-    const double held = static_cast<double>(d.out.size());
+    const double inFlight = static_cast<double>(d.out.size());
     const std::size_t before = d.out.size();
     d.request(0);
-    smooth += 0.05 * (held - smooth);
+    smooth += 0.05 * (inFlight - smooth);
     const double x = std::clamp((smooth / 62 - 0.5) / 0.5, 0.0, 1.0);
     zero |= x == 0 && smooth > 15;
     EXPECT_NEAR(d.balancer.admissionCutoff(), 100 * x * x * x, 1e-6) << "at " << before;
@@ -40,8 +40,8 @@
   EXPECT_EQ(d.balancer.admissionCutoff(), 0);
 }
 
-// The learned limit follows a pool that loses most of its hosts while traffic falls alike.
-TEST(OverloadEstimator, ShedsNothingWhenFleetAndTrafficShrinkAlike) {
+// The in-flight limit follows a pool that loses most of its hosts while traffic decreases in proportion.
+TEST(OverloadEstimator, RejectsNothingWhenFleetAndTrafficShrinkAlike) {
   Driver d(makeSettings(), 8);
   int refused = 0;
   for (int phase = 0; phase < 3; ++phase) {
@@ -57,11 +57,11 @@
   EXPECT_EQ(refused, 0);
 }
 
-// The learned limit rests on the rate of answers: after a lull or a collapse it must not stay near zero.
-TEST(OverloadEstimator, RecoversAfterACollapse) {
+// The in-flight limit is derived from the rate of answers; after a collapse it must not stay near zero.
+TEST(OverloadEstimator, RecoversAfterCollapse) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 100, milliseconds(20));
-  for (int i = 0; i < 200; ++i) {  // nothing is answered at all
+  for (int i = 0; i < 200; ++i) {  // no attempt is answered
     d.request(1);
     d.advance(milliseconds(20));
     serveDue(d, [](HostId) { return Duration{}; });
@@ -78,9 +78,9 @@
   EXPECT_EQ(refused, 0);
 }
 
-// Hosts that hold about twice their cores slow down and stay slow while demand lasts: the pool's mean latency
-// must stay well under the objective (400 ms here).
-TEST(OverloadEstimator, ShedsLongBeforeMeanLatencyReachesObjective) {
+// Hosts with about twice as many requests as cores slow down and stay slow while the demand lasts, so the
+// pool's mean latency must stay well below the objective (400 ms here).
+TEST(OverloadEstimator, RejectsBeforeMeanLatencyReachesObjective) {
   for (int time : {50, 250}) {
     Driver d(makeSettings(), 8);
     int refused = 0;
@@ -95,36 +95,36 @@
   }
 }
 
-// When all hosts slow down together their latency passes the target without any queue; a limit that follows
-// the sinking rate would idle the pool for as long as that lasts.
+// When all hosts slow down together, latency exceeds the target without any queueing. A limit that follows
+// the falling rate would leave the pool idle for as long as that lasts.
 TEST(OverloadEstimator, SharedSlowdownDoesNotIdleThePool) {
   Driver d(makeSettings(), 8);
   d.warmUp(1, 100, milliseconds(20));
-  double held = 0;
+  double inFlight = 0;
   for (int i = 0; i < 4000; ++i) {
     d.request(1);
     d.advance(milliseconds(5));
     serveDue(d, [](HostId) { return Duration(milliseconds(300)); });
-    if (i >= 3500) held += static_cast<double>(d.out.size()) / 500;
+    if (i >= 3500) inFlight += static_cast<double>(d.out.size()) / 500;
   }
-  EXPECT_GT(held, 15) << "eight hosts keep nearly two each";
+  EXPECT_GT(inFlight, 15) << "eight hosts have almost two requests each";
 }
 
-// Hosts of many cores: what they held while nothing was rejected stays allowed.
+// Hosts with many cores: the concurrency reached while nothing was rejected stays allowed.
 TEST(OverloadEstimator, SharedSlowdownKeepsUnloadedConcurrency) {
   Driver d(makeSettings(), 8);
-  double held = 0;
-  for (int i = 0; i < 35000; ++i) {  // a thousand requests a second: sixty held, then six times the time
+  double inFlight = 0;
+  for (int i = 0; i < 35000; ++i) {  // 1,000 requests per second: 60 in flight, then six times the latency
     d.request(1);
     d.advance(milliseconds(1), milliseconds(1));
     serveDue(d, [&](HostId) { return Duration(milliseconds(i < 5000 ? 60 : 360)); });
-    if (i >= 30000) held += static_cast<double>(d.out.size()) / 5000;
+    if (i >= 30000) inFlight += static_cast<double>(d.out.size()) / 5000;
   }
-  EXPECT_GT(held, 40) << "two a host, the floor, would be sixteen";
+  EXPECT_GT(inFlight, 40) << "the minimum of two per host would be sixteen";
 }
 
-// A gateway that starts in an overload has measured nothing: it must neither reject nor admit all.
-TEST(OverloadEstimator, NewGatewayServesAtOnceAndSheds) {
+// A gateway that starts during an overload has no measurements. It must neither reject nor admit everything.
+TEST(OverloadEstimator, NewGatewayAdmitsFirstRequestsThenRejects) {
   Driver d(makeSettings(), 8);
   int refused = 0;
   for (int i = 0; i < 20; ++i) refused += d.refused(d.request(1));
@@ -133,22 +133,22 @@
   EXPECT_GT(refused, 100);
 }
 
-// What is held under the first second's guess proves nothing: learned as unloaded concurrency, it would keep
-// small hosts crowded.
-TEST(OverloadEstimator, FirstGuessIsNotLearnedAsUnloadedConcurrency) {
+// The requests in flight under the initial limit must not be taken for unloaded concurrency, or small hosts
+// would stay overloaded.
+TEST(OverloadEstimator, InitialLimitIsNotTakenForUnloadedConcurrency) {
   Driver d(makeSettings(), 8);
-  double held = 0;
+  double inFlight = 0;
   for (int i = 0; i < 20000; ++i) {
     d.request(1);
     d.advance(milliseconds(2), milliseconds(2));
     serveDue(d, [&](HostId) { return Duration(milliseconds(300)); });
-    if (i >= 15000) held += static_cast<double>(d.out.size()) / 5000;
+    if (i >= 15000) inFlight += static_cast<double>(d.out.size()) / 5000;
   }
-  EXPECT_LT(held, 24.5) << "the guess lets twenty-five be held with nothing refused";
+  EXPECT_LT(inFlight, 24.5) << "the initial limit allows twenty-five without rejections";
 }
 
-// The guess of the first second crowds hosts with small queues before anything is measured.
-TEST(OverloadEstimator, CapacityRejectionsLowerTheFirstGuess) {
+// The initial limit overloads hosts with small queues before there are measurements.
+TEST(OverloadEstimator, CapacityRejectionsLowerTheInitialLimit) {
   Driver d(makeSettings(), 8);
   int refused = 0, sends = 0;
   for (int i = 0; i < 450; ++i) {
@@ -157,18 +157,18 @@
     d.advance(milliseconds(2), milliseconds(2));
     serveDue(d, [](HostId) { return Duration(milliseconds(50)); });
   }
-  EXPECT_GT(refused, 20) << "twenty-five held of a guess of fifty, but every ninth attempt finds a host full";
+  EXPECT_GT(refused, 20) << "25 in flight under a limit of 50, but every ninth attempt is rejected";
 }
 
-// A gateway that is down to its heavy class of high priority has few answers a second. Counted one by one,
-// they would keep its limit at the floor while other gateways take its share.
+// A gateway left with a heavy class of high priority has few answers per second. Without weighting by work
+// they would keep its limit at the minimum while other gateways take its share.
 TEST(OverloadEstimator, GatewayLeftWithHeavyRequestsRecoversItsLimit) {
-  Settings set = makeSettings();
-  set.gatewayCount = 4;
-  Driver d(set, 8);
+  Settings settings = makeSettings();
+  settings.gatewayCount = 4;
+  Driver d(settings, 8);
   std::map<RequestId, bool> heavy;
   int refused = 0;
-  for (int i = 0; i < 20000; ++i) {  // a hundred heavy and four hundred light requests a second
+  for (int i = 0; i < 20000; ++i) {  // 100 heavy and 400 light requests per second
     const bool isHeavy = i % 5 == 0;
     const RequestId id = d.request(isHeavy ? 0 : 1);
     heavy[id] = isHeavy;
@@ -182,10 +182,11 @@
     }
     if (i >= 19000 && isHeavy) refused += d.refused(id);
   }
-  EXPECT_LE(refused, 50) << "of two hundred heavy ones, six seconds later";
+  EXPECT_LE(refused, 50) << "of two hundred heavy requests, six seconds after the slowdown";
 }
 
-// Overloaded hosts stay slow for long; their capacity rejections come long before errors count.
+// Overloaded hosts stay slow for long. Their capacity rejections lower the limit well before the error
+// overload does.
 TEST(OverloadEstimator, CapacityRejectionsLowerTheLimit) {
   int refused[2] = {0, 0};
   for (int round : {0, 1}) {
@@ -200,10 +201,10 @@
     }
   }
   EXPECT_LT(refused[0], 100);
-  EXPECT_GT(refused[1], 3 * refused[0] + 100) << "seven per cent full, far from an error overload";
+  EXPECT_GT(refused[1], 3 * refused[0] + 100) << "7 percent of rejections are far below the error threshold";
 }
 
-TEST(OverloadEstimator, HandfulOfErrorsIsNoOverload) {
+TEST(OverloadEstimator, FewErrorsAreNoOverload) {
   Driver d(makeSettings(), 3);
   for (int i = 0; i < 20; ++i) {
     const RequestId id = d.request(1);
@@ -218,12 +219,12 @@
   Driver d(makeSettings(), 4);
   LossyPool pool(d);
   pool.play(200, 0);
-  double most = 0;
+  double maxCutoff = 0;
   for (int i = 0; i < 40; ++i) {
     pool.play(10, 4);
-    if (i >= 10) most = std::max(most, d.balancer.admissionCutoff());
+    if (i >= 10) maxCutoff = std::max(maxCutoff, d.balancer.admissionCutoff());
   }
-  EXPECT_LT(most, 10);
+  EXPECT_LT(maxCutoff, 10);
 }
 
 TEST(OverloadEstimator, CubicCutoffIsBounded) {
--- a/tests/policy/peer_message_test.cpp
+++ b/tests/policy/peer_message_test.cpp
@@ -1,4 +1,4 @@
-// Peer messages: the bytes on the wire, and what is not decoded.
+// Peer messages: encoding, decoding and rejection of other bytes.
 #include "policy/peer_message.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 using peer::encode;
 using peer::MessageKind;
 
-TEST(PeerMessage, DecodesWhatWasEncodedAndNothingElse) {
+TEST(PeerMessage, DecodesOnlyEncodedMessages) {
   for (const peer::MessageKind kind :
        {peer::MessageKind::recommendationRequest, peer::MessageKind::recommendation,
         peer::MessageKind::attemptStarted, peer::MessageKind::attemptEnded}) {
@@ -34,7 +34,7 @@
   }
 }
 
-// Gateways of different versions talk to each other: these bytes must not change.
+// Gateways of different versions exchange messages, so the encoding must not change.
 TEST(PeerMessage, BytesOnTheWire) {
   const auto bytesOf = [](MessageKind kind) {
     return encode({kind, 0x89abcdef, 0x1122334455667788, Outcome::reset, 2.5});
@@ -48,7 +48,7 @@
   EXPECT_EQ(bytesOf(MessageKind::attemptEnded), "\x14\xef\xcd\xab\x89\x05\x1e"sv);
 }
 
-// Hosts are named by their hash, and groups have their tracker by theirs.
+// Hosts and the trackers of groups are identified by these hashes at all gateways.
 TEST(PeerMessage, HashesOnTheWire) {
   EXPECT_EQ(hashText("10.0.0.1:8080"), 0x617fb5c94294a1fdULL);
   EXPECT_EQ(hashText(""), 0xc3817c016ba4ff30ULL);
--- a/tests/policy/random_source_test.cpp
+++ b/tests/policy/random_source_test.cpp
@@ -1,4 +1,4 @@
-// RandomSource: one sequence for one seed, on every platform.
+// RandomSource: the same sequence for a seed on every platform.
 #include "policy/random_source.hpp"
 
 #include <gtest/gtest.h>
@@ -8,8 +8,8 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-// The standard fixes the engine's sequence; the figure is its 10,000th value for the default seed.
-TEST(RandomSource, DrawsTheEnginesSequence) {
+// The C++ standard specifies this 10,000th value of the engine for the default seed.
+TEST(RandomSource, YieldsSequenceOfStandardEngine) {
   RandomSource random(std::mt19937_64::default_seed);
   for (int i = 1; i < 10'000; ++i) random.unit();
   EXPECT_EQ(random.unit(), static_cast<double>(9981545732273789042ULL >> 11) * 0x1.0p-53);
--- a/tests/policy/request_timers_test.cpp
+++ b/tests/policy/request_timers_test.cpp
@@ -1,4 +1,4 @@
-// RequestTimers: by time, then by request.
+// RequestTimers: order by time, then by request.
 #include "policy/request_timers.hpp"
 
 #include "support/driver.hpp"
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// RetryPolicy: which requests are sent again, where, until when, and out of which budget.
+// RetryPolicy: which requests are retried, at which hosts, until when, and within which budget.
 #include "policy/retry_policy.hpp"
 
 #include <map>
@@ -16,7 +16,7 @@
     const RequestId id = d.request(1);
     d.settle(d.lastSent(), o, false);
     EXPECT_EQ(d.sent.size(), 1u);
-    EXPECT_TRUE(d.failed(id)) << "a refusal would claim that a retry is harmless";
+    EXPECT_TRUE(d.failed(id)) << "a rejection would indicate that a retry is harmless";
   }
   for (Outcome o : {Outcome::rejectedForCapacity, Outcome::connectFailed}) {
     Driver d(makeSettings());
@@ -28,7 +28,7 @@
   }
 }
 
-TEST(RetryPolicy, AsksForLiveConnectionUnlessIdempotent) {
+TEST(RetryPolicy, RequiresVerifiedConnectionUnlessIdempotent) {
   Driver d(makeSettings());
   for (std::uint32_t cls = 0; cls < makeSettings().classes.size(); ++cls) {
     d.forget();
@@ -72,7 +72,7 @@
                   next / (g == DeduplicationScope::cell ? 2 : 4));
         d.settle(d.lastSent(), Outcome::timeout, false);
       }
-      EXPECT_TRUE(d.failed(id)) << "never refused: the group is not all";
+      EXPECT_TRUE(d.failed(id)) << "not rejected, since the scope is not all hosts";
     }
   }
   Settings late = makeSettings();
@@ -95,9 +95,9 @@
   EXPECT_TRUE(d.refused(id));
 }
 
-// An attempt of an earlier request may have run: the rule on repeats holds as for an own attempt.
-TEST(RetryPolicy, EarlierAttemptBindsToItsScopeWithinTheWindow) {
-  Driver d(makeSettings(), 8);  // cells 0 and 1 in turn; `put` is dropped by cell for 800 ms
+// An attempt of an earlier request that may have run restricts repeats like an attempt of the request itself.
+TEST(RetryPolicy, EarlierAttemptRestrictsHostsToItsScope) {
+  Driver d(makeSettings(), 8);  // cells 0 and 1 alternate; `put` is deduplicated by cell for 800 ms
   for (int i = 0; i < 40; ++i) {
     const EarlierAttempt earlier{"east", 1, d.now - milliseconds(100)};
     const RequestId id = d.request(2, milliseconds(1000), 0, &earlier);
@@ -109,7 +109,7 @@
   }
 }
 
-TEST(RetryPolicy, FailsWhereNoHostDropsRepeatsOfEarlierAttempt) {
+TEST(RetryPolicy, FailsIfNoHostDeduplicatesWithEarlierAttempt) {
   Driver d(makeSettings(), 8);
   const auto sent = d.sent.size();
   const auto failsAfter = [&d](std::uint32_t cls, const EarlierAttempt& earlier) {
@@ -118,7 +118,7 @@
   EXPECT_TRUE(failsAfter(2, {"east", 1, d.now - milliseconds(795)}));
   EXPECT_TRUE(failsAfter(2, {"west", 1, d.now}));
   EXPECT_TRUE(failsAfter(2, {"east", 7, d.now}));
-  EXPECT_TRUE(failsAfter(1, {"east", 1, d.now}));  // unsafe: nowhere
+  EXPECT_TRUE(failsAfter(1, {"east", 1, d.now}));  // non-idempotent: no host is allowed
   EXPECT_EQ(d.sent.size(), sent);
 }
 
@@ -127,12 +127,12 @@
   std::mt19937 engine(3);
   int failed = 0, refused = 0;
   for (int i = 0; i < 2000; ++i) {
-    const bool bound = i % 2 == 0;
+    const bool hasEarlierAttempt = i % 2 == 0;
     const EarlierAttempt earlier{"east", 1, d.now - milliseconds(10)};
-    const RequestId id = d.request(2, milliseconds(1000), 0, bound ? &earlier : nullptr);
-    if (bound) EXPECT_FALSE(d.refused(id));
-    failed += bound && d.failed(id);
-    refused += !bound && d.refused(id);
+    const RequestId id = d.request(2, milliseconds(1000), 0, hasEarlierAttempt ? &earlier : nullptr);
+    if (hasEarlierAttempt) EXPECT_FALSE(d.refused(id));
+    failed += hasEarlierAttempt && d.failed(id);
+    refused += !hasEarlierAttempt && d.refused(id);
     if (d.out.size() > 44) d.serve(Sent(d.out[engine() % d.out.size()]));
   }
   EXPECT_GT(refused, 50);
@@ -147,22 +147,22 @@
     return d.lastSent().limit;
   };
   pool.play(100, 0);
-  EXPECT_GT(limitOf(0), milliseconds(350));  // all of its aim
+  EXPECT_GT(limitOf(0), milliseconds(350));  // close to the whole objective
   pool.play(100, 4);
   EXPECT_LE(limitOf(0), milliseconds(200));
   EXPECT_LE(limitOf(2), milliseconds(200));
-  EXPECT_GT(limitOf(1), milliseconds(350));  // may not be repeated: nothing is gained by giving it up
+  EXPECT_GT(limitOf(1), milliseconds(350));  // may not be repeated, so abandoning it early gains nothing
   pool.play(100, 0);
   EXPECT_GT(limitOf(0), milliseconds(350));
 }
 
-// Where much is rejected, the retry budget runs out. What is left of it goes to the highest priority, not to
-// whoever comes first.
-TEST(RetryPolicy, LastRetriesAreKeptForTheHighestPriority) {
+// Under many rejections the retry budget runs out. The rest is reserved for the highest priority.
+TEST(RetryPolicy, RetryBudgetIsReservedForHighestPriority) {
   Settings many = makeSettings();
   many.gatewayCount = 100;
   Driver d(many, 12);
-  std::map<std::uint32_t, int> asked, resent;  // by class; the first is worth ten times the second
+  // By class; the first has ten times the priority of the second.
+  std::map<std::uint32_t, int> requestCounts, retriedCounts;
   for (int i = 0; i < 400; ++i) {
     const std::uint32_t cls = i % 4 == 0 ? 0 : 1;
     const std::size_t before = d.sent.size();
@@ -171,13 +171,13 @@
     while (!d.out.empty())
       d.settle(Sent(d.out.front()), std::exchange(first, false) ? Outcome::connectFailed : Outcome::served,
                false);
-    if (i < 150 || d.sent.size() == before) continue;  // until what was saved up is used
-    ++asked[cls];
-    resent[cls] += d.sent.size() > before + 1;
+    if (i < 150 || d.sent.size() == before) continue;  // until the initial budget is used
+    ++requestCounts[cls];
+    retriedCounts[cls] += d.sent.size() > before + 1;
     d.advance(milliseconds(20));
   }
-  EXPECT_GT(resent[0], asked[0] * 9 / 10);
-  EXPECT_LT(resent[1], asked[1] / 2);
+  EXPECT_GT(retriedCounts[0], requestCounts[0] * 9 / 10);
+  EXPECT_LT(retriedCounts[1], requestCounts[1] / 2);
 }
 
 TEST(RetryPolicy, BudgetIsSpentAndRefilled) {
@@ -196,12 +196,13 @@
   }
   EXPECT_FALSE(retries.mayRetry(request, 0, {}));
   for (int i = 0; i < 4; ++i) retries.onArrival();
-  EXPECT_TRUE(retries.mayRetry(request, 0, {})) << "0.3 retries a request";
+  EXPECT_TRUE(retries.mayRetry(request, 0, {})) << "0.3 retries per request";
   EXPECT_FALSE(retries.mayRetry(request, 0, seconds(10))) << "too late";
 }
 
 TEST(RetryPolicy, RepeatDeadlineFollowsTheFirstAttemptThatMayHaveRun) {
-  const Settings settings = makeSettings();  // class 2 has a key; its window is 800 ms, events 5 ms apart
+  // Class 2 has a key and a window of 800 ms; the event interval is 5 ms.
+  const Settings settings = makeSettings();
   const HostRegistry hosts("east");
   const FleetShape shape(settings, hosts);
   const TrafficStatistics traffic(settings, {});
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings: what makes no sense is rejected with the name of the setting.
+// Settings: invalid settings are rejected with an error naming the setting.
 #include "policy/settings.hpp"
 
 #include <cmath>
--- a/tests/policy/slow_start_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -1,6 +1,7 @@
-// SlowStart: warming hosts under the sum of all gateways. What the settings allow a warming host in a window
-// is a budget of calls for the whole fleet; two times its square root and two calls more are put down to
-// chance. Real modules send; a separate checker counts the calls of the window that ends at each of them.
+// SlowStart: attempts of all gateways together at warming hosts. The settings give a warming host a budget of
+// attempts per window for the whole fleet; an excess of twice its square root plus two attempts is attributed
+// to chance. The decision modules send the attempts, and a separate checker counts those of the window that
+// ends at each of them.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -16,7 +17,7 @@
   int hosts;
   int slots;
   int workMs;
-  double load;  // of what all warm hosts can do
+  double load;  // of the capacity of all hosts when warm
 };
 
 std::string name(const ::testing::TestParamInfo<BudgetCase>& info) {
@@ -39,21 +40,21 @@
     s.requestsPerSecond = c.load * c.hosts * c.slots * 1000.0 / c.workMs;
     s.connections = 10000;
     s.initialCapacityFraction = 0.32;
-    s.listDelay = milliseconds(200);  // a start is known while the host has its least capacity
+    s.listDelay = milliseconds(200);  // a start is listed while the host still has its lowest capacity
     s.seed = seed;
     return s;
   }
   void expectBudget(const Fleet& f, const std::string& day) const {
-    std::printf("%s: %.2f of the budget in the worst window, %.0f calls to spare, worth %.3f\n", day.c_str(),
-                f.audit.worstBudgetFraction, -f.audit.worstBudgetExcess,
+    std::printf("%s: %.2f of the budget in the worst window, %.0f attempts to spare, value %.3f\n",
+                day.c_str(), f.audit.worstBudgetFraction, -f.audit.worstBudgetExcess,
                 f.counts.valueServed / f.counts.valueRequested);
     EXPECT_LE(f.audit.worstBudgetExcess, 0) << day;
-    EXPECT_GT(f.audit.worstBudgetFraction, 0) << day << ": nothing was sent to a cold host";
+    EXPECT_GT(f.audit.worstBudgetFraction, 0) << day << ": nothing was sent to a warming host";
   }
 };
 
-// Six in ten hosts are replaced by new ones, within a few seconds.
-TEST_P(SlowStartBudget, HoldsInADeploy) {
+// Six in ten hosts are replaced within four seconds.
+TEST_P(SlowStartBudget, HoldsDuringDeploy) {
   for (const std::uint64_t seed : {1, 2}) {
     Fleet f(settings(seed));
     f.run(seconds(3));
@@ -69,7 +70,7 @@
   }
 }
 
-// Two hosts restart, and each gateway too: what a new gateway may send at once counts in the budget.
+// Two hosts and all gateways restart: the initial burst of each new gateway counts against the budget.
 TEST_P(SlowStartBudget, HoldsWhileTheGatewaysRestart) {
   Fleet f(settings(3));
   f.run(seconds(3));
@@ -87,8 +88,8 @@
   expectBudget(f, "restarts");
 }
 
-// Traffic is half as much again for a while, and one gateway has five times the mean.
-TEST_P(SlowStartBudget, HoldsInABurstOnUnevenGateways) {
+// Traffic is 1.5 times the usual, and one gateway has five times the mean.
+TEST_P(SlowStartBudget, HoldsDuringBurstOnUnevenGateways) {
   FleetSettings s = settings(4);
   s.heavyGatewayFactor = 5;
   s.requestsPerSecond *= 1.5;
@@ -102,8 +103,9 @@
   expectBudget(f, "burst");
 }
 
-// Nine in ten hosts fall silent, and some of the others are warming up: requests have nowhere else to go.
-TEST_P(SlowStartBudget, HoldsWhereNextToNothingElseIsLeft) {
+// Nine in ten hosts become unreachable and some of the others are warming up, so most requests could only go
+// there.
+TEST_P(SlowStartBudget, HoldsWhenFewOtherHostsAreLeft) {
   Fleet f(settings(5));
   f.run(seconds(3));
   const int cold = std::max(1, f.settings.hosts / 20);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// SlowStart: what a warming host may take.
+// SlowStart: limits on the attempts sent to warming hosts.
 #include "policy/slow_start.hpp"
 
 #include "support/driver.hpp"
@@ -11,12 +11,13 @@
   s.gatewayCount = 2;
   Driver d(s, 4);
   d.warmUp(0, 100, milliseconds(10));
-  HostEntry cold = makeHost(9);
-  cold.startedAt = d.now;
-  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {cold});
+  HostEntry warmingHost = makeHost(9);
+  warmingHost.startedAt = d.now;
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {warmingHost});
   d.forget();
   std::size_t warm = 0;
-  for (int i = 0; i < 200; ++i) {  // two seconds, the cold host refuses all: refused attempts count too
+  // Two seconds. The warming host rejects all attempts, which count against its budget too.
+  for (int i = 0; i < 200; ++i) {
     d.request(0);
     d.advance(milliseconds(10));
     while (!d.out.empty()) {
@@ -48,8 +49,9 @@
   EXPECT_LT(d.sent.size(), 60u);
 }
 
-// Deploy of nearly all hosts: all but one have budgets, and not everything may go to the last warm one.
-TEST(SlowStart, LastWarmHostIsNotOverloadedInDeploy) {
+// Deploy of all hosts but one: the warming hosts have budgets, and the last warm one must not receive the
+// rest.
+TEST(SlowStart, LastWarmHostIsNotOverloadedDuringDeploy) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
   std::vector<HostEntry> list = {makeHost(0)};
@@ -61,12 +63,12 @@
   for (int i = 0; i < 200; ++i) d.request(1);
   std::size_t held = 0;
   for (const Sent& s : d.out) held += s.host == d.host(0);
-  EXPECT_LE(held, 20u) << "of 200: the pool sheds instead";
+  EXPECT_LE(held, 20u) << "of 200 requests; the others must be rejected";
 }
 
-// A deploy of all hosts at once leaves no warm one to measure by: what they carried is remembered for a
-// while, or the warming ones would be starved to one request in a window.
-TEST(SlowStart, WarmingHostsAloneGetTheirShare) {
+// A deploy of all hosts at once leaves no warm host to measure. The recent peak rate must still apply, or the
+// warming hosts would get only one request per window.
+TEST(SlowStart, WarmingHostsWithoutWarmOnesGetTheirShare) {
   Driver d(makeSettings(), 4);
   d.warmUp(1, 600, milliseconds(5));
   std::vector<HostEntry> list;
@@ -79,23 +81,23 @@
   d.forget();
   d.warmUp(1, 400, milliseconds(5));  // two seconds
   EXPECT_GE(d.sent.size(), 40u);
-  EXPECT_LE(d.sent.size(), 200u) << "nor may they be pushed over";
+  EXPECT_LE(d.sent.size(), 200u) << "the warming hosts must not be overloaded";
 }
 
-// Twelve hundred gateways that each claim at least one request of a warming host would overload it. Their sum
-// must stay near the part of an even share that the host can do, retries counted.
-TEST(SlowStart, LargeBankTogetherKeepsTheBudget) {
+// If each of 1,200 gateways sent a warming host at least one request, they would overload it. Their sum,
+// including retries, must stay near an even share scaled by the host's capacity.
+TEST(SlowStart, LargeClusterKeepsTheBudget) {
   Settings s = makeSettings();
   s.gatewayCount = 1200;
-  std::size_t all = 0, cold = 0;
+  std::size_t all = 0, sentToWarming = 0;
   for (std::uint64_t seed = 1; seed <= s.gatewayCount; ++seed) {
     s.seed = seed;
     s.gatewayIndex = static_cast<std::uint32_t>(seed - 1);
     Driver d(s, 10);
-    HostEntry fresh = makeHost(50);
-    fresh.startedAt = d.now;
-    d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
-    for (int i = 0; i < 4; ++i) {  // within the first fifth of its warming
+    HostEntry startedHost = makeHost(50);
+    startedHost.startedAt = d.now;
+    d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {startedHost});
+    for (int i = 0; i < 4; ++i) {  // within the first fifth of the warm-up time
       d.request(0);
       d.advance(milliseconds(500));
       while (!d.out.empty()) {
@@ -105,19 +107,19 @@
       }
     }
     all += d.sent.size();
-    cold += d.sentTo(d.host(50));
+    sentToWarming += d.sentTo(d.host(50));
   }
   const double share = static_cast<double>(all) / 11;
-  EXPECT_GT(static_cast<double>(cold), 0.08 * share) << "it is used";
-  EXPECT_LT(static_cast<double>(cold), 0.5 * share);
+  EXPECT_GT(static_cast<double>(sentToWarming), 0.08 * share) << "the warming host is used";
+  EXPECT_LT(static_cast<double>(sentToWarming), 0.5 * share);
 }
 
-// In an overload requests are sent again and again: an even share of those attempts is more than a warming
-// host can do.
-TEST(SlowStart, RetriesOfAnOverloadDoNotRaiseTheShare) {
+// In an overload requests are retried often, and an even share of all attempts exceeds the capacity of a
+// warming host.
+TEST(SlowStart, RetriesDuringOverloadDoNotRaiseShareOfWarmingHost) {
   Settings s = makeSettings();
   s.gatewayCount = 300;
-  std::size_t all = 0, cold = 0;
+  std::size_t all = 0, sentToWarming = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     s.seed = seed;
     s.gatewayIndex = static_cast<std::uint32_t>(seed - 1);
@@ -132,17 +134,18 @@
       }
     };
     for (int i = 0; i < 30; ++i) request(true);
-    HostEntry fresh = makeHost(50);
-    fresh.startedAt = d.now;
-    d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
+    HostEntry startedHost = makeHost(50);
+    startedHost.startedAt = d.now;
+    d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {startedHost});
     d.forget();
     for (int i = 0; i < 20; ++i) request(true);
     all += d.sent.size();
-    cold += d.sentTo(d.host(50));
+    sentToWarming += d.sentTo(d.host(50));
   }
-  const double evenShareOfWork = static_cast<double>(all) / 4 / 11;  // one attempt in four is answered
-  EXPECT_GT(cold, 0u);
-  EXPECT_LT(static_cast<double>(cold), 0.6 * evenShareOfWork) << "its warmth is 0.2 to 0.3";
+  const double evenShareOfWork = static_cast<double>(all) / 4 / 11;  // one attempt in four is served
+  EXPECT_GT(sentToWarming, 0u);
+  EXPECT_LT(static_cast<double>(sentToWarming), 0.6 * evenShareOfWork)
+      << "its capacity is 0.2 to 0.3 of a warm host's";
 }
 
 TEST(SlowStart, CapacityGrowsWithTheAgeOfTheProcess) {
--- a/tests/policy/stream_placement_test.cpp
+++ b/tests/policy/stream_placement_test.cpp
@@ -1,5 +1,5 @@
-// StreamPlacement: hosts are chosen by the streams that they hold; bounds, rates, and no load in flight once
-// a stream is established.
+// StreamPlacement: choice of hosts by their open streams, limits on streams and rates, and established
+// streams not being load in flight.
 #include "policy/stream_placement.hpp"
 
 #include <algorithm>
@@ -25,7 +25,7 @@
   d.collect();
 }
 
-// Establishes the streams sent since `from`, and returns them.
+// Establishes the streams sent since index `from`, and returns them.
 std::vector<Sent> beginAll(Driver& d, std::size_t from) {
   const std::vector<Sent> begun(d.sent.begin() + static_cast<std::ptrdiff_t>(from), d.sent.end());
   for (const Sent& s : begun) begin(d, s);
@@ -46,15 +46,15 @@
   EXPECT_EQ(d.balancer.streamCount(), 600u);
 }
 
-// All streams that come at once must not go to the one empty host.
-TEST(StreamPlacement, EmptyHostFillsUpWithoutTakingAllStreams) {
+// When many streams arrive at once, they must not all go to the one empty host.
+TEST(StreamPlacement, EmptyHostFillsUpGradually) {
   Driver d(makeSettings(), 5);
   for (int i = 0; i < 500; ++i) {
     const std::size_t before = d.sent.size();
     requestStream(d);
     beginAll(d, before);
   }
-  HostEntry fresh = makeHost(5);  // long up: the cold start is another matter
+  HostEntry fresh = makeHost(5);  // without slow start
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
   d.collect();
   d.forget();
@@ -83,7 +83,7 @@
   }
   d.advance(seconds(1));
   EXPECT_LT(d.balancer.admissionCutoff(), 1);
-  // Requests find idle hosts, as if no stream were held.
+  // Requests find idle hosts, as if no streams were open.
   d.out.clear();
   d.forget();
   for (int i = 0; i < 6; ++i) d.request(0);
@@ -103,28 +103,28 @@
   EXPECT_GT(refused, 90u);
 }
 
-// A flood of upgrades is rejected by priority, below the cutoff of requests.
+// A flood of upgrades is rejected by priority, like requests.
 TEST(StreamPlacement, LowPriorityIsRejectedFirst) {
   Driver d(makeSettings());
   d.warmUp(0, 100);
-  std::size_t cheap = 0, dear = 0;
+  std::size_t lowPriorityRejected = 0, highPriorityRejected = 0;
   for (int i = 0; i < 400; ++i) {
-    cheap += d.refused(requestStream(d, 1));
-    dear += d.refused(requestStream(d, 0));
+    lowPriorityRejected += d.refused(requestStream(d, 1));
+    highPriorityRejected += d.refused(requestStream(d, 0));
     d.advance(milliseconds(5));
-    while (d.out.size() > 12) {  // as many as begin, of those that wait to
+    while (d.out.size() > 12) {  // establishes all but 12 of the pending streams
       begin(d, d.out.front());
       d.out.erase(d.out.begin());
     }
   }
-  EXPECT_GT(cheap, 2 * dear);
-  EXPECT_GT(cheap, 50u);
+  EXPECT_GT(lowPriorityRejected, 2 * highPriorityRejected);
+  EXPECT_GT(lowPriorityRejected, 50u);
 }
 
 TEST(StreamPlacement, HostHoldsNoMoreThanItsMaximum) {
   Settings s = makeSettings();
   s.maxStreamsPerHost = 20;
-  s.gatewayCount = 2;  // half of it is ours
+  s.gatewayCount = 2;  // this gateway's share is one half
   Driver d(s, 4);
   for (int i = 0; i < 100; ++i) {
     const std::size_t before = d.sent.size();
@@ -134,7 +134,7 @@
   for (int h = 0; h < 4; ++h) EXPECT_EQ(d.balancer.streamCount(d.host(h)), 10u);
   EXPECT_EQ(d.sent.size(), 40u);
   EXPECT_EQ(d.answers.size(), 60u);
-  d.serve(Sent(d.sent[0]));  // one ends: there is room for one
+  d.serve(Sent(d.sent[0]));  // one ends, so another may begin
   const std::size_t before = d.sent.size();
   requestStream(d);
   requestStream(d);
@@ -151,41 +151,41 @@
   EXPECT_LE(d.balancer.streamCount(), 7u);
 }
 
-// 2,000 clients come back in one second after a deploy: each host is given its rate, and the other clients
-// are told to come back at times that differ.
-TEST(StreamPlacement, RateOfHostsSpreadsReconnectSurge) {
+// 2,000 clients reconnect within one second after a deploy. Each host receives its rate, and the other
+// clients get a spread Retry-After.
+TEST(StreamPlacement, StreamRateSpreadsReconnectSurge) {
   Settings s = makeSettings();
   s.hostStreamRate = 10;
   s.streamRetrySpread = seconds(10);
   Driver d(s, 6);
-  std::vector<RequestId> asked;
+  std::vector<RequestId> requestIds;
   for (int i = 0; i < 2000; ++i) {
     const std::size_t before = d.sent.size();
-    asked.push_back(requestStream(d));
+    requestIds.push_back(requestStream(d));
     beginAll(d, before);
     if (i % 10 == 9) d.advance(milliseconds(5));
   }
   for (int h = 0; h < 6; ++h) {
     EXPECT_GE(d.sentTo(d.host(h)), 8u);
-    EXPECT_LE(d.sentTo(d.host(h)), 14u);  // of one second, and what may come at once
+    EXPECT_LE(d.sentTo(d.host(h)), 14u);  // the rate of one second, plus the burst
   }
-  Duration least = seconds(100), most{};
+  Duration minRetryAfter = seconds(100), maxRetryAfter{};
   std::size_t early = 0, refused = 0;
-  for (const RequestId id : asked) {
+  for (const RequestId id : requestIds) {
     if (!d.refused(id)) continue;
     ++refused;
-    least = std::min(least, d.retryAfter[id]);
-    most = std::max(most, d.retryAfter[id]);
+    minRetryAfter = std::min(minRetryAfter, d.retryAfter[id]);
+    maxRetryAfter = std::max(maxRetryAfter, d.retryAfter[id]);
     early += d.retryAfter[id] < seconds(5) + milliseconds(500);
   }
   EXPECT_EQ(refused + d.sent.size(), 2000u);
-  EXPECT_GE(least, seconds(1));
-  EXPECT_LE(most, seconds(10));
+  EXPECT_GE(minRetryAfter, seconds(1));
+  EXPECT_LE(maxRetryAfter, seconds(10));
   EXPECT_NEAR(static_cast<double>(early) / static_cast<double>(refused), 0.5, 0.06);
 }
 
-// All gateways together keep a warming host to its part; streams count too.
-TEST(StreamPlacement, WarmingHostGetsItsPartOnly) {
+// A warming host receives streams in proportion to its capacity.
+TEST(StreamPlacement, WarmingHostGetsOnlyItsShare) {
   Settings s = makeSettings();
   s.hostStreamRate = 20;
   Driver d(s, 5);
@@ -203,7 +203,8 @@
     }
     d.advance(milliseconds(5));
   }
-  // Warmth is 0.2 to 0.36 by then: at the most that part of 20 a second for two seconds, and one burst.
+  // The capacity is 0.2 to 0.36 in this time: at most that fraction of 20 per second for two
+  // seconds, plus one burst.
   EXPECT_LE(d.sentTo(d.host(5)), 14u);
   EXPECT_GE(d.sentTo(d.host(5)), 3u);
   EXPECT_GE(d.sentTo(d.host(0)), 38u);
@@ -219,11 +220,11 @@
   EXPECT_EQ(d.balancer.streamCount(first), 0u);
   EXPECT_EQ(d.balancer.streamCount(d.lastSent().host), 1u);
   begin(d, d.lastSent());
-  d.advance(seconds(3600), seconds(1));  // neither time-out nor deadline applies any more
+  d.advance(seconds(3600), seconds(1));  // neither timeout nor deadline applies once established
   EXPECT_FALSE(d.refused(id) || d.failed(id));
   EXPECT_EQ(d.balancer.streamCount(), 1u);
   d.settle(d.lastSent(), Outcome::reset, true);
-  EXPECT_FALSE(d.refused(id) || d.failed(id));  // it has ended, and nothing is sent again
+  EXPECT_FALSE(d.refused(id) || d.failed(id));  // the stream has ended and is not retried
   EXPECT_EQ(d.sent.size(), 2u);
   EXPECT_EQ(d.balancer.streamCount(), 0u);
   EXPECT_EQ(d.balancer.openRequests(), 0u);
@@ -231,7 +232,7 @@
 
 TEST(StreamPlacement, StreamThatMayHaveRunFails) {
   Driver d(makeSettings());
-  const RequestId id = requestStream(d);  // of a class that may not run twice
+  const RequestId id = requestStream(d);  // of a non-idempotent class
   d.settle(d.lastSent(), Outcome::reset, false);
   EXPECT_TRUE(d.failed(id));
   EXPECT_EQ(d.sent.size(), 1u);
@@ -265,12 +266,12 @@
   EXPECT_THROW(Driver d(s), std::invalid_argument);
 }
 
-// --- The class alone
+// --- StreamPlacement in isolation
 
-TEST(StreamPlacement, TokensFollowTheRateOfTheGatewaysPart) {
+TEST(StreamPlacement, TokensRefillAtTheGatewaysShareOfTheRate) {
   Settings settings = makeSettings();
   settings.gatewayCount = 2;
-  settings.hostStreamRate = 40;  // 20 a second are this gateway's, 5 of them at once
+  settings.hostStreamRate = 40;  // this gateway's share is 20 per second, with bursts of 5
   HostRegistry hosts("east");
   hosts.apply(HostListUpdate::complete, {makeHost(0)}, [](Host&) {});
   Host& host = hosts[hosts.active()[0]];
@@ -292,7 +293,7 @@
   StreamPlacement streams(settings);
   Attempt attempt;
   attempt.host = host.id;
-  streams.end(hosts, attempt);  // it is no stream
+  streams.end(hosts, attempt);  // not a stream
   EXPECT_EQ(streams.streamCount(), 0U);
   streams.begin(hosts, attempt);
   EXPECT_EQ(host.streams.count, 1U);
--- a/tests/policy/subset_test.cpp
+++ b/tests/policy/subset_test.cpp
@@ -1,4 +1,4 @@
-// Which hosts a gateway of a large bank keeps to.
+// Subsets of hosts that the gateways of a large cluster use.
 #include "policy/subset.hpp"
 
 #include <gtest/gtest.h>
@@ -24,16 +24,16 @@
   return out;
 }
 
-std::set<std::uint64_t> firstOf(const std::vector<std::uint64_t>& hashes, std::uint32_t number,
-                                std::uint32_t gateways, std::size_t width) {
-  const auto order = subsetOrder(hashes, number, gateways, width);
+std::set<std::uint64_t> firstOf(const std::vector<std::uint64_t>& hashes, std::uint32_t index,
+                                std::uint32_t gateways, std::size_t subsetSize) {
+  const auto order = subsetOrder(hashes, index, gateways, subsetSize);
   std::set<std::uint64_t> out;
-  for (std::size_t i = 0; i < std::min(width, order.size()); ++i) out.insert(hashes[order[i]]);
+  for (std::size_t i = 0; i < std::min(subsetSize, order.size()); ++i) out.insert(hashes[order[i]]);
   return out;
 }
 
-TEST(Subset, EveryHostIsInNearlyAsManySubsets) {
-  for (const auto& [hosts, gateways, width] :
+TEST(Subset, HostsAreInNearlyTheSameNumberOfSubsets) {
+  for (const auto& [hosts, gateways, subsetSize] :
        std::vector<std::tuple<int, std::uint32_t, std::size_t>>{{60, 100, 6},
                                                                 {60, 100, 8},
                                                                 {37, 100, 6},
@@ -44,14 +44,15 @@
     const auto hashes = hashesOf(hosts);
     std::map<std::uint64_t, int> in;
     for (std::uint32_t g = 0; g < gateways; ++g)
-      for (std::uint64_t h : firstOf(hashes, g, gateways, width)) ++in[h];
-    ASSERT_EQ(in.size(), hashes.size()) << hosts << " hosts, " << gateways << " gateways: some are in none";
-    int least = 1 << 30, most = 0;
-    for (const auto& [hash, n] : in) least = std::min(least, n), most = std::max(most, n);
-    // A choice at random would spread by twice the root of the mean either way.
+      for (std::uint64_t h : firstOf(hashes, g, gateways, subsetSize)) ++in[h];
+    ASSERT_EQ(in.size(), hashes.size())
+        << hosts << " hosts, " << gateways << " gateways: some hosts are in no subset";
+    int minCount = 1 << 30, maxCount = 0;
+    for (const auto& [hash, n] : in) minCount = std::min(minCount, n), maxCount = std::max(maxCount, n);
+    // With random subsets, two standard deviations would be twice the square root of the mean either way.
     const double mean = static_cast<double>(gateways) *
-                        static_cast<double>(std::min<std::size_t>(width, hashes.size())) / hosts;
-    EXPECT_LE(most - least, 2.5 * std::sqrt(mean)) << hosts << " hosts, " << gateways << " gateways";
+                        static_cast<double>(std::min<std::size_t>(subsetSize, hashes.size())) / hosts;
+    EXPECT_LE(maxCount - minCount, 2.5 * std::sqrt(mean)) << hosts << " hosts, " << gateways << " gateways";
   }
 }
 
@@ -78,86 +79,86 @@
   EXPECT_EQ(firstOf(hashes, 42, 100, 6), before);
 }
 
-TEST(Subset, InvalidArgumentsDoNoHarm) {
+TEST(Subset, InvalidArgumentsAreHarmless) {
   EXPECT_TRUE(subsetOrder({}, 3, 100, 6).empty());
   EXPECT_EQ(subsetOrder(hashesOf(3), 7, 0, 0).size(), 3u);
   EXPECT_EQ(subsetOrder(hashesOf(60), 5000, 100, 6).size(), 60u);
   EXPECT_EQ(subsetOrder(hashesOf(1), 99, 100, 6), std::vector<std::size_t>{0});
 }
 
-Settings bank(std::uint32_t gateways, std::uint32_t number) {
+Settings clusterSettings(std::uint32_t gateways, std::uint32_t index) {
   Settings s = makeSettings();
   s.gatewayCount = gateways;
-  s.gatewayIndex = number;
+  s.gatewayIndex = index;
   return s;
 }
 
-std::set<HostId> metBy(Driver& d, int requests) {
+std::set<HostId> hostsUsedBy(Driver& d, int requests) {
   d.warmUp(0, requests);
-  std::set<HostId> met;
-  for (const Sent& s : d.sent) met.insert(s.host);
-  return met;
+  std::set<HostId> used;
+  for (const Sent& s : d.sent) used.insert(s.host);
+  return used;
 }
 
-TEST(Subset, GatewayOfLargeBankMeetsFewHosts) {
-  Driver d(bank(100, 42), 60);
-  EXPECT_LE(metBy(d, 200).size(), 6u);
+TEST(Subset, GatewayOfLargeClusterUsesFewHosts) {
+  Driver d(clusterSettings(100, 42), 60);
+  EXPECT_LE(hostsUsedBy(d, 200).size(), 6u);
 }
 
-TEST(Subset, GatewayOfSmallBankMeetsAllHosts) {
-  Driver d(bank(32, 17), 60);
-  EXPECT_EQ(metBy(d, 600).size(), 60u);
+TEST(Subset, GatewayOfSmallClusterUsesAllHosts) {
+  Driver d(clusterSettings(32, 17), 60);
+  EXPECT_EQ(hostsUsedBy(d, 600).size(), 60u);
 }
 
-// Whether hosts are a few more or a few less than gateways: each is met by six gateways or more, and by forty
-// at most.
+// Each host is in at least about six subsets and at most about forty, whatever the ratio of hosts to
+// gateways.
 TEST(Subset, SizeFollowsGatewaysAndHosts) {
-  EXPECT_LE(metBy(*std::make_unique<Driver>(bank(100, 42), 120), 400).size(), 10u);
-  EXPECT_GE(metBy(*std::make_unique<Driver>(bank(100, 42), 600), 2000).size(), 36u);
-  EXPECT_LE(metBy(*std::make_unique<Driver>(bank(1000, 42), 20), 100).size(), 3u);
+  EXPECT_LE(hostsUsedBy(*std::make_unique<Driver>(clusterSettings(100, 42), 120), 400).size(), 10u);
+  EXPECT_GE(hostsUsedBy(*std::make_unique<Driver>(clusterSettings(100, 42), 600), 2000).size(), 36u);
+  EXPECT_LE(hostsUsedBy(*std::make_unique<Driver>(clusterSettings(1000, 42), 20), 100).size(), 3u);
 }
 
-TEST(Subset, NextHostsStandInForThoseThatDrain) {
-  Driver d(bank(100, 42), 60);
-  const auto before = metBy(d, 100);
-  std::vector<HostEntry> left;
+TEST(Subset, NextHostsReplaceDrainingOnes) {
+  Driver d(clusterSettings(100, 42), 60);
+  const auto before = hostsUsedBy(d, 100);
+  std::vector<HostEntry> entries;
   for (int i = 0; i < 60; ++i) {
-    left.push_back(makeHost(i, "east", i % 2));
-    if (before.count(d.host(i))) left.back().phase = HostPhase::draining;
+    entries.push_back(makeHost(i, "east", i % 2));
+    if (before.count(d.host(i))) entries.back().phase = HostPhase::draining;
   }
-  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, left);
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, entries);
   d.collect();
   d.forget();
-  const auto after = metBy(d, 100);
+  const auto after = hostsUsedBy(d, 100);
   EXPECT_GE(after.size(), 4u);
   for (HostId id : after) EXPECT_EQ(before.count(id), 0u);
   EXPECT_EQ(d.count(ActionKind::reject), 0u);
 }
 
-// A request that four hosts reject in turn is rejected whatever its priority. A gateway that meets few hosts
-// knows soon that they are full, and leaves the loss to the lowest scores.
-TEST(Subset, CapacityRejectionsShedByPriorityBeforeSending) {
-  Driver d(bank(100, 42), 60);
+// A request that four hosts reject in turn is rejected regardless of its priority. A gateway that uses few
+// hosts must detect soon that they are full, and reject the lowest scores before sending.
+TEST(Subset, CapacityRejectionsRaiseCutoffForLowPriority) {
+  Driver d(clusterSettings(100, 42), 60);
   d.warmUp(0, 100);
-  std::map<std::uint32_t, int> asked, cut;
+  std::map<std::uint32_t, int> requestCounts, rejected;
   for (int i = 0; i < 300; ++i) {
     const std::uint32_t cls = i % 4 == 0 ? 0 : 1;
     const std::size_t before = d.sent.size();
     const RequestId id = d.request(cls);
-    if (i >= 100) ++asked[cls], cut[cls] += d.refused(id) && d.sent.size() == before;
-    for (int tries = 0; !d.out.empty(); ++tries)  // three in seven attempts are turned away
+    if (i >= 100) ++requestCounts[cls], rejected[cls] += d.refused(id) && d.sent.size() == before;
+    for (int tries = 0; !d.out.empty(); ++tries)  // three in seven attempts are rejected
       d.settle(Sent(d.out.front()), (i + tries) % 7 < 3 ? Outcome::rejectedForCapacity : Outcome::served,
                (i + tries) % 7 >= 3);
     d.advance(milliseconds(60));
   }
-  EXPECT_GT(cut[1], asked[1] / 5);
-  EXPECT_LT(cut[0], asked[0] / 6) << "the worthiest quarter";
+  EXPECT_GT(rejected[1], requestCounts[1] / 5);
+  EXPECT_LT(rejected[0], requestCounts[0] / 6) << "the quarter of the highest priority";
 }
 
-// A hundred gateways meet the hosts of a lost zone, each by itself: five refused connections for each, within
-// milliseconds, would use up the retry budget.
-TEST(Subset, UnreachableHostBacksOffAtOnce) {
-  Driver d(bank(100, 42), 60);
+// Each of a hundred gateways discovers the loss of a zone on its own. Five refused connections per host,
+// within milliseconds, would use up its retry budget.
+TEST(Subset, UnreachableHostBacksOffImmediately) {
+  Driver d(clusterSettings(100, 42), 60);
   d.warmUp(0, 100);
   d.advance(milliseconds(200));
   d.request(0);
@@ -174,19 +175,19 @@
 }
 
 TEST(Subset, GrowsWithRequestsInFlight) {
-  Driver d(bank(100, 42), 60);
-  metBy(d, 100);
+  Driver d(clusterSettings(100, 42), 60);
+  hostsUsedBy(d, 100);
   d.forget();
-  // A second of answers that come late: about twenty are held at once.
+  // One second of slow answers: about twelve requests are in flight at once.
   for (int i = 0; i < 40; ++i) {
     d.request(0);
     d.advance(milliseconds(25));
     while (!d.out.empty() && d.now - d.out.front().at >= milliseconds(300)) d.serve(Sent(d.out.front()));
   }
-  std::set<HostId> met;
-  for (const Sent& s : d.sent) met.insert(s.host);
-  EXPECT_GE(met.size(), 7u);
-  EXPECT_LE(met.size(), 24u);
+  std::set<HostId> used;
+  for (const Sent& s : d.sent) used.insert(s.host);
+  EXPECT_GE(used.size(), 7u);
+  EXPECT_LE(used.size(), 24u);
 }
 
 }  // namespace
--- a/tests/policy/traffic_statistics_test.cpp
+++ b/tests/policy/traffic_statistics_test.cpp
@@ -1,4 +1,4 @@
-// TrafficStatistics: what is measured at the start, and relative latency.
+// TrafficStatistics: statistics of the first second, and relative latency.
 #include "policy/traffic_statistics.hpp"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-// 16 clients in a closed loop before two idle hosts that answer in 50 us.
-TEST(TrafficStatistics, FastHostsAreNotHeldToTheFirstGuess) {
+// 16 clients in a closed loop with two idle hosts that answer in 50 us.
+TEST(TrafficStatistics, InitialLimitDoesNotRestrictFastHosts) {
   Driver d(makeSettings(), 2);
   for (int i = 0; i < 16; ++i) d.request(0);
   std::size_t refused = 0;
@@ -17,29 +17,29 @@
     d.advance(std::chrono::microseconds(50), std::chrono::microseconds(50));
     const std::vector<Sent> due = d.out;
     for (const Sent& s : due) d.serve(s);
-    for (std::size_t i = due.size(); i < 16; ++i) ++refused;  // comes anew at once
+    for (std::size_t i = due.size(); i < 16; ++i) ++refused;  // the client sends its next request immediately
     for (int i = 0; i < 16; ++i) d.request(0);
   }
   for (const auto& [id, kind] : d.answers) refused += kind == ActionKind::reject;
   EXPECT_LE(refused, 16u);
 }
 
-// Where nothing has been answered, nothing is learned: a slow fleet is not overloaded by it.
-TEST(TrafficStatistics, SlowHostsAreHeldToTheFirstGuess) {
+// With too few answers the initial limit stays in force, so that a slow fleet is not overloaded.
+TEST(TrafficStatistics, InitialLimitRestrictsSlowHosts) {
   Driver d(makeSettings(), 2);
-  std::size_t most = 0;
+  std::size_t maxInFlight = 0;
   for (int i = 0; i < 900; ++i) {
     d.request(0);
     d.advance(milliseconds(1), milliseconds(1));
-    if (i > 100 && i % 25 == 0 && !d.out.empty()) d.serve(Sent(d.out.front()));  // 40 a second
-    most = std::max(most, d.out.size());
+    if (i > 100 && i % 25 == 0 && !d.out.empty()) d.serve(Sent(d.out.front()));  // 40 per second
+    maxInFlight = std::max(maxInFlight, d.out.size());
   }
-  EXPECT_LT(most, 30u);
+  EXPECT_LT(maxInFlight, 30u);
 }
 
-// A host whose relative latency was learned in a fault gets few requests; without new ones it would never
-// change.
-TEST(TrafficStatistics, OldRelativeLatencyFadesWithoutRequests) {
+// A host whose high relative latency was measured during a fault gets few requests; without decay the value
+// would never change.
+TEST(TrafficStatistics, RelativeLatencyDecaysWithoutRequests) {
   Driver d(makeSettings(), 4);
   const HostId slow = d.host(0);
   for (int i = 0; i < 600; ++i) {
@@ -76,10 +76,10 @@
   traffic.learnRelativeLatency(host, Outcome::timeout, 3, hosts);
   EXPECT_DOUBLE_EQ(host.traffic.relativeLatency, 1.2);
   traffic.learnRelativeLatency(host, Outcome::error, 20, hosts);
-  EXPECT_DOUBLE_EQ(host.traffic.relativeLatency, 1.2) << "errors tell nothing of latency";
+  EXPECT_DOUBLE_EQ(host.traffic.relativeLatency, 1.2) << "errors do not affect relative latency";
 }
 
-TEST(TrafficStatistics, UnknownClassHasAStandIn) {
+TEST(TrafficStatistics, UnknownClassGetsNonIdempotentFallback) {
   const Settings settings = makeSettings();
   const TrafficStatistics traffic(settings, {});
   Request request;
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -19,7 +19,7 @@
     "rules.coldNs=9000000000 rules.coldShare=0.32 rules.fallMultiple=3.0 rules.fallNs=2000000000 "
     "stepNs=5000000 tenants= zone=north zones=north,south";
 
-// An adapter, fed with text of several lines.
+// An adapter that is fed with several lines of text.
 struct Conversation {
   std::ostringstream diagnostics;
   Adapter adapter{diagnostics};
@@ -51,12 +51,12 @@
   return "REQ i=" + gateway + " ref=" + ref + " leftNs=1000000000 tierClass=plan" + more + "\n";
 }
 
-TEST(SimulatorAdapter, AnswersAnEmptyBatchWithOk) {
+TEST(SimulatorAdapter, RepliesToEmptyBatchWithOk) {
   Conversation conversation;
   EXPECT_EQ(conversation.feed("FRAME tNs=8412250000\nEOF_BATCH\n"), "OK\n");
 }
 
-TEST(SettingsReader, MapsTheSimulatorsNamesOfSettings) {
+TEST(SettingsReader, MapsSimulatorSettingNames) {
   const Settings s = readSettings(kSettings);
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].name, "plan");
@@ -71,7 +71,7 @@
   EXPECT_THROW(readSettings("groupSize=many"), std::invalid_argument);
 }
 
-TEST(SimulatorAdapter, RetriesARejectedAttemptOnAnotherHost) {
+TEST(SimulatorAdapter, RetriesRejectedAttemptOnAnotherHost) {
   Conversation conversation;
   EXPECT_EQ(count(conversation.start("gateway-0"), "SUBSCRIBE i=gateway-0 active=1"), 1u);
   std::string reply =
@@ -91,7 +91,7 @@
   EXPECT_EQ(conversation.diagnostics.str(), "");
 }
 
-TEST(SimulatorAdapter, ComplainsOfAMalformedLineAndStillAnswersTheBatch) {
+TEST(SimulatorAdapter, ReportsMalformedLineAndCompletesBatch) {
   const char* bad[] = {"NOISE x=1",
                        "REQ ref=q leftNs=5 tierClass=plan",
                        "REQ i=gateway-9 ref=q leftNs=5 tierClass=plan",
@@ -115,7 +115,7 @@
   }
 }
 
-TEST(SimulatorAdapter, AnswersAMalformedRequestWithAnError) {
+TEST(SimulatorAdapter, RespondsToMalformedRequestWithError) {
   for (const char* rest : {" leftNs=abc tierClass=plan", " tierClass=plan", " leftNs=5",
                            " leftNs=5 tierClass=plan repeat=maybe"}) {
     Conversation conversation;
@@ -127,7 +127,7 @@
   }
 }
 
-TEST(SimulatorAdapter, PassesProbesAndPeerMessagesToTheDecisionModule) {
+TEST(SimulatorAdapter, PassesProbesAndPeerMessagesToDecisionModule) {
   Conversation conversation;
   std::string settings = kSettings;
   settings.replace(settings.find("groupSize=2"), 11, "groupSize=400");
@@ -159,7 +159,7 @@
   }
 }
 
-TEST(SimulatorAdapter, DropsTheActionsOfARemovedGatewayInTheSameBatch) {
+TEST(SimulatorAdapter, DropsActionsOfGatewayRemovedInSameBatch) {
   Conversation conversation;
   conversation.start("gateway-0 gateway-1");
   const std::string reply =
@@ -167,12 +167,12 @@
                         "RETIRE i=gateway-0\nENLIST i=gateway-0" + kSettings +
                         "\nMEMBERSHIP i=gateway-0 generation=1 buffer=0 kind=restored\n" +
                         req("gateway-0", "new-1") + "EOF_BATCH\n");
-  EXPECT_EQ(count(reply, "old-1"), 0u) << "the incarnation that had this request is gone";
+  EXPECT_EQ(count(reply, "old-1"), 0u) << "the gateway process of this request was replaced";
   EXPECT_EQ(count(reply, "ref=keep-1"), 1u);
   EXPECT_EQ(count(reply, "ref=new-1"), 1u);
 }
 
-TEST(SimulatorAdapter, ResolvesListNumbersInTheOrderOfEvents) {
+TEST(SimulatorAdapter, ResolvesListNumbersInOrderOfEvents) {
   Conversation conversation;
   conversation.start("gateway-0", 1);
   const std::string reply = conversation.feed(
@@ -184,7 +184,7 @@
   EXPECT_EQ(count(reply, "ref=c-1 host=10.9.9.9:80"), 1u);
 }
 
-TEST(SimulatorAdapter, ServesSeveralGatewaysLikeOneProcessEach) {
+TEST(SimulatorAdapter, SeveralGatewaysBehaveLikeSeparateProcesses) {
   const auto events = [](const std::string& gateway) {
     std::string text;
     for (int i = 0; i < 60; ++i) text += req(gateway, gateway + "-r" + std::to_string(i));
@@ -205,7 +205,7 @@
   EXPECT_GT(count(together, "FORWARD"), 10u);
 }
 
-TEST(SimulatorAdapter, AnswersEveryRequestOfALongBatch) {
+TEST(SimulatorAdapter, RespondsToEveryRequestOfLongBatch) {
   Conversation conversation;
   conversation.start("gateway-0", 16);
   std::string text = "FRAME tNs=1005000000\n";
--- a/tests/simulator/endpoint_lists_test.cpp
+++ b/tests/simulator/endpoint_lists_test.cpp
@@ -7,7 +7,7 @@
 namespace finchstile::load_balancing::simulator {
 namespace {
 
-TEST(EndpointLists, MapsTheProtocolsNamesOfAHost) {
+TEST(EndpointLists, MapsProtocolNamesOfHostFields) {
   EndpointLists lists;
   lists.begin("buffer=3 rowsIn=1");
   EXPECT_TRUE(lists.expectsRows());
@@ -25,17 +25,17 @@
   EXPECT_EQ(entry.phase, HostPhase::draining);
 }
 
-TEST(EndpointLists, RefusesRowsBeyondTheListAndHostsThatMakeNoSense) {
+TEST(EndpointLists, RejectsExcessRowsAndInvalidHosts) {
   EndpointLists lists;
   EXPECT_THROW(lists.addRow("host=a"), ProtocolError);
   EXPECT_THROW(lists.begin("buffer=16 rowsIn=1"), ProtocolError);
   lists.begin("buffer=0 rowsIn=2");
   EXPECT_THROW(lists.addRow("phase=IN"), ProtocolError);
   EXPECT_THROW(lists.addRow("host=a phase=AWAY"), ProtocolError);
-  EXPECT_THROW(lists.addRow("host=a"), ProtocolError) << "both rows have been counted";
+  EXPECT_THROW(lists.addRow("host=a"), ProtocolError) << "both rows of the list were used";
 }
 
-TEST(EndpointLists, KnowsOnlyListsThatHaveBegun) {
+TEST(EndpointLists, FindsOnlyListsThatHaveBegun) {
   EndpointLists lists;
   EXPECT_EQ(lists.find(0), nullptr);
   EXPECT_EQ(lists.find(EndpointLists::kMaxLists), nullptr);
--- a/tests/simulator/line_format_test.cpp
+++ b/tests/simulator/line_format_test.cpp
@@ -1,5 +1,5 @@
-// The bytes of the simulator's protocol: a conversation with every kind of event, and the reply that the
-// first version with this protocol gave, to the last byte.
+// The simulator's protocol byte by byte: a conversation with every kind of event, and the exact reply of the
+// first version with this protocol.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -86,7 +86,7 @@
 OK
 )";
 
-TEST(SimulatorLineFormat, RepliesWithTheSameBytesToARecordedConversation) {
+TEST(SimulatorLineFormat, ReplyToRecordedConversationIsUnchanged) {
   std::ostringstream diagnostics;
   Adapter adapter(diagnostics);
   std::string reply;
--- a/tests/simulator/protocol_line_test.cpp
+++ b/tests/simulator/protocol_line_test.cpp
@@ -5,7 +5,7 @@
 namespace finchstile::load_balancing::simulator {
 namespace {
 
-TEST(ProtocolLine, TakesFieldsInOrderAndPassesOverSpaces) {
+TEST(ProtocolLine, ReadsFieldsInOrderAndSkipsSpaces) {
   std::string_view rest = "a=1  b=x=y";
   Field field;
   ASSERT_TRUE(nextField(rest, field));
@@ -17,13 +17,13 @@
   EXPECT_FALSE(nextField(rest, field));
 }
 
-TEST(ProtocolLine, RefusesAPartWithoutAnEqualsSign) {
+TEST(ProtocolLine, RejectsTokenWithoutEqualsSign) {
   std::string_view rest = "a";
   Field field;
   EXPECT_THROW(nextField(rest, field), ProtocolError);
 }
 
-TEST(ProtocolLine, RefusesValuesOfAnotherType) {
+TEST(ProtocolLine, RejectsValuesOfOtherTypes) {
   EXPECT_THROW((Field{"a", "1x"}.number<int>()), ProtocolError);
   EXPECT_THROW((Field{"a", ""}.number<int>()), ProtocolError);
   EXPECT_THROW((Field{"a", "2"}.boolean()), ProtocolError);
@@ -31,7 +31,7 @@
   EXPECT_FALSE((Field{"a", "0"}.boolean()));
 }
 
-TEST(ProtocolLine, WritesAndReadsBytesAsHexadecimalDigits) {
+TEST(ProtocolLine, HexRoundTrip) {
   std::string text;
   appendHex(text, std::string_view("\x00\xff\x1a", 3));
   EXPECT_EQ(text, "00ff1a");
@@ -43,7 +43,7 @@
   EXPECT_THROW(bytesFromHex("zz"), ProtocolError);
 }
 
-TEST(ProtocolLine, RefusesAnUnknownOutcome) {
+TEST(ProtocolLine, RejectsUnknownOutcome) {
   EXPECT_EQ(outcomeOf(30), Outcome::rejectedForCapacity);
   EXPECT_THROW(outcomeOf(90), ProtocolError);
 }
--- a/tests/simulator/request_ids_test.cpp
+++ b/tests/simulator/request_ids_test.cpp
@@ -5,7 +5,7 @@
 namespace finchstile::load_balancing::simulator {
 namespace {
 
-TEST(RequestIds, KeepsAnEndedRequestWhileAnAttemptIsInFlight) {
+TEST(RequestIds, KeepsEndedRequestWhileAttemptIsInFlight) {
   RequestIds ids;
   const RequestId id = ids.open("a");
   OpenRequest* const request = ids.find("a");
@@ -19,7 +19,7 @@
   EXPECT_FALSE(ids.isOpen("a"));
 }
 
-TEST(RequestIds, NeverGivesANumberTwiceAlthoughSlotsAreReused) {
+TEST(RequestIds, IdsAreUniqueAlthoughSlotsAreReused) {
   RequestIds ids;
   const RequestId first = ids.open("a");
   ids.find("a")->ended = true;
