--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -13,7 +13,7 @@
   std::uint32_t cls;
   Time deadline;
   bool hasEnded = false;
-  std::vector<Sent> attempts;
+  std::vector<SentAttempt> attempts;
   std::vector<int> state;  // by attempt: 0 pending, 1 never ran, 2 may have run
 };
 
@@ -175,7 +175,7 @@
 TEST(LoadBalancer, CancelsAndDoesNotRetryAfterClientDisconnects) {
   Driver d(makeSettings());
   const RequestId id = d.request(0);
-  const Sent first = d.lastSent();
+  const SentAttempt first = d.lastSent();
   d.balancer.onClientDisconnected(d.now, id);
   d.collect();
   EXPECT_EQ(d.count(ActionKind::cancelAttempt), 1u);
@@ -196,7 +196,7 @@
 TEST(LoadBalancer, IgnoresStrayEvents) {
   Driver d(makeSettings());
   const RequestId id = d.request(0);
-  const Sent s = d.lastSent();
+  const SentAttempt s = d.lastSent();
   d.balancer.onAttemptResult(d.now, {id + 50, 0, s.host, Outcome::error, {}, false});
   d.balancer.onAttemptResult(d.now, {id, 3, s.host, Outcome::error, {}, false});
   d.balancer.onClientDisconnected(d.now, 999);
--- a/tests/policy/load_probing_test.cpp
+++ b/tests/policy/load_probing_test.cpp
@@ -68,13 +68,13 @@
   for (double held : {std::nan(""), -5.0, HUGE_VAL}) {
     Driver d(largeClusterSettings(true), 20);
     for (int i = 0; i < 30; ++i) {
-      d.forget();
+      d.clearHistory();
       const RequestId id = d.request(0);
       for (const Action& a : actionsOfKind(d, ActionKind::probeHost)) reportLoad(d, a.host, held);
       d.advance(milliseconds(50));
       EXPECT_FALSE(d.refused(id));
       ASSERT_EQ(d.out.size(), 1u);
-      d.serve(Sent(d.out.front()));
+      d.serve(SentAttempt(d.out.front()));
     }
   }
 }
@@ -100,14 +100,14 @@
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, restarted);
   std::size_t probes = 0;
   for (int i = 0; i < 300; ++i) {
-    d.forget();
+    d.clearHistory();
     d.request(0);
     for (const Action& a : actionsOfKind(d, ActionKind::probeHost)) {
       ++probes;
       ASSERT_NE(a.host, kNone);
     }
     d.advance(milliseconds(20));
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
   EXPECT_GT(probes, 0U);
 }
@@ -127,13 +127,13 @@
   int low = 0, high = 0;
   for (int i = 0; i < 300; ++i) {
     const std::uint32_t cls = i % 3 == 0 ? 0 : 1;
-    d.forget();
+    d.clearHistory();
     const RequestId id = d.request(cls);
     for (const Action& a : actionsOfKind(d, ActionKind::probeHost))
       reportLoad(d, a.host, 4);  // rejects some requests, not all
     (cls == 0 ? high : low) += d.refused(id);
     d.advance(milliseconds(50));
-    while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::served, true, milliseconds(300));
+    while (!d.out.empty()) d.settle(SentAttempt(d.out.front()), Outcome::served, true, milliseconds(300));
   }
   EXPECT_GT(low, 20);
   EXPECT_LT(high, low / 10 + 1);
@@ -188,8 +188,8 @@
   Driver gateway(largeClusterSettings(false), 20), tracker(largeClusterSettings(false), 20);
   std::map<std::uint32_t, int> recommended;
   for (int i = 0; i < 20; ++i) {
-    gateway.forget();
-    tracker.forget();
+    gateway.clearHistory();
+    tracker.clearHistory();
     gateway.request(0);
     const std::vector<Action> requests = actionsOfKind(gateway, ActionKind::sendPeerMessage);
     tracker.balancer.onPeerMessage(tracker.now, 3, requests.at(0).text);
@@ -208,7 +208,7 @@
   const std::uint32_t tracker = actionsOfKind(d, ActionKind::sendPeerMessage).at(0).attempt;
   d.advance(milliseconds(60));
   ASSERT_EQ(d.sent.size(), 1u);
-  d.forget();
+  d.clearHistory();
   d.request(0);
   EXPECT_NE(actionsOfKind(d, ActionKind::sendPeerMessage).at(0).attempt, tracker)
       << "the fallback tracker is used";
@@ -217,7 +217,7 @@
 TEST(GroupTracker, RecommendedDrainingHostGetsNothing) {
   Driver d(largeClusterSettings(false), 20);
   for (int i = 0; i < 20; ++i) {
-    d.forget();
+    d.clearHistory();
     d.request(0);
     const std::vector<Action> requests = actionsOfKind(d, ActionKind::sendPeerMessage);
     peer::Message m;
@@ -232,7 +232,7 @@
     d.collect();
     EXPECT_EQ(d.sentTo(id), 0u);
     if (i < 19) EXPECT_EQ(d.sent.size(), 1u);
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
 }
 
@@ -262,7 +262,7 @@
   const auto hash = static_cast<std::uint32_t>(hashText(cold.address));
   std::vector<bool> recommended;
   for (int i = 0; i < 3; ++i) {
-    tracker.forget();
+    tracker.clearHistory();
     tracker.balancer.onPeerMessage(tracker.now, 5,
                                    peer::encode({peer::MessageKind::recommendationRequest, hash, 99, {}, 0}));
     tracker.collect();
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -14,14 +14,14 @@
   HostEntry warmingHost = makeHost(9);
   warmingHost.startedAt = d.now;
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {warmingHost});
-  d.forget();
+  d.clearHistory();
   std::size_t warm = 0;
   // Two seconds. The warming host rejects all attempts, which count against its budget too.
   for (int i = 0; i < 200; ++i) {
     d.request(0);
     d.advance(milliseconds(10));
     while (!d.out.empty()) {
-      const Sent o = d.out.front();
+      const SentAttempt o = d.out.front();
       if (o.host == d.host(9)) d.settle(o, Outcome::rejectedForCapacity, false);
       else d.serve(o);
     }
@@ -43,7 +43,7 @@
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(5));
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
   EXPECT_GT(d.sent.size(), 0u);
   EXPECT_LT(d.sent.size(), 60u);
@@ -62,7 +62,7 @@
   d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
   for (int i = 0; i < 200; ++i) d.request(1);
   std::size_t held = 0;
-  for (const Sent& s : d.out) held += s.host == d.host(0);
+  for (const SentAttempt& s : d.out) held += s.host == d.host(0);
   EXPECT_LE(held, 20u) << "of 200 requests; the others must be rejected";
 }
 
@@ -78,7 +78,7 @@
   }
   d.balancer.onHostListUpdate(d.now, HostListUpdate::complete, list);
   d.collect();
-  d.forget();
+  d.clearHistory();
   d.warmUp(1, 400, milliseconds(5));  // two seconds
   EXPECT_GE(d.sent.size(), 40u);
   EXPECT_LE(d.sent.size(), 200u) << "the warming hosts must not be overloaded";
@@ -101,7 +101,7 @@
       d.request(0);
       d.advance(milliseconds(500));
       while (!d.out.empty()) {
-        const Sent o = d.out.front();
+        const SentAttempt o = d.out.front();
         d.settle(o, o.host == d.host(50) ? Outcome::rejectedForCapacity : Outcome::served,
                  o.host != d.host(50));
       }
@@ -128,7 +128,7 @@
       d.request(0);
       d.advance(milliseconds(50));
       for (int tries = 0; !d.out.empty(); ++tries) {
-        const Sent o = d.out.front();
+        const SentAttempt o = d.out.front();
         const bool full = overload && tries < 3;
         d.settle(o, full ? Outcome::rejectedForCapacity : Outcome::served, !full);
       }
@@ -137,7 +137,7 @@
     HostEntry startedHost = makeHost(50);
     startedHost.startedAt = d.now;
     d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {startedHost});
-    d.forget();
+    d.clearHistory();
     for (int i = 0; i < 20; ++i) request(true);
     all += d.sent.size();
     sentToWarming += d.sentTo(d.host(50));
--- a/tests/policy/subset_test.cpp
+++ b/tests/policy/subset_test.cpp
@@ -96,7 +96,7 @@
 std::set<HostId> hostsUsedBy(Driver& d, int requests) {
   d.warmUp(0, requests);
   std::set<HostId> used;
-  for (const Sent& s : d.sent) used.insert(s.host);
+  for (const SentAttempt& s : d.sent) used.insert(s.host);
   return used;
 }
 
@@ -128,7 +128,7 @@
   }
   d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, entries);
   d.collect();
-  d.forget();
+  d.clearHistory();
   const auto after = hostsUsedBy(d, 100);
   EXPECT_GE(after.size(), 4u);
   for (HostId id : after) EXPECT_EQ(before.count(id), 0u);
@@ -147,8 +147,8 @@
     const RequestId id = d.request(cls);
     if (i >= 100) ++requestCounts[cls], rejected[cls] += d.refused(id) && d.sent.size() == before;
     for (int tries = 0; !d.out.empty(); ++tries)  // three in seven attempts are rejected
-      d.settle(Sent(d.out.front()), (i + tries) % 7 < 3 ? Outcome::rejectedForCapacity : Outcome::served,
-               (i + tries) % 7 >= 3);
+      d.settle(SentAttempt(d.out.front()),
+               (i + tries) % 7 < 3 ? Outcome::rejectedForCapacity : Outcome::served, (i + tries) % 7 >= 3);
     d.advance(milliseconds(60));
   }
   EXPECT_GT(rejected[1], requestCounts[1] / 5);
@@ -162,13 +162,13 @@
   d.warmUp(0, 100);
   d.advance(milliseconds(200));
   d.request(0);
-  const Sent refused = d.lastSent();
-  d.forget();
+  const SentAttempt refused = d.lastSent();
+  d.clearHistory();
   d.settle(refused, Outcome::connectFailed, false, milliseconds(1));
   for (int i = 0; i < 8; ++i) {
     d.request(0);
     d.advance(milliseconds(1), milliseconds(1));
-    while (!d.out.empty()) d.serve(Sent(d.out.front()));
+    while (!d.out.empty()) d.serve(SentAttempt(d.out.front()));
   }
   EXPECT_GE(d.sent.size(), 9u);
   EXPECT_EQ(d.sentTo(refused.host), 0u);
@@ -177,15 +177,16 @@
 TEST(Subset, GrowsWithRequestsInFlight) {
   Driver d(clusterSettings(100, 42), 60);
   hostsUsedBy(d, 100);
-  d.forget();
+  d.clearHistory();
   // One second of slow answers: about twelve requests are in flight at once.
   for (int i = 0; i < 40; ++i) {
     d.request(0);
     d.advance(milliseconds(25));
-    while (!d.out.empty() && d.now - d.out.front().at >= milliseconds(300)) d.serve(Sent(d.out.front()));
+    while (!d.out.empty() && d.now - d.out.front().at >= milliseconds(300))
+      d.serve(SentAttempt(d.out.front()));
   }
   std::set<HostId> used;
-  for (const Sent& s : d.sent) used.insert(s.host);
+  for (const SentAttempt& s : d.sent) used.insert(s.host);
   EXPECT_GE(used.size(), 7u);
   EXPECT_LE(used.size(), 24u);
 }
