--- a/src/policy/host.hpp
+++ b/src/policy/host.hpp
@@ -1,4 +1,4 @@
-// State of one host. Each rule has its own record, which only that rule writes.
+// State of one host. Each rule has its own record, which other rules only read.
 #pragma once
 
 #include <cstddef>
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -225,7 +225,7 @@
     request.id = arriving.id;
     request.classIndex = traffic.classIndexOf(arriving);
     TrafficClass& trafficClass = traffic.classes()[request.classIndex];
-    request.relativeWork = traffic.onExpectedWork(trafficClass, arriving.expectedWork);
+    request.relativeWork = traffic.recordExpectedWork(trafficClass, arriving.expectedWork);
     request.latencyObjective = trafficClass.settings.latencyObjective;
     request.lateValueFraction = trafficClass.settings.lateValueFraction;
     request.affinityKey = arriving.affinityKey;
@@ -241,10 +241,11 @@
     const Duration spent = LateRetryDetector::timeSpentBefore(trafficClass, arriving.timeLeft);
     request.objectiveAt = now - spent + trafficClass.settings.latencyObjective +
                           scaled(arriving.expectedWork, trafficClass.settings.objectiveStretch);
-    traffic.onDemand(trafficClass, request.relativeWork);
+    traffic.recordDemand(trafficClass, request.relativeWork);
   }
 
-  // Sends the request or starts load probing. Returns false if neither was possible.
+  // Sends the request or starts load probing. Returns false if neither is possible; the caller then ends the
+  // request.
   bool route(ActiveRequest& request) {
     if (!retries.maySend(request, now)) return false;
     const HostId drawn = picker.pick(request, now, random);
@@ -419,7 +420,7 @@
     overload.onOutcome(host, outcome);
     if (!reflectsHostHealth(outcome)) return;
     retries.onResult(request, outcome, result.elapsed, seconds);
-    traffic.onServedOrNot(outcome == Outcome::served);
+    traffic.recordServed(outcome == Outcome::served);
   }
 
   // `isOwnAttempt`: whether the attempt was made by this gateway; if not, it was reported to it as the
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -39,7 +39,7 @@
   classes_.push_back({unknownClass, 0, 0, {}, 0});
 }
 
-double TrafficStatistics::onExpectedWork(TrafficClass& trafficClass, Duration expectedWork) {
+double TrafficStatistics::recordExpectedWork(TrafficClass& trafficClass, Duration expectedWork) {
   const double work = toSeconds(expectedWork);
   if (work <= 0) return 1.0;
   double& mean = trafficClass.meanExpectedWork;
@@ -47,7 +47,7 @@
   return std::clamp(work / mean, kMinRelativeWork, kMaxRelativeWork);
 }
 
-void TrafficStatistics::onDemand(const TrafficClass& trafficClass, double relativeWork) {
+void TrafficStatistics::recordDemand(const TrafficClass& trafficClass, double relativeWork) {
   const ClassSettings& settings = trafficClass.settings;
   // If late answers still have value, the objective is extended in proportion to that value.
   const Duration lateExtension =
--- a/src/policy/traffic_statistics.hpp
+++ b/src/policy/traffic_statistics.hpp
@@ -46,15 +46,15 @@
     if (firstArrivalAt_ == Time{}) firstArrivalAt_ = now;
   }
   // Returns the request's expected work relative to the mean of its class, within limits; 1 if unknown.
-  double onExpectedWork(TrafficClass& trafficClass, Duration expectedWork);
+  double recordExpectedWork(TrafficClass& trafficClass, Duration expectedWork);
   // Updates the means of the latency objective and the typical latency of arriving requests.
-  void onDemand(const TrafficClass& trafficClass, double relativeWork);
+  void recordDemand(const TrafficClass& trafficClass, double relativeWork);
   void onSend() { sends_ += 1; }
   // An attempt, not of a stream, ended after `seconds`. Returns its relative latency; 1 while the typical
   // latency of the class is unknown.
   double onResult(Time now, Host& host, const ActiveRequest& request, Outcome outcome, double seconds);
   // Updates the fraction of attempts that are served. Called for each result that reflects the host's health.
-  void onServedOrNot(bool served) {
+  void recordServed(bool served) {
     servedFraction_ += ((served ? 1.0 : 0.0) - servedFraction_) / kMinSamples;
   }
   // Updates the relative latency of a host. Timeouts longer than the typical latency count with their
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 // Checks the four rules by the counts and by the audit.
-void expectRules(const Fleet& f, const std::string& day) {
-  EXPECT_EQ(f.counts.duplicateAnswers, 0u) << day;
-  EXPECT_EQ(f.counts.sentToDraining, 0u) << day;
-  EXPECT_LT(f.counts.maxWarmingLoad, 2.5) << day << ": a host collapses at 3";
+void expectRulesHold(const Fleet& f, const std::string& scenario) {
+  EXPECT_EQ(f.counts.duplicateAnswers, 0u) << scenario;
+  EXPECT_EQ(f.counts.sentToDraining, 0u) << scenario;
+  EXPECT_LT(f.counts.maxWarmingLoad, 2.5) << scenario << ": a host collapses at 3";
   EXPECT_TRUE(f.audit.violations().empty())
-      << day << ": " << f.audit.violations().size() << ", the first: " << f.audit.violations().front();
+      << scenario << ": " << f.audit.violations().size() << ", the first: " << f.audit.violations().front();
 }
 
 double valueFraction(const Fleet& f) { return f.counts.valueServed / f.counts.valueRequested; }
 std::string name(std::uint64_t seed) { return "seed " + std::to_string(seed); }
 
-class FleetDays : public ::testing::TestWithParam<std::uint64_t> {
+class FleetScenarios : public ::testing::TestWithParam<std::uint64_t> {
  protected:
   FleetSettings settings(double requestsPerSecond = 2300) const {
     FleetSettings s;
@@ -31,13 +31,13 @@
     return s;
   }
 };
-INSTANTIATE_TEST_SUITE_P(Seeds, FleetDays, ::testing::Values(1, 2, 3));
+INSTANTIATE_TEST_SUITE_P(Seeds, FleetScenarios, ::testing::Values(1, 2, 3));
 
 // If every gateway used every host, some hosts would reach their limit of 88 connections and refuse hundreds.
-TEST_P(FleetDays, ConnectionsStayUnderTheLimitOfHosts) {
+TEST_P(FleetScenarios, ConnectionsStayUnderTheLimitOfHosts) {
   Fleet f(settings());
   f.run(seconds(6));
-  expectRules(f, name(GetParam()));
+  expectRulesHold(f, name(GetParam()));
   EXPECT_LT(f.counts.maxConnectionsPerHost, 44);
   EXPECT_EQ(f.counts.refusedConnections, 0u);
   EXPECT_LT(static_cast<double>(f.counts.handshakes), 0.15 * static_cast<double>(f.counts.requests));
@@ -45,26 +45,26 @@
   EXPECT_GT(valueFraction(f), 0.93);
 }
 
-TEST_P(FleetDays, AllGatewaysRestartWithinASecond) {
+TEST_P(FleetScenarios, AllGatewaysRestartWithinASecond) {
   Fleet f(settings());
   f.run(seconds(5));
   f.counts = {};
   restartAllGateways(f, seconds(5));
   f.run(seconds(11));
-  expectRules(f, name(GetParam()));
+  expectRulesHold(f, name(GetParam()));
   EXPECT_LT(f.counts.maxConnectionsPerHost, 60);
   EXPECT_EQ(f.counts.refusedConnections, 0u);
   EXPECT_LT(static_cast<double>(f.counts.handshakes), 0.2 * static_cast<double>(f.counts.requests));
   EXPECT_GT(valueFraction(f), 0.88);
 }
 
-TEST_P(FleetDays, ZoneFailsAndReturnsWarmingUp) {
+TEST_P(FleetScenarios, ZoneFailsAndReturnsWarmingUp) {
   Fleet f(settings());
   f.run(seconds(5));
   f.counts = {};
   failOneZone(f, seconds(5));
   f.run(seconds(20));
-  expectRules(f, name(GetParam()));
+  expectRulesHold(f, name(GetParam()));
   EXPECT_LT(f.counts.maxConnectionsPerHost, 80);
   EXPECT_LT(f.counts.refusedConnections, 2000u);
   EXPECT_GT(valueFraction(f), 0.78);
@@ -73,7 +73,7 @@
 // Six in ten hosts drain within seven seconds; their successors warm up and are listed late. If slow start
 // considered only the fraction of attempts that the last warm hosts still serve, the warming hosts would stay
 // idle.
-TEST_P(FleetDays, SixInTenHostsAreReplacedInSevenSeconds) {
+TEST_P(FleetScenarios, SixInTenHostsAreReplacedInSevenSeconds) {
   FleetSettings s = settings(2600);
   s.queue = 3;
   Fleet f(s);
@@ -81,23 +81,23 @@
   f.counts = {};
   replaceSixtyPercentOfHosts(f, seconds(5));
   f.run(seconds(18));
-  expectRules(f, name(GetParam()));
+  expectRulesHold(f, name(GetParam()));
   EXPECT_LT(f.counts.maxConnectionsPerHost, 80);
   EXPECT_GT(valueFraction(f), 0.75);
-  std::size_t fresh = 0;
-  for (int h = f.settings.hosts; h < f.settings.hosts + 36; ++h) fresh += f.counts.servedBy[h];
-  EXPECT_GT(fresh, 4400u) << "4,150 to 4,260 without the recent peak rate";
+  std::size_t servedByNewHosts = 0;
+  for (int h = f.settings.hosts; h < f.settings.hosts + 36; ++h) servedByNewHosts += f.counts.servedBy[h];
+  EXPECT_GT(servedByNewHosts, 4400u) << "4,150 to 4,260 without the recent peak rate";
 }
 
 // --- The rules, checked by an audit that shares no code with the decision module
 
-struct FleetRules : FleetDays {
+struct FleetRules : FleetScenarios {
   FleetSettings late() const {
     FleetSettings s = settings(2000);
     s.listSpread = seconds(3);
     return s;
   }
-  void play(Fleet& f, const std::function<void()>& plan, Time until) {
+  void runWithPlan(Fleet& f, const std::function<void()>& plan, Time until) {
     f.run(seconds(5));
     f.counts = {};
     plan();
@@ -109,9 +109,9 @@
 
 TEST_P(FleetRules, RollingRestartWithLateLists) {
   Fleet f(late());
-  play(
+  runWithPlan(
       f, [&] { rollingDeploy(f, seconds(5)); }, seconds(24));
-  expectRules(f, name(GetParam()));
+  expectRulesHold(f, name(GetParam()));
   EXPECT_GT(valueFraction(f), 0.75);
 }
 
@@ -120,16 +120,16 @@
   FleetSettings s = late();
   s.heavyGatewayFactor = 5;
   Fleet f(s);
-  play(
+  runWithPlan(
       f, [&] { rollingDeploy(f, seconds(5)); }, seconds(20));
-  expectRules(f, name(GetParam()));
+  expectRulesHold(f, name(GetParam()));
   EXPECT_GT(valueFraction(f), 0.75);
 }
 
 // A fifth of the hosts become unreachable for six seconds, with attempts pending, and recover.
 TEST_P(FleetRules, FifthOfTheHostsUnreachable) {
   Fleet f(settings());
-  play(
+  runWithPlan(
       f,
       [&] {
         for (int h = 0; h < f.settings.hosts; h += 5) {
@@ -138,14 +138,14 @@
         }
       },
       seconds(18));
-  expectRules(f, name(GetParam()));
+  expectRulesHold(f, name(GetParam()));
   EXPECT_GT(valueFraction(f), 0.75);
 }
 
 // Seven in ten gateways crash at once and restart with a list that is seconds old.
 TEST_P(FleetRules, SevenInTenGatewaysCrashAtOnce) {
   Fleet f(late());
-  play(
+  runWithPlan(
       f,
       [&] {
         for (int h = 0; h < 12; ++h) f.at(seconds(4), [&f, h] { f.drainHost(h); });
@@ -155,7 +155,7 @@
         }
       },
       seconds(14));
-  expectRules(f, name(GetParam()));
+  expectRulesHold(f, name(GetParam()));
   EXPECT_GT(valueFraction(f), 0.6);
 }
 
@@ -163,9 +163,9 @@
 TEST_P(FleetRules, AnswersAreLostAllOverTheFleet) {
   Fleet f(settings(1800));
   f.lostAnswerFraction = 0.05;
-  play(
+  runWithPlan(
       f, [&] { failOneZone(f, seconds(6)); }, seconds(16));
-  expectRules(f, name(GetParam()));
+  expectRulesHold(f, name(GetParam()));
   EXPECT_GT(valueFraction(f), 0.7);
 }
 
@@ -262,7 +262,7 @@
     s.requestsPerSecond = 400;
     Fleet f(s);
     f.run(seconds(6));
-    expectRules(f, std::to_string(gateways) + " gateways");
+    expectRulesHold(f, std::to_string(gateways) + " gateways");
     EXPECT_EQ(f.counts.pairs.size(), gateways * 12u);
     EXPECT_GT(valueFraction(f), 0.95);
   }
@@ -275,7 +275,7 @@
   s.requestsPerSecond = 800;
   Fleet f(s);
   f.run(seconds(8));
-  expectRules(f, "a thousand");
+  expectRulesHold(f, "a thousand");
   EXPECT_EQ(f.counts.sentTo.size(), 20u);
   EXPECT_GT(valueFraction(f), 0.78);
 }
--- a/tests/policy/host_registry_test.cpp
+++ b/tests/policy/host_registry_test.cpp
@@ -10,10 +10,10 @@
 
 TEST(HostRegistry, DrainingAndRemovedHostsGetNoRequests) {
   Driver d(makeSettings(), 3);
-  HostEntry draining = makeHost(0), removed = makeHost(1);
-  draining.phase = HostPhase::draining;
-  removed.phase = HostPhase::removed;
-  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {draining, removed});
+  HostEntry drainingHost = makeHost(0), removedHost = makeHost(1);
+  drainingHost.phase = HostPhase::draining;
+  removedHost.phase = HostPhase::removed;
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {drainingHost, removedHost});
   d.clearHistory();
   for (int i = 0; i < 30; ++i) {
     d.request(0);
--- a/tests/policy/slow_start_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -44,12 +44,12 @@
     s.seed = seed;
     return s;
   }
-  void expectBudget(const Fleet& f, const std::string& day) const {
+  void expectBudget(const Fleet& f, const std::string& scenario) const {
     std::printf("%s: %.2f of the budget in the worst window, %.0f attempts to spare, value %.3f\n",
-                day.c_str(), f.audit.worstBudgetFraction, -f.audit.worstBudgetExcess,
+                scenario.c_str(), f.audit.worstBudgetFraction, -f.audit.worstBudgetExcess,
                 f.counts.valueServed / f.counts.valueRequested);
-    EXPECT_LE(f.audit.worstBudgetExcess, 0) << day;
-    EXPECT_GT(f.audit.worstBudgetFraction, 0) << day << ": nothing was sent to a warming host";
+    EXPECT_LE(f.audit.worstBudgetExcess, 0) << scenario;
+    EXPECT_GT(f.audit.worstBudgetFraction, 0) << scenario << ": nothing was sent to a warming host";
   }
 };
 
