--- a/tests/policy/discovery_backoff_test.cpp
+++ b/tests/policy/discovery_backoff_test.cpp
@@ -60,11 +60,11 @@
   for (std::size_t i = 1; i < polls.size(); ++i) longest = std::max(longest, polls[i] - polls[i - 1]);
   EXPECT_LE(longest, milliseconds(260));
   // Gateways that have waited longer poll more often, so that they are served first.
-  const auto in = [&](Time from, Time to) {
+  const auto pollsBetween = [&](Time from, Time to) {
     return std::count_if(polls.begin(), polls.end(), [&](Time t) { return t >= from && t < to; });
   };
-  EXPECT_GT(in(discoveryMoved + seconds(2), discoveryMoved + seconds(4)),
-            in(discoveryMoved, discoveryMoved + seconds(2)));
+  EXPECT_GT(pollsBetween(discoveryMoved + seconds(2), discoveryMoved + seconds(4)),
+            pollsBetween(discoveryMoved, discoveryMoved + seconds(2)));
   failPollsUntil(discoveryMoved + seconds(9));
   // After the migration window, the ordinary pauses apply: at most 2 s, and about one poll per second.
   const Time migrationEndedAt = d.now;
@@ -116,13 +116,13 @@
     s.maxDiscoverySilence = seconds(10);
     s.seed = static_cast<std::uint64_t>(g) + 1;
     Driver d(s, 3);
-    const Time lost = d.now;
-    while (d.now < lost + seconds(10)) {
+    const Time lostAt = d.now;
+    while (d.now < lostAt + seconds(10)) {
       d.balancer.onHostListUpdate(d.now, HostListUpdate::unavailable, {});
       d.collect();
       const std::size_t before = d.count(ActionKind::pollDiscovery);
       while (d.count(ActionKind::pollDiscovery) == before) d.advance(milliseconds(5));
-      const auto second = static_cast<std::size_t>((d.now - lost) / seconds(1));
+      const auto second = static_cast<std::size_t>((d.now - lostAt) / seconds(1));
       if (second < polls.size()) ++polls[second];
     }
   }
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -20,7 +20,7 @@
 }
 
 double valueFraction(const Fleet& f) { return f.counts.valueServed / f.counts.valueRequested; }
-std::string name(std::uint64_t seed) { return "seed " + std::to_string(seed); }
+std::string seedName(std::uint64_t seed) { return "seed " + std::to_string(seed); }
 
 class FleetScenarios : public ::testing::TestWithParam<std::uint64_t> {
  protected:
@@ -37,7 +37,7 @@
 TEST_P(FleetScenarios, ConnectionsStayUnderTheLimitOfHosts) {
   Fleet f(settings());
   f.run(seconds(6));
-  expectRulesHold(f, name(GetParam()));
+  expectRulesHold(f, seedName(GetParam()));
   EXPECT_LT(f.counts.maxConnectionsPerHost, 44);
   EXPECT_EQ(f.counts.refusedConnections, 0u);
   EXPECT_LT(static_cast<double>(f.counts.handshakes), 0.15 * static_cast<double>(f.counts.requests));
@@ -51,7 +51,7 @@
   f.counts = {};
   restartAllGateways(f, seconds(5));
   f.run(seconds(11));
-  expectRulesHold(f, name(GetParam()));
+  expectRulesHold(f, seedName(GetParam()));
   EXPECT_LT(f.counts.maxConnectionsPerHost, 60);
   EXPECT_EQ(f.counts.refusedConnections, 0u);
   EXPECT_LT(static_cast<double>(f.counts.handshakes), 0.2 * static_cast<double>(f.counts.requests));
@@ -64,7 +64,7 @@
   f.counts = {};
   failOneZone(f, seconds(5));
   f.run(seconds(20));
-  expectRulesHold(f, name(GetParam()));
+  expectRulesHold(f, seedName(GetParam()));
   EXPECT_LT(f.counts.maxConnectionsPerHost, 80);
   EXPECT_LT(f.counts.refusedConnections, 2000u);
   EXPECT_GT(valueFraction(f), 0.78);
@@ -81,7 +81,7 @@
   f.counts = {};
   replaceSixtyPercentOfHosts(f, seconds(5));
   f.run(seconds(18));
-  expectRulesHold(f, name(GetParam()));
+  expectRulesHold(f, seedName(GetParam()));
   EXPECT_LT(f.counts.maxConnectionsPerHost, 80);
   EXPECT_GT(valueFraction(f), 0.75);
   std::size_t servedByNewHosts = 0;
@@ -111,7 +111,7 @@
   Fleet f(late());
   runWithPlan(
       f, [&] { rollingDeploy(f, seconds(5)); }, seconds(24));
-  expectRulesHold(f, name(GetParam()));
+  expectRulesHold(f, seedName(GetParam()));
   EXPECT_GT(valueFraction(f), 0.75);
 }
 
@@ -122,7 +122,7 @@
   Fleet f(s);
   runWithPlan(
       f, [&] { rollingDeploy(f, seconds(5)); }, seconds(20));
-  expectRulesHold(f, name(GetParam()));
+  expectRulesHold(f, seedName(GetParam()));
   EXPECT_GT(valueFraction(f), 0.75);
 }
 
@@ -138,7 +138,7 @@
         }
       },
       seconds(18));
-  expectRulesHold(f, name(GetParam()));
+  expectRulesHold(f, seedName(GetParam()));
   EXPECT_GT(valueFraction(f), 0.75);
 }
 
@@ -155,7 +155,7 @@
         }
       },
       seconds(14));
-  expectRulesHold(f, name(GetParam()));
+  expectRulesHold(f, seedName(GetParam()));
   EXPECT_GT(valueFraction(f), 0.6);
 }
 
@@ -165,7 +165,7 @@
   f.lostAnswerFraction = 0.05;
   runWithPlan(
       f, [&] { failOneZone(f, seconds(6)); }, seconds(16));
-  expectRulesHold(f, name(GetParam()));
+  expectRulesHold(f, seedName(GetParam()));
   EXPECT_GT(valueFraction(f), 0.7);
 }
 
@@ -245,9 +245,9 @@
 TEST_F(FleetAuditTest, DetectsOverloadedWarmingHost) {
   Fleet f(settings());
   f.tamper = [&](std::uint32_t, LoadBalancer& b, std::vector<Action>& actions) {
-    const HostId cold = b.findHost(makeHost(f.settings.hosts).address);
+    const HostId warmingHost = b.findHost(makeHost(f.settings.hosts).address);
     for (Action& a : actions)
-      if (a.kind == ActionKind::sendAttempt && cold != kNone) a.host = cold;
+      if (a.kind == ActionKind::sendAttempt && warmingHost != kNone) a.host = warmingHost;
   };
   EXPECT_GT(violations('4', f, [&] { f.addHost("east"); }), 0u);
   EXPECT_GT(f.audit.worstBudgetExcess, 0) << "the budget of attempts is exceeded, too";
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -22,8 +22,8 @@
   Driver old(makeSettings());
   refusedIn(old, seconds(3));
   EXPECT_EQ(refusedIn(old, milliseconds(200)), 0u);
-  Driver fresh(makeSettings());
-  EXPECT_GT(refusedIn(fresh, milliseconds(200)), 0u);  // the initial limit is too low for fast hosts
+  Driver withoutRestore(makeSettings());
+  EXPECT_GT(refusedIn(withoutRestore, milliseconds(200)), 0u);  // the initial limit is too low for fast hosts
   Driver next(makeSettings());
   next.balancer.restoreLearnedState(next.now, old.balancer.learnedState());
   next.collect();
@@ -68,19 +68,22 @@
 TEST(LearnedState, InvalidValuesAreIgnored) {
   Driver old(makeSettings());
   old.warmUp(0, 60);
-  LearnedState bad = old.balancer.learnedState();
-  const double worst[] = {std::nan(""), HUGE_VAL, -HUGE_VAL, -1};
-  for (const double w : worst) {
-    for (double* p : {&bad.arrivalRate, &bad.arrivalSamples, &bad.inTimeRate, &bad.meanLatencyObjective,
-                      &bad.meanTypicalLatency, &bad.unloadedConcurrency, &bad.servedFraction})
-      *p = w;
-    for (auto& c : bad.classes)
-      c.typicalLatency = c.meanExpectedWork = c.lateRetryFraction = w, c.typicalTimeLeft = Duration(-5);
-    for (auto& k : bad.machineTypes) k.provenRate = k.relativeLatency = w;
-    for (auto& h : bad.hosts) h.relativeLatency = h.failureRate = h.answerRate = w, h.ejections = 1 << 30;
-    bad.priorityLevels = {{5, 1}, {5, 1}, {w, w}};
+  LearnedState invalidState = old.balancer.learnedState();
+  const double invalidValues[] = {std::nan(""), HUGE_VAL, -HUGE_VAL, -1};
+  for (const double invalidValue : invalidValues) {
+    for (double* p : {&invalidState.arrivalRate, &invalidState.arrivalSamples, &invalidState.inTimeRate,
+                      &invalidState.meanLatencyObjective, &invalidState.meanTypicalLatency,
+                      &invalidState.unloadedConcurrency, &invalidState.servedFraction})
+      *p = invalidValue;
+    for (auto& c : invalidState.classes)
+      c.typicalLatency = c.meanExpectedWork = c.lateRetryFraction = invalidValue,
+      c.typicalTimeLeft = Duration(-5);
+    for (auto& k : invalidState.machineTypes) k.provenRate = k.relativeLatency = invalidValue;
+    for (auto& h : invalidState.hosts)
+      h.relativeLatency = h.failureRate = h.answerRate = invalidValue, h.ejections = 1 << 30;
+    invalidState.priorityLevels = {{5, 1}, {5, 1}, {invalidValue, invalidValue}};
     Driver next(makeSettings());
-    next.balancer.restoreLearnedState(next.now, bad);
+    next.balancer.restoreLearnedState(next.now, invalidState);
     next.warmUp(0, 60);
     EXPECT_EQ(next.balancer.admissionCutoff(), 0);
     EXPECT_EQ(next.answers.size(), 0u);  // no request was rejected or failed
--- a/tests/policy/load_probing_test.cpp
+++ b/tests/policy/load_probing_test.cpp
@@ -256,10 +256,10 @@
   Settings s = largeClusterSettings(false);
   s.initialCapacityFraction = 1;  // chosen as often as a warm host
   Driver tracker(s, 20);
-  HostEntry cold = makeHost(7, "east", 1);
-  cold.startedAt = tracker.now;
-  tracker.balancer.onHostListUpdate(tracker.now, HostListUpdate::incremental, {cold});
-  const auto hash = static_cast<std::uint32_t>(hashText(cold.address));
+  HostEntry warmingHost = makeHost(7, "east", 1);
+  warmingHost.startedAt = tracker.now;
+  tracker.balancer.onHostListUpdate(tracker.now, HostListUpdate::incremental, {warmingHost});
+  const auto hash = static_cast<std::uint32_t>(hashText(warmingHost.address));
   std::vector<bool> recommended;
   for (int i = 0; i < 3; ++i) {
     tracker.clearHistory();
--- a/tests/policy/load_report_model_test.cpp
+++ b/tests/policy/load_report_model_test.cpp
@@ -195,9 +195,9 @@
     AttemptResult r{s.request, s.attempt, s.host, Outcome::served, milliseconds(10), true, {}};
     if (d == &reporting) r.report = queueOf(50);
     d->balancer.onAttemptResult(d->now, r);
-    HostEntry again = makeHost(s.host == d->host(0) ? 0 : 1, "east", s.host == d->host(0) ? 0 : 1);
-    again.startedAt = d->now;
-    d->balancer.onHostListUpdate(d->now, HostListUpdate::incremental, {again});
+    HostEntry restartedEntry = makeHost(s.host == d->host(0) ? 0 : 1, "east", s.host == d->host(0) ? 0 : 1);
+    restartedEntry.startedAt = d->now;
+    d->balancer.onHostListUpdate(d->now, HostListUpdate::incremental, {restartedEntry});
     d->collect();
   }
   for (int i = 0; i < 200; ++i)
@@ -236,9 +236,9 @@
     }
     const SentAttempt late = request(*d);
     const int number = late.host == d->host(0) ? 0 : 1;
-    HostEntry again = makeHost(number, "east", number);
-    again.startedAt = d->now;
-    d->balancer.onHostListUpdate(d->now, HostListUpdate::incremental, {again});
+    HostEntry restartedEntry = makeHost(number, "east", number);
+    restartedEntry.startedAt = d->now;
+    d->balancer.onHostListUpdate(d->now, HostListUpdate::incremental, {restartedEntry});
     d->advance(milliseconds(10));
     answer(*d, late, 500, milliseconds(20), d == &reporting);
     d->clearHistory();
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -8,7 +8,7 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-bool ejectedAny(const Driver& d) {
+bool anyHostEjected(const Driver& d) {
   return std::any_of(d.all.begin(), d.all.end(), [](const Action& a) {
     return a.kind == ActionKind::log && a.text.find("ejected") != std::string::npos;
   });
@@ -17,27 +17,27 @@
 TEST(OutlierDetector, EjectsHostOfImmediateErrorsWithoutRaisingCutoff) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
-  const HostId bad = d.host(2);
+  const HostId faultyHost = d.host(2);
   d.clearHistory();
   for (int i = 0; i < 600; ++i) {
     d.request(0);
     d.advance(milliseconds(10));
     for (std::size_t k = 0; k < d.out.size();) {
       const SentAttempt s = d.out[k];
-      if (s.host == bad) d.settle(s, Outcome::error, false);
+      if (s.host == faultyHost) d.settle(s, Outcome::error, false);
       else if (d.now - s.at >= milliseconds(30)) d.serve(s);
       else ++k;
     }
     EXPECT_EQ(d.balancer.admissionCutoff(), 0);
   }
-  EXPECT_LT(d.sentTo(bad), 30u) << "without ejection it would look idle and attract requests";
-  EXPECT_GT(d.sentTo(bad), 3u) << "trials detect its recovery";
+  EXPECT_LT(d.sentTo(faultyHost), 30u) << "without ejection it would look idle and attract requests";
+  EXPECT_GT(d.sentTo(faultyHost), 3u) << "trials detect its recovery";
 }
 
 TEST(OutlierDetector, EjectedHostReturnsAfterRecovery) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
-  const HostId bad = d.host(2);
+  const HostId faultyHost = d.host(2);
   bool isBroken = true;
   const auto run = [&](int n) {
     for (int i = 0; i < n; ++i) {
@@ -45,7 +45,7 @@
       d.advance(milliseconds(10));
       for (std::size_t k = 0; k < d.out.size();) {
         const SentAttempt s = d.out[k];
-        if (s.host == bad && isBroken) d.settle(s, Outcome::connectFailed, false);
+        if (s.host == faultyHost && isBroken) d.settle(s, Outcome::connectFailed, false);
         else if (d.now - s.at >= milliseconds(30)) d.serve(s);
         else ++k;
       }
@@ -56,7 +56,7 @@
   run(1200);
   d.clearHistory();
   run(300);
-  EXPECT_GT(d.sentTo(bad) * 12, d.sent.size());
+  EXPECT_GT(d.sentTo(faultyHost) * 12, d.sent.size());
 }
 
 TEST(OutlierDetector, UnresponsiveHostGetsNoMoreRequests) {
@@ -105,7 +105,7 @@
     }
   }
   EXPECT_GT(attemptsAtHost, 100);
-  EXPECT_FALSE(ejectedAny(d));
+  EXPECT_FALSE(anyHostEjected(d));
 }
 
 TEST(OutlierDetector, EjectsHostWhoseProcessDied) {
@@ -122,7 +122,7 @@
       d.settle(s, down ? Outcome::connectFailed : Outcome::served, !down);
     }
   }
-  EXPECT_TRUE(ejectedAny(d));
+  EXPECT_TRUE(anyHostEjected(d));
   EXPECT_LT(attemptsAtHost, 40) << "of some 100";
 }
 
@@ -279,15 +279,16 @@
 TEST(OutlierDetector, TriesEjectedHostWithIdempotentRequests) {
   Driver d(makeSettings(), 6);
   d.warmUp(1, 60, milliseconds(5));
-  const HostId bad = d.host(3);
+  const HostId faultyHost = d.host(3);
   std::size_t nonIdempotentTrials = 0, idempotentTrials = 0;
   for (int i = 0; i < 4000; ++i) {
     d.request(i % 5 == 0 ? 0 : 1);
     while (!d.out.empty()) {
       const SentAttempt s = d.out.front();
       const bool isIdempotent = d.classOf[s.request] == 0;
-      if (s.host == bad && i > 500) ++(isIdempotent ? idempotentTrials : nonIdempotentTrials);
-      d.settle(s, s.host == bad ? Outcome::error : Outcome::served, s.host != bad, milliseconds(1));
+      if (s.host == faultyHost && i > 500) ++(isIdempotent ? idempotentTrials : nonIdempotentTrials);
+      d.settle(s, s.host == faultyHost ? Outcome::error : Outcome::served, s.host != faultyHost,
+               milliseconds(1));
     }
     d.advance(milliseconds(5));
   }
--- a/tests/policy/slow_start_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -20,7 +20,7 @@
   double load;  // of the capacity of all hosts when warm
 };
 
-std::string name(const ::testing::TestParamInfo<BudgetCase>& info) {
+std::string caseName(const ::testing::TestParamInfo<BudgetCase>& info) {
   const BudgetCase& c = info.param;
   return std::to_string(c.gateways) + "Gateways" + std::to_string(c.hosts) + "HostsOf" +
          std::to_string(c.slots) + "Slots" + std::to_string(c.workMs) + "MsAt" +
@@ -108,8 +108,8 @@
 TEST_P(SlowStartBudget, HoldsWhenFewOtherHostsAreLeft) {
   Fleet f(settings(5));
   f.run(seconds(3));
-  const int cold = std::max(1, f.settings.hosts / 20);
-  for (int h = 0; h < cold; ++h) {
+  const int warmingHostCount = std::max(1, f.settings.hosts / 20);
+  for (int h = 0; h < warmingHostCount; ++h) {
     f.killHost(h);
     f.at(seconds(6), [&f, h] { f.restartHost(h); });
   }
@@ -132,7 +132,7 @@
                                            BudgetCase{33, 60, 2, 200, 0.7}, BudgetCase{64, 60, 2, 200, 0.7},
                                            BudgetCase{300, 100, 2, 200, 0.6},
                                            BudgetCase{1024, 100, 2, 200, 0.6}),
-                         name);
+                         caseName);
 
 }  // namespace
 }  // namespace finchstile::load_balancing::testing
--- a/tests/policy/stream_placement_test.cpp
+++ b/tests/policy/stream_placement_test.cpp
@@ -54,8 +54,8 @@
     requestStream(d);
     beginAll(d, before);
   }
-  HostEntry fresh = makeHost(5);  // without slow start
-  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {fresh});
+  HostEntry emptyHost = makeHost(5);  // without slow start
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {emptyHost});
   d.collect();
   d.clearHistory();
   for (int i = 0; i < 40; ++i) {
@@ -190,9 +190,9 @@
   s.hostStreamRate = 20;
   Driver d(s, 5);
   d.warmUp(0, 200);
-  HostEntry cold = makeHost(5);
-  cold.startedAt = d.now;
-  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {cold});
+  HostEntry warmingHost = makeHost(5);
+  warmingHost.startedAt = d.now;
+  d.balancer.onHostListUpdate(d.now, HostListUpdate::incremental, {warmingHost});
   d.collect();
   d.clearHistory();
   for (int i = 0; i < 400; ++i) {  // two seconds
