--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -19,10 +19,10 @@
     "rules.coldNs=9000000000 rules.coldShare=0.32 rules.fallMultiple=3.0 rules.fallNs=2000000000 "
     "stepNs=5000000 tenants= zone=north zones=north,south";
 
-// An adapter, fed with text of several lines.
+// An adapter that is fed with several lines of text.
 struct Conversation {
-  std::ostringstream complaints;
-  Adapter adapter{complaints};
+  std::ostringstream diagnostics;
+  Adapter adapter{diagnostics};
   std::string feed(const std::string& text) {
     std::string reply;
     std::istringstream in(text);
@@ -51,12 +51,12 @@
   return "REQ i=" + gateway + " ref=" + ref + " leftNs=1000000000 tierClass=plan" + more + "\n";
 }
 
-TEST(SimulatorAdapter, AnswersAnEmptyBatchWithOk) {
+TEST(SimulatorAdapter, RepliesToEmptyBatchWithOk) {
   Conversation conversation;
   EXPECT_EQ(conversation.feed("FRAME tNs=8412250000\nEOF_BATCH\n"), "OK\n");
 }
 
-TEST(SettingsReader, MapsTheSimulatorsNamesOfSettings) {
+TEST(SettingsReader, MapsSimulatorSettingNames) {
   const Settings s = readSettings(kSettings);
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].name, "plan");
@@ -71,7 +71,7 @@
   EXPECT_THROW(readSettings("groupSize=many"), std::invalid_argument);
 }
 
-TEST(SimulatorAdapter, RetriesARejectedAttemptOnAnotherHost) {
+TEST(SimulatorAdapter, RetriesRejectedAttemptOnAnotherHost) {
   Conversation conversation;
   EXPECT_EQ(count(conversation.start("gateway-0"), "SUBSCRIBE i=gateway-0 active=1"), 1u);
   std::string reply =
@@ -88,10 +88,10 @@
       "terminal=1\n"
       "LEFT i=gateway-0 ref=a-1\nEOF_BATCH\n");
   EXPECT_EQ(count(reply, "a-1"), 0u);
-  EXPECT_EQ(conversation.complaints.str(), "");
+  EXPECT_EQ(conversation.diagnostics.str(), "");
 }
 
-TEST(SimulatorAdapter, ComplainsOfAMalformedLineAndStillAnswersTheBatch) {
+TEST(SimulatorAdapter, ReportsMalformedLineAndCompletesBatch) {
   const char* bad[] = {"NOISE x=1",
                        "REQ ref=q leftNs=5 tierClass=plan",
                        "REQ i=gateway-9 ref=q leftNs=5 tierClass=plan",
@@ -110,11 +110,12 @@
                                                 req("gateway-0", "ok-1") + "EOF_BATCH\n");
     EXPECT_EQ(count(reply, "ref=ok-1"), 1u) << line;
     EXPECT_EQ(count(reply, "OK\n"), 1u) << line;
-    EXPECT_EQ(count(conversation.complaints.str(), "line 9: "), 1u) << line << conversation.complaints.str();
+    EXPECT_EQ(count(conversation.diagnostics.str(), "line 9: "), 1u)
+        << line << conversation.diagnostics.str();
   }
 }
 
-TEST(SimulatorAdapter, AnswersAMalformedRequestWithAnError) {
+TEST(SimulatorAdapter, RespondsToMalformedRequestWithError) {
   for (const char* rest : {" leftNs=abc tierClass=plan", " tierClass=plan", " leftNs=5",
                            " leftNs=5 tierClass=plan repeat=maybe"}) {
     Conversation conversation;
@@ -122,11 +123,11 @@
     const std::string reply = conversation.feed(std::string("FRAME tNs=1005000000\nREQ i=gateway-0 ref=b-1") +
                                                 rest + "\nEOF_BATCH\n");
     EXPECT_EQ(count(reply, "RESPOND_ERROR i=gateway-0 ref=b-1\n"), 1u) << rest;
-    EXPECT_NE(conversation.complaints.str(), "");
+    EXPECT_NE(conversation.diagnostics.str(), "");
   }
 }
 
-TEST(SimulatorAdapter, PassesProbesAndPeerMessagesToTheDecisionModule) {
+TEST(SimulatorAdapter, PassesProbesAndPeerMessagesToDecisionModule) {
   Conversation conversation;
   std::string settings = kSettings;
   settings.replace(settings.find("groupSize=2"), 11, "groupSize=400");
@@ -146,19 +147,19 @@
                             " disposition=10 timeTakenNs=900 metrics=0.7,0\nEOF_BATCH\n");
   EXPECT_EQ(count(reply, "FORWARD i=gateway-0 ref=p-1 host=" + host), 1u);
   conversation.feed("FRAME tNs=1007000000\nFROM_PEER i=gateway-0 by=3 octets=11aabbccdd\nEOF_BATCH\n");
-  EXPECT_EQ(conversation.complaints.str(), "");
+  EXPECT_EQ(conversation.diagnostics.str(), "");
   EXPECT_FALSE(conversation.adapter.malformed());
   for (const char* bad : {"PROBED i=gateway-0 host=1 metrics=1,2", "FROM_PEER i=gateway-0 by=1 octets=abc",
                           "FROM_PEER i=gateway-0 by=1 octets=zz", "FROM_PEER i=gateway-0 octets=aa",
                           "PROBED i=gateway-0 host=1 disposition=10 metrics=x,2"}) {
-    const std::size_t before = conversation.complaints.str().size();
+    const std::size_t before = conversation.diagnostics.str().size();
     conversation.feed("FRAME tNs=1008000000\n" + std::string(bad) + "\nEOF_BATCH\n");
-    EXPECT_GT(conversation.complaints.str().size(), before) << bad;
+    EXPECT_GT(conversation.diagnostics.str().size(), before) << bad;
     EXPECT_TRUE(conversation.adapter.malformed());
   }
 }
 
-TEST(SimulatorAdapter, DropsTheActionsOfARemovedGatewayInTheSameBatch) {
+TEST(SimulatorAdapter, DropsActionsOfGatewayRemovedInSameBatch) {
   Conversation conversation;
   conversation.start("gateway-0 gateway-1");
   const std::string reply =
@@ -166,12 +167,12 @@
                         "RETIRE i=gateway-0\nENLIST i=gateway-0" + kSettings +
                         "\nMEMBERSHIP i=gateway-0 generation=1 buffer=0 kind=restored\n" +
                         req("gateway-0", "new-1") + "EOF_BATCH\n");
-  EXPECT_EQ(count(reply, "old-1"), 0u) << "the incarnation that had this request is gone";
+  EXPECT_EQ(count(reply, "old-1"), 0u) << "the gateway process of this request was replaced";
   EXPECT_EQ(count(reply, "ref=keep-1"), 1u);
   EXPECT_EQ(count(reply, "ref=new-1"), 1u);
 }
 
-TEST(SimulatorAdapter, ResolvesListNumbersInTheOrderOfEvents) {
+TEST(SimulatorAdapter, ResolvesListNumbersInOrderOfEvents) {
   Conversation conversation;
   conversation.start("gateway-0", 1);
   const std::string reply = conversation.feed(
@@ -183,7 +184,7 @@
   EXPECT_EQ(count(reply, "ref=c-1 host=10.9.9.9:80"), 1u);
 }
 
-TEST(SimulatorAdapter, ServesSeveralGatewaysLikeOneProcessEach) {
+TEST(SimulatorAdapter, SeveralGatewaysBehaveLikeSeparateProcesses) {
   const auto events = [](const std::string& gateway) {
     std::string text;
     for (int i = 0; i < 60; ++i) text += req(gateway, gateway + "-r" + std::to_string(i));
@@ -204,7 +205,7 @@
   EXPECT_GT(count(together, "FORWARD"), 10u);
 }
 
-TEST(SimulatorAdapter, AnswersEveryRequestOfALongBatch) {
+TEST(SimulatorAdapter, RespondsToEveryRequestOfLongBatch) {
   Conversation conversation;
   conversation.start("gateway-0", 16);
   std::string text = "FRAME tNs=1005000000\n";
