--- a/src/configuration/client.cpp
+++ b/src/configuration/client.cpp
@@ -120,7 +120,7 @@
   const LongPollClient::Timeouts patience{maxWait + settings_.silenceTimeout, settings_.silenceTimeout,
                                           settings_.maxResponseTime};
   const PollRequest request{gatewayName_, versionState_, maxWait};
-  watch_.poll(settings_.endpoints[currentEndpoint_], formatPollTarget(request), patience);
+  watch_.sendPoll(settings_.endpoints[currentEndpoint_], formatPollTarget(request), patience);
 }
 
 void Client::onLongPollFailed() { onEndpointFailure(); }
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -57,7 +57,7 @@
     target += "?since=" + std::to_string(version_) + "&timeout_ms=" + std::to_string(milliseconds);
     timeout += watchTime;
   }
-  client_.poll(endpoint_, target, {timeout, {}, {}});
+  client_.sendPoll(endpoint_, target, {timeout, {}, {}});
 }
 
 void Discovery::onLongPollResponse(LongPollResponse&& response) {
--- a/src/net/long_poll_client.cpp
+++ b/src/net/long_poll_client.cpp
@@ -68,8 +68,8 @@
   });
 }
 
-void LongPollClient::poll(const tcp::endpoint& endpoint, const std::string& target,
-                          const Timeouts& timeouts) {
+void LongPollClient::sendPoll(const tcp::endpoint& endpoint, const std::string& target,
+                              const Timeouts& timeouts) {
   if (connection_ && connection_->endpoint != endpoint) stop();
   if (!connection_) connection_ = std::make_shared<Connection>(io_, endpoint, *this);
   const auto connection = connection_;
--- a/src/net/long_poll_client.hpp
+++ b/src/net/long_poll_client.hpp
@@ -42,8 +42,8 @@
   ~LongPollClient();
 
   /// Sends a GET for `target` and waits for its response. There is at most one poll at a time.
-  void poll(const boost::asio::ip::tcp::endpoint& endpoint, const std::string& target,
-            const Timeouts& timeouts);
+  void sendPoll(const boost::asio::ip::tcp::endpoint& endpoint, const std::string& target,
+                const Timeouts& timeouts);
   /// Closes the connection; no callback for the open poll follows.
   void stop();
 
