--- a/src/net/active_request.cpp
+++ b/src/net/active_request.cpp
@@ -6,7 +6,7 @@
 
 using load_balancing::RequestId;
 
-std::string_view ActiveRequest::clientId() const { return view((*message)["X-Correlation-Id"]); }
+std::string_view ActiveRequest::correlationId() const { return view((*message)["X-Correlation-Id"]); }
 
 ActiveRequest* ActiveRequestTable::find(RequestId id) {
   const auto found = requests_.find(id);
@@ -21,7 +21,7 @@
 void ActiveRequestTable::releaseIfDone(RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || !found->second.finished || found->second.pendingExchanges > 0) return;
-  clientIds_.erase(std::string(found->second.clientId()));
+  correlationIds_.erase(std::string(found->second.correlationId()));
   requests_.erase(found);
 }
 
--- a/src/net/active_request.hpp
+++ b/src/net/active_request.hpp
@@ -41,14 +41,16 @@
   std::unique_ptr<PendingUpgrade> pendingUpgrade;  ///< It asks to leave HTTP, and has not left it yet.
 
   bool isHeld() const { return heldUntil != Time{}; }
-  std::string_view clientId() const;  ///< The value of X-Correlation-Id.
+  std::string_view correlationId() const;  ///< The value of X-Correlation-Id.
 };
 
 /// Owns the active requests, and keeps clients from using the id of one of them twice.
 class ActiveRequestTable {
  public:
   /// False: a request with this client id is active. A host would take the second one for a repetition.
-  bool reserveClientId(std::string_view clientId) { return clientIds_.emplace(clientId).second; }
+  bool reserveCorrelationId(std::string_view correlationId) {
+    return correlationIds_.emplace(correlationId).second;
+  }
   load_balancing::RequestId newId() { return ++lastId_; }
   /// The reference stays valid until the request is released.
   ActiveRequest& add(load_balancing::RequestId id) { return requests_[id]; }
@@ -64,7 +66,7 @@
   std::size_t unfinishedCount() const;
 
  private:
-  std::unordered_set<std::string> clientIds_;
+  std::unordered_set<std::string> correlationIds_;
   std::unordered_map<load_balancing::RequestId, ActiveRequest> requests_;
   load_balancing::RequestId lastId_ = 0;
 };
--- a/src/net/attempt_manager.cpp
+++ b/src/net/attempt_manager.cpp
@@ -50,7 +50,7 @@
 
 // The wait for a connection may have outlasted the request, its client, its time, the idempotency window, or
 // the host's place in the list. So all of them are checked right before the first byte.
-std::optional<OutgoingRequest> AttemptManager::compose(AttemptId id, Outcome& unsent) {
+std::optional<OutgoingRequest> AttemptManager::compose(AttemptId id, Outcome& unsentOutcome) {
   Attempt* const attempt = table_.find(id);
   if (!attempt) return std::nullopt;
   ActiveRequest* const request = requests_.table().findUnfinished(attempt->request);
@@ -62,8 +62,8 @@
   // The client may have closed its connection behind unread bytes, or while a filter continues the request.
   // Nothing more is begun for it, neither here nor at other hosts.
   const auto client = request->client.lock();
-  if (!client || client->gone()) {
-    unsent = Outcome::notSent;
+  if (!client || client->isDisconnected()) {
+    unsentOutcome = Outcome::notSent;
     return std::nullopt;
   }
   attempt->firstByteAt = now;
@@ -186,14 +186,14 @@
   if (!client) relays_.onAborted(id);
 }
 
-bool AttemptManager::onUpgraded(AttemptId id, tcp::socket&& socket, std::string&& early,
+bool AttemptManager::onUpgraded(AttemptId id, tcp::socket&& socket, std::string&& unreadFromHost,
                                 const http::fields& head) {
   ActiveRequest* const request = requestOf(id);
   if (!request) return false;
-  UpgradeHandler* const upgrades = extensions_.upgradeHandler;
+  UpgradeHandler* const handler = extensions_.upgradeHandler;
   std::optional<UpgradeHandler::AcceptedUpgrade> accepted;
   if (!request->finished && request->pendingUpgrade)
-    accepted = upgrades->acceptResponse(*request->message, head);
+    accepted = handler->acceptResponse(*request->message, head);
   const auto client = request->client.lock();
   std::optional<ClientSession::ReleasedConnection> released;
   if (accepted && client) released = client->release();
@@ -215,12 +215,12 @@
                               std::move(released->socket),
                               std::move(socket),
                               std::move(released->unread),
-                              std::move(early),
+                              std::move(unreadFromHost),
                               switchingProtocolsHead(accepted->toClient),
                               accepted->extensionNegotiated};
   requests_.finish(attempt.request, *request, RequestResult::served);
   requests_.table().releaseIfDone(attempt.request);
-  upgrades->takeOverConnection(std::move(upgraded));
+  handler->takeOverConnection(std::move(upgraded));
   return true;
 }
 
@@ -301,7 +301,7 @@
 void AttemptManager::log(const Attempt& attempt, const UpstreamHost* host, const ActiveRequest& request,
                          Outcome outcome, bool timedOut) const {
   if (!extensions_.attemptLog || !host) return;
-  extensions_.attemptLog->onAttempt({request.clientId(), config_.settings.classes[request.classIndex],
+  extensions_.attemptLog->onAttempt({request.correlationId(), config_.settings.classes[request.classIndex],
                                      attempt.number, host->listed.address, host->listed.zone,
                                      host->listed.cell, attempt.sentAt, attempt.firstByteAt, outcome,
                                      timedOut, request.finished, attempt.hostObservation});
--- a/src/net/attempt_manager.hpp
+++ b/src/net/attempt_manager.hpp
@@ -57,14 +57,14 @@
   bool forwardRequestBody(load_balancing::RequestId id, std::string&& piece, bool last);
 
   // The events of the pool, as UpstreamCallbacks describes them.
-  std::optional<OutgoingRequest> compose(AttemptId id, load_balancing::Outcome& unsent);
+  std::optional<OutgoingRequest> compose(AttemptId id, load_balancing::Outcome& unsentOutcome);
   bool maySendLastByte(AttemptId id);
   void onReadyForRequestBody(AttemptId id);
   /// Returns false if there is no such attempt.
   bool onResponseHeaders(AttemptId id);
   void onResponseBegun(AttemptId id, UpstreamResponse&& upstream, std::optional<std::uint64_t> length);
   /// Returns false if there is no such attempt.
-  bool onUpgraded(AttemptId id, tcp::socket&& socket, std::string&& early,
+  bool onUpgraded(AttemptId id, tcp::socket&& socket, std::string&& unreadFromHost,
                   const boost::beast::http::fields& head);
   void settle(AttemptId id, load_balancing::Outcome outcome, UpstreamResponse&& upstream,
               std::optional<PartialResponse> partial = {}, bool timedOut = false);
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -22,18 +22,19 @@
 using boost::system::error_code;
 
 constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;  // of a body that was refused
-constexpr std::size_t kMaxBytesAhead = std::size_t{16} * 1024;  // of later requests, while one is answered
+constexpr std::size_t kMaxReadAheadBytes =
+    std::size_t{16} * 1024;  // of later requests, while one is answered
 // The slowest rate of a body: half of what slow lines carry. A client below it is taken for silent.
 constexpr double kMinBodyBytesPerSecond = 32 * 1024;
 
 // A connection for which there is no capacity gets this at once. The refusal is harmless, as nothing of a
 // request was passed on.
-constexpr std::string_view kRefusal =
+constexpr std::string_view kServiceUnavailableResponse =
     "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 // Looks at the next byte without consuming it. Above 0: there is one. 0: the client has closed its sending
 // side. Below 0: errno is EAGAIN if nothing has come, else the error of the connection.
-ssize_t peek(tcp::socket& socket) {
+ssize_t peekByte(tcp::socket& socket) {
   char byte = 0;
   return ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 }
@@ -48,9 +49,9 @@
 void ClientSession::enter(State state) {
   if (state != State::closed) {
     auto& sessions = listener_.in(state);
-    sessions.splice(sessions.end(), listener_.in(state_), place_);
+    sessions.splice(sessions.end(), listener_.in(state_), listPosition_);
   } else {
-    listener_.in(state_).erase(place_);
+    listener_.in(state_).erase(listPosition_);
     --listener_.size_;
   }
   state_ = state;
@@ -79,14 +80,14 @@
 void ClientSession::onReadable() {
   if (state_ == State::writing || state_ == State::relaying) return;  // awaitRequest waits again
   if (state_ == State::lingering) return discardInput();
-  if (state_ == State::waiting && bodyIncomplete_ && !bodyPieceWanted_) return;  // readBody waits again
+  if (state_ == State::waiting && bodyIncomplete_ && !bodyReadRequested_) return;  // readBody waits again
   // Bytes of a next request are read, up to a limit, while this one is answered. Otherwise the end of a
   // client's connection behind them would not be seen.
   const bool readsAhead = state_ == State::waiting && !bodyIncomplete_;
   const std::size_t buffered = buffer_.size();
-  if (readsAhead && buffered >= kMaxBytesAhead) return;  // checkForDisconnect sees the end
+  if (readsAhead && buffered >= kMaxReadAheadBytes) return;  // checkForDisconnect sees the end
   error_code error;
-  receive(readsAhead ? kMaxBytesAhead - buffered : kMaxReadBytes, error);
+  receive(readsAhead ? kMaxReadAheadBytes - buffered : kMaxReadBytes, error);
   if (error == asio::error::would_block || error == asio::error::try_again) return awaitBytes();
   if (error) return close();
   if (readsAhead) return awaitBytes();
@@ -144,18 +145,18 @@
   isHeadRequest_ = request.method() == http::verb::head;
   enter(State::waiting);
   bodyIncomplete_ = !bodyComplete;
-  bodyPieceWanted_ = false;
-  unaskedTime_ = {};
-  unaskedSince_ = stateSince_;
+  bodyReadRequested_ = false;
+  bodyPausedTime_ = {};
+  bodyPausedSince_ = stateSince_;
   const auto self = shared_from_this();
   listener_.callbacks_.onClientRequest(self, std::move(request), bodyComplete);
   if (state_ == State::waiting && !bodyIncomplete_) awaitBytes();
 }
 
 void ClientSession::readBody() {
-  if (state_ != State::waiting || !bodyIncomplete_ || std::exchange(bodyPieceWanted_, true)) return;
+  if (state_ != State::waiting || !bodyIncomplete_ || std::exchange(bodyReadRequested_, true)) return;
   lastByteAt_ = listener_.clock_.now();
-  unaskedTime_ += lastByteAt_ - unaskedSince_;
+  bodyPausedTime_ += lastByteAt_ - bodyPausedSince_;
   if (buffer_.size() > 0) return parseBody();
   awaitBytes();
 }
@@ -168,8 +169,8 @@
   if (step == Step::malformed) return close();
   if (step == Step::needsBytes && reader_.bufferedBody() == 0) return awaitBytes();
   bodyIncomplete_ = step != Step::complete;
-  bodyPieceWanted_ = false;
-  unaskedSince_ = listener_.clock_.now();
+  bodyReadRequested_ = false;
+  bodyPausedSince_ = listener_.clock_.now();
   const auto self = shared_from_this();
   listener_.callbacks_.onClientBody(request_, reader_.takeBody(), !bodyIncomplete_);
   if (state_ == State::waiting && !bodyIncomplete_) awaitBytes();
@@ -190,8 +191,8 @@
   const std::optional<std::uint64_t> length = response.partial->length;
   relay_ = response.partial->relay;
   chunked_ = !length && httpVersion_ >= 11;
-  endsWithConnection_ = !length && !chunked_;
-  if (endsWithConnection_) keepAlive_ = false;
+  closeDelimited_ = !length && !chunked_;
+  if (closeDelimited_) keepAlive_ = false;
   writeHead(response, length);
   writeBody(std::move(response.body), false);
 }
@@ -242,7 +243,7 @@
   relay_ = 0;
   error_code ignored;
   // The end of the connection would be the end of the body; a reset is not.
-  if (endsWithConnection_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+  if (closeDelimited_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   close();
 }
 
@@ -289,18 +290,18 @@
 
 void ClientSession::refuseConnection() {
   error_code ignored;
-  socket_.write_some(asio::buffer(kRefusal), ignored);
+  socket_.write_some(asio::buffer(kServiceUnavailableResponse), ignored);
   linger();
 }
 
-void ClientSession::onTooSlow() {
+void ClientSession::onOverdue() {
   if (!requestStarted_) return closeIdle();
   if (writingContinue_ || state_ == State::waiting) return close();  // two writes at once would mix
   refuse(http::status::request_timeout);
 }
 
 bool ClientSession::isOverdue() const {
-  if (state_ == State::waiting && (!bodyIncomplete_ || !bodyPieceWanted_)) return false;
+  if (state_ == State::waiting && (!bodyIncomplete_ || !bodyReadRequested_)) return false;
   const Time now = listener_.clock_.now();
   const Duration timeout = listener_.options_.requestTimeout;
   // The limit below grows with the bytes received. Without this check a client could send much at first and
@@ -309,30 +310,30 @@
   double bytes = static_cast<double>(reader_.bodyRead());
   if (bodyIncomplete_) bytes -= static_cast<double>(kMaxBufferedBody);
   const auto timeForBytes = std::chrono::duration<double>(bytes / kMinBodyBytesPerSecond);
-  const Duration unasked = bodyIncomplete_ ? unaskedTime_ : Duration{};
-  return now - stateSince_ - unasked > timeout + std::chrono::duration_cast<Duration>(timeForBytes);
+  const Duration pausedTime = bodyIncomplete_ ? bodyPausedTime_ : Duration{};
+  return now - stateSince_ - pausedTime > timeout + std::chrono::duration_cast<Duration>(timeForBytes);
 }
 
 // --- Ending
 
 // Nothing is read from a client that sent more than is read ahead, or whose host takes its time with the rest
-// of a long response. Only the kernel knows whether such a client has gone.
+// of a long response. Only the kernel knows whether such a client has isDisconnected.
 void ClientSession::checkForDisconnect() {
-  if ((state_ == State::relaying || buffer_.size() >= kMaxBytesAhead) && atEnd()) close();
+  if ((state_ == State::relaying || buffer_.size() >= kMaxReadAheadBytes) && peerHasClosed()) close();
 }
 
 // Nothing more comes from the client: the end is next to be read, or lies behind unread bytes. A client that
-// has ended only its sending side counts as gone too (docs/design/acceptance.md).
-bool ClientSession::atEnd() {
-  const ssize_t unread = peek(socket_);
+// has ended only its sending side counts as isDisconnected too (docs/design/acceptance.md).
+bool ClientSession::peerHasClosed() {
+  const ssize_t unread = peekByte(socket_);
   if (unread < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
   pollfd query{socket_.native_handle(), POLLRDHUP, 0};
   return unread == 0 || ::poll(&query, 1, 0) > 0;
 }
 
-bool ClientSession::gone() {
+bool ClientSession::isDisconnected() {
   if (state_ == State::closed) return true;
-  if (!atEnd()) return false;
+  if (!peerHasClosed()) return false;
   asio::post(socket_.get_executor(), [self = shared_from_this()] {
     if (self->state_ == State::waiting) self->close();
   });
@@ -376,19 +377,20 @@
 
 // A request that has come since the last read is read, not reset. One that comes at this very moment finds
 // our side ended: it is dropped, and its client, which sees the end in place of a response, sends it again
-// elsewhere. A close would reset the connection, and drop what the system still holds of the last response.
+// elsewhere. A close would reset the connection, and shed what the system still holds of the last response.
 void ClientSession::closeIdle() {
-  if (peek(socket_) > 0) return;
+  if (peekByte(socket_) > 0) return;
   linger();
 }
 
 // The descriptor is needed now. A request that has come in part is refused, and so is a first one that may be
 // on its way: without a response it would count as lost. Unread bytes are read to make a reset unlikely.
-void ClientSession::drop() {
-  const bool resting = state_ == State::idle || (state_ == State::fresh && !requestStarted_);
-  if (resting && peek(socket_) > 0) return;  // its request has come
+void ClientSession::shed() {
+  const bool isIdle = state_ == State::idle || (state_ == State::fresh && !requestStarted_);
+  if (isIdle && peekByte(socket_) > 0) return;  // its request has come
   error_code ignored;
-  if (!writingContinue_ && state_ != State::idle) socket_.write_some(asio::buffer(kRefusal), ignored);
+  if (!writingContinue_ && state_ != State::idle)
+    socket_.write_some(asio::buffer(kServiceUnavailableResponse), ignored);
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
   buffer_.clear();
   error_code end;
--- a/src/net/client_session.hpp
+++ b/src/net/client_session.hpp
@@ -32,11 +32,11 @@
   virtual void onClientRequest(const std::shared_ptr<ClientSession>& session, ClientRequest&& request,
                                bool bodyComplete) = 0;
   virtual void onClientBody(load_balancing::RequestId request, std::string&& piece, bool last) = 0;
-  /// The client has gone before it had its response.
+  /// The client has isDisconnected before it had its response.
   virtual void onClientDisconnected(load_balancing::RequestId request) = 0;
   /// All pieces of a relayed response that were passed to the session have been written.
   virtual void onResponseWritten(RelayId relay) = 0;
-  /// The client has gone in the middle of a relayed response.
+  /// The client has isDisconnected in the middle of a relayed response.
   virtual void onResponseAborted(RelayId relay) = 0;
 };
 
@@ -63,8 +63,8 @@
   void start() { awaitBytes(); }
   /// Names the request that is passed on, for later callbacks.
   void setRequest(load_balancing::RequestId id) { request_ = id; }
-  /// Does nothing if the client has gone or its request has a response already: a second one would be taken
-  /// for the response to the next request.
+  /// Does nothing if the client has isDisconnected or its request has a response already: a second one would
+  /// be taken for the response to the next request.
   void respond(Response&& response);
   /// Asks for the next piece of the request's body.
   void readBody();
@@ -74,16 +74,16 @@
   void truncateResponse();
   /// Whether the client has closed its connection, even if that lies behind bytes that are not read yet. If
   /// so, `onClientDisconnected` follows soon, never from within this call.
-  bool gone();
+  bool isDisconnected();
 
   struct ReleasedConnection {
     tcp::socket socket;
     std::string unread;  ///< Bytes that were read behind the request.
   };
-  /// Gives the connection away in place of a response. None: the client has gone, or the request has not come
-  /// completely.
+  /// Gives the connection away in place of a response. None: the client has isDisconnected, or the request
+  /// has not come completely.
   std::optional<ReleasedConnection> release();
-  tcp::endpoint remoteEndpoint() const;  ///< All zero if the client has gone.
+  tcp::endpoint remoteEndpoint() const;  ///< All zero if the client has isDisconnected.
 
  private:
   friend class Listener;
@@ -105,12 +105,12 @@
   void refuse(boost::beast::http::status status);
   void refuseInput(boost::system::error_code error);
   void refuseConnection();
-  void onTooSlow();
+  void onOverdue();
   bool isOverdue() const;
   // Ending.
   void checkForDisconnect();
-  bool atEnd();
-  void drop();
+  bool peerHasClosed();
+  void shed();
   void linger();
   void discardInput();
   void closeIdle();
@@ -120,7 +120,7 @@
   Listener& listener_;
   tcp::socket socket_;
   State state_ = State::fresh;
-  List::iterator place_{};  // in the listener's list of the state
+  List::iterator listPosition_{};  // in the listener's list of the state
   Time stateSince_{};
 
   // The request.
@@ -130,11 +130,11 @@
   unsigned httpVersion_ = 11;
   bool keepAlive_ = true;
   bool isHeadRequest_ = false;
-  bool requestStarted_ = false;   // bytes of a request have come
-  bool bodyIncomplete_ = false;   // of a request that was passed on
-  bool bodyPieceWanted_ = false;  // by whoever it was passed to
-  Duration unaskedTime_{};        // in which no piece was wanted; does not count against the client
-  Time unaskedSince_{}, lastByteAt_{};
+  bool requestStarted_ = false;     // bytes of a request have come
+  bool bodyIncomplete_ = false;     // of a request that was passed on
+  bool bodyReadRequested_ = false;  // by whoever it was passed to
+  Duration bodyPausedTime_{};       // in which no piece was wanted; does not count against the client
+  Time bodyPausedSince_{}, lastByteAt_{};
   bool awaitingBytes_ = false;
   bool writingContinue_ = false;  // the 100 Continue is being written
   std::size_t discardedBytes_ = 0;
@@ -145,7 +145,7 @@
   RelayId relay_ = 0;  // 0: the response is not relayed
   bool morePiecesFollow_ = false;
   bool chunked_ = false;
-  bool endsWithConnection_ = false;  // its body has neither length nor chunks
+  bool closeDelimited_ = false;  // its body has neither length nor chunks
 };
 
 }  // namespace finchstile
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -37,7 +37,7 @@
   const bool usable = known.version >= 0 && !known.hosts.empty();  // changes to no hosts make no list
   version_ = usable ? known.version : kNoVersion;
   changeBase_ = usable ? std::optional(std::move(known)) : std::nullopt;
-  wantsEarlyResponse_ = true;  // also a response without changes confirms the list that came with the move
+  nextWatchIsShort_ = true;  // also a response without changes confirms the list that came with the move
   watch();
 }
 
@@ -49,10 +49,10 @@
 // The form of the poll is the platform's.
 void Discovery::poll() {
   std::string target = "/registry/instances";
-  Duration timeout = timeouts_.silence;
+  Duration timeout = timeouts_.responseMargin;
   if (version_ >= 0) {
     const Duration watchTime =
-        wantsEarlyResponse_ ? std::min(timeouts_.watch, timeouts_.watchAfterFailure) : timeouts_.watch;
+        nextWatchIsShort_ ? std::min(timeouts_.watch, timeouts_.watchAfterFailure) : timeouts_.watch;
     const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(watchTime).count();
     target += "?since=" + std::to_string(version_) + "&timeout_ms=" + std::to_string(milliseconds);
     timeout += watchTime;
@@ -76,7 +76,7 @@
     return endWatch();
   }
   version_ = list.version;
-  wantsEarlyResponse_ = false;
+  nextWatchIsShort_ = false;
   if (const auto base = std::exchange(changeBase_, std::nullopt); base && !list.complete)
     list = applyChanges(*base, std::move(list));
   // The next poll goes out first: to the service a watch lasts only as long as polls follow each other
@@ -87,7 +87,7 @@
 
 void Discovery::endWatch() {
   stop();
-  wantsEarlyResponse_ = true;
+  nextWatchIsShort_ = true;
   callbacks_.onDiscoveryLost();
 }
 
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -26,7 +26,7 @@
   struct Timeouts {
     Duration watch{};              ///< How long the service may hold a poll while nothing changes.
     Duration watchAfterFailure{};  ///< The same for the first poll after a failed one, or after a move.
-    Duration silence{};            ///< How much longer a response may take.
+    Duration responseMargin{};     ///< How much longer a response may take.
   };
 
   /// `version`: of the list that the gateway has; below 0: it has none, and polls for the complete one.
@@ -53,7 +53,7 @@
   tcp::endpoint endpoint_;
   Timeouts timeouts_;
   std::int64_t version_;
-  bool wantsEarlyResponse_ = false;     // nothing was answered since a poll failed, or since a move
+  bool nextWatchIsShort_ = false;       // nothing was answered since a poll failed, or since a move
   std::optional<HostList> changeBase_;  // to which the first response after a move tells the changes
   DiscoveryCallbacks& callbacks_;
   LongPollClient client_;
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -133,9 +133,9 @@
   executeActions();
 }
 
-void Gateway::onUpgraded(AttemptId attempt, tcp::socket&& socket, std::string&& early,
+void Gateway::onUpgraded(AttemptId attempt, tcp::socket&& socket, std::string&& unreadFromHost,
                          const http::fields& head) {
-  if (attempts_.onUpgraded(attempt, std::move(socket), std::move(early), head)) executeActions();
+  if (attempts_.onUpgraded(attempt, std::move(socket), std::move(unreadFromHost), head)) executeActions();
 }
 
 void Gateway::onOutcome(AttemptId attempt, Outcome outcome, UpstreamResponse&& response) {
@@ -266,13 +266,14 @@
 
 void Gateway::execute(const load_balancing::Action& action) {
   ProtocolHandler* const handler = protocolHandlers_.ownerOf(action.request);
-  if (handler && executeFor(*handler, action)) return;
+  if (handler && executeByHandler(*handler, action)) return;
   switch (action.kind) {
     case ActionKind::sendAttempt: return attempts_.send(action);
     case ActionKind::reject: return requests_.reject(action.request, action.duration);
     case ActionKind::fail: return requests_.fail(action.request);
     case ActionKind::setTimer:
-      balancerWake_ = balancerWake_ == Time{} ? action.duration : std::min(balancerWake_, action.duration);
+      balancerTimerAt_ =
+          balancerTimerAt_ == Time{} ? action.duration : std::min(balancerTimerAt_, action.duration);
       return;
     case ActionKind::pollDiscovery: return discovery_.watch();
     case ActionKind::log: std::fprintf(stderr, "%s\n", action.text.c_str()); return;
@@ -285,7 +286,7 @@
 }
 
 // False: the action is none that a protocol handler executes.
-bool Gateway::executeFor(ProtocolHandler& handler, const load_balancing::Action& action) {
+bool Gateway::executeByHandler(ProtocolHandler& handler, const load_balancing::Action& action) {
   switch (action.kind) {
     case ActionKind::sendAttempt: {
       const UpstreamHost* const host = hosts_.find(action.host);
@@ -312,33 +313,33 @@
 
 void Gateway::armTimer() {
   Time next = maintenanceAt_;
-  if (balancerWake_ != Time{}) next = std::min(next, balancerWake_);
+  if (balancerTimerAt_ != Time{}) next = std::min(next, balancerTimerAt_);
   if (const auto deadline = attempts_.nextDeadline()) next = std::min(next, *deadline);
   if (const auto deadline = requests_.held().nextDeadline()) next = std::min(next, *deadline);
   if (requests_.held().hasActions()) next = std::min(next, clock_.now());
   if (next == timerAt_) return;
   timerAt_ = next;
   timer_.expires_at(clock_.steady(next));
-  timer_.async_wait([this](error_code stopped) {
-    if (!stopped) onTimer();
+  timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) onTimer();
   });
 }
 
-// How late the loop is with its timer: what it handles now may have waited as long.
+// How lateness the loop is with its timer: what it handles now may have waited as long.
 Duration Gateway::timerDelay() const {
   return timerAt_ == Time{} ? Duration{} : std::max(clock_.now() - timerAt_, Duration{});
 }
 
 void Gateway::onTimer() {
   const Time now = clock_.now();
-  const Duration late = timerDelay();
-  lag_.record(now, late);
-  if (drainPlan_) drainPlan_->onLag(late);
+  const Duration lateness = timerDelay();
+  lag_.record(now, lateness);
+  if (drainPlan_) drainPlan_->onLag(lateness);
   timerAt_ = Time{};
   attempts_.settleExpired(now);
   requests_.failExpiredHeld(now);
-  if (balancerWake_ != Time{} && balancerWake_ <= now) {
-    balancerWake_ = Time{};
+  if (balancerTimerAt_ != Time{} && balancerTimerAt_ <= now) {
+    balancerTimerAt_ = Time{};
     balancer_.onTimer(clock_.now());
   }
   if (now >= maintenanceAt_) maintain(now);
@@ -346,7 +347,7 @@
 }
 
 void Gateway::maintain(Time now) {
-  hosts_.forgetRemoved();
+  hosts_.eraseRemoved();
   maintenanceAt_ = now + (drainPlan_ ? kMaintenanceIntervalInDrain : kMaintenanceInterval);
   listener_.sweep();
   pool_.sweep();
@@ -370,15 +371,15 @@
 }
 
 void Gateway::handOverClients(std::function<bool(int)> handOver) {
-  const bool ends = !handOver;
+  const bool endsHandOver = !handOver;
   listener_.handOver(std::move(handOver));
-  if (ends && drainPlan_) listener_.enterLameDuck(clock_.now() + kIdleTimeInLameDuck);
+  if (endsHandOver && drainPlan_) listener_.enterLameDuck(clock_.now() + kIdleTimeInLameDuck);
 }
 
 void Gateway::drain(std::function<void()> onDrained) {
   if (drainPlan_) return;
   onDrained_ = std::move(onDrained);
-  // A loop that is late found the signal late too, and the platform counts from when it was sent.
+  // A loop that is lateness found the signal lateness too, and the platform counts from when it was sent.
   const Time signalledAt = clock_.now() - std::max(lag_.at(clock_.now()), timerDelay());
   drainPlan_.emplace(signalledAt,
                      drain::DrainSettings{longestClientTimeout(config_.settings),
@@ -396,7 +397,7 @@
 void Gateway::continueDrain(Time now) {
   // A response that closes its connection sends its client to a front that may have no other gateway.
   if (now >= drainPlan_->serveDeadline()) listener_.beginDrain();
-  if (now >= drainPlan_->finalResponseTime() && onDrained_) answerEverythingOpen();
+  if (now >= drainPlan_->finalResponseTime() && onDrained_) failOpenRequests();
   const bool noClients = listener_.size() == 0 && now >= drainPlan_->acceptDeadline();
   if (now < drainPlan_->listenerCloseTime() && !noClients) return;
   listener_.close();
@@ -404,9 +405,9 @@
   if ((idle || now >= drainPlan_->exitTime()) && onDrained_) std::exchange(onDrained_, nullptr)();
 }
 
-// A request that was accepted late in a drain may have longer than this process. Its client gets a response
-// that claims nothing about whether the request ran.
-void Gateway::answerEverythingOpen() {
+// A request that was accepted lateness in a drain may have longer than this process. Its client gets a
+// response that claims nothing about whether the request ran.
+void Gateway::failOpenRequests() {
   requests_.failAll();
   listener_.refuseIncompleteRequests();
   executeActions();
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -135,8 +135,9 @@
   void onResponseAborted(RelayId relay) override { relays_.onAborted(relay); }
 
   // UpstreamCallbacks
-  std::optional<OutgoingRequest> composeRequest(AttemptId attempt, load_balancing::Outcome& unsent) override {
-    return attempts_.compose(attempt, unsent);
+  std::optional<OutgoingRequest> composeRequest(AttemptId attempt,
+                                                load_balancing::Outcome& unsentOutcome) override {
+    return attempts_.compose(attempt, unsentOutcome);
   }
   bool maySendLastByte(AttemptId attempt) override { return attempts_.maySendLastByte(attempt); }
   void onReadyForRequestBody(AttemptId attempt) override { attempts_.onReadyForRequestBody(attempt); }
@@ -147,7 +148,7 @@
     relays_.onBody(attempt, std::move(piece), last);
   }
   void onResponseTruncated(AttemptId attempt) override { relays_.onTruncated(attempt); }
-  void onUpgraded(AttemptId attempt, tcp::socket&& socket, std::string&& early,
+  void onUpgraded(AttemptId attempt, tcp::socket&& socket, std::string&& unreadFromHost,
                   const boost::beast::http::fields& head) override;
   void onOutcome(AttemptId attempt, load_balancing::Outcome outcome, UpstreamResponse&& response) override;
 
@@ -174,7 +175,7 @@
 
   void executeActions();
   void execute(const load_balancing::Action& action);
-  bool executeFor(ProtocolHandler& handler, const load_balancing::Action& action);
+  bool executeByHandler(ProtocolHandler& handler, const load_balancing::Action& action);
   void cancel(const load_balancing::Action& action);
   void queueHeldAction(HeldRequestAction&& action);
 
@@ -183,7 +184,7 @@
   Duration timerDelay() const;
   void maintain(Time now);
   void continueDrain(Time now);
-  void answerEverythingOpen();
+  void failOpenRequests();
 
   const Clock& clock_;
   GatewayConfig config_;
@@ -200,8 +201,8 @@
   Discovery discovery_;
 
   boost::asio::steady_timer timer_;
-  Time timerAt_{};       // 0: the timer is not armed
-  Time balancerWake_{};  // when the load balancer wants its timer; 0: it does not
+  Time timerAt_{};          // 0: the timer is not armed
+  Time balancerTimerAt_{};  // when the load balancer wants its timer; 0: it does not
   Time maintenanceAt_{};
   EventLoopLag lag_;
 
--- a/src/net/gateway_limits.cpp
+++ b/src/net/gateway_limits.cpp
@@ -21,7 +21,7 @@
 constexpr int kWatchesInAllowedSilence = 4;
 
 // Of the shortest latency objective: then another host can still answer in time.
-constexpr double kMaxStallOfLatencyObjective = 0.25;
+constexpr double kMaxPauseFractionOfLatencyObjective = 0.25;
 // Of the host's own idle time-out: its close must never cross a request.
 constexpr double kIdleFractionOfHostTimeout = 0.5;
 
@@ -47,7 +47,7 @@
 Duration maxResponsePause(const GatewayConfig& config) {
   Duration pause = config.connectTimeout;
   for (const auto& c : config.settings.classes)
-    pause = std::min(pause, scaled(c.latencyObjective, kMaxStallOfLatencyObjective));
+    pause = std::min(pause, scaled(c.latencyObjective, kMaxPauseFractionOfLatencyObjective));
   return pause;
 }
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -99,8 +99,8 @@
     // Without descriptors accept fails at once, again and again; without the pause the loop would spin.
     shedConnection();
     acceptPause_.expires_after(kPauseAfterFailedAccept);
-    acceptPause_.async_wait([this](error_code stopped) {
-      if (!stopped && acceptor_.is_open()) accept();
+    acceptPause_.async_wait([this](error_code cancelled) {
+      if (!cancelled && acceptor_.is_open()) accept();
     });
   });
 }
@@ -113,7 +113,7 @@
   const bool hasCapacity =
       size_ - in(State::lingering).size() < maxConnections_ || shedUnfinishedConnection();
   const auto session = std::make_shared<ClientSession>(std::move(socket), *this);
-  session->place_ = in(State::fresh).insert(in(State::fresh).end(), session);
+  session->listPosition_ = in(State::fresh).insert(in(State::fresh).end(), session);
   session->stateSince_ = clock_.now();
   ++size_;
   while (size_ > maxConnections_ + maxRefused_ && !in(State::lingering).empty()) endOldest(State::lingering);
@@ -132,8 +132,8 @@
 // Bytes of a next request that are read already would be missing in the other process. What the kernel holds
 // goes along with the descriptor.
 bool Listener::handOverSession(ClientSession& session) {
-  const bool resting = session.state_ == State::idle || session.state_ == State::fresh;
-  if (!handOver_ || session.buffer_.size() > 0 || !resting || session.requestStarted_) return false;
+  const bool isIdle = session.state_ == State::idle || session.state_ == State::fresh;
+  if (!handOver_ || session.buffer_.size() > 0 || !isIdle || session.requestStarted_) return false;
   if (!handOver_(session.socket_.native_handle())) return false;
   session.close();  // only this process's descriptor; the connection continues in the other process
   return true;
@@ -150,14 +150,14 @@
 // first.
 bool Listener::shedUnfinishedConnection() {
   const std::size_t before = size_;
-  const auto chosen = [this]() -> std::optional<State> {
+  const auto stateToShed = [this]() -> std::optional<State> {
     for (const State state : {State::fresh, State::reading})
       if (oldestAge(state) > kMaxRequestTransit) return state;
     for (const State state : {State::idle, State::fresh})
       if (!in(state).empty()) return state;
     return std::nullopt;
   }();
-  if (chosen) endOldest(*chosen);
+  if (stateToShed) endOldest(*stateToShed);
   return size_ < before;
 }
 
@@ -169,7 +169,7 @@
 void Listener::endOldest(State state) {
   const auto session = in(state).front();
   if (state == State::lingering) session->close();
-  else session->drop();
+  else session->shed();
 }
 
 Duration Listener::oldestAge(State state) const {
@@ -198,7 +198,7 @@
   for (const State state : {State::idle, State::writing, State::lingering}) sweepExpired(state);
   for (const State state : {State::fresh, State::reading, State::waiting})
     forEachIn(state, [](ClientSession& session) {
-      if (session.isOverdue()) session.onTooSlow();
+      if (session.isOverdue()) session.onOverdue();
     });
   forEachIn(State::waiting, [](ClientSession& session) { session.checkForDisconnect(); });
   forEachIn(State::relaying, [](ClientSession& session) { session.checkForDisconnect(); });
--- a/src/net/long_poll_client.cpp
+++ b/src/net/long_poll_client.cpp
@@ -47,7 +47,7 @@
 LongPollClient::~LongPollClient() { stop(); }
 
 void LongPollClient::stop() {
-  if (timerWanted_) *timerWanted_ = false;
+  if (timerArmed_) *timerArmed_ = false;
   timer_.cancel();
   if (const auto connection = std::exchange(connection_, nullptr)) {
     connection->owner = nullptr;
@@ -60,11 +60,11 @@
 // if the timer is set anew or cancelled before the loop comes to it; without the flag it would end the next
 // poll.
 void LongPollClient::failAt(std::chrono::steady_clock::time_point deadline) {
-  if (timerWanted_) *timerWanted_ = false;
-  timerWanted_ = std::make_shared<bool>(true);
+  if (timerArmed_) *timerArmed_ = false;
+  timerArmed_ = std::make_shared<bool>(true);
   timer_.expires_at(deadline);
-  timer_.async_wait([this, wanted = timerWanted_](error_code stopped) {
-    if (!stopped && *wanted) fail();
+  timer_.async_wait([this, armed = timerArmed_](error_code cancelled) {
+    if (!cancelled && *armed) fail();
   });
 }
 
@@ -126,7 +126,7 @@
 }
 
 void LongPollClient::onComplete(const std::shared_ptr<Connection>& connection) {
-  *timerWanted_ = false;
+  *timerArmed_ = false;
   timer_.cancel();
   const bool keepAlive = connection->parser->keep_alive();
   auto message = connection->parser->release();
--- a/src/net/long_poll_client.hpp
+++ b/src/net/long_poll_client.hpp
@@ -66,7 +66,7 @@
   std::shared_ptr<Connection> connection_;  // null: none
   Timeouts timeouts_;
   std::chrono::steady_clock::time_point responseDeadline_{};  // 0: no byte of the response has come
-  std::shared_ptr<bool> timerWanted_;  // shared with the handler of the timer's present wait
+  std::shared_ptr<bool> timerArmed_;  // shared with the handler of the timer's present wait
   std::uint64_t bytesSent_ = 0;
   std::uint64_t bytesReceived_ = 0;
 };
--- a/src/net/request_filter.hpp
+++ b/src/net/request_filter.hpp
@@ -46,7 +46,7 @@
   responseSent,
   completed
 };
-inline constexpr std::size_t kRequestPhases = 7;
+inline constexpr std::size_t kRequestPhaseCount = 7;
 
 /// The bit of a phase in RequestFilter::phases().
 constexpr std::uint8_t phaseBit(RequestPhase phase) {
@@ -166,7 +166,7 @@
   void attach(RequestFilter& filter) {
     filter.chainIndex_ = all_.size();
     all_.push_back(&filter);
-    for (std::size_t phase = 0; phase < kRequestPhases; ++phase)
+    for (std::size_t phase = 0; phase < kRequestPhaseCount; ++phase)
       if (filter.phases() & (1u << phase)) byPhase_[phase].push_back(&filter);
   }
   bool empty() const { return all_.empty(); }
@@ -209,7 +209,7 @@
   bool continuesWithoutClient(RequestContext& context) const {
     bool continues = false;
     for (RequestFilter* filter : all_)
-      if (knows(*filter, context)) continues |= filter->continuesWithoutClient(context);
+      if (hasStateFor(*filter, context)) continues |= filter->continuesWithoutClient(context);
     return continues;
   }
 
@@ -218,16 +218,16 @@
     return byPhase_[static_cast<std::size_t>(phase)];
   }
   // A filter that was attached later than a request was received has no state for it, and is not called.
-  static bool knows(const RequestFilter& filter, const RequestContext& context) {
+  static bool hasStateFor(const RequestFilter& filter, const RequestContext& context) {
     return filter.chainIndex_ < context.filterStates.size();
   }
   template <class Call>
   void forEach(RequestPhase phase, const RequestContext& context, Call call) const {
     for (RequestFilter* filter : in(phase))
-      if (knows(*filter, context)) call(*filter);
+      if (hasStateFor(*filter, context)) call(*filter);
   }
 
-  std::array<std::vector<RequestFilter*>, kRequestPhases> byPhase_;
+  std::array<std::vector<RequestFilter*>, kRequestPhaseCount> byPhase_;
   std::vector<RequestFilter*> all_;
 };
 
--- a/src/net/request_manager.cpp
+++ b/src/net/request_manager.cpp
@@ -23,17 +23,17 @@
 
 bool RequestManager::receive(const std::shared_ptr<ClientSession>& session, ClientRequest&& message,
                              bool bodyComplete, Duration lag) {
-  UpgradeHandler* const upgrades = extensions_.upgradeHandler;
-  const bool isUpgrade = upgrades && upgrades->isUpgradeRequest(message);
+  UpgradeHandler* const handler = extensions_.upgradeHandler;
+  const bool isUpgrade = handler && handler->isUpgradeRequest(message);
   if (isUpgrade)
-    if (std::optional<Response> refusal = upgrades->checkRequest(message)) {
+    if (std::optional<Response> refusal = handler->checkRequest(message)) {
       session->respond(std::move(*refusal));
       return false;
     }
-  load_balancing::Request asked;
-  http::status status = reader_.read(message, asked);
+  load_balancing::Request balancerRequest;
+  http::status status = reader_.read(message, balancerRequest);
   // A host would take a second request with the id of an active one for a repetition of it.
-  if (status == http::status::ok && !table_.reserveClientId(view(message["X-Correlation-Id"])))
+  if (status == http::status::ok && !table_.reserveCorrelationId(view(message["X-Correlation-Id"])))
     status = http::status::conflict;
   if (status != http::status::ok) {
     Response refusal = plainResponse(status);
@@ -42,38 +42,38 @@
     return false;
   }
   // The request may have waited in its socket while the loop was busy, and its client counts that time.
-  asked.timeLeft -= std::min(lag, asked.timeLeft / 4);
-  asked.id = table_.newId();
-  ActiveRequest& request = table_.add(asked.id);
+  balancerRequest.timeLeft -= std::min(lag, balancerRequest.timeLeft / 4);
+  balancerRequest.id = table_.newId();
+  ActiveRequest& request = table_.add(balancerRequest.id);
   request.client = session;
   request.message = std::make_shared<const ClientRequest>(std::move(message));
-  request.classIndex = asked.classIndex;
+  request.classIndex = balancerRequest.classIndex;
   request.arrivedAt = clock_.now();
-  request.timeLeft = asked.timeLeft;
-  request.bodyIncomplete = asked.bodyIncomplete = !bodyComplete;
+  request.timeLeft = balancerRequest.timeLeft;
+  request.bodyIncomplete = balancerRequest.bodyIncomplete = !bodyComplete;
   if (isUpgrade) {
-    asked.isStream = true;
-    asked.timeLeft = std::min(asked.timeLeft, upgrades->handshakeTimeout());
+    balancerRequest.isStream = true;
+    balancerRequest.timeLeft = std::min(balancerRequest.timeLeft, handler->handshakeTimeout());
     request.pendingUpgrade =
         std::make_unique<PendingUpgrade>(PendingUpgrade{session->remoteEndpoint(), clock_.now()});
-    upgrades->onUpgradeRequested();
+    handler->onUpgradeRequested();
   }
-  session->setRequest(asked.id);
+  session->setRequest(balancerRequest.id);
   FilterDecision decision;
   if (!extensions_.filters.empty()) {
-    request.context = makeContext(asked, request.message);
+    request.context = makeContext(balancerRequest, request.message);
     decision = extensions_.filters.onRequestReceived(*request.context);
-    asked.earlierAttempt = request.context->earlierAttempt;
-    asked.preferLocalZone = request.context->preferLocalZone;
+    balancerRequest.earlierAttempt = request.context->earlierAttempt;
+    balancerRequest.preferLocalZone = request.context->preferLocalZone;
   }
   // Holding it would stop its client in the middle of the body, beyond any time-out that the client keeps.
   if (decision.hold && !bodyComplete) decision = {plainResponse(http::status::payload_too_large), false};
   if (decision.response) {
-    respond(asked.id, RequestResult::rejectedByFilter, std::move(*decision.response));
+    respond(balancerRequest.id, RequestResult::rejectedByFilter, std::move(*decision.response));
   } else if (decision.hold) {
-    request.heldUntil = held_.hold(clock_.now(), asked, config_.settings.eventInterval);
+    request.heldUntil = held_.hold(clock_.now(), balancerRequest, config_.settings.eventInterval);
   } else {
-    balancer_.onRequest(clock_.now(), asked);
+    balancer_.onRequest(clock_.now(), balancerRequest);
   }
   return true;
 }
@@ -137,7 +137,7 @@
   if (request.isHeld()) releaseHold(id, request);
   request.finished = true;
   if (extensions_.attemptLog)
-    extensions_.attemptLog->onRequest({request.clientId(), config_.settings.classes[request.classIndex],
+    extensions_.attemptLog->onRequest({request.correlationId(), config_.settings.classes[request.classIndex],
                                        request.arrivedAt, request.timeLeft, result, request.responseStatus,
                                        request.attempts.size(), balancer_.admissionCutoff()});
   if (const auto upgrade = std::exchange(request.pendingUpgrade, nullptr))
@@ -190,12 +190,12 @@
   const Time now = clock_.now();
   const load_balancing::Request* const held = held_.find(request.heldUntil, id);
   if (!held) return;
-  load_balancing::Request asked = *held;
+  load_balancing::Request balancerRequest = *held;
   releaseHold(id, request);
-  asked.timeLeft = std::max(request.context->deadline - now, Duration(1));
-  asked.earlierAttempt = request.context->earlierAttempt;
-  asked.preferLocalZone = request.context->preferLocalZone;
-  balancer_.onRequest(now, asked);
+  balancerRequest.timeLeft = std::max(request.context->deadline - now, Duration(1));
+  balancerRequest.earlierAttempt = request.context->earlierAttempt;
+  balancerRequest.preferLocalZone = request.context->preferLocalZone;
+  balancer_.onRequest(now, balancerRequest);
 }
 
 void RequestManager::failExpiredHeld(Time now) {
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -56,8 +56,8 @@
   const Time startedAt = pool_.clock_.now();
   const auto self = shared_from_this();
   timer_.expires_after(pool_.limits_.connectTimeout);
-  timer_.async_wait([this, self](error_code stopped) {
-    if (!stopped && !closed_ && connecting_) endConnect(false);
+  timer_.async_wait([this, self](error_code cancelled) {
+    if (!cancelled && !closed_ && connecting_) endConnect(false);
   });
   socket_.async_connect(endpoint_, [this, self, startedAt](error_code error) {
     if (closed_ || !connecting_) return;
@@ -84,7 +84,7 @@
   interimResponses_ = 0;
   relaying_ = false;
   bodyIncomplete_ = !request.bodyComplete;
-  upgradeAsked_ = request.upgrade;
+  upgradeRequested_ = request.upgrade;
   lastByteSent_ = false;
   std::ostringstream bytes;
   if (bodyIncomplete_) bytes << request.message.base();
@@ -103,7 +103,7 @@
   appendBody(piece);
   if (last && chunked_) request_ += kLastChunk;
   bodyIncomplete_ = !last;
-  if (bodyIncomplete_) return request_.empty() ? wantBody() : write(0, request_.size());
+  if (bodyIncomplete_) return request_.empty() ? requestNextBodyPiece() : write(0, request_.size());
   // With nothing left to write the host would have the complete request, and nobody would read its response.
   if (request_.empty()) return endAttempt(Outcome::reset);
   write(0, request_.size() - 1);
@@ -114,7 +114,7 @@
   else request_ += piece;
 }
 
-void UpstreamConnection::wantBody() { pool_.callbacks_.onReadyForRequestBody(attempt_); }
+void UpstreamConnection::requestNextBodyPiece() { pool_.callbacks_.onReadyForRequestBody(attempt_); }
 
 void UpstreamConnection::write(std::size_t from, std::size_t to) {
   lastByteSent_ = !bodyIncomplete_ && to == request_.size();
@@ -130,9 +130,9 @@
 
 void UpstreamConnection::onWritten(std::size_t to) {
   if (bodyIncomplete_) {
-    stopTimer();
+    stopStallTimer();
     request_.clear();
-    return wantBody();
+    return requestNextBodyPiece();
   }
   if (to < request_.size()) return verifyThenWrite(to);
   pool_.onRequestSent();
@@ -148,10 +148,10 @@
 // no use, and costs its time, where something between answers for the host or keeps bytes back until the
 // request is complete.
 void UpstreamConnection::verifyThenWrite(std::size_t from) {
-  stopTimer();
+  stopStallTimer();
   timer_.expires_after(verificationTime());
-  timer_.async_wait([this, self = shared_from_this(), from](error_code stopped) {
-    if (stopped || closed_) return;
+  timer_.async_wait([this, self = shared_from_this(), from](error_code cancelled) {
+    if (cancelled || closed_) return;
     if (isAlive() && pool_.callbacks_.maySendLastByte(attempt_)) return write(from, request_.size());
     endAttempt(Outcome::connectFailed);
   });
@@ -159,9 +159,9 @@
 }
 
 void UpstreamConnection::watchBeforeLastByte() {
-  if (std::exchange(watchingEarly_, true)) return;
+  if (std::exchange(watchingBeforeLastByte_, true)) return;
   socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this()](error_code) {
-    watchingEarly_ = false;
+    watchingBeforeLastByte_ = false;
     // Bytes that come ahead of the complete request are no response to it.
     if (!closed_ && attempt_ != 0 && !lastByteSent_ && !isAlive()) endAttempt(Outcome::connectFailed);
   });
@@ -180,10 +180,10 @@
   socket_.async_read_some(buffer_.prepare(relaying_ ? kMaxPieceBytes : kMaxReadBytes),
                           [this, self = shared_from_this()](error_code error, std::size_t bytes) {
                             if (closed_) return;
-                            stopTimer();
+                            stopStallTimer();
                             if (error == asio::error::eof && reader_.completeAtEndOfConnection())
                               return parse();
-                            if (error) return endBroken();
+                            if (error) return failResponse();
                             buffer_.commit(bytes);
                             parse();
                           });
@@ -195,20 +195,20 @@
   using Step = MessageReader<false>::Step;
   error_code error;
   for (;;) switch (reader_.step(buffer_, error)) {
-      case Step::malformed: return endBroken();
+      case Step::malformed: return failResponse();
       case Step::head:
         if (reader_.parser().get().result_int() >= 200) pool_.callbacks_.onResponseHeaders(attempt_);
         if (reader_.parser().get().result() == http::status::switching_protocols)
-          return upgradeAsked_ ? onUpgrade() : endBroken();
-        if (reader_.parser().content_length().value_or(0) > kMaxBufferedBody) return beginLongResponse();
+          return upgradeRequested_ ? onUpgrade() : failResponse();
+        if (reader_.parser().content_length().value_or(0) > kMaxBufferedBody) return beginRelay();
         break;
       case Step::needsBytes:
         if (relaying_ && reader_.bufferedBody() > 0) return relayBody(false);
-        if (reader_.bufferedBody() > kMaxBufferedBody) return beginLongResponse();
+        if (reader_.bufferedBody() > kMaxBufferedBody) return beginRelay();
         watchForStall(relaying_ ? kMaxBodyStall : pool_.limits_.maxResponsePause, Outcome::reset);
         return read();
       case Step::complete:
-        stopTimer();
+        stopStallTimer();
         if (relaying_) return relayBody(true);
         if (reader_.parser().get().result_int() >= 200) return onComplete();
         if (++interimResponses_ > kMaxInterimResponses) return endAttempt(Outcome::reset);
@@ -222,8 +222,8 @@
 }
 
 // Of a response that is not served only the head counts.
-void UpstreamConnection::beginLongResponse() {
-  stopTimer();
+void UpstreamConnection::beginRelay() {
+  stopStallTimer();
   const auto& head = reader_.parser().get();
   const Outcome outcome = outcomeOf(head);
   UpstreamResponse response;
@@ -231,7 +231,7 @@
   if (outcome != Outcome::served) {
     const auto self = shared_from_this();
     const AttemptId attempt = std::exchange(attempt_, 0);
-    drop();
+    closeAndReplace();
     return pool_.settle(attempt, outcome, std::move(response));
   }
   relaying_ = true;
@@ -244,15 +244,15 @@
 }
 
 void UpstreamConnection::relayBody(bool last) {
-  stopTimer();
+  stopStallTimer();
   std::string piece = reader_.takeBody();
   if (!last) return pool_.callbacks_.onResponseBody(attempt_, std::move(piece), false);
   const auto self = shared_from_this();
   const AttemptId attempt = std::exchange(attempt_, 0);
   relaying_ = false;
-  pool_.forgetAttempt(attempt);
+  pool_.eraseAttempt(attempt);
   if (isReusable()) pool_.assign(self);
-  else drop();
+  else closeAndReplace();
   pool_.callbacks_.onResponseBody(attempt, std::move(piece), true);
 }
 
@@ -271,15 +271,15 @@
   const AttemptId attempt = std::exchange(attempt_, 0);
   // The outcome may start the next attempt, so the connection has to be free before it is reported.
   if (reusable) pool_.assign(self);
-  else drop();
+  else closeAndReplace();
   pool_.settle(attempt, outcome, std::move(response));
 }
 
 void UpstreamConnection::onUpgrade() {
-  stopTimer();
+  stopStallTimer();
   const auto self = shared_from_this();
   const AttemptId attempt = std::exchange(attempt_, 0);
-  pool_.forgetAttempt(attempt);
+  pool_.eraseAttempt(attempt);
   closed_ = true;
   pool_.onConnectionClosed(host_);
   error_code ignored;
@@ -289,7 +289,7 @@
   const http::fields head = static_cast<const http::fields&>(reader_.parser().get().base());
   pool_.callbacks_.onUpgraded(attempt, std::move(socket_),
                               std::string(static_cast<const char*>(unread.data()), unread.size()), head);
-  pool_.connectMore(host_);
+  pool_.connectForWaiting(host_);
 }
 
 // --- Ending
@@ -299,33 +299,33 @@
 void UpstreamConnection::watchForStall(Duration limit, Outcome outcome) {
   if (std::exchange(stallTimerSet_, true)) return;
   timer_.expires_after(limit);
-  timer_.async_wait([this, self = shared_from_this(), outcome](error_code stopped) {
-    if (stopped || closed_ || !stallTimerSet_) return;
-    if (relaying_) endBroken();
+  timer_.async_wait([this, self = shared_from_this(), outcome](error_code cancelled) {
+    if (cancelled || closed_ || !stallTimerSet_) return;
+    if (relaying_) failResponse();
     else endAttempt(outcome);
   });
 }
 
-void UpstreamConnection::stopTimer() {
+void UpstreamConnection::stopStallTimer() {
   if (std::exchange(stallTimerSet_, false)) timer_.cancel();
 }
 
 // The request may have run. A response that has been begun can't be made good; its client is to see that it
 // is not complete.
-void UpstreamConnection::endBroken() {
+void UpstreamConnection::failResponse() {
   if (!relaying_) return endAttempt(Outcome::reset);
   const auto self = shared_from_this();
   const AttemptId attempt = std::exchange(attempt_, 0);
   relaying_ = false;
-  pool_.forgetAttempt(attempt);
-  drop();
+  pool_.eraseAttempt(attempt);
+  closeAndReplace();
   pool_.callbacks_.onResponseTruncated(attempt);
 }
 
 void UpstreamConnection::endAttempt(Outcome outcome) {
   const auto self = shared_from_this();
   const AttemptId attempt = std::exchange(attempt_, 0);
-  drop();
+  closeAndReplace();
   pool_.settle(attempt, outcome);
 }
 
@@ -362,9 +362,9 @@
 }
 
 // Waiting attempts get a new connection in place of this one. The caller keeps this object alive.
-void UpstreamConnection::drop() {
+void UpstreamConnection::closeAndReplace() {
   close();
-  pool_.connectMore(host_);
+  pool_.connectForWaiting(host_);
 }
 
 }  // namespace finchstile
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -47,7 +47,7 @@
 
   // Writing.
   void appendBody(const std::string& piece);
-  void wantBody();
+  void requestNextBodyPiece();
   void write(std::size_t from, std::size_t to);
   void onWritten(std::size_t to);
   void verifyThenWrite(std::size_t from);
@@ -57,18 +57,18 @@
   // Reading.
   void read();
   void parse();
-  void beginLongResponse();
+  void beginRelay();
   void relayBody(bool last);
   void onComplete();
   void onUpgrade();
 
   // Ending.
   void watchForStall(Duration limit, load_balancing::Outcome outcome);
-  void stopTimer();
-  void endBroken();
+  void stopStallTimer();
+  void failResponse();
   void endAttempt(load_balancing::Outcome outcome);
   bool isReusable();
-  void drop();
+  void closeAndReplace();
 
   const load_balancing::HostId host_;
   UpstreamPool& pool_;
@@ -80,16 +80,16 @@
   bool closed_ = false;   // the pool no longer counts it: closed, or given away by an upgrade
   bool connecting_ = true;
   bool watchingIdle_ = false;
-  bool watchingEarly_ = false;
+  bool watchingBeforeLastByte_ = false;
   bool stallTimerSet_ = false;
 
   // The attempt.
   AttemptId attempt_ = 0;  // 0: none
   std::string request_;    // until its last byte is written
   bool lastByteSent_ = false;
-  bool bodyIncomplete_ = false;  // more of the request's body is to be sent
-  bool chunked_ = false;         // the request's body
-  bool upgradeAsked_ = false;    // 101 is a response to the request
+  bool bodyIncomplete_ = false;    // more of the request's body is to be sent
+  bool chunked_ = false;           // the request's body
+  bool upgradeRequested_ = false;  // 101 is a response to the request
   boost::beast::flat_buffer buffer_;
   MessageReader<false> reader_;
   int interimResponses_ = 0;
--- a/src/net/upstream_host_table.cpp
+++ b/src/net/upstream_host_table.cpp
@@ -16,47 +16,47 @@
   for (const ListedHost& host : list.hosts) entries.push_back(filtered(host.entry));
   const Time now = clock_.now();
   balancer_.onHostListUpdate(now, kind, entries);
-  std::vector<HostId> named;
+  std::vector<HostId> listedIds;
   std::vector<HostPhaseChange> changes;
-  std::size_t rejected = 0;
+  std::size_t droppedHosts = 0;
   for (std::size_t i = 0; i < list.hosts.size(); ++i) {
     const ListedHost& listed = list.hosts[i];
     const HostPhase phase = entries[i].phase;
     const HostId id = balancer_.findHost(listed.entry.address);
     if (id == kNone) {  // a removed host may never have been known
-      rejected += phase != HostPhase::removed;
+      droppedHosts += phase != HostPhase::removed;
       continue;
     }
     UpstreamHost& host = hosts_[id];
     const bool isNew = host.endpoint == tcp::endpoint{};
     if (isNew || host.phaseInForce != phase) changes.push_back({id, phase});
     // Connections to the old address must not be used for the new one.
-    if (host.endpoint != listed.endpoint) pool_.setOpen(id, false);
+    if (host.endpoint != listed.endpoint) pool_.setPooling(id, false);
     // Signs of life count only for the process that showed them.
     const bool sameProcess = !isNew && host.listed.startedAt == listed.entry.startedAt;
     host = {listed.endpoint, phase, listed.entry, sameProcess ? host.lastResponseAt : Time{}, now};
-    named.push_back(id);
+    listedIds.push_back(id);
   }
-  if (rejected > 0)
-    std::fprintf(stderr, "finchstile: %zu of %zu hosts of a list have no room; 65535 are held\n", rejected,
-                 list.hosts.size());
-  std::sort(named.begin(), named.end());
+  if (droppedHosts > 0)
+    std::fprintf(stderr, "finchstile: %zu of %zu hosts of a list have no room; 65535 are held\n",
+                 droppedHosts, list.hosts.size());
+  std::sort(listedIds.begin(), listedIds.end());
   const bool listIsComplete = kind != HostListUpdate::incremental;
   for (auto& [id, host] : hosts_) {
-    const bool leftOut = listIsComplete && !std::binary_search(named.begin(), named.end(), id);
-    if (leftOut || !balancer_.isKnown(id)) {
+    const bool isMissing = listIsComplete && !std::binary_search(listedIds.begin(), listedIds.end(), id);
+    if (isMissing || !balancer_.isKnown(id)) {
       if (host.phaseInForce != HostPhase::removed) changes.push_back({id, HostPhase::removed});
       host.phaseInForce = host.listed.phase = HostPhase::removed;
     }
-    pool_.setOpen(id, host.phaseInForce == HostPhase::active);
+    pool_.setPooling(id, host.phaseInForce == HostPhase::active);
   }
   return changes;
 }
 
-void UpstreamHostTable::forgetRemoved() {
+void UpstreamHostTable::eraseRemoved() {
   for (auto it = hosts_.begin(); it != hosts_.end();) {
     const auto& [id, host] = *it;
-    if (host.phaseInForce == HostPhase::removed && !balancer_.isKnown(id) && pool_.forget(id))
+    if (host.phaseInForce == HostPhase::removed && !balancer_.isKnown(id) && pool_.removeHost(id))
       it = hosts_.erase(it);
     else ++it;
   }
--- a/src/net/upstream_host_table.hpp
+++ b/src/net/upstream_host_table.hpp
@@ -48,7 +48,7 @@
   /// Returns the hosts whose phase in force has changed, new hosts among them.
   std::vector<HostPhaseChange> apply(const HostList& list, load_balancing::HostListUpdate kind);
   /// Drops the records of removed hosts that neither the load balancer nor the pool still needs.
-  void forgetRemoved();
+  void eraseRemoved();
 
   /// Null: there is no such host. The pointer stays valid until the host is forgotten.
   UpstreamHost* find(load_balancing::HostId host);
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -38,20 +38,20 @@
     return;
   }
   upstream.waiting.push_back(id);
-  connectMore(host);
+  connectForWaiting(host);
   // Behind other attempts the wait may outlast any single connect. It ends after the same time.
   attempt.waitTimer.emplace(io_, limits_.connectTimeout);
-  attempt.waitTimer->async_wait([this, id](error_code stopped) {
-    if (!stopped) failWaiting(id);
+  attempt.waitTimer->async_wait([this, id](error_code cancelled) {
+    if (!cancelled) failWaiting(id);
   });
 }
 
 // False: the attempt is no longer to be sent, and the connection stays free.
 bool UpstreamPool::sendOn(AttemptId id, const ConnectionPointer& connection) {
-  Outcome unsent = Outcome::connectFailed;
-  std::optional<OutgoingRequest> request = callbacks_.composeRequest(id, unsent);
+  Outcome unsentOutcome = Outcome::connectFailed;
+  std::optional<OutgoingRequest> request = callbacks_.composeRequest(id, unsentOutcome);
   if (!request) {
-    asio::post(io_, [this, id, unsent] { failWaiting(id, unsent); });
+    asio::post(io_, [this, id, unsentOutcome] { failWaiting(id, unsentOutcome); });
     return false;
   }
   PendingAttempt& attempt = attempts_[id];
@@ -108,20 +108,20 @@
   Upstream& upstream = upstreams_[connection->host()];
   if (connection->endpoint() != upstream.endpoint) {  // the old address may be another host's by now
     connection->close();
-    return connectMore(connection->host());
+    return connectForWaiting(connection->host());
   }
   while (!upstream.waiting.empty()) {
     const AttemptId id = upstream.waiting.front();
     upstream.waiting.pop_front();
     if (sendOn(id, connection)) return;
   }
-  if (!upstream.open) return connection->close();
+  if (!upstream.pooling) return connection->close();
   connection->beginIdle(clock_.now());
   upstream.idle.push_back(connection);
   connection->watchWhileIdle();
 }
 
-void UpstreamPool::connectMore(HostId host) {
+void UpstreamPool::connectForWaiting(HostId host) {
   Upstream& upstream = upstreams_[host];
   // A connection costs the host real work: never more than attempts wait for, and not many at once.
   while (upstream.connecting.size() < std::min(upstream.waiting.size(), limits_.maxConnectingPerHost)) {
@@ -139,12 +139,12 @@
                             upstream.connecting.end());
   if (connected) {
     assign(connection);
-    return connectMore(host);
+    return connectForWaiting(host);
   }
   // One connect stands for one attempt. The others have connects of their own, or get a connection in use.
   if (upstream.waiting.empty()) return;
   failWaiting(upstream.waiting.front());
-  connectMore(host);
+  connectForWaiting(host);
 }
 
 void UpstreamPool::onConnectionCreated(HostId host) {
@@ -163,14 +163,14 @@
   idle.erase(std::remove(idle.begin(), idle.end(), connection), idle.end());
 }
 
-void UpstreamPool::setOpen(HostId host, bool open) {
+void UpstreamPool::setPooling(HostId host, bool pooling) {
   Upstream& upstream = upstreams_[host];
-  upstream.open = open;
-  if (open) return;
+  upstream.pooling = pooling;
+  if (pooling) return;
   for (const auto& connection : std::exchange(upstream.idle, {})) connection->close();
 }
 
-bool UpstreamPool::forget(HostId host) {
+bool UpstreamPool::removeHost(HostId host) {
   const auto found = upstreams_.find(host);
   if (found == upstreams_.end()) return true;
   if (found->second.connections > 0) return false;
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -29,9 +29,9 @@
  public:
   virtual ~UpstreamCallbacks() = default;
   /// Called right before the first byte is written. None: nothing is sent, and the attempt ends with
-  /// `unsent`, which the callee may set; as it stands, the attempt found no connection.
+  /// `unsentOutcome`, which the callee may set; as it stands, the attempt found no connection.
   virtual std::optional<OutgoingRequest> composeRequest(AttemptId attempt,
-                                                        load_balancing::Outcome& unsent) = 0;
+                                                        load_balancing::Outcome& unsentOutcome) = 0;
   /// Whether the last byte may still be sent after the connection was verified.
   virtual bool maySendLastByte(AttemptId attempt) = 0;
   /// All that there was of an incomplete request has been written; `sendBody` has the next piece.
@@ -49,7 +49,7 @@
   virtual void onResponseTruncated(AttemptId attempt) = 0;
   /// The host has answered 101. The connection leaves the pool, with the bytes that came behind the head.
   /// This ends the attempt.
-  virtual void onUpgraded(AttemptId attempt, tcp::socket&& socket, std::string&& early,
+  virtual void onUpgraded(AttemptId attempt, tcp::socket&& socket, std::string&& unreadFromHost,
                           const boost::beast::http::fields& head) = 0;
 };
 
@@ -77,10 +77,10 @@
   bool abandonAttempt(AttemptId attempt);
   void sendBody(AttemptId attempt, std::string&& piece, bool last);
   void resumeReading(AttemptId attempt);
-  /// Connections to a host that is not open are closed instead of kept.
-  void setOpen(load_balancing::HostId host, bool open);
+  /// Connections to a host that is not pooling are closed instead of kept.
+  void setPooling(load_balancing::HostId host, bool pooling);
   /// Drops the host's record. False: an attempt or a connection still needs it.
-  bool forget(load_balancing::HostId host);
+  bool removeHost(load_balancing::HostId host);
   void setConnectionOptions(std::size_t maxConnectingPerHost, Duration minVerificationTime) {
     limits_.maxConnectingPerHost = maxConnectingPerHost;
     limits_.minVerificationTime = minVerificationTime;
@@ -105,7 +105,7 @@
     std::vector<ConnectionPointer> connecting;
     std::size_t connections = 0;  // in all
     tcp::endpoint endpoint;
-    bool open = true;
+    bool pooling = true;
   };
   struct PendingAttempt {
     load_balancing::HostId host = load_balancing::kNone;
@@ -121,12 +121,12 @@
   void onIdleConnectionEnded(const ConnectionPointer& connection);
   void onRequestSent() { ++sends_; }
   /// Ends an attempt whose events the connection reports by itself.
-  void forgetAttempt(AttemptId attempt) { attempts_.erase(attempt); }
+  void eraseAttempt(AttemptId attempt) { attempts_.erase(attempt); }
   void settle(AttemptId attempt, load_balancing::Outcome outcome, UpstreamResponse&& response = {});
   /// Gives a free connection to a waiting attempt, or keeps it idle.
   void assign(const ConnectionPointer& connection);
   /// Opens connections for waiting attempts.
-  void connectMore(load_balancing::HostId host);
+  void connectForWaiting(load_balancing::HostId host);
 
   bool sendOn(AttemptId attempt, const ConnectionPointer& connection);
   bool closeOneIdle();
