--- a/src/net/active_request.hpp
+++ b/src/net/active_request.hpp
@@ -1,4 +1,4 @@
-// The clients' requests that the gateway works on.
+// Active client requests of the gateway, by request id.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -20,45 +20,49 @@
 
 namespace finchstile {
 
-/// One client's request, from its arrival until it has its response and none of its attempts is under way.
+/// One client request, from its arrival until its response is complete and none of its attempts is pending.
 struct ActiveRequest {
   std::weak_ptr<ClientSession> client;
   std::shared_ptr<const ClientRequest> message;
-  std::uint32_t classIndex = 0;  ///< Into the settings' classes.
-  bool bodyIncomplete = false;   ///< More of its body is to come from the client.
-  bool finished = false;         ///< It has its response, or its client has gone.
-  /// The status of the response if the request fails.
+  std::uint32_t classIndex = 0;  ///< Index into Settings::classes.
+  bool bodyIncomplete = false;   ///< Part of the request body has not arrived from the client yet.
+  bool finished = false;         ///< The response was sent, or the client disconnected.
+  /// Response status if the request fails.
   boost::beast::http::status failureStatus = boost::beast::http::status::bad_gateway;
-  std::vector<AttemptId> attempts;  ///< By attempt number; 0: that number was not used.
-  /// Attempts without an outcome, and the relay of its response. The record stays until there are none.
+  std::vector<AttemptId> attempts;  ///< Indexed by attempt number; 0 if that number was not used.
+  /// Number of attempts without an outcome, plus one while the response is relayed. The record is kept until
+  /// this is 0.
   std::size_t pendingExchanges = 0;
-  std::unique_ptr<RequestContext> context;  ///< Null while no filter is attached, and once it is finished.
-  bool mayHaveRun = false;                  ///< An attempt that has ended may have run at a host.
+  /// Null if no filter is attached, and after the request has finished.
+  std::unique_ptr<RequestContext> context;
+  bool mayHaveRun = false;  ///< At least one ended attempt may have been executed by a host.
   Time arrivedAt{};
-  Duration timeLeft{};  ///< For which the client waits, counted from `arrivedAt`.
+  Duration timeLeft{};  ///< How long the client waits for the response, counted from `arrivedAt`.
   unsigned responseStatus = 0;
-  Time heldUntil{};                                ///< A filter holds it until then; 0: it is not held.
-  std::unique_ptr<PendingUpgrade> pendingUpgrade;  ///< It asks to leave HTTP, and has not left it yet.
+  Time heldUntil{};  ///< End of the hold by a filter; 0 if the request is not held.
+  /// Set while the request is an upgrade that is not established.
+  std::unique_ptr<PendingUpgrade> pendingUpgrade;
 
   bool isHeld() const { return heldUntil != Time{}; }
-  std::string_view correlationId() const;  ///< The value of X-Correlation-Id.
+  std::string_view correlationId() const;  ///< Value of the X-Correlation-Id header.
 };
 
-/// Owns the active requests, and keeps clients from using the id of one of them twice.
+/// Owns the active requests and rejects the correlation id of an active request if another request uses it.
 class ActiveRequestTable {
  public:
-  /// False: a request with this client id is active. A host would take the second one for a repetition.
+  /// Returns false if a request with this correlation id is active. A host would treat the second request as
+  /// a repetition of the first.
   bool reserveCorrelationId(std::string_view correlationId) {
     return correlationIds_.emplace(correlationId).second;
   }
   load_balancing::RequestId newId() { return ++lastId_; }
-  /// The reference stays valid until the request is released.
+  /// Adds an empty request. The reference stays valid until the request is released.
   ActiveRequest& add(load_balancing::RequestId id) { return requests_[id]; }
-  /// Null: there is no such request, or it has been released.
+  /// Returns null if there is no such request or if it was released.
   ActiveRequest* find(load_balancing::RequestId id);
-  /// Null also for a request that has finished.
+  /// As `find`, but also returns null if the request has finished.
   ActiveRequest* findUnfinished(load_balancing::RequestId id);
-  /// Removes a request that has finished once nothing of it is pending, and frees its client id.
+  /// Removes the request and frees its correlation id if it has finished and nothing of it is pending.
   void releaseIfDone(load_balancing::RequestId id);
 
   std::size_t size() const { return requests_.size(); }
--- a/src/net/asio.cpp
+++ b/src/net/asio.cpp
@@ -1,3 +1,3 @@
-// The one object that holds the compiled parts of Asio and Beast.
+// Compiles the separately compiled parts of Asio and Beast into one object file.
 #include <boost/asio/impl/src.hpp>
 #include <boost/beast/src.hpp>
--- a/src/net/attempt_log.hpp
+++ b/src/net/attempt_log.hpp
@@ -1,4 +1,4 @@
-// The interface through which outcomes of attempts and requests are recorded.
+// Interface for recording the outcomes of attempts and requests.
 #pragma once
 
 #include <cstdint>
@@ -10,48 +10,48 @@
 
 namespace finchstile {
 
-/// What was known of a host when it was chosen. A time of 0: never.
+/// State of a host at the time when it was chosen. A time of 0 means never.
 struct HostObservation {
   load_balancing::Time lastListedAt{}, lastResponseAt{}, startedAt{};
-  bool avoided = false;  ///< The load balancer avoided it.
+  bool avoided = false;  ///< The load balancer was avoiding the host when it chose it.
 };
 
-/// The views are valid during the call only.
+/// One ended attempt. The views are valid during the call only.
 struct AttemptLogEntry {
-  std::string_view id;  ///< The client's X-Correlation-Id.
+  std::string_view id;  ///< X-Correlation-Id of the request.
   const load_balancing::ClassSettings& classSettings;
-  std::uint32_t number = 0;  ///< Counts the attempts of the request, from 0.
+  std::uint32_t number = 0;  ///< Position among the attempts of the request, from 0.
   std::string_view host, zone;
   std::int64_t cell = 0;
   load_balancing::Time chosenAt{};
-  load_balancing::Time firstByteAt{};  ///< When its first byte went out; 0: none did.
+  load_balancing::Time firstByteAt{};  ///< When the first byte was sent; 0 if none was.
   load_balancing::Outcome outcome{};
   bool timedOut = false;
-  bool requestEnded = false;  ///< Its request had finished before.
+  bool requestEnded = false;  ///< The request had finished before this attempt ended.
   HostObservation hostObservation;
 };
 
-/// The view is valid during the call only.
+/// One finished request. The view is valid during the call only.
 struct RequestLogEntry {
-  std::string_view id;  ///< The client's X-Correlation-Id.
+  std::string_view id;  ///< X-Correlation-Id of the request.
   const load_balancing::ClassSettings& classSettings;
   load_balancing::Time arrivedAt{};
-  load_balancing::Duration timeLeft{};  ///< For which its client would wait, counted from its arrival.
+  load_balancing::Duration timeLeft{};  ///< How long the client waits, counted from the arrival.
   RequestResult result{};
-  unsigned status = 0;  ///< Of the response; 0: the client has gone without one.
+  unsigned status = 0;  ///< Response status; 0 if the client disconnected before a response.
   std::size_t attempts = 0;
-  double cutoff = 0;  ///< The load balancer's admission cutoff at the end.
+  double cutoff = 0;  ///< Admission cutoff of the load balancer when the request finished.
 };
 
-/// Nothing that is done here changes what the gateway does.
+/// Implemented by the program. Implementations must not influence the gateway's behavior.
 class AttemptLog {
  public:
   virtual ~AttemptLog() = default;
-  /// An attempt has its outcome.
+  /// Called when an attempt has an outcome.
   virtual void onAttempt(const AttemptLogEntry& attempt) = 0;
-  /// A request has finished. Attempts of it may still follow.
+  /// Called when a request finishes. Attempts of the request may still end later.
   virtual void onRequest(const RequestLogEntry& request) = 0;
-  /// The phase in force of a host has changed, by the list or by a filter.
+  /// Called when the effective phase of a host changes, because of the endpoint list or a filter.
   virtual void onHostPhase(const std::string& host, load_balancing::HostPhase phase) = 0;
 };
 
--- a/src/net/attempt_manager.cpp
+++ b/src/net/attempt_manager.cpp
@@ -15,7 +15,7 @@
 using load_balancing::RequestId;
 using std::chrono::milliseconds;
 
-// RFC 9110, 15.2.2, with the headers that the upgrade handler wants.
+// Response head of RFC 9110, 15.2.2, with the given additional header lines.
 std::string switchingProtocolsHead(const std::vector<HeaderLine>& headers) {
   std::string head = "HTTP/1.1 101 Switching Protocols\r\n";
   for (const HeaderLine& line : headers)
@@ -34,13 +34,13 @@
   request->attempts.resize(std::max<std::size_t>(request->attempts.size(), action.attempt + 1));
   request->attempts[action.attempt] = id;
   ++request->pendingExchanges;
-  // While the body is still coming, the client and the host's reading of it are timed instead. The load
-  // balancer's limit starts with the last byte.
+  // While the body is incomplete, the client and the host's reading of the body have time limits of their
+  // own. The load balancer's limit starts with the last byte.
   const Time deadline = request->bodyIncomplete ? Time::max() : now + action.duration;
   Attempt& attempt = table_.add(
       id, {action.request, action.attempt, action.host, now, deadline, {}, {}, {}, action.sendDeadline});
   const UpstreamHost* const host = hosts_.find(action.host);
-  // The load balancer knows only hosts of the table. If one were missing, the attempt would time out.
+  // The load balancer only chooses hosts of this table. If one were missing, the attempt would time out.
   if (!host) return;
   if (extensions_.attemptLog)
     attempt.hostObservation = {host->lastListedAt, host->lastResponseAt, host->listed.startedAt,
@@ -48,8 +48,9 @@
   pool_.send(id, action.host, host->endpoint, action.verifyConnection);
 }
 
-// The wait for a connection may have outlasted the request, its client, its time, the idempotency window, or
-// the host's place in the list. So all of them are checked right before the first byte.
+// While the attempt waited for a connection, the request may have finished, its client may have disconnected,
+// its deadline or the idempotency window may have passed, or the host may have been removed or set to
+// draining. All of these are therefore checked directly before the first byte.
 std::optional<OutgoingRequest> AttemptManager::compose(AttemptId id, Outcome& unsentOutcome) {
   Attempt* const attempt = table_.find(id);
   if (!attempt) return std::nullopt;
@@ -60,7 +61,7 @@
   const auto timeLeft = std::chrono::duration_cast<milliseconds>(attempt->deadline - now);
   if (timeLeft.count() <= 0 || now > attempt->sendDeadline) return std::nullopt;
   // The client may have closed its connection behind unread bytes, or while a filter continues the request.
-  // Nothing more is begun for it, neither here nor at other hosts.
+  // No further attempt is started for it, at this host or at others.
   const auto client = request->client.lock();
   if (!client || client->isDisconnected()) {
     unsentOutcome = Outcome::notSent;
@@ -73,7 +74,7 @@
     ++context->attemptCount;
     context->zone = host->listed.zone;
     context->cell = host->listed.cell;
-    context->mayHaveRun = true;  // until its outcome proves the contrary
+    context->mayHaveRun = true;  // until its outcome proves otherwise
     for (const HeaderLine& line : context->upstreamHeaders) out.message.set(line.name, line.value);
     extensions_.filters.onAttemptSending(*context, out.message);
   }
@@ -105,7 +106,7 @@
   return to;
 }
 
-// Where attempts can't be cancelled, the host would still begin one whose request has finished.
+// Without cancellation of attempts the host would otherwise start one whose request has finished.
 bool AttemptManager::maySendLastByte(AttemptId id) {
   const Attempt* const attempt = table_.find(id);
   const ActiveRequest* const request = attempt ? requests_.table().findUnfinished(attempt->request) : nullptr;
@@ -169,8 +170,8 @@
   return true;
 }
 
-// To the load balancer the request is served now: the time that the client takes to read the rest is no load,
-// and the request can go nowhere else.
+// The request is reported as served now: the time that the client takes to read the rest is not load of the
+// host, and the request can't be sent to another host any more.
 void AttemptManager::onResponseBegun(AttemptId id, UpstreamResponse&& upstream,
                                      std::optional<std::uint64_t> length) {
   const Attempt* const attempt = table_.find(id);
@@ -198,7 +199,8 @@
   std::optional<ClientSession::ReleasedConnection> released;
   if (accepted && client) released = client->release();
   if (!released) {
-    // The 101 is no answer to this request. The request may have run; the connection is of no further use.
+    // The 101 is not a valid response to this request. The request may have run, and the connection can't be
+    // reused.
     settle(id, request->finished ? Outcome::cancelled : Outcome::reset, {});
     return true;
   }
@@ -224,7 +226,7 @@
   return true;
 }
 
-// The client gets a served response before the load balancer learns of it.
+// Passes a served response to the client before the outcome is reported to the load balancer.
 void AttemptManager::settle(AttemptId id, Outcome outcome, UpstreamResponse&& upstream,
                             std::optional<PartialResponse> partial, bool timedOut) {
   const std::optional<Attempt> attempt = table_.remove(id);
@@ -268,8 +270,8 @@
   return attempt ? requests_.table().find(attempt->request) : nullptr;
 }
 
-// An attempt that got no connection for want of our own descriptors until its time was up says nothing of the
-// host.
+// An attempt that reached its deadline while it waited for a connection, because the gateway's own
+// descriptors were exhausted, says nothing about the host.
 void AttemptManager::observeHost(UpstreamHost& host, Outcome outcome, Time sentAt, bool timedOut) const {
   switch (outcome) {
     case Outcome::served:
@@ -293,7 +295,8 @@
   result.report = membership::parseLoadReport(view(text));
   if (result.report) metrics_.onLoadReport();
   else metrics_.onMalformedLoadReport();
-  // A response to an attempt that is older than the host's process is from the process before.
+  // The response to an attempt that was sent before the host's process started comes from the previous
+  // process.
   if (extensions_.hostObserver && result.report && host && attempt.sentAt >= host->listed.startedAt)
     extensions_.hostObserver->onLoadReport(host->listed.address, *result.report);
 }
--- a/src/net/attempt_manager.hpp
+++ b/src/net/attempt_manager.hpp
@@ -1,4 +1,4 @@
-// Attempts at hosts: composed, followed, and settled with the load balancer.
+// Composes attempts, tracks them, and reports their outcomes to the load balancer.
 #pragma once
 
 #include <optional>
@@ -19,14 +19,15 @@
 
 namespace finchstile {
 
-/// Carries out the load balancer's attempts for clients' requests, and reports their outcomes to it. Calls of
-/// the load balancer leave actions with it; whoever calls in here executes them afterwards.
+/// Executes the load balancer's attempt actions for client requests and reports the outcomes to it. Calls
+/// into the load balancer queue further actions there; the caller of these functions executes them
+/// afterwards.
 class AttemptManager {
  public:
-  /// An attempt that was cancelled and whose connection is closed; its outcome is still to be reported.
+  /// A cancelled attempt whose connection is closed and whose outcome has not been reported yet.
   struct ClosedAttempt {
     AttemptId id = 0;
-    bool lastByteSent = false;  ///< It may have run.
+    bool lastByteSent = false;  ///< The host may have executed the attempt.
   };
 
   AttemptManager(const Clock& clock, const GatewayConfig& config, load_balancing::LoadBalancer& balancer,
@@ -44,26 +45,28 @@
         pool_(pool) {}
 
   void send(const load_balancing::Action& action);
-  /// Cancelled attempts are closed by `closeCancelled` and reported by `settleCancelled`.
+  /// Marks the attempt as cancelled. `closeCancelled` then closes its connection and `settleCancelled`
+  /// reports its outcome.
   void cancel(const load_balancing::Action& action);
   bool hasCancelled() const { return !cancelled_.empty(); }
   std::vector<ClosedAttempt> closeCancelled();
   void settleCancelled(const std::vector<ClosedAttempt>& closed);
   std::optional<Time> nextDeadline() const { return table_.nextDeadline(); }
-  /// Gives up the attempts whose deadlines have passed.
+  /// Ends the attempts whose deadlines have passed.
   void settleExpired(Time now);
 
-  /// A piece of a request's body has come from its client. Returns true if the load balancer was asked.
+  /// Sends a piece of a request body to the host. Returns true if the body is complete now; the load balancer
+  /// may then have queued actions.
   bool forwardRequestBody(load_balancing::RequestId id, std::string&& piece, bool last);
 
-  // The events of the pool, as UpstreamCallbacks describes them.
+  // Events of the pool; see UpstreamCallbacks.
   std::optional<OutgoingRequest> compose(AttemptId id, load_balancing::Outcome& unsentOutcome);
   bool maySendLastByte(AttemptId id);
   void onReadyForRequestBody(AttemptId id);
   /// Returns false if there is no such attempt.
   bool onResponseHeaders(AttemptId id);
   void onResponseBegun(AttemptId id, UpstreamResponse&& upstream, std::optional<std::uint64_t> length);
-  /// Returns false if there is no such attempt.
+  /// Returns false if the attempt or its request no longer exists.
   bool onUpgraded(AttemptId id, tcp::socket&& socket, std::string&& unreadFromHost,
                   const boost::beast::http::fields& head);
   void settle(AttemptId id, load_balancing::Outcome outcome, UpstreamResponse&& upstream,
--- a/src/net/attempt_table.hpp
+++ b/src/net/attempt_table.hpp
@@ -1,4 +1,4 @@
-// The attempts that are under way, and when each is given up.
+// Pending attempts and their deadlines.
 #pragma once
 
 #include <optional>
@@ -16,14 +16,14 @@
 /// One attempt of a request at a host, until its outcome is known.
 struct Attempt {
   load_balancing::RequestId request = 0;
-  std::uint32_t number = 0;  ///< Counts the attempts of the request, from 0.
+  std::uint32_t number = 0;  ///< Position among the attempts of the request, from 0.
   load_balancing::HostId host = load_balancing::kNone;
-  Time sentAt{};             ///< When it was handed to the pool; once its body is complete, when that was.
-  Time deadline{};           ///< When it is given up.
-  Time responseStartedAt{};  ///< 0: no head of a final response has come.
-  Time firstByteAt{};        ///< When its first byte went out; 0: none has.
+  Time sentAt{};    ///< When it was passed to the pool; for an incomplete body, when the body was completed.
+  Time deadline{};  ///< When the attempt times out.
+  Time responseStartedAt{};  ///< When the head of the final response arrived; 0 if it has not.
+  Time firstByteAt{};        ///< When the first byte was sent; 0 if none was.
   HostObservation hostObservation;
-  Time sendDeadline = Time::max();  ///< No byte may go out later.
+  Time sendDeadline = Time::max();  ///< Latest time at which a byte may be sent.
 };
 
 /// Owns the attempts and their deadlines.
@@ -31,15 +31,15 @@
  public:
   AttemptId newId() { return ++lastId_; }
   Attempt& add(AttemptId id, const Attempt& attempt);
-  /// Null: there is no such attempt, or its outcome is known.
+  /// Returns null if there is no such attempt or if its outcome is known.
   Attempt* find(AttemptId id);
   bool contains(AttemptId id) const { return attempts_.count(id) > 0; }
   void setDeadline(AttemptId id, Attempt& attempt, Time deadline);
-  /// Removes the attempt and returns it.
+  /// Removes the attempt and returns it; none if there is no such attempt.
   std::optional<Attempt> remove(AttemptId id);
 
   std::optional<Time> nextDeadline() const;
-  /// The attempt whose deadline passed first, if one has.
+  /// Returns the attempt with the earliest deadline if that has passed.
   std::optional<AttemptId> firstExpired(Time now) const;
 
  private:
--- a/src/net/client_messages.hpp
+++ b/src/net/client_messages.hpp
@@ -1,4 +1,4 @@
-// What clients send and get: a request as it was read, and a response before it is written.
+// Messages of clients: requests as they were read, and responses before they are serialized.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -14,27 +14,28 @@
 
 using ClientRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// A response that is relayed piece by piece while the host still sends it. It has the id of its attempt.
+/// Id of a response that is relayed piece by piece while the host still sends it; equal to the id of its
+/// attempt.
 using RelayId = std::uint64_t;
 
-/// Marks a response whose `body` is only the beginning: the rest follows through the relay.
+/// Describes a response whose `body` holds only the beginning; the rest follows through the relay.
 struct PartialResponse {
-  std::optional<std::uint64_t> length;  ///< Bytes of the whole body, if the host announced them.
+  std::optional<std::uint64_t> length;  ///< Length of the complete body in bytes, if the host announced it.
   RelayId relay = 0;
 };
 
-/// The one response to a client's request. The session adds framing and connection headers.
+/// Response to a client's request. The session adds framing and connection headers.
 struct Response {
   boost::beast::http::status status = boost::beast::http::status::ok;
   std::string body;
   std::string contentType;
-  std::vector<HeaderLine> headers;  ///< Written in addition to those that follow from the other fields.
-  Duration retryAfter{};            ///< For `Retry-After`; 0: the header is left out.
-  bool close = false;               ///< The connection is closed after this response.
-  std::optional<PartialResponse> partial;  ///< None: `body` is complete.
+  std::vector<HeaderLine> headers;  ///< Sent in addition to the headers that follow from the other fields.
+  Duration retryAfter{};            ///< Value of `Retry-After`; 0 omits the header.
+  bool close = false;               ///< Close the connection after this response.
+  std::optional<PartialResponse> partial;  ///< Not set if `body` is complete.
 };
 
-/// A response with a status and nothing else.
+/// Returns a response with the given status and no body.
 inline Response plainResponse(boost::beast::http::status status) {
   Response response;
   response.status = status;
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -21,19 +21,22 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;  // of a body that was refused
-constexpr std::size_t kMaxReadAheadBytes =
-    std::size_t{16} * 1024;  // of later requests, while one is answered
-// The slowest rate of a body: half of what slow lines carry. A client below it is taken for silent.
+// Input that is read and discarded after the last response, such as the rest of a refused body.
+constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;
+// Bytes of later requests that are read while a request is being processed.
+constexpr std::size_t kMaxReadAheadBytes = std::size_t{16} * 1024;
+// Minimum average rate of a request body: half of what slow lines carry. A slower client is treated as
+// unresponsive.
 constexpr double kMinBodyBytesPerSecond = 32 * 1024;
 
-// A connection for which there is no capacity gets this at once. The refusal is harmless, as nothing of a
-// request was passed on.
+// Sent at once on a connection for which there is no capacity. Refusing is safe, since nothing of a request
+// was passed on.
 constexpr std::string_view kServiceUnavailableResponse =
     "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-// Looks at the next byte without consuming it. Above 0: there is one. 0: the client has closed its sending
-// side. Below 0: errno is EAGAIN if nothing has come, else the error of the connection.
+// Peeks at the next byte without consuming it. Returns a positive value if there is one and 0 if the client
+// has closed its sending side. Below 0, errno is EAGAIN if nothing has arrived, otherwise the error of the
+// connection.
 ssize_t peekByte(tcp::socket& socket) {
   char byte = 0;
   return ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -60,7 +63,7 @@
 
 // --- Reading
 
-// There is one wait for bytes at a time. What comes is handled by the state that the session has then.
+// At most one wait for bytes is pending. Arriving bytes are handled according to the state at that time.
 void ClientSession::awaitBytes() {
   if (std::exchange(awaitingBytes_, true)) return;
   socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this()](error_code error) {
@@ -78,14 +81,15 @@
 }
 
 void ClientSession::onReadable() {
-  if (state_ == State::writing || state_ == State::relaying) return;  // awaitRequest waits again
+  if (state_ == State::writing || state_ == State::relaying) return;  // awaitRequest starts the next wait
   if (state_ == State::lingering) return discardInput();
-  if (state_ == State::waiting && bodyIncomplete_ && !bodyReadRequested_) return;  // readBody waits again
-  // Bytes of a next request are read, up to a limit, while this one is answered. Otherwise the end of a
-  // client's connection behind them would not be seen.
+  // `readBody` starts the next wait.
+  if (state_ == State::waiting && bodyIncomplete_ && !bodyReadRequested_) return;
+  // Bytes of a next request are read ahead, up to a limit, while a request is being processed. Otherwise the
+  // close of a client's connection after these bytes would not be detected.
   const bool readsAhead = state_ == State::waiting && !bodyIncomplete_;
   const std::size_t buffered = buffer_.size();
-  if (readsAhead && buffered >= kMaxReadAheadBytes) return;  // checkForDisconnect sees the end
+  if (readsAhead && buffered >= kMaxReadAheadBytes) return;  // checkForDisconnect detects the close
   error_code error;
   receive(readsAhead ? kMaxReadAheadBytes - buffered : kMaxReadBytes, error);
   if (error == asio::error::would_block || error == asio::error::try_again) return awaitBytes();
@@ -165,7 +169,7 @@
   using Step = MessageReader<true>::Step;
   error_code error;
   const Step step = reader_.step(buffer_, error);
-  // The request is under way; the client would take an error status for the response to it.
+  // The request was already passed on, and the client would take an error status for the response to it.
   if (step == Step::malformed) return close();
   if (step == Step::needsBytes && reader_.bufferedBody() == 0) return awaitBytes();
   bodyIncomplete_ = step != Step::complete;
@@ -178,8 +182,8 @@
 
 // --- Writing
 
-// After a request that has not come completely the connection is closed: what still comes would be taken for
-// a next request.
+// After an incomplete request the connection is closed: the rest of the body would be taken for the next
+// request.
 void ClientSession::respond(Response&& response) {
   if (state_ != State::waiting) return;
   request_ = 0;
@@ -242,12 +246,13 @@
 void ClientSession::truncateResponse() {
   relay_ = 0;
   error_code ignored;
-  // The end of the connection would be the end of the body; a reset is not.
+  // A regular close would delimit the body and make it look complete; a reset does not.
   if (closeDelimited_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   close();
 }
 
-// A client that takes a little at a time goes on; only one that takes nothing is ended.
+// The write timeout restarts after every partial write: a slow client is served, and only one that reads
+// nothing is disconnected.
 void ClientSession::write() {
   const auto unwritten = asio::buffer(output_.data() + outputWritten_, output_.size() - outputWritten_);
   socket_.async_write_some(unwritten, [this, self = shared_from_this()](error_code error, std::size_t bytes) {
@@ -268,7 +273,8 @@
     return listener_.callbacks_.onResponseWritten(relay_);
   }
   if (const RelayId relay = std::exchange(relay_, 0)) listener_.callbacks_.onResponseWritten(relay);
-  if (output_.capacity() > kMaxReadBytes) output_.shrink_to_fit();  // an idle client keeps no large buffer
+  // An idle client keeps no large buffer.
+  if (output_.capacity() > kMaxReadBytes) output_.shrink_to_fit();
   if (keepAlive_) return awaitRequest();
   linger();
 }
@@ -296,7 +302,7 @@
 
 void ClientSession::onOverdue() {
   if (!requestStarted_) return closeIdle();
-  if (writingContinue_ || state_ == State::waiting) return close();  // two writes at once would mix
+  if (writingContinue_ || state_ == State::waiting) return close();  // concurrent writes would interleave
   refuse(http::status::request_timeout);
 }
 
@@ -304,8 +310,8 @@
   if (state_ == State::waiting && (!bodyIncomplete_ || !bodyReadRequested_)) return false;
   const Time now = listener_.clock_.now();
   const Duration timeout = listener_.options_.requestTimeout;
-  // The limit below grows with the bytes received. Without this check a client could send much at first and
-  // then be silent for minutes.
+  // The limit below grows with the bytes received. Without this check, a client could send much at first and
+  // then stay silent for minutes.
   if (bodyIncomplete_ && now - lastByteAt_ > timeout) return true;
   double bytes = static_cast<double>(reader_.bodyRead());
   if (bodyIncomplete_) bytes -= static_cast<double>(kMaxBufferedBody);
@@ -316,14 +322,15 @@
 
 // --- Ending
 
-// Nothing is read from a client that sent more than is read ahead, or whose host takes its time with the rest
-// of a long response. Only the kernel knows whether such a client has isDisconnected.
+// Nothing is read from a client that sent more than the read-ahead limit, or while its host is slow with the
+// rest of a long response. Only the kernel can report that such a client has disconnected.
 void ClientSession::checkForDisconnect() {
   if ((state_ == State::relaying || buffer_.size() >= kMaxReadAheadBytes) && peerHasClosed()) close();
 }
 
-// Nothing more comes from the client: the end is next to be read, or lies behind unread bytes. A client that
-// has ended only its sending side counts as isDisconnected too (docs/design/acceptance.md).
+// Returns true if the client sends nothing more: its close is the next event to be read or follows unread
+// bytes. A half-closed client, which ended only its sending side, counts as disconnected too
+// (docs/design/acceptance.md).
 bool ClientSession::peerHasClosed() {
   const ssize_t unread = peekByte(socket_);
   if (unread < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
@@ -357,8 +364,9 @@
   return socket_.remote_endpoint(ignored);
 }
 
-// Closing a socket that holds unread bytes resets the connection, and the response may be lost with it. So
-// our side ends first, and what still comes is read and dropped, for a limited time and up to a limit.
+// Closing a socket with unread bytes resets the connection, and the response may be lost with it. The sending
+// side is therefore shut down first, and further input is read and discarded, for a limited time and up to a
+// limit.
 void ClientSession::linger() {
   enter(State::lingering);
   error_code ignored;
@@ -375,19 +383,21 @@
   awaitBytes();
 }
 
-// A request that has come since the last read is read, not reset. One that comes at this very moment finds
-// our side ended: it is dropped, and its client, which sees the end in place of a response, sends it again
-// elsewhere. A close would reset the connection, and shed what the system still holds of the last response.
+// If a request has arrived since the last read, the session stays open and reads it. A request that arrives
+// at this very moment finds the sending side shut down: it is discarded, and its client, which sees the end
+// of the connection instead of a response, sends it again elsewhere. A close would reset the connection and
+// lose the part of the last response that the kernel has not delivered.
 void ClientSession::closeIdle() {
   if (peekByte(socket_) > 0) return;
   linger();
 }
 
-// The descriptor is needed now. A request that has come in part is refused, and so is a first one that may be
-// on its way: without a response it would count as lost. Unread bytes are read to make a reset unlikely.
+// Closes the connection at once because its descriptor is needed. A partially received request is refused,
+// and so is a first request that may be in transit: without a response it would count as lost. Unread bytes
+// are read to make a reset unlikely.
 void ClientSession::shed() {
   const bool isIdle = state_ == State::idle || (state_ == State::fresh && !requestStarted_);
-  if (isIdle && peekByte(socket_) > 0) return;  // its request has come
+  if (isIdle && peekByte(socket_) > 0) return;  // its request has arrived
   error_code ignored;
   if (!writingContinue_ && state_ != State::idle)
     socket_.write_some(asio::buffer(kServiceUnavailableResponse), ignored);
--- a/src/net/client_session.hpp
+++ b/src/net/client_session.hpp
@@ -1,4 +1,4 @@
-// One client's connection: reads requests and writes each one's response.
+// Session on one client connection: reads requests and writes their responses.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -23,67 +23,68 @@
 class ClientSession;
 class Listener;
 
-/// What happens on clients' connections.
+/// Events on client connections.
 class ClientCallbacks {
  public:
   virtual ~ClientCallbacks() = default;
-  /// `bodyComplete` false: more of the body comes through `onClientBody`, one piece for each
-  /// `ClientSession::readBody`.
+  /// Called for each request. If `bodyComplete` is false, the rest of the body follows through
+  /// `onClientBody`, one piece for each call of `ClientSession::readBody`.
   virtual void onClientRequest(const std::shared_ptr<ClientSession>& session, ClientRequest&& request,
                                bool bodyComplete) = 0;
   virtual void onClientBody(load_balancing::RequestId request, std::string&& piece, bool last) = 0;
-  /// The client has isDisconnected before it had its response.
+  /// The client disconnected before it received its response.
   virtual void onClientDisconnected(load_balancing::RequestId request) = 0;
-  /// All pieces of a relayed response that were passed to the session have been written.
+  /// All pieces of a relayed response that were passed to the session so far have been written.
   virtual void onResponseWritten(RelayId relay) = 0;
-  /// The client has isDisconnected in the middle of a relayed response.
+  /// The client disconnected in the middle of a relayed response.
   virtual void onResponseAborted(RelayId relay) = 0;
 };
 
-/// Passes a request on only when the one before has its response. Of a body too long to be buffered, in
-/// either direction, one piece is under way at a time: a receiver that is slow delays only its sender.
+/// Handles one request at a time: the next one is passed on after the previous one has its response. Of a
+/// body that is too long to be buffered, one piece is in flight at a time in either direction, so that a slow
+/// receiver only applies backpressure to its own sender.
 class ClientSession : public std::enable_shared_from_this<ClientSession> {
  public:
   enum class State {
-    fresh,      ///< The first request has not come completely.
+    fresh,      ///< New connection whose first request is not complete.
     idle,       ///< Between two requests.
-    reading,    ///< A further request has begun to come.
-    waiting,    ///< For the response; the request's body may still be coming.
-    writing,    ///< The client is to take bytes.
-    relaying,   ///< The host is to send more of the response.
-    lingering,  ///< Our side has ended; what still comes is read and dropped.
+    reading,    ///< A further request is arriving.
+    waiting,    ///< Waiting for the response; the request body may still be arriving.
+    writing,    ///< Writing to the client.
+    relaying,   ///< Waiting for the host to send more of the response.
+    lingering,  ///< The sending side is shut down; further input is read and discarded.
     closed
   };
   static constexpr std::size_t kOpenStates = 7;
   using List = std::list<std::shared_ptr<ClientSession>>;
 
-  /// The listener outlives the session's use of it: a closed session calls it no more.
+  /// The listener must outlive the session's use of it; a closed session doesn't use it any more.
   ClientSession(tcp::socket socket, Listener& listener);
 
   void start() { awaitBytes(); }
-  /// Names the request that is passed on, for later callbacks.
+  /// Sets the id of the request that was passed on, for later callbacks.
   void setRequest(load_balancing::RequestId id) { request_ = id; }
-  /// Does nothing if the client has isDisconnected or its request has a response already: a second one would
-  /// be taken for the response to the next request.
+  /// Sends the response. Does nothing if the client disconnected or the request already has a response: the
+  /// client would take a second one for the response to its next request.
   void respond(Response&& response);
-  /// Asks for the next piece of the request's body.
+  /// Requests the next piece of the request body.
   void readBody();
-  /// Writes a piece of a partial response. `onResponseWritten` tells when the next one may follow.
+  /// Writes a piece of a partial response. The next one may follow after `onResponseWritten`.
   void writeBody(std::string&& piece, bool last);
-  /// Ends a partial response so that the client can tell that it is not complete.
+  /// Ends a partial response in a way that lets the client detect the truncation.
   void truncateResponse();
-  /// Whether the client has closed its connection, even if that lies behind bytes that are not read yet. If
-  /// so, `onClientDisconnected` follows soon, never from within this call.
+  /// Returns true if the client has closed its connection, even if unread bytes precede the close. In that
+  /// case `onClientDisconnected` follows soon, never from within this function.
   bool isDisconnected();
 
   struct ReleasedConnection {
     tcp::socket socket;
-    std::string unread;  ///< Bytes that were read behind the request.
+    std::string unread;  ///< Bytes that were read after the request.
   };
-  /// Gives the connection away in place of a response. None: the client has isDisconnected, or the request
-  /// has not come completely.
+  /// Hands over the connection instead of sending a response. Returns none if the client disconnected or the
+  /// request is incomplete.
   std::optional<ReleasedConnection> release();
-  tcp::endpoint remoteEndpoint() const;  ///< All zero if the client has isDisconnected.
+  tcp::endpoint remoteEndpoint() const;  ///< The unspecified endpoint if the client disconnected.
 
  private:
   friend class Listener;
@@ -120,32 +121,32 @@
   Listener& listener_;
   tcp::socket socket_;
   State state_ = State::fresh;
-  List::iterator listPosition_{};  // in the listener's list of the state
+  List::iterator listPosition_{};  // in the listener's list of sessions in `state_`
   Time stateSince_{};
 
   // The request.
   boost::beast::flat_buffer buffer_;
   MessageReader<true> reader_;
-  load_balancing::RequestId request_ = 0;  // 0: none, or its end has been reported
+  load_balancing::RequestId request_ = 0;  // 0 if there is none or its end was reported
   unsigned httpVersion_ = 11;
   bool keepAlive_ = true;
   bool isHeadRequest_ = false;
-  bool requestStarted_ = false;     // bytes of a request have come
-  bool bodyIncomplete_ = false;     // of a request that was passed on
-  bool bodyReadRequested_ = false;  // by whoever it was passed to
-  Duration bodyPausedTime_{};       // in which no piece was wanted; does not count against the client
+  bool requestStarted_ = false;     // bytes of a request have arrived
+  bool bodyIncomplete_ = false;     // more of the body of the passed-on request is to be read
+  bool bodyReadRequested_ = false;  // `readBody` was called and its piece was not delivered yet
+  Duration bodyPausedTime_{};       // total time without a requested piece; not counted against the client
   Time bodyPausedSince_{}, lastByteAt_{};
   bool awaitingBytes_ = false;
-  bool writingContinue_ = false;  // the 100 Continue is being written
+  bool writingContinue_ = false;  // the 100 Continue response is being written
   std::size_t discardedBytes_ = 0;
 
   // The response.
-  std::string output_;  // to be written from `outputWritten_` on
+  std::string output_;  // bytes from `outputWritten_` on are still to be written
   std::size_t outputWritten_ = 0;
-  RelayId relay_ = 0;  // 0: the response is not relayed
+  RelayId relay_ = 0;  // 0 if the response is not relayed
   bool morePiecesFollow_ = false;
   bool chunked_ = false;
-  bool closeDelimited_ = false;  // its body has neither length nor chunks
+  bool closeDelimited_ = false;  // the body ends with the connection, without length or chunks
 };
 
 }  // namespace finchstile
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -1,4 +1,4 @@
-// The gateway's clock: steady, and tied to Unix time once, at the start.
+// The gateway's clock: monotonic, and related to Unix time once, at the start of the process.
 #pragma once
 
 #include <chrono>
@@ -16,20 +16,22 @@
 
   std::chrono::steady_clock::time_point steady(Time t) const { return started_ + (t - kOrigin); }
 
-  /// Unix time at `t`, by the calendar as it stood at the start.
+  /// Unix time at `t`, as computed from the system time at the start of the process.
   std::chrono::nanoseconds unixAt(Time t) const { return unixStarted_ + (t - kOrigin); }
 
-  /// The time at a moment of Unix time. 0 stands for long ago, and so does what lies before this clock's
-  /// zero. Ties to the start and not to the present calendar: else the start of one process would differ by
-  /// microseconds from list to list, and the load balancer would take every host for restarted.
-  Time fromUnix(std::chrono::milliseconds since) const {
-    if (since.count() <= 0) return Time{};
-    const auto ago = unixStarted_ - since;
+  /// Converts Unix time. Values of 0 and times before this clock's zero become 0, which means long ago. The
+  /// conversion uses the system time at the start of the process and not the present one: otherwise the start
+  /// time of a host's process would differ by microseconds from list to list, and the load balancer would
+  /// treat every host as restarted.
+  Time fromUnix(std::chrono::milliseconds unixTime) const {
+    if (unixTime.count() <= 0) return Time{};
+    const auto ago = unixStarted_ - unixTime;
     return ago < kOrigin ? kOrigin - ago : Time{};
   }
 
  private:
-  static constexpr Time kOrigin = std::chrono::hours(24);  // so that starts before our own lie above zero
+  // Not 0, so that hosts' processes that started before this one have start times above 0.
+  static constexpr Time kOrigin = std::chrono::hours(24);
 
   std::chrono::steady_clock::time_point started_ = std::chrono::steady_clock::now();
   std::chrono::milliseconds unixStarted_ = std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -20,8 +20,8 @@
 
 constexpr int kSeedBase = 16;
 
-// Calls `visit(path, text)` for each value of the settings, with the paths of the simulator's first message:
-// keys joined by dots, list items by number.
+// Calls `visit(path, text)` for each value of the settings. Paths have the form of the simulator's first
+// message: keys joined by dots, list items by index.
 template <class Visitor>
 void forEachLeaf(const json& value, const std::string& path, const Visitor& visit) {
   if (value.is_structured()) {
@@ -39,7 +39,7 @@
   }
 }
 
-// The platform's words for the phases of a host.
+// Parses the platform's name of a host phase.
 HostPhase readPhase(const std::string& status) {
   if (status == "active") return HostPhase::active;
   if (status == "leaving") return HostPhase::draining;
@@ -106,7 +106,7 @@
   out.version = list.at("index").get<std::int64_t>();
   out.complete = list.at("snapshot").get<bool>();
   const json& endpoints = list.at("endpoints");
-  // An empty object would pass for an empty list, and remove all hosts.
+  // An empty object would be read as an empty list and remove all hosts.
   if (!endpoints.is_array())
     throw ConfigError(Code::malformedDocument, "bad host list: endpoints is no list");
   for (const json& item : endpoints) out.hosts.push_back(readHost(item, clock));
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -1,4 +1,4 @@
-// The gateway's configuration and the endpoint lists of discovery, read from the platform's JSON.
+// Reads the gateway's configuration and the endpoint lists of discovery from the platform's JSON.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -18,13 +18,13 @@
 
 using boost::asio::ip::tcp;
 
-/// A configuration, an endpoint list or an address that can't be used. `what` says why in one line.
+/// A configuration, endpoint list or address that can't be used. `what` gives the reason in one line.
 class ConfigError : public std::runtime_error {
  public:
   enum class Code {
     unreadableFile,
     malformedDocument,  ///< Not JSON, or a key is missing or has a value of the wrong type.
-    invalidValue        ///< A value that makes no sense.
+    invalidValue        ///< A value outside the permitted range or set.
   };
   ConfigError(Code code, const std::string& what) : std::runtime_error(what), code_(code) {}
   Code code() const { return code_; }
@@ -34,45 +34,45 @@
 };
 
 struct ListedHost {
-  load_balancing::HostEntry
-      entry;  ///< Its `address` holds the host's name, which all gateways have in common.
+  /// Its `address` holds the name of the host, which is the same at all gateways.
+  load_balancing::HostEntry entry;
   tcp::endpoint endpoint;
 };
 
 struct HostList {
-  std::int64_t version = -1;  ///< Below 0: none was given.
-  bool complete = false;      ///< Else only the hosts that have changed.
+  std::int64_t version = -1;  ///< Below 0 if the list has no version.
+  bool complete = false;      ///< False if the list has only the hosts that changed.
   std::vector<ListedHost> hosts;
 };
 
 struct GatewayConfig {
   std::string name;
   tcp::endpoint listen, discovery;
-  std::optional<tcp::endpoint> adminEndpoint;  ///< None: operators can't call this gateway.
-  std::size_t descriptorLimit = 1024;          ///< Descriptors that the process may hold.
+  std::optional<tcp::endpoint> adminEndpoint;  ///< If not set, the gateway has no admin interface.
+  std::size_t descriptorLimit = 1024;          ///< Maximum number of descriptors of the process.
   load_balancing::Settings settings;
   load_balancing::Duration connectTimeout{}, upstreamIdleTimeout{};
   HostList knownHosts;
 
-  // Not in the platform's configuration; the program fills these in.
-  /// A descriptor that listens at `listen` already; below 0: none.
+  // The following are not part of the platform's configuration; the program sets them.
+  /// Descriptor of a socket that already listens at `listen`; below 0 if there is none.
   int inheritedListenerDescriptor = -1;
-  /// Of `descriptorLimit`, for what runs beside the gateway.
+  /// Part of `descriptorLimit` that is reserved for components beside the gateway.
   std::size_t reservedDescriptors = 0;
-  GatewayOptions options;  ///< From the operator's file.
+  GatewayOptions options;  ///< From the operator's configuration file.
 };
 
-/// Reads an address and a port, as "10.0.0.4:8443". Throws ConfigError.
+/// Parses an address and a port, such as "10.0.0.4:8443". Throws ConfigError.
 tcp::endpoint readEndpoint(std::string_view text);
 
-/// The longest time for which a client of any class waits.
+/// Returns the longest client timeout of all classes.
 load_balancing::Duration longestClientTimeout(const load_balancing::Settings& settings);
 
 /// Throws ConfigError.
 HostList readHostList(const nlohmann::json& list, const Clock& clock);
 /// As `readHostList`, from JSON text.
 HostList parseHostList(std::string_view text, const Clock& clock);
-/// The complete list that `changes` make of `base`. Removed hosts are in neither.
+/// Returns the complete list that results from applying `changes` to `base`. Removed hosts are left out.
 HostList applyChanges(const HostList& base, HostList&& changes);
 
 /// Throws ConfigError.
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -28,16 +28,17 @@
   poll();
 }
 
-// The version of one service means nothing to another. But the configuration names a service together with a
-// list and its version there. Asking for the changes since spares a service to which all gateways move at
-// once three quarters of the work of complete lists.
-void Discovery::move(const tcp::endpoint& endpoint, HostList known) {
+// Versions of one service are not valid at another. But the configuration has a list of the new service with
+// its version there. Requesting only the changes since that version saves a service to which all gateways
+// move at once three quarters of the work for complete lists.
+void Discovery::move(const tcp::endpoint& endpoint, HostList knownHosts) {
   stop();
   endpoint_ = endpoint;
-  const bool usable = known.version >= 0 && !known.hosts.empty();  // changes to no hosts make no list
-  version_ = usable ? known.version : kNoVersion;
-  changeBase_ = usable ? std::optional(std::move(known)) : std::nullopt;
-  nextWatchIsShort_ = true;  // also a response without changes confirms the list that came with the move
+  // Changes can't be applied to an empty list.
+  const bool usable = knownHosts.version >= 0 && !knownHosts.hosts.empty();
+  version_ = usable ? knownHosts.version : kNoVersion;
+  changeBase_ = usable ? std::optional(std::move(knownHosts)) : std::nullopt;
+  nextWatchIsShort_ = true;  // a response without changes also confirms the list of the move
   watch();
 }
 
@@ -46,7 +47,7 @@
   client_.stop();
 }
 
-// The form of the poll is the platform's.
+// The platform defines the request target.
 void Discovery::poll() {
   std::string target = "/registry/instances";
   Duration timeout = timeouts_.responseMargin;
@@ -68,8 +69,8 @@
   } catch (const ConfigError&) {
     return endWatch();
   }
-  // These may be changes to a list that the gateway does not have: it asked for the complete one, or the
-  // service counts its versions anew, or it is another service than the version is from.
+  // These may be changes to a list that the gateway does not have: the complete list was requested, or the
+  // service has restarted its version numbers, or the version comes from another service.
   if (!list.complete && (version_ < 0 || list.version < version_)) {
     version_ = kNoVersion;
     changeBase_.reset();
@@ -79,8 +80,7 @@
   nextWatchIsShort_ = false;
   if (const auto base = std::exchange(changeBase_, std::nullopt); base && !list.complete)
     list = applyChanges(*base, std::move(list));
-  // The next poll goes out first: to the service a watch lasts only as long as polls follow each other
-  // closely.
+  // The next poll is sent first: the service ends a watch unless polls follow each other closely.
   poll();
   callbacks_.onHostList(std::move(list));
 }
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -1,4 +1,4 @@
-// Watches the endpoint list of a discovery service.
+// Watches the endpoint list of a discovery service by long polls.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,31 +15,31 @@
  public:
   virtual ~DiscoveryCallbacks() = default;
   virtual void onHostList(HostList&& list) = 0;
-  /// The watch has ended; `Discovery::watch` starts a new one.
+  /// The watch has failed; `Discovery::watch` starts a new one.
   virtual void onDiscoveryLost() = 0;
 };
 
-/// Polls the service again as soon as a poll is answered, each time for what has changed since the last
-/// version.
+/// Sends the next poll as soon as a poll is answered. Each poll requests the changes since the last version.
 class Discovery : LongPollCallbacks {
  public:
   struct Timeouts {
     Duration watch{};              ///< How long the service may hold a poll while nothing changes.
-    Duration watchAfterFailure{};  ///< The same for the first poll after a failed one, or after a move.
-    Duration responseMargin{};     ///< How much longer a response may take.
+    Duration watchAfterFailure{};  ///< As `watch`, for the first poll after a failed one or after a move.
+    Duration responseMargin{};     ///< Time allowed for a response beyond the watch time.
   };
 
-  /// `version`: of the list that the gateway has; below 0: it has none, and polls for the complete one.
+  /// `version` is that of the list that the gateway has. Below 0 it has none, and the complete list is
+  /// requested.
   Discovery(boost::asio::io_context& io, const Clock& clock, const tcp::endpoint& endpoint,
             const Timeouts& timeouts, std::int64_t version, DiscoveryCallbacks& callbacks);
 
-  /// Does nothing while a watch is open.
+  /// Starts a watch. Does nothing while one is open.
   void watch();
-  /// Watches another service from now on. `known`: a list of that service, with its version there. The
-  /// service is asked for what has changed since, and the first response is passed on as the complete list
-  /// that it makes. With no version the complete list is asked for.
-  void move(const tcp::endpoint& endpoint, HostList known = {});
-  /// Asks the service that it watches for the complete list.
+  /// Watches another service from now on. `knownHosts` is a list of that service with its version there. The
+  /// changes since that version are requested, and the first response is applied to `knownHosts` and passed
+  /// on as a complete list. Without a version the complete list is requested.
+  void move(const tcp::endpoint& endpoint, HostList knownHosts = {});
+  /// Requests the complete list from the present service.
   void requestCompleteList() { move(endpoint_); }
   void stop();
 
@@ -53,8 +53,8 @@
   tcp::endpoint endpoint_;
   Timeouts timeouts_;
   std::int64_t version_;
-  bool nextWatchIsShort_ = false;       // nothing was answered since a poll failed, or since a move
-  std::optional<HostList> changeBase_;  // to which the first response after a move tells the changes
+  bool nextWatchIsShort_ = false;       // no response since a poll failed or since a move
+  std::optional<HostList> changeBase_;  // the first response after a move has changes to this list
   DiscoveryCallbacks& callbacks_;
   LongPollClient client_;
   bool watching_ = false;
--- a/src/net/event_loop_lag.hpp
+++ b/src/net/event_loop_lag.hpp
@@ -1,4 +1,4 @@
-// How lateness the event loop has lately been.
+// Tracks the recent lag of the event loop.
 #pragma once
 
 #include <chrono>
@@ -7,10 +7,11 @@
 
 namespace finchstile {
 
-/// What is read shortly after the loop was lateness may have waited in its socket as long.
+/// The lag of the event loop. Input that is read shortly after a lag may have waited in its socket for as
+/// long.
 class EventLoopLag {
  public:
-  /// The loop came to a timer `lateness` after it was due.
+  /// Records that a timer was handled `lateness` after it was due.
   void record(Time now, Duration lateness) {
     if (lateness <= kMinLag) return;
     lag_ = lateness;
@@ -19,8 +20,8 @@
   Duration at(Time now) const { return now < validUntil_ ? lag_ : Duration{}; }
 
  private:
-  // Shorter lags are within the slack of every deadline. If they were taken off the time of every request,
-  // the load balancer would take first attempts for lateness ones.
+  // Shorter lags are within the slack of every deadline. If they were subtracted from the time of every
+  // request, the load balancer would treat first attempts as late.
   static constexpr Duration kMinLag = std::chrono::milliseconds(20);
   static constexpr Duration kValidTime = std::chrono::milliseconds(100);
 
--- a/src/net/framing.hpp
+++ b/src/net/framing.hpp
@@ -1,5 +1,5 @@
-// Framing of HTTP/1.1 messages: a reader on top of Beast's parser that adds a limit on the whole head and a
-// check that the framing is unambiguous, and chunks for writers.
+// Framing of HTTP/1.1 messages: chunked encoding, and a reader on top of Beast's parser that limits the size
+// of the whole head and rejects ambiguous framing.
 #pragma once
 
 #include <algorithm>
@@ -16,21 +16,22 @@
 
 namespace finchstile {
 
-/// A body up to this length is buffered, so that the request can go to another host, and a broken response is
-/// detected before its client has a byte of it. A longer one is relayed piece by piece, and can be neither.
+/// A body up to this length is buffered, so that the request can be retried at another host and a broken
+/// response is detected before its client has received a byte of it. A longer body is relayed piece by piece,
+/// without either.
 inline constexpr std::size_t kMaxBufferedBody = std::size_t{64} * 1024;
 inline constexpr std::size_t kMaxBody = std::size_t{32} * 1024 * 1024;
-/// Of a relayed body, under way at once in each direction.
+/// Bytes of a relayed body in flight at a time, in each direction.
 inline constexpr std::size_t kMaxPieceBytes = std::size_t{32} * 1024;
 inline constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;
-/// Read from a socket at once.
+/// Bytes read from a socket at a time.
 inline constexpr std::size_t kMaxReadBytes = std::size_t{8} * 1024;
 inline constexpr std::size_t kMaxUnparsedBytes = 2 * kMaxHeadBytes + kMaxReadBytes;
 
-/// The end of a chunked body (RFC 9112, 7.1).
+/// Last chunk of a chunked body (RFC 9112, 7.1).
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-/// Appends `piece` as one chunk. An empty piece adds nothing: as a chunk it would end the body.
+/// Appends `piece` as one chunk. An empty piece is skipped: as a chunk it would end the body.
 inline void appendChunk(std::string& out, std::string_view piece) {
   if (piece.empty()) return;
   char size[24];
@@ -38,8 +39,9 @@
   out.append(size, static_cast<std::size_t>(length)).append(piece).append("\r\n");
 }
 
-/// Whether all readers agree on where the message ends. Beast accepts a length that is repeated or listed,
-/// and a coding that it does not know beside a length; two readers could disagree on those.
+/// Returns true if all recipients agree on where the message ends. Beast accepts a Content-Length that is
+/// repeated or is a list, and an unknown transfer coding beside a Content-Length; recipients could interpret
+/// these differently.
 template <bool isRequest>
 bool isFramingUnambiguous(const boost::beast::http::header<isRequest>& head) {
   namespace http = boost::beast::http;
@@ -53,11 +55,11 @@
                                                          [](char c) { return c >= '0' && c <= '9'; }));
 }
 
-/// A string body that grows as bytes come. Beast's own reserves at once what a head announces, and a head may
-/// announce anything.
+/// A string body that grows as bytes arrive. Beast's string_body reserves the announced length at once, and a
+/// head may announce any length.
 struct GrowingBody {
   using value_type = std::string;
-  class reader {  // NOLINT(readability-identifier-naming): Beast looks for a body's reader by this name
+  class reader {  // NOLINT(readability-identifier-naming): Beast requires this name
    public:
     template <bool isRequest, class Fields>
     reader(boost::beast::http::header<isRequest, Fields>&, value_type& body) : body_(body) {}
@@ -77,17 +79,17 @@
   };
 };
 
-/// Reads one message at a time. `restart` comes before the first message and between any two.
+/// Reads one message at a time. `restart` must be called before the first message and between messages.
 template <bool isRequest>
 class MessageReader {
  public:
   using Parser = boost::beast::http::parser<isRequest, GrowingBody>;
   using Message = boost::beast::http::message<isRequest, boost::beast::http::string_body>;
   enum class Step {
-    needsBytes,  ///< The buffer is used up, or holds too little for the next step.
-    head,        ///< The head is complete. Comes once, before a byte of the body is looked at.
+    needsBytes,  ///< The buffer is empty, or holds too little for the next step.
+    head,        ///< The head is complete. Returned once, before any byte of the body is parsed.
     complete,    ///< The message is complete.
-    malformed    ///< The message can't be used; `error` says why.
+    malformed    ///< The message is invalid; `error` gives the reason.
   };
 
   void restart() {
@@ -99,7 +101,7 @@
     takenBytes_ = 0;
   }
 
-  /// Consumes what it can use from the buffer. The body grows in `parser().get().body()` until it is taken.
+  /// Consumes bytes from the buffer. The body accumulates in `parser().get().body()` until it is taken.
   Step step(boost::beast::flat_buffer& buffer, boost::system::error_code& error) {
     namespace http = boost::beast::http;
     error = {};
@@ -109,7 +111,8 @@
       buffer.consume(used);
       const bool incomplete = error == http::error::need_more;
       if (incomplete) error = {};
-      // Beast applies its limit to each line of the head; without this one, lines could come without end.
+      // Beast applies its limit to each line of the head; without this one the number of lines would be
+      // unlimited.
       if (!headComplete_) headBytes_ += used;
       if (!error && headBytes_ > kMaxHeadBytes) error = http::error::header_limit;
       if (!error && buffer.size() >= kMaxUnparsedBytes && incomplete) error = http::error::buffer_overflow;
@@ -133,8 +136,8 @@
     return Step::complete;
   }
 
-  /// The other side has closed its connection in order. Returns true if that completes the message: its
-  /// length is given by nothing else (RFC 9112, 6.3). A reset completes no message.
+  /// To be called when the peer has closed its connection in order. Returns true if that completes the
+  /// message because nothing else gives its length (RFC 9112, 6.3). A reset completes no message.
   bool completeAtEndOfConnection() {
     if (!headComplete_ || parser_->is_done() || !parser_->need_eof()) return false;
     boost::system::error_code error;
@@ -144,17 +147,18 @@
 
   Parser& parser() { return *parser_; }
   bool isHeadComplete() const { return headComplete_; }
-  /// Bytes of the body that have come and have not been taken.
+  /// Bytes of the body that have arrived and were not taken.
   std::size_t bufferedBody() const { return parser_->get().body().size(); }
-  /// Bytes of the body that have come since `restart`.
+  /// Bytes of the body that have arrived since `restart`.
   std::uint64_t bodyRead() const { return takenBytes_ + bufferedBody(); }
-  /// Moves out the body as far as it has come and has not been taken.
+  /// Moves out the part of the body that has arrived and was not taken.
   std::string takeBody() {
     std::string body = std::exchange(parser_->get().body(), {});
     takenBytes_ += body.size();
     return body;
   }
-  /// The message with the body as far as it has come. If it is not complete, more of the body may follow.
+  /// Returns the message with the part of the body that has arrived. If the message is incomplete, more of
+  /// the body may follow.
   Message takeMessage() {
     std::string body = takeBody();
     Message message =
--- a/src/net/host_list_hooks.hpp
+++ b/src/net/host_list_hooks.hpp
@@ -22,7 +22,7 @@
  public:
   virtual ~HostListInterceptor() = default;
   /// The list with which the gateway starts; it is applied as it is.
-  virtual void onInitialList(const HostList& known) = 0;
+  virtual void onInitialList(const HostList& knownHosts) = 0;
   /// Returns the list to apply in place of `list`; none: nothing is applied. `Gateway::applyHostList` applies
   /// more at any later time.
   virtual std::optional<HostList> onList(HostList&& list) = 0;
