--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -24,8 +24,8 @@
 
 constexpr Duration kMaintenanceInterval = milliseconds(250);
 constexpr Duration kMaintenanceIntervalInDrain = milliseconds(20);
-// Within this time the platform's load balancers notice that the gateway is not ready, and clients that send
-// another request learn of it from `Connection: close`. Connections that are idle for longer are closed.
+// Within this time the platform's load balancers detect that the gateway is not ready, and clients that send
+// another request receive `Connection: close`. Connections that are idle for longer are closed.
 constexpr Duration kIdleTimeInLameDuck = milliseconds(1200);
 
 }  // namespace
@@ -149,7 +149,8 @@
   if (!extensions_.hostListInterceptor) return applyHostList(list);
   if (const auto accepted = extensions_.hostListInterceptor->onList(std::move(list)))
     return applyHostList(*accepted);
-  // An empty change shows the load balancer that the watch works; otherwise it would poll again.
+  // An empty incremental update confirms to the load balancer that the watch works; otherwise it would poll
+  // discovery again.
   applyHostList({});
 }
 
@@ -163,7 +164,7 @@
   updateHosts(list, list.complete ? HostListUpdate::complete : HostListUpdate::incremental);
 }
 
-// Applies the list as it stands once more, so that what the filters change shows as a change of the list.
+// Applies the present list again, so that changed results of the filters appear as changes of the list.
 void Gateway::reapplyHostFilters() { updateHosts(hosts_.listedHosts(), HostListUpdate::incremental); }
 
 void Gateway::updateHosts(const HostList& list, HostListUpdate kind) {
@@ -194,7 +195,7 @@
 
 void Gateway::queueHeldAction(HeldRequestAction&& action) {
   requests_.held().queue(std::move(action));
-  // A filter may call from a timer of its own. Then only the gateway's timer executes the action.
+  // A filter may call this from its own timer. Then the gateway's timer executes the action.
   if (!executing_) armTimer();
 }
 
@@ -238,14 +239,15 @@
 
 // --- Actions of the load balancer
 
-// Executing an action may bring results at once, and these further actions. All are executed one after the
-// other, never from within another.
+// Executing an action may produce results at once, and these may queue further actions. All are executed one
+// after the other, never from within another.
 void Gateway::executeActions() {
   if (executing_) return;
   executing_ = true;
   while (!balancer_.actions().empty() || attempts_.hasCancelled() || requests_.held().hasActions()) {
     const std::vector<load_balancing::Action> actions = std::exchange(balancer_.actions(), {});
-    // A cancelled attempt is closed before anything else goes out for its request, the response included.
+    // The connection of a cancelled attempt is closed before anything else is sent for its request, including
+    // the response.
     for (const auto& action : actions)
       if (action.kind == ActionKind::cancelAttempt) cancel(action);
     const auto closed = attempts_.closeCancelled();
@@ -277,26 +279,26 @@
       return;
     case ActionKind::pollDiscovery: return discovery_.watch();
     case ActionKind::log: std::fprintf(stderr, "%s\n", action.text.c_str()); return;
-    case ActionKind::cancelAttempt:  // has been executed ahead of the others
-    // The gateway carries out neither probes nor messages of the decision module: they have no result, and
-    // the pick goes on without them.
+    case ActionKind::cancelAttempt:  // executed before the others
+    // The gateway implements neither probes nor peer messages of the decision module. They have no result,
+    // and hosts are chosen without them.
     case ActionKind::probeHost:
     case ActionKind::sendPeerMessage: return;
   }
 }
 
-// False: the action is none that a protocol handler executes.
+// Returns false if the action is not one that a protocol handler executes.
 bool Gateway::executeByHandler(ProtocolHandler& handler, const load_balancing::Action& action) {
   switch (action.kind) {
     case ActionKind::sendAttempt: {
       const UpstreamHost* const host = hosts_.find(action.host);
-      if (!host) return false;  // the load balancer knows only hosts of the table
+      if (!host) return false;  // the load balancer only chooses hosts of this table
       handler.onSendAttempt(action.request, action.attempt,
                             {action.host, host->endpoint, host->listed.address, host->listed.zone},
                             action.duration);
       return true;
     }
-    case ActionKind::cancelAttempt: return true;  // has been executed ahead of the others
+    case ActionKind::cancelAttempt: return true;  // executed before the others
     case ActionKind::reject:
       protocolHandlers_.removeRequest(action.request);
       handler.onRequestRejected(action.request, action.duration);
@@ -325,7 +327,7 @@
   });
 }
 
-// How lateness the loop is with its timer: what it handles now may have waited as long.
+// Lag of the event loop's timer. Events that are being handled may have waited for as long.
 Duration Gateway::timerDelay() const {
   return timerAt_ == Time{} ? Duration{} : std::max(clock_.now() - timerAt_, Duration{});
 }
@@ -351,7 +353,7 @@
   maintenanceAt_ = now + (drainPlan_ ? kMaintenanceIntervalInDrain : kMaintenanceInterval);
   listener_.sweep();
   pool_.sweep();
-  // Where discovery pushes its lists, a watch has to be open, in a drain as well.
+  // If discovery pushes its lists, a watch has to be open, during a drain as well.
   if (!config_.settings.pollsDiscovery) discovery_.watch();
   if (drainPlan_) continueDrain(now);
 }
@@ -379,13 +381,15 @@
 void Gateway::drain(std::function<void()> onDrained) {
   if (drainPlan_) return;
   onDrained_ = std::move(onDrained);
-  // A loop that is lateness found the signal lateness too, and the platform counts from when it was sent.
+  // A lagging event loop handles the signal late, too, and the platform's time limit starts when the signal
+  // is sent.
   const Time signalledAt = clock_.now() - std::max(lag_.at(clock_.now()), timerDelay());
   drainPlan_.emplace(signalledAt,
                      drain::DrainSettings{longestClientTimeout(config_.settings),
                                           config_.options.drainServeTime, listener_.inherited()});
   maintenanceAt_ = clock_.now();
-  if (listener_.inherited()) {  // the process that shares the listener accepts what comes from now on
+  // The process that shares the listener accepts all connections from now on.
+  if (listener_.inherited()) {
     listener_.beginDrain();
     listener_.close();
     listener_.enterLameDuck(signalledAt + kIdleTimeInLameDuck);
@@ -395,7 +399,8 @@
 }
 
 void Gateway::continueDrain(Time now) {
-  // A response that closes its connection sends its client to a front that may have no other gateway.
+  // Connections are kept open until the serve deadline: a client whose connection is closed reconnects
+  // through a front, which may have no other gateway.
   if (now >= drainPlan_->serveDeadline()) listener_.beginDrain();
   if (now >= drainPlan_->finalResponseTime() && onDrained_) failOpenRequests();
   const bool noClients = listener_.size() == 0 && now >= drainPlan_->acceptDeadline();
@@ -405,8 +410,8 @@
   if ((idle || now >= drainPlan_->exitTime()) && onDrained_) std::exchange(onDrained_, nullptr)();
 }
 
-// A request that was accepted lateness in a drain may have longer than this process. Its client gets a
-// response that claims nothing about whether the request ran.
+// The deadline of a request that was accepted late in a drain may be after the exit of this process. Its
+// client receives a response that makes no statement about whether the request ran.
 void Gateway::failOpenRequests() {
   requests_.failAll();
   listener_.refuseIncompleteRequests();
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -1,5 +1,5 @@
-// The gateway: turns events of sockets into calls of the load balancer, and the load balancer's actions into
-// I/O. It decides nothing.
+// The gateway: passes socket events to the load balancer and executes the load balancer's actions as I/O. It
+// makes no load-balancing decisions.
 #pragma once
 
 #include <algorithm>
@@ -38,74 +38,75 @@
 
 namespace finchstile {
 
-/// Wires the gateway's parts together: each event goes to the part that owns its state, and the actions that
-/// the load balancer then wants are executed. Owns the load balancer and the one timer.
+/// Connects the components of the gateway: each event goes to the component that owns its state, and the
+/// actions that the load balancer queues in response are executed. Owns the load balancer and the only timer.
 class Gateway : ClientCallbacks,
                 UpstreamCallbacks,
                 DiscoveryCallbacks,
                 RequestFilterCallbacks,
                 ProtocolHandlerCallbacks {
  public:
-  /// Binds the listener. Throws std::runtime_error if it can't be bound or the inherited one can't be used.
+  /// Binds the listener. Throws std::runtime_error if the address can't be bound or the inherited descriptor
+  /// can't be used.
   Gateway(boost::asio::io_context& io, const Clock& clock, GatewayConfig config);
 
-  // --- What is attached. All of it must outlive the gateway.
-  /// Filters are called in the order of these calls. Not to be called from within a filter.
+  // --- Extensions. Everything that is attached must outlive the gateway.
+  /// Filters are called in the order in which they were attached. Must not be called from within a filter.
   void attach(RequestFilter& filter) { extensions_.filters.attach(filter); }
   RequestFilterCallbacks& filterCallbacks() { return *this; }
-  /// Before `start`.
+  /// To be called before `start`.
   void attach(ProtocolHandler& handler) { protocolHandlers_.attach(handler); }
   ProtocolHandlerCallbacks& protocolHandlerCallbacks() { return *this; }
   void setUpgradeHandler(UpgradeHandler& handler) { extensions_.upgradeHandler = &handler; }
   void addHostEntryFilter(const HostEntryFilter& filter) { hosts_.addFilter(filter); }
-  /// The following three: before `start`.
+  /// The following three are to be called before `start`.
   void setHostListInterceptor(HostListInterceptor& interceptor) {
     extensions_.hostListInterceptor = &interceptor;
   }
   void setHostObserver(HostObserver& observer) { extensions_.hostObserver = &observer; }
   void setAttemptLog(AttemptLog& log) { extensions_.attemptLog = &log; }
 
-  /// Applies the known hosts, watches discovery, and accepts clients.
+  /// Applies the hosts of the configuration, watches discovery, and accepts clients.
   void start();
 
-  // --- Changes while it runs.
-  /// Watches the discovery that `next` names; hosts, requests and connections stay as they are. Everything
-  /// else in `next` takes effect at the next start.
+  // --- Changes at run time.
+  /// Watches the discovery service that `next` names; hosts, requests and connections are kept. All other
+  /// changes in `next` take effect at the next start.
   void reload(const GatewayConfig& next);
-  /// Replaces the settings of classes and tenants in one step. Active requests end under the settings with
-  /// which they began. Throws std::invalid_argument and changes nothing if a setting makes no sense.
+  /// Replaces the settings of classes and tenants atomically. Active requests keep the settings with which
+  /// they started. Throws std::invalid_argument and changes nothing if a setting is invalid.
   void applyDynamicSettings(const configuration::SettingsChange& change);
-  /// Takes effect at once, except for the fractions of descriptors, which do at the next start.
+  /// Takes effect at once, except for the fractions of descriptors, which take effect at the next start.
   void setOptions(const GatewayOptions& options);
   void restoreLearnedState(const load_balancing::LearnedState& learned);
 
   // --- The endpoint list.
-  /// To be called when a HostEntryFilter would change an entry in another way than before.
+  /// To be called when the result of a HostEntryFilter may have changed.
   void reapplyHostFilters();
-  /// Applies a list without asking the interceptor.
+  /// Applies a list without passing it to the interceptor.
   void applyHostList(const HostList& list);
-  /// Asks discovery for the complete list, in place of the watch that is open.
+  /// Requests the complete list from discovery, in place of the open watch.
   void requestCompleteList() { discovery_.requestCompleteList(); }
 
   // --- Draining.
-  /// Lame duck: not ready, responses close their connections, and idle connections are closed after a while.
-  /// New connections are still accepted.
+  /// Enters lame duck mode: the gateway is not ready, responses close their connections, and idle connections
+  /// are closed after a grace period. New connections are still accepted.
   void enterLameDuck();
   void leaveLameDuck();
-  /// Not ready any more; answers what is open and what still comes, by a drain::DrainPlan. `onDrained` is
-  /// called once, when nothing is left.
+  /// Drains the gateway: it is not ready any more, and serves open and new requests according to a
+  /// drain::DrainPlan. `onDrained` is called once, when nothing is left or the plan's exit time has passed.
   void drain(std::function<void()> onDrained);
-  /// Clients' connections go to another process when they become idle, instead of being closed; see
-  /// `Listener::handOver`. An empty function ends that: they are closed again.
+  /// Hands idle client connections over to another process instead of closing them; see `Listener::handOver`.
+  /// An empty function ends the hand-over: they are closed again.
   void handOverClients(std::function<bool(int fd)> handOver);
-  /// Takes over a connection of an idle client from another process. The descriptor is owned from here on.
+  /// Takes over the connection of an idle client from another process. Takes ownership of the descriptor.
   void adoptClient(int fd) { listener_.adopt(fd); }
 
   // --- State.
-  /// It would serve clients: knows hosts, and neither drains nor is a lame duck.
+  /// Returns true if there are hosts and the gateway neither drains nor is in lame duck mode.
   bool ready() const;
   bool isListed(const std::string& host) const { return hosts_.isListed(host); }
-  /// When an attempt last showed that the host lives; 0: never, or the host is not known.
+  /// When an attempt last received a response from the host; 0 if none did or the host is unknown.
   Time lastResponseAt(const std::string& host) const;
   using HostView = UpstreamHostView;
   std::vector<HostView> hosts() const { return hosts_.views(); }
@@ -115,10 +116,12 @@
   std::size_t openRequests() const { return requests_.table().size(); }
   std::size_t upstreamConnections() const { return pool_.connections(); }
   std::size_t upstreamOpened() const { return pool_.opened(); }
-  /// Hosts of which the gateway or its pool keeps a record.
+  /// Number of hosts of which the gateway or its pool keeps a record.
   std::size_t trackedHosts() const { return std::max(hosts_.size(), pool_.upstreams()); }
   std::size_t clientConnections() const { return listener_.size(); }
-  struct DescriptorLimits {  ///< Connections at most; `refused`: beyond `clients`, while they are refused.
+  /// Maximum numbers of connections. `refused` limits connections beyond `clients` that exist while they are
+  /// refused.
+  struct DescriptorLimits {
     std::size_t clients = 0, refused = 0, upstream = 0;
   };
   DescriptorLimits descriptorLimits() const {
@@ -201,8 +204,8 @@
   Discovery discovery_;
 
   boost::asio::steady_timer timer_;
-  Time timerAt_{};          // 0: the timer is not armed
-  Time balancerTimerAt_{};  // when the load balancer wants its timer; 0: it does not
+  Time timerAt_{};          // 0 if the timer is not armed
+  Time balancerTimerAt_{};  // when the load balancer's timer is due; 0 if it is not set
   Time maintenanceAt_{};
   EventLoopLag lag_;
 
--- a/src/net/gateway_extensions.hpp
+++ b/src/net/gateway_extensions.hpp
@@ -1,4 +1,4 @@
-// What the program attaches to a gateway. The parts of the gateway share it by reference.
+// Extensions that the program attaches to a gateway. The components of the gateway share them by reference.
 #pragma once
 
 #include "net/attempt_log.hpp"
@@ -8,7 +8,8 @@
 
 namespace finchstile {
 
-/// All of them are owned by the program and outlive the gateway. A null pointer: nothing is attached.
+/// All extensions are owned by the program and outlive the gateway. A null pointer means that none is
+/// attached.
 struct GatewayExtensions {
   RequestFilterChain filters;
   UpgradeHandler* upgradeHandler = nullptr;
--- a/src/net/gateway_limits.cpp
+++ b/src/net/gateway_limits.cpp
@@ -9,25 +9,26 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Discovery has 6 s to notify a gateway of a change, counted from when it has the change and can be reached.
-// If a watch falls silent right after a call, the call is given up after kMaxWatchTime +
+// Discovery has 6 s to notify a gateway of a change, counted from when it has the change and is reachable. If
+// a watch stalls right after a poll was sent, the poll is abandoned after kMaxWatchTime +
 // kMaxDiscoverySilence, the load balancer polls again within 0.5 s, and that response may take
-// kMaxDiscoverySilence: 5.5 s. While calls fail, they ask to be held only for kMaxWatchTimeAfterFailure, and
-// the load balancer waits for 2 s at most: 0.5 s + 1.5 s + 2 s + 1.5 s = 5.5 s.
+// kMaxDiscoverySilence: 5.5 s. While polls fail, they request to be held only for kMaxWatchTimeAfterFailure,
+// and the load balancer waits for 2 s at most: 0.5 s + 1.5 s + 2 s + 1.5 s = 5.5 s.
 constexpr Duration kMaxWatchTime = seconds(2);
 constexpr Duration kMaxWatchTimeAfterFailure = milliseconds(500);
 constexpr Duration kMaxDiscoverySilence = milliseconds(1500);
-// The load balancer takes a first watch that is silent for half of the allowed time for lost.
+// The load balancer treats a first watch that is silent for half of the allowed time as lost.
 constexpr int kWatchesInAllowedSilence = 4;
 
-// Of the shortest latency objective: then another host can still answer in time.
+// Fraction of the shortest latency objective; the time left allows another host to respond within the
+// objective.
 constexpr double kMaxPauseFractionOfLatencyObjective = 0.25;
-// Of the host's own idle time-out: its close must never cross a request.
+// Fraction of the host's own idle timeout, so that a close by the host never crosses a request.
 constexpr double kIdleFractionOfHostTimeout = 0.5;
 
-// Descriptors that neither clients nor hosts may take: standard input, output and error, three of the event
-// loop, two for signals, the listener, the inherited listener, two for discovery (while a watch is replaced),
-// three for operators, and one for a connection that is to be rejected.
+// Descriptors that are available to neither clients nor hosts: standard input, output and error, three of the
+// event loop, two for signals, the listener, the inherited listener, two for discovery (while a watch is
+// replaced), three for operators, and one for a connection that is to be refused.
 constexpr std::size_t kOwnDescriptors = 16;
 constexpr std::size_t kMinDescriptorsPerUse = 8;
 
@@ -43,7 +44,8 @@
   return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * factor));
 }
 
-// Between the bytes of a response that has begun: at most the time in which a host shows any sign of life.
+// Maximum pause between the bytes of a response that has started. At most the connect timeout, within which a
+// responsive host shows a sign of life.
 Duration maxResponsePause(const GatewayConfig& config) {
   Duration pause = config.connectTimeout;
   for (const auto& c : config.settings.classes)
--- a/src/net/gateway_limits.hpp
+++ b/src/net/gateway_limits.hpp
@@ -1,4 +1,4 @@
-// Limits of the gateway's sockets that follow from its configuration.
+// Socket limits and timeouts of the gateway that follow from its configuration.
 #pragma once
 
 #include "net/config.hpp"
@@ -7,7 +7,7 @@
 
 namespace finchstile {
 
-/// Descriptors that clients' connections may take.
+/// Maximum number of client connections.
 std::size_t maxClientConnections(const GatewayConfig& config);
 UpstreamPool::Limits upstreamPoolLimits(const GatewayConfig& config);
 Discovery::Timeouts discoveryTimeouts(const load_balancing::Settings& settings);
--- a/src/net/gateway_metrics.hpp
+++ b/src/net/gateway_metrics.hpp
@@ -1,4 +1,4 @@
-// What a gateway has counted since its start, and its present state.
+// Counters of a gateway since its start, and gauges of its present state.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,8 @@
 
 namespace finchstile {
 
-/// Requests that have finished, by the status of their responses: 200; 429 or 503; any other. A request whose
-/// client had gone before is in none of them.
+/// Finished requests by response status: 200; 429 or 503; any other. A request whose client disconnected
+/// before the response is not counted.
 struct ClassMetrics {
   std::string name;
   std::uint64_t succeeded = 0, rejected = 0, failed = 0;
@@ -17,11 +17,11 @@
 struct GatewayMetrics {
   std::vector<ClassMetrics> classes;  ///< In the order of the settings.
   std::uint64_t attemptsSent = 0;     ///< Attempts whose last byte was written.
-  std::uint64_t loadReports = 0;      ///< Load reports of hosts that were read.
+  std::uint64_t loadReports = 0;      ///< Valid load reports received from hosts.
   std::uint64_t malformedLoadReports = 0;
-  std::uint64_t activeRequests = 0;  ///< Requests that were accepted and have not finished.
-  std::uint64_t listedHosts = 0;     ///< Hosts of the list, draining ones included.
-  std::uint64_t avoidedHosts = 0;    ///< Listed hosts that get no new requests, for whatever reason.
+  std::uint64_t activeRequests = 0;  ///< Accepted requests that have not finished.
+  std::uint64_t listedHosts = 0;     ///< Hosts of the endpoint list, including draining ones.
+  std::uint64_t avoidedHosts = 0;    ///< Listed hosts that receive no new requests, for any reason.
 };
 
 }  // namespace finchstile
--- a/src/net/gateway_metrics_collector.hpp
+++ b/src/net/gateway_metrics_collector.hpp
@@ -1,4 +1,4 @@
-// Counts what has happened since the gateway's start.
+// Collects the counters of GatewayMetrics.
 #pragma once
 
 #include <boost/beast/http/status.hpp>
@@ -12,12 +12,12 @@
 
 class GatewayMetricsCollector {
  public:
-  /// One set of counters for each class, in the order of the settings.
+  /// Creates one set of counters for each class, in the order of the settings.
   explicit GatewayMetricsCollector(const std::vector<load_balancing::ClassSettings>& classes) {
     for (const auto& c : classes) classes_.push_back({c.name});
   }
 
-  /// A client has been given a complete response with this status.
+  /// Counts a complete response with this status.
   void onResponse(std::uint32_t classIndex, boost::beast::http::status status) {
     namespace http = boost::beast::http;
     ClassMetrics& metrics = classes_[classIndex];
@@ -31,7 +31,7 @@
   void onLoadReport() { ++loadReports_; }
   void onMalformedLoadReport() { ++malformedLoadReports_; }
 
-  /// The counters; what describes the gateway's present state is left at 0.
+  /// Returns the counters; the gauges of the present state are left at 0.
   GatewayMetrics snapshot() const {
     GatewayMetrics metrics;
     metrics.classes = classes_;
--- a/src/net/gateway_options.hpp
+++ b/src/net/gateway_options.hpp
@@ -1,4 +1,4 @@
-// What an operator may set of the gateway's own sockets.
+// Options of the gateway's sockets that operators can set.
 #pragma once
 
 #include <chrono>
@@ -9,29 +9,31 @@
 namespace finchstile {
 
 struct ClientConnectionOptions {
-  /// Longer than clients and fronts keep a connection unused.
+  /// How long a connection may be idle. Longer than clients and fronts keep an unused connection.
   load_balancing::Duration idleTimeout = std::chrono::seconds(120);
-  /// For the head of a request, and for its body beyond the time that a slow line takes for it. The time of a
-  /// first request counts from the accept. A client that is slower than that holds a descriptor for nothing.
+  /// Time limit for the head of a request, and for its body beyond the transfer time on a slow line. For the
+  /// first request it counts from the accept. A slower client would hold a descriptor without being served.
   load_balancing::Duration requestTimeout = std::chrono::milliseconds(2400);
-  /// In which a client takes nothing of its response.
+  /// Maximum time without progress while a response is written.
   load_balancing::Duration writeTimeout = std::chrono::seconds(5);
 };
 
 struct GatewayOptions {
   ClientConnectionOptions clients;
-  /// Fractions of the descriptors that are neither the gateway's own nor reserved; together at most 0.95.
+  /// Fractions of the descriptors that are neither the gateway's own nor reserved. The sum must not exceed
+  /// 0.95.
   double clientDescriptorFraction = 0.5;
   double upstreamDescriptorFraction = 0.45;
-  /// For so long after SIGTERM open connections are served on, limited by drain::DrainPlan; then responses
-  /// close them. Where no other gateway is near, a client that is sent away at once finds none.
+  /// How long after SIGTERM connections are kept open, limited by drain::DrainPlan; later responses close
+  /// them. A client whose connection is closed early may find no other gateway nearby.
   load_balancing::Duration drainServeTime = std::chrono::hours(1);
-  /// Of the descriptors, for neither clients nor hosts.
+  /// Fraction of the descriptors that is available to neither clients nor hosts.
   double reservedDescriptorFraction = 0;
-  /// Connections that are being opened to one host at once. Each costs the host as much as a small request.
+  /// Maximum number of concurrent connects to one host. Each connect costs the host as much as a small
+  /// request.
   std::size_t maxConnectingPerHost = 4;
-  /// The least time in which a connection's end has to show before a last byte. A busy machine needs it to
-  /// run the other side, where the network needs none.
+  /// Minimum time for which the last byte of a request is held back while its connection is verified. On a
+  /// busy machine the peer process may need this time to run, even if the network needs none.
   load_balancing::Duration minVerificationTime = std::chrono::milliseconds(1);
 };
 
--- a/src/net/held_requests.hpp
+++ b/src/net/held_requests.hpp
@@ -1,4 +1,5 @@
-// Requests that a filter holds before the load balancer is asked, and what filters ask to be done with them.
+// Requests that a filter holds before they are submitted to the load balancer, and the actions that filters
+// queue for them.
 #pragma once
 
 #include <map>
@@ -12,28 +13,29 @@
 
 namespace finchstile {
 
-/// Asked for by a filter, and executed after the event that is being handled.
+/// Queued by a filter and executed after the event that is being handled.
 struct HeldRequestAction {
   enum class Kind {
-    respond,  ///< The client gets `response`.
-    admit,    ///< The load balancer is asked now.
-    abandon   ///< The request was continued without its client, and nobody waits for it any more.
+    respond,  ///< Send `response` to the client.
+    admit,    ///< Submit the request to the load balancer.
+    abandon   ///< End a request that was continued without its client and whose result nobody needs any more.
   } kind;
   load_balancing::RequestId request;
   Response response;
 };
 
-/// Holds each request until a deadline. Has no effect on the requests themselves.
+/// Holds each request until a deadline. Doesn't change the requests themselves.
 class HeldRequests {
  public:
-  /// Returns the time until which it is held. That is earlier than the end of the client's wait, because the
-  /// client is owed a response even if the request that this one waits for takes longer.
+  /// Holds the request and returns the end of the hold. That is before the end of the client's timeout,
+  /// because the client must receive a response even if the request that this one waits for takes longer.
   Time hold(Time now, const load_balancing::Request& request, Duration eventInterval);
   void release(Time heldUntil, load_balancing::RequestId request) { held_.erase({heldUntil, request}); }
-  /// The request as the load balancer is to be asked about it; null: it is not held until then.
+  /// Returns the request to submit to the load balancer, or null if no such request is held until
+  /// `heldUntil`.
   const load_balancing::Request* find(Time heldUntil, load_balancing::RequestId request) const;
   std::optional<Time> nextDeadline() const;
-  /// The request whose deadline passed first, if one has.
+  /// Returns the request with the earliest deadline if that has passed.
   std::optional<load_balancing::RequestId> firstExpired(Time now) const;
 
   void queue(HeldRequestAction&& action) { actions_.push_back(std::move(action)); }
--- a/src/net/host_list_hooks.hpp
+++ b/src/net/host_list_hooks.hpp
@@ -1,4 +1,4 @@
-// Interfaces for parts that influence the hosts beside the endpoint list, or want to learn of them.
+// Interfaces for components that influence the host list beside discovery, or observe hosts.
 #pragma once
 
 #include <optional>
@@ -9,8 +9,9 @@
 
 namespace finchstile {
 
-/// Changes entries of the endpoint list before they are applied. May make an entry worse, never better.
-/// `Gateway::reapplyHostFilters` is to be called when it would change an entry in another way than before.
+/// Modifies entries of the endpoint list before they are applied. It may only restrict an entry, for example
+/// from active to draining. `Gateway::reapplyHostFilters` is to be called when the result of `apply` may have
+/// changed.
 class HostEntryFilter {
  public:
   virtual ~HostEntryFilter() = default;
@@ -21,22 +22,22 @@
 class HostListInterceptor {
  public:
   virtual ~HostListInterceptor() = default;
-  /// The list with which the gateway starts; it is applied as it is.
+  /// The initial list of the gateway; it is applied unchanged.
   virtual void onInitialList(const HostList& knownHosts) = 0;
-  /// Returns the list to apply in place of `list`; none: nothing is applied. `Gateway::applyHostList` applies
-  /// more at any later time.
+  /// Returns the list to apply in place of `list`, or none to apply nothing. Further lists may be applied at
+  /// any time with `Gateway::applyHostList`.
   virtual std::optional<HostList> onList(HostList&& list) = 0;
-  /// The watch on discovery has ended.
+  /// The watch on discovery has failed.
   virtual void onWatchLost() = 0;
-  /// Another discovery is watched from now on.
+  /// Another discovery service is watched from now on.
   virtual void onDiscoveryMoved() = 0;
 };
 
-/// Learns what attempts show of hosts.
+/// Observes the results of attempts per host.
 class HostObserver {
  public:
   virtual ~HostObserver() = default;
-  /// An attempt got no sign of life, and nothing else has come from the host since it was sent.
+  /// An attempt got no response, and nothing was received from the host since the attempt was sent.
   virtual void onHostUnresponsive(const std::string& host) = 0;
   virtual void onLoadReport(const std::string& host, const load_balancing::LoadReport& report) = 0;
 };
