--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -23,17 +23,18 @@
 using std::chrono::seconds;
 
 constexpr Duration kMaxLingerTime = seconds(1);
-constexpr Duration kMaxLingerTimeInDrain = milliseconds(200);  // lingering must not delay the end
+constexpr Duration kMaxLingerTimeInDrain = milliseconds(200);  // lingering must not delay the exit
 constexpr Duration kPauseAfterFailedAccept = milliseconds(20);
-// A process that replaces another one may start before the system has released the address. This is a third
-// of the time in which the platform wants a restarted process to be ready.
+// A process that replaces another one may start before the kernel has released the address. The value is a
+// third of the time in which the platform requires a restarted process to be ready.
 constexpr Duration kMaxBindTime = milliseconds(3300);
 constexpr Duration kBindRetryInterval = milliseconds(20);
-constexpr std::size_t kConnectionsPerRefused = 32;  // one connection in so many may be refused at once
-// For so long the request of a usual client may be on its way.
+// One connection beyond the limit may exist, while it is refused, per this many served connections.
+constexpr std::size_t kConnectionsPerRefused = 32;
+// How long the request of a usual client may be in transit.
 constexpr Duration kMaxRequestTransit = milliseconds(100);
-// Clients that send one request and keep their connections would use up the limit: at most one in so many of
-// the connections may be idle.
+// At most one in this many connections may be idle. Otherwise clients that send one request and keep the
+// connection open would use up the limit.
 constexpr std::size_t kConnectionsPerIdle = 3;
 
 }  // namespace
@@ -70,8 +71,8 @@
   acceptor_.listen(asio::socket_base::max_listen_connections);
 }
 
-// The number may belong to another descriptor, a file of ours or somebody else's socket, which must not be
-// taken for the clients' listener.
+// The number may refer to another descriptor, such as a file of this process or a foreign socket, which must
+// not be used as the listener.
 void Listener::inherit(const tcp::endpoint& endpoint, int fd) {
   const auto fail = [fd](const std::string& what) {
     throw std::runtime_error("the inherited descriptor " + std::to_string(fd) + " " + what);
@@ -96,7 +97,8 @@
       add(std::move(socket));
       return accept();
     }
-    // Without descriptors accept fails at once, again and again; without the pause the loop would spin.
+    // If no descriptor is available, accept fails at once and repeatedly; without the pause the loop would
+    // spin.
     shedConnection();
     acceptPause_.expires_after(kPauseAfterFailedAccept);
     acceptPause_.async_wait([this](error_code cancelled) {
@@ -109,7 +111,8 @@
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
-  // Lingering sessions have their responses. They do not count against the limit, and give way below.
+  // Lingering sessions already have their responses. They do not count against the limit, and are closed
+  // below if necessary.
   const bool hasCapacity =
       size_ - in(State::lingering).size() < maxConnections_ || shedUnfinishedConnection();
   const auto session = std::make_shared<ClientSession>(std::move(socket), *this);
@@ -129,25 +132,26 @@
   else add(std::move(socket));
 }
 
-// Bytes of a next request that are read already would be missing in the other process. What the kernel holds
-// goes along with the descriptor.
+// Only a connection without buffered bytes is handed over: bytes of a next request that were read already
+// would be missing in the other process. Bytes in the kernel's receive buffer move along with the descriptor.
 bool Listener::handOverSession(ClientSession& session) {
   const bool isIdle = session.state_ == State::idle || session.state_ == State::fresh;
   if (!handOver_ || session.buffer_.size() > 0 || !isIdle || session.requestStarted_) return false;
   if (!handOver_(session.socket_.native_handle())) return false;
-  session.close();  // only this process's descriptor; the connection continues in the other process
+  session.close();  // closes only this process's descriptor; the connection continues in the other process
   return true;
 }
 
-// Gives a descriptor back, if there is a connection that can be ended. Lingering ones are ended first.
+// Closes a connection to free its descriptor, if one can be closed. Lingering ones are closed first. Returns
+// false if none could.
 bool Listener::shedConnection() {
   if (in(State::lingering).empty()) return shedUnfinishedConnection();
   endOldest(State::lingering);
   return true;
 }
 
-// The request of a usual client may be on its way. So connections for which that can't be the case come
-// first.
+// Closes a connection that has no complete request. Sessions whose first or next request can't be in transit
+// any more are closed first.
 bool Listener::shedUnfinishedConnection() {
   const std::size_t before = size_;
   const auto stateToShed = [this]() -> std::optional<State> {
@@ -186,7 +190,7 @@
   }
 }
 
-// The action may end other sessions and so change the list; hence the copy.
+// The action may close other sessions and thereby change the list, hence the copy.
 template <class Action>
 void Listener::forEachIn(State state, Action action) {
   const std::vector<std::shared_ptr<ClientSession>> sessions(in(state).begin(), in(state).end());
@@ -213,18 +217,19 @@
     const auto session = in(state).front();
     if (state == State::idle) session->closeIdle();
     else session->close();
-    if (session->state_ == state) break;  // its request has just come
+    if (session->state_ == state) break;  // its request has just arrived
   }
 }
 
-// In a lame duck from the announced time on, and in a drain once nothing is accepted any more.
+// In lame duck mode idle sessions are closed from the announced time on, and in a drain after the listener
+// was closed.
 void Listener::closeIdleSessions() {
   const bool ending = draining_ && !acceptor_.is_open();
   const bool lameDuck = closeIdleAt_ != Time{};
   if (lameDuck ? clock_.now() < closeIdleAt_ : !ending) return;
   forEachIn(State::idle, [](ClientSession& session) { session.closeIdle(); });
   forEachIn(State::fresh, [this, ending](ClientSession& session) {
-    // A client that has just connected to a lame duck may be about to send its request.
+    // A client that has just connected to a lame duck gateway may be about to send its request.
     const bool connectedLongAgo = clock_.now() - session.stateSince_ > kMaxRequestTransit;
     if (!session.requestStarted_ && (ending || connectedLongAgo)) session.closeIdle();
   });
@@ -233,7 +238,7 @@
 void Listener::refuseIncompleteRequests() {
   for (const State state : {State::fresh, State::reading})
     forEachIn(state, [](ClientSession& session) {
-      const bool writesContinue = session.writingContinue_;  // two writes at once would mix
+      const bool writesContinue = session.writingContinue_;  // concurrent writes would interleave
       if (session.requestStarted_ && !writesContinue) session.refuse(http::status::service_unavailable);
     });
 }
@@ -241,8 +246,8 @@
 void Listener::close() {
   draining_ = true;
   if (!acceptor_.is_open()) return;
-  // The kernel has accepted these connections already; closing the listener would reset them. An inherited
-  // listener stays open elsewhere, and the next process accepts what waits there.
+  // The kernel has accepted these connections already, and closing the listener would reset them. An
+  // inherited listener stays open in the other process, which accepts the queued connections.
   for (error_code error; !error && !inherited_;) {
     tcp::socket socket(io_);
     acceptor_.accept(socket, error);
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,4 @@
-// Accepts clients' connections and keeps their number, their age and their idle time within limits.
+// Accepts client connections and enforces limits on their number, age and idle time.
 #pragma once
 
 #include <array>
@@ -17,43 +17,43 @@
 
 class Listener {
  public:
-  /// Binds `endpoint` and listens. `maxConnections`: clients' connections that are served at once.
-  /// `inherited`: the descriptor of a socket that listens at `endpoint` already and that other processes
-  /// share, or below 0. Throws std::runtime_error if the address can't be bound or the descriptor is no such
-  /// socket.
+  /// Binds `endpoint` and listens. At most `maxConnections` client connections are served at once.
+  /// `inherited` is the descriptor of a socket that already listens at `endpoint` and may be shared with
+  /// other processes, or below 0. Throws std::runtime_error if the address can't be bound or the descriptor
+  /// is not such a socket.
   Listener(boost::asio::io_context& io, const Clock& clock, const tcp::endpoint& endpoint, int inherited,
            std::size_t maxConnections, const ClientConnectionOptions& options, ClientCallbacks& callbacks);
 
   void setOptions(const ClientConnectionOptions& options) { options_ = options; }
   tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
   void start() { accept(); }
-  /// Ends connections that are slow or idle for too long. To be called a few times a second.
+  /// Closes connections that exceed their time limits. To be called a few times a second.
   void sweep();
   bool inherited() const { return inherited_; }
 
-  /// From here on responses say `Connection: close`.
+  /// Starts a drain: responses send `Connection: close` from now on.
   void beginDrain() { draining_ = true; }
-  /// Responses say `Connection: close`, and idle connections are closed from `closeIdleAt` on. Connections
-  /// are accepted as before.
+  /// Responses send `Connection: close`, and idle connections are closed from `closeIdleAt` on. New
+  /// connections are still accepted.
   void enterLameDuck(Time closeIdleAt) { closeIdleAt_ = closeIdleAt; }
   void leaveLameDuck() { closeIdleAt_ = Time{}; }
-  /// Idle connections go to another process, one by one, as soon as they are idle; responses leave them open.
-  /// `handOver` takes a copy of the descriptor. If it returns false, it is called again later. An empty
-  /// function ends the hand-over.
+  /// Hands connections over to another process as soon as they are idle; responses then leave connections
+  /// open. `handOver` takes a duplicate of the descriptor. If it returns false, it is called again later. An
+  /// empty function ends the hand-over.
   void handOver(std::function<bool(int fd)> handOver) { handOver_ = std::move(handOver); }
-  /// Serves an idle client's connection from another process. Takes ownership of the descriptor, also if it
-  /// is of no use.
+  /// Serves the connection of an idle client from another process. Takes ownership of the descriptor, also if
+  /// it can't be used.
   void adopt(int fd);
-  /// Answers requests that have come in part with 503 and ends their connections.
+  /// Responds to incomplete requests with 503 and closes their connections.
   void refuseIncompleteRequests();
-  /// Takes in what waits in the accept queue, then stops accepting.
+  /// Accepts the connections in the accept queue, then stops accepting.
   void close();
   bool draining() const { return draining_ || closeIdleAt_ != Time{}; }
   bool closesAfterResponse() const { return draining() && !handOver_; }
 
   std::size_t size() const { return size_; }
   std::size_t maxConnections() const { return maxConnections_; }
-  /// Connections beyond `maxConnections` that may exist while they are being refused.
+  /// Number of connections beyond `maxConnections` that may exist while they are refused.
   std::size_t maxRefusedConnections() const { return maxRefused_; }
 
  private:
@@ -75,7 +75,7 @@
   Sessions& in(State state) { return sessions_[static_cast<std::size_t>(state)]; }
   template <class Action>
   void forEachIn(State state, Action action);
-  /// How long the oldest session has been in the state; below 0: no session is.
+  /// How long the oldest session has been in the state; below 0 if no session is in it.
   Duration oldestAge(State state) const;
   Duration maxAge(State state) const;
 
@@ -92,8 +92,7 @@
   const bool inherited_;
   bool draining_ = false;
   std::function<bool(int)> handOver_;
-  Time closeIdleAt_{};  // idle connections are closed from then on, in a lame duck or a drain; 0: they are
-                        // kept
+  Time closeIdleAt_{};  // when closing of idle connections starts; 0 if they are kept
 };
 
 }  // namespace finchstile
--- a/src/net/long_poll_client.cpp
+++ b/src/net/long_poll_client.cpp
@@ -27,11 +27,11 @@
 
 }  // namespace
 
-// Shared with its pending handlers, which may run after the client has dropped it.
+// Shared with its pending handlers, which may run after the client has released it.
 struct LongPollClient::Connection {
   Connection(boost::asio::io_context& io, const tcp::endpoint& remote, LongPollClient& client)
       : owner(&client), socket(io), endpoint(remote) {}
-  LongPollClient* owner;  // null: the client has dropped the connection, and may be gone
+  LongPollClient* owner;  // null after the client released the connection; the client may be destroyed
   tcp::socket socket;
   const tcp::endpoint endpoint;
   boost::beast::flat_buffer buffer;
@@ -56,9 +56,9 @@
   }
 }
 
-// A server that was cut off never sends anything, hence the timer. The handler of an expired timer runs even
-// if the timer is set anew or cancelled before the loop comes to it; without the flag it would end the next
-// poll.
+// A server behind a network partition never sends anything, hence the timer. The handler of an expired timer
+// runs even if the timer was restarted or cancelled before the loop reaches the handler; without the flag it
+// would fail the next poll.
 void LongPollClient::failAt(std::chrono::steady_clock::time_point deadline) {
   if (timerArmed_) *timerArmed_ = false;
   timerArmed_ = std::make_shared<bool>(true);
@@ -81,7 +81,7 @@
                           endpoint.address().to_string() + ":" + std::to_string(endpoint.port()));
   connection->parser.emplace();
   connection->parser->body_limit(maxBodyBytes_);
-  connection->parser->eager(true);  // otherwise it would stop behind the head
+  connection->parser->eager(true);  // otherwise the parser would stop after the head
   if (connection->connected) return write(connection);
   connection->socket.async_connect(endpoint, [connection](error_code error) {
     LongPollClient* const owner = connection->owner;
@@ -116,7 +116,8 @@
                         });
 }
 
-// Bounds each pause, and the response as a whole: one that comes byte by byte would hold the client for good.
+// Limits each pause and the response as a whole: a response that arrives byte by byte would otherwise occupy
+// the client indefinitely.
 void LongPollClient::onProgress() {
   if (timeouts_.pause == Duration{}) return;
   const auto now = std::chrono::steady_clock::now();
--- a/src/net/long_poll_client.hpp
+++ b/src/net/long_poll_client.hpp
@@ -1,5 +1,5 @@
-// Long polls over HTTP/1.1: calls that the server may hold until it has something to report, one after
-// another on one connection.
+// Client for long polls over HTTP/1.1: requests that the server may hold until there is a change, sent one
+// after another on one connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,33 +15,34 @@
 
 struct LongPollResponse {
   unsigned status = 0;
-  Duration retryAfter{};  ///< 0: the response has no Retry-After, or one that is no number of seconds.
+  /// 0 if the response has no Retry-After header or its value is not a number of seconds.
+  Duration retryAfter{};
   std::string body;
 };
 
 class LongPollCallbacks {
  public:
   virtual ~LongPollCallbacks() = default;
-  /// The next poll may be made from within.
+  /// A response has arrived. The next poll may be sent from within.
   virtual void onLongPollResponse(LongPollResponse&& response) = 0;
-  /// No response will come, and the connection is closed.
+  /// The poll has failed and the connection is closed.
   virtual void onLongPollFailed() = 0;
 };
 
 class LongPollClient {
  public:
-  /// How long a response may take.
+  /// Time limits of a response.
   struct Timeouts {
-    Duration firstByte{};  ///< Up to its first byte.
-    Duration pause{};      ///< Between its pieces; 0: the complete response has to come within `firstByte`.
-    Duration total{};      ///< From its first byte to its last, if `pause` is not 0.
+    Duration firstByte{};  ///< Until the first byte.
+    Duration pause{};      ///< Between pieces; if 0, the complete response must arrive within `firstByte`.
+    Duration total{};      ///< From the first byte to the last, if `pause` is not 0.
   };
 
-  /// A response whose body is longer than `maxBodyBytes` counts as failed.
+  /// A response with a body longer than `maxBodyBytes` fails the poll.
   LongPollClient(boost::asio::io_context& io, std::size_t maxBodyBytes, LongPollCallbacks& callbacks);
   ~LongPollClient();
 
-  /// Sends a GET for `target` and waits for its response. There is at most one poll at a time.
+  /// Sends a GET request for `target` and waits for the response. Only one poll may be open at a time.
   void sendPoll(const boost::asio::ip::tcp::endpoint& endpoint, const std::string& target,
                 const Timeouts& timeouts);
   /// Closes the connection; no callback for the open poll follows.
@@ -63,10 +64,12 @@
   const std::size_t maxBodyBytes_;
   LongPollCallbacks& callbacks_;
   boost::asio::steady_timer timer_;
-  std::shared_ptr<Connection> connection_;  // null: none
+  std::shared_ptr<Connection> connection_;  // null if there is none
   Timeouts timeouts_;
-  std::chrono::steady_clock::time_point responseDeadline_{};  // 0: no byte of the response has come
-  std::shared_ptr<bool> timerArmed_;  // shared with the handler of the timer's present wait
+  // 0 until the first byte of the response arrives.
+  std::chrono::steady_clock::time_point responseDeadline_{};
+  // Shared with the handler of the present timer wait; false after that wait was superseded.
+  std::shared_ptr<bool> timerArmed_;
   std::uint64_t bytesSent_ = 0;
   std::uint64_t bytesReceived_ = 0;
 };
--- a/src/net/protocol_handler_registry.hpp
+++ b/src/net/protocol_handler_registry.hpp
@@ -1,4 +1,4 @@
-// The protocol handlers of a gateway, and which of them submitted which request.
+// Registry of the gateway's protocol handlers and of the requests that each has submitted.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
     owners_.emplace(request, &handler);
   }
   void removeRequest(load_balancing::RequestId request) { owners_.erase(request); }
-  /// Null: the request is a client's HTTP request, or has ended.
+  /// Returns null if the request is a client's HTTP request or has ended.
   ProtocolHandler* ownerOf(load_balancing::RequestId request) const {
     const auto found = owners_.find(request);
     return found == owners_.end() ? nullptr : found->second;
--- a/src/net/request_filter.hpp
+++ b/src/net/request_filter.hpp
@@ -1,23 +1,22 @@
-// The phases of a request, and the interface through which a part of the program takes part in them without
-// knowing the others. The gateway does the I/O, the load balancer chooses hosts, attempts and rejections, and
-// a filter may add to the request within what each phase allows:
+// Request filters: the phases of a request, and the interface through which components of the program process
+// requests independently of each other. The gateway does the I/O, the load balancer chooses hosts, attempts
+// and rejections, and a filter may act on the request as each phase permits:
 //
-//   received         The request is read and usable, its id is not active; the load balancer has not been
-//                    asked. A filter may answer the request here, or hold it and have it answered or admitted
-//                    later through RequestFilterCallbacks.
-//   admitted         The load balancer has chosen a host for it for the first time.
-//   attemptSending   An attempt is composed, right before its first byte. A filter may add headers for
-//                    the host.
+//   received         The request was read and is valid, and its id is not active. It has not been submitted to
+//                    the load balancer. A filter may respond to the request here, or hold it and respond to
+//                    it or admit it later through RequestFilterCallbacks.
+//   admitted         The load balancer has chosen a host for the request for the first time.
+//   attemptSending   An attempt is being composed, directly before its first byte. A filter may add headers
+//                    for the host.
 //   attemptEnded     An attempt has ended, and it is known whether it may have run. Not called for attempts
 //                    that end after `completed`.
-//   responseHeaders  The one final response is known. A filter may add headers for the client.
-//   responseSent     The response has been handed to the client's connection; of a relayed response,
-//                    its head.
-//   completed        The client has its response, or has gone. Called once for each request that was
+//   responseHeaders  The final response is known. A filter may add headers for the client.
+//   responseSent     The response was passed to the client's connection; of a relayed response, its head.
+//   completed        The response was sent, or the client disconnected. Called once for each request that was
 //                    received.
 //
-// In each phase filters are called in the order in which they were attached. A phase that no filter asks for
-// costs one check of an empty list; without any filter nothing is allocated either.
+// In each phase filters are called in the order in which they were attached. A phase without filters costs
+// one check of an empty list; without any filter nothing is allocated either.
 #pragma once
 
 #include <array>
@@ -48,92 +47,98 @@
 };
 inline constexpr std::size_t kRequestPhaseCount = 7;
 
-/// The bit of a phase in RequestFilter::phases().
+/// Returns the bit of a phase in RequestFilter::phases().
 constexpr std::uint8_t phaseBit(RequestPhase phase) {
   return static_cast<std::uint8_t>(1u << static_cast<unsigned>(phase));
 }
 
 enum class RequestResult : std::uint8_t {
-  served,  ///< With a host's response, or with what a filter answered after holding it: its status may be an
-           ///< error.
-  rejected,           ///< Never sent, or rejected by hosts: trying again is harmless.
-  failed,             ///< By the load balancer or the host.
-  rejectedByFilter,   ///< Before the load balancer was asked.
-  clientDisconnected  ///< The client has gone.
+  /// The client received a host's response, or the response of a filter that held the request. The status
+  /// may be an error.
+  served,
+  rejected,           ///< Never sent, or rejected by hosts: a retry is safe.
+  failed,             ///< Failed by the load balancer or the host.
+  rejectedByFilter,   ///< Rejected by a filter before it was submitted to the load balancer.
+  clientDisconnected  ///< The client disconnected.
 };
 
-/// What a filter keeps for one request, from the phase in which it was made to the end.
+/// State of a filter for one request, from the phase in which it was created until the request is completed.
 struct RequestFilterState {
   virtual ~RequestFilterState() = default;
 };
 
-/// One request as filters see it. The views are valid until `onRequestCompleted` returns.
+/// The view of one request that filters have. The string views are valid until `onRequestCompleted` returns.
 struct RequestContext {
   load_balancing::RequestId id = 0;
   std::shared_ptr<const ClientRequest> message;
   std::string_view className;
-  std::string_view tenant;  ///< Empty if the settings name no such tenant.
-  /// Into the settings' classes and tenants.
+  std::string_view tenant;  ///< Empty if the settings have no such tenant.
+  /// Indices into the classes and tenants of the settings.
   std::uint32_t classIndex = 0, tenantIndex = load_balancing::kNone;
   load_balancing::Idempotency idempotency{};
-  Time deadline{};                 ///< When its client stops waiting.
-  std::uint32_t attemptCount = 0;  ///< Attempts composed so far.
-  std::string_view zone;           ///< Of the host that the present attempt goes to.
-  std::int64_t cell = 0;           ///< Of the host that the present attempt goes to.
-  /// Set by a filter in `received`, for the load balancer.
+  Time deadline{};                 ///< When the client stops waiting for the response.
+  std::uint32_t attemptCount = 0;  ///< Number of attempts composed so far.
+  std::string_view zone;           ///< Zone of the host of the present attempt.
+  std::int64_t cell = 0;           ///< Cell of the host of the present attempt.
+  /// Set by a filter in `received`; passed to the load balancer.
   std::optional<load_balancing::EarlierAttempt> earlierAttempt;
-  /// The last byte of an attempt may have gone out, and nothing has proved that it was not begun. From then
-  /// on nothing may tell the client that trying again is harmless.
+  /// The last byte of an attempt may have been sent, and it is not proved that the host did not start it.
+  /// From then on no response may state that a retry is safe.
   bool mayHaveRun = false;
-  /// Set by the filter that holds the request: neither it nor what it waits for runs. If its time is up, it
-  /// is rejected instead of failed.
+  /// Set by the filter that holds the request: neither the request nor the one that it waits for is being
+  /// executed. If the hold expires, the request is rejected instead of failed.
   bool heldBeforeExecution = false;
-  /// Set by a filter in `received`: hosts of the local zone come first while they serve no worse.
+  /// Set by a filter in `received`: hosts of the local zone are preferred while they serve no worse than
+  /// others.
   bool preferLocalZone = false;
-  /// False: `message` has the beginning of a body too long to be buffered; the rest goes to a host as it
-  /// comes.
+  /// If false, `message` has the beginning of a body that is too long to be buffered, and the rest is
+  /// forwarded to a host as it arrives.
   bool bodyComplete = true;
-  /// Of an incomplete body, as the head announces it; 0: it does not.
+  /// Length of an incomplete body as announced by the head; 0 if unknown.
   std::uint64_t bodyLength = 0;
-  std::vector<HeaderLine> upstreamHeaders;                        ///< For every attempt from now on.
-  std::vector<std::unique_ptr<RequestFilterState>> filterStates;  ///< By the chainIndex of the filter.
+  std::vector<HeaderLine> upstreamHeaders;                        ///< Headers for every later attempt.
+  std::vector<std::unique_ptr<RequestFilterState>> filterStates;  ///< Indexed by RequestFilter::chainIndex().
 };
 
-/// The final response in `responseHeaders`.
+/// The final response, as passed to `onResponseHeaders`.
 struct ResponseHead {
   unsigned status = 0;
-  bool fromUpstream = false;                           ///< Else the gateway's own.
-  const boost::beast::http::fields* fields = nullptr;  ///< Of the host; null: there are none.
+  bool fromUpstream = false;  ///< False if the response is the gateway's own.
+  /// Header fields of the host's response; null if there are none.
+  const boost::beast::http::fields* fields = nullptr;
   std::string_view contentType, body;
-  bool bodyComplete = true;  ///< Else `body` is the beginning of one too long to be buffered.
-  std::uint64_t length = 0;  ///< Of an incomplete body, as its head announces it; 0: it does not.
+  bool bodyComplete = true;  ///< False if `body` is the beginning of a body that is too long to be buffered.
+  std::uint64_t length = 0;  ///< Length of an incomplete body as announced by its head; 0 if unknown.
 };
 
-/// What a filter makes of a request that was received. Neither of the two: it goes on.
+/// Decision of a filter on a received request. If neither member is set, the request proceeds.
 struct FilterDecision {
   std::optional<Response> response;
-  /// It waits. The filter has it answered or admitted later; the gateway fails it in time if it does not.
+  /// Hold the request. The filter must respond to it or admit it later; otherwise the gateway fails it before
+  /// the client's timeout.
   bool hold = false;
 };
 
-/// What the gateway does for filters that hold requests: soon, but not within the call, so that filters may
-/// call from within a phase. Ids of requests that have finished are ignored.
+/// Services of the gateway for filters that hold requests. They take effect soon, but not within the call, so
+/// that filters may call them from within a phase. Ids of finished requests are ignored.
 class RequestFilterCallbacks {
  public:
   virtual ~RequestFilterCallbacks() = default;
   virtual void respondToHeld(load_balancing::RequestId request, Response&& response) = 0;
-  /// The load balancer is asked now, with RequestContext::earlierAttempt as it is then.
+  /// Submits the request to the load balancer, with the present value of RequestContext::earlierAttempt.
   virtual void admitHeld(load_balancing::RequestId request) = 0;
-  /// Nobody waits any more for a request that was continued (see RequestFilter::continuesWithoutClient).
+  /// Ends a request that was continued without its client (see RequestFilter::continuesWithoutClient) when no
+  /// other request needs its result any more.
   virtual void abandonContinued(load_balancing::RequestId request) = 0;
 };
 
-/// Called while the gateway changes its own state: none of these functions may call back into the gateway,
-/// except through RequestFilterCallbacks.
+/// Interface of a filter. It is called while the gateway changes its own state: none of these functions may
+/// call back into the gateway, except through RequestFilterCallbacks.
 class RequestFilter {
  public:
   virtual ~RequestFilter() = default;
-  /// The phases that it wants, as phaseBit()s. Asked for once, when it is attached.
+  /// The phases in which the filter is called, as a union of phaseBit() values. Evaluated once, when the
+  /// filter is attached.
   virtual std::uint8_t phases() const = 0;
 
   virtual FilterDecision onRequestReceived(RequestContext&) { return {}; }
@@ -144,11 +149,12 @@
                                  std::vector<HeaderLine>& /*toClient*/) {}
   virtual void onResponseSent(RequestContext&) {}
   virtual void onRequestCompleted(RequestContext&, RequestResult) {}
-  /// The client has gone. True: attempts go on all the same, for other requests, until `abandonContinued`.
+  /// Called when the client disconnected. If it returns true, attempts continue nevertheless on behalf of
+  /// other requests, until `abandonContinued`.
   virtual bool continuesWithoutClient(RequestContext&) { return false; }
 
  protected:
-  /// This filter's own state for a request.
+  /// The state of this filter for a request.
   std::unique_ptr<RequestFilterState>& state(RequestContext& context) const {
     return context.filterStates[chainIndex_];
   }
@@ -156,11 +162,11 @@
 
  private:
   friend class RequestFilterChain;
-  std::size_t chainIndex_ = 0;  // in the chain
+  std::size_t chainIndex_ = 0;  // position in the chain
 };
 
-/// The filters of a gateway. Each must outlive it. One may be attached at any time, except from within a
-/// phase.
+/// The filters of a gateway. Each filter must outlive the chain. Filters may be attached at any time except
+/// from within a phase.
 class RequestFilterChain {
  public:
   void attach(RequestFilter& filter) {
@@ -172,7 +178,7 @@
   bool empty() const { return all_.empty(); }
   std::size_t size() const { return all_.size(); }
 
-  /// The first filter that answers or holds the request ends the phase.
+  /// The first filter that responds to the request or holds it ends the phase.
   FilterDecision onRequestReceived(RequestContext& context) const {
     for (RequestFilter* filter : in(RequestPhase::received)) {
       FilterDecision decision = filter->onRequestReceived(context);
@@ -205,7 +211,8 @@
     forEach(RequestPhase::completed, context,
             [&](RequestFilter& filter) { filter.onRequestCompleted(context, result); });
   }
-  /// Asks all filters, whatever their phases; true if one of them wants the request to go on.
+  /// Calls all filters, regardless of their phases. Returns true if any filter requires the request to
+  /// continue.
   bool continuesWithoutClient(RequestContext& context) const {
     bool continues = false;
     for (RequestFilter* filter : all_)
@@ -217,7 +224,7 @@
   const std::vector<RequestFilter*>& in(RequestPhase phase) const {
     return byPhase_[static_cast<std::size_t>(phase)];
   }
-  // A filter that was attached later than a request was received has no state for it, and is not called.
+  // A filter that was attached after a request was received has no state for it and is not called.
   static bool hasStateFor(const RequestFilter& filter, const RequestContext& context) {
     return filter.chainIndex_ < context.filterStates.size();
   }
--- a/src/net/request_manager.cpp
+++ b/src/net/request_manager.cpp
@@ -32,16 +32,17 @@
     }
   load_balancing::Request balancerRequest;
   http::status status = reader_.read(message, balancerRequest);
-  // A host would take a second request with the id of an active one for a repetition of it.
+  // A host would treat a second request with the id of an active one as a repetition of it.
   if (status == http::status::ok && !table_.reserveCorrelationId(view(message["X-Correlation-Id"])))
     status = http::status::conflict;
   if (status != http::status::ok) {
     Response refusal = plainResponse(status);
-    refusal.close = true;  // a client that sends unusable requests sends more of them
+    refusal.close = true;  // A client that sends an invalid request is likely to send more of them.
     session->respond(std::move(refusal));
     return false;
   }
-  // The request may have waited in its socket while the loop was busy, and its client counts that time.
+  // The request may have waited in the socket's receive buffer while the event loop was busy, and its client
+  // counts that time.
   balancerRequest.timeLeft -= std::min(lag, balancerRequest.timeLeft / 4);
   balancerRequest.id = table_.newId();
   ActiveRequest& request = table_.add(balancerRequest.id);
@@ -66,7 +67,7 @@
     balancerRequest.earlierAttempt = request.context->earlierAttempt;
     balancerRequest.preferLocalZone = request.context->preferLocalZone;
   }
-  // Holding it would stop its client in the middle of the body, beyond any time-out that the client keeps.
+  // Holding the request would suspend the transfer of its body, beyond any timeout of the client.
   if (decision.hold && !bodyComplete) decision = {plainResponse(http::status::payload_too_large), false};
   if (decision.response) {
     respond(balancerRequest.id, RequestResult::rejectedByFilter, std::move(*decision.response));
@@ -99,7 +100,7 @@
   RequestContext* const context = request->context.get();
   const RequestFilterChain& filters = extensions_.filters;
   if (context) {
-    // A failure with another status than 502 is a host's client error.
+    // A failure with a status other than 502 passes on a client error from a host.
     const bool fromUpstream =
         upstream || (result == RequestResult::failed && response.status != http::status::bad_gateway);
     const std::optional<PartialResponse>& partial = response.partial;
@@ -201,7 +202,8 @@
 void RequestManager::failExpiredHeld(Time now) {
   while (const auto id = held_.firstExpired(now)) {
     const ActiveRequest* const request = table_.find(*id);
-    // What it waited for may have run, unless the filter that holds it knows better.
+    // The request that this one waited for may have run, unless the filter that holds this one has determined
+    // otherwise.
     const bool neverRan = request && request->context && request->context->heldBeforeExecution;
     Response response =
         plainResponse(neverRan ? http::status::service_unavailable : http::status::bad_gateway);
--- a/src/net/request_manager.hpp
+++ b/src/net/request_manager.hpp
@@ -1,4 +1,4 @@
-// Clients' requests, from their arrival to their one response.
+// Processes client requests from their arrival to their response.
 #pragma once
 
 #include <memory>
@@ -17,40 +17,41 @@
 
 namespace finchstile {
 
-/// Reads requests, passes them through the filters, asks the load balancer, and answers each request once.
-/// Calls of the load balancer leave actions with it; whoever calls in here executes them afterwards.
+/// Reads requests, passes them through the filters, submits them to the load balancer, and responds to each
+/// exactly once. Calls into the load balancer queue actions there; the caller of these functions executes
+/// them afterwards.
 class RequestManager {
  public:
   RequestManager(const Clock& clock, const GatewayConfig& config, load_balancing::LoadBalancer& balancer,
                  const GatewayExtensions& extensions, GatewayMetricsCollector& metrics);
 
-  /// A client has sent a request; `bodyComplete` is false if more of its body follows. `lag`: how late the
-  /// event loop may have read it. Returns false if it was answered without being accepted.
+  /// Processes a request from a client. `bodyComplete` is false if more of its body follows. `lag` is how
+  /// late the event loop may have read the request. Returns false if it was refused without being accepted.
   bool receive(const std::shared_ptr<ClientSession>& session, ClientRequest&& message, bool bodyComplete,
                Duration lag);
-  /// The client has closed its connection. Returns false if that changes nothing.
+  /// The client has closed its connection. Returns false if that has no effect.
   bool onClientDisconnected(load_balancing::RequestId id);
-  /// Gives the client its response, unless the request has finished. `upstream` is the host's response that
-  /// it passes on, if it does.
+  /// Sends the response to the client, unless the request has finished. `upstream` is the host's response on
+  /// which `response` is based, if any.
   void respond(load_balancing::RequestId id, RequestResult result, Response&& response,
                const UpstreamResponse* upstream = nullptr);
-  /// The load balancer has rejected the request; the client may come back after `retryAfter` (0: not said).
+  /// The load balancer has rejected the request. The client may retry after `retryAfter`; 0 if unspecified.
   void reject(load_balancing::RequestId id, Duration retryAfter);
-  /// The load balancer has given the request up.
+  /// The load balancer has given up the request.
   void fail(load_balancing::RequestId id);
-  /// Nothing more goes out for the request: its client has its response, or has gone.
+  /// Finishes the request: its response was sent, or the client disconnected.
   void finish(load_balancing::RequestId id, ActiveRequest& request, RequestResult result);
-  /// Gives every unfinished request a final response. Its client is owed one even if its time goes beyond the
-  /// end of the process.
+  /// Sends a final response to every unfinished request, including those whose deadlines are after the exit
+  /// of the process.
   void failAll();
 
-  /// The host has accepted the request's upgrade: filters may add headers to the response, which is written
-  /// by whoever takes the connection over.
+  /// The host has accepted the upgrade. Filters may add headers to the response, which is written by the
+  /// handler that takes over the connection.
   void onUpgradeResponse(ActiveRequest& request, const boost::beast::http::fields& upstreamHead,
                          std::vector<HeaderLine>& toClient);
 
   void executeHeldAction(HeldRequestAction&& action);
-  /// Answers the held requests whose deadlines have passed.
+  /// Fails the held requests whose deadlines have passed.
   void failExpiredHeld(Time now);
   HeldRequests& held() { return held_; }
   const HeldRequests& held() const { return held_; }
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -28,7 +28,7 @@
   return target.substr(0, target.find_first_of("/?"));
 }
 
-// The value of a cookie in a Cookie header; empty if there is none.
+// Returns the value of a cookie in a Cookie header; empty if the cookie is missing.
 std::string_view cookieValue(std::string_view header, std::string_view name) {
   while (!header.empty()) {
     const std::size_t end = std::min(header.find(';'), header.size());
@@ -41,7 +41,8 @@
   return {};
 }
 
-// All gateways must get one and the same key: the session id itself if it is a number, else its FNV-1a hash.
+// Returns the affinity key of a session, which must be the same at all gateways: the session id itself if it
+// is a hexadecimal number of at most 16 digits, otherwise its FNV-1a hash.
 std::uint64_t affinityKeyOf(std::string_view sessionId) {
   constexpr std::size_t kMaxHexDigits = 16;
   constexpr int kHexBase = 16;
@@ -54,7 +55,8 @@
   return key;
 }
 
-// Empty if the header is missing or repeated: two readers might use different values.
+// Returns the value of a header that occurs exactly once. Returns an empty view if it is missing or repeated:
+// recipients of a repeated header might use different values.
 std::string_view singleValue(const ClientRequest& message, const char* name) {
   const auto range = message.equal_range(name);
   if (range.first == range.second || std::next(range.first) != range.second) return {};
@@ -93,7 +95,7 @@
   if (const http::status status = checkForm(message, requestClass); status != http::status::ok) return status;
 
   out.classIndex = requestClass.index;
-  // No client waits longer than its class allows. Larger values would only make sums of times overflow.
+  // No client waits longer than its class allows. Larger values would only make time arithmetic overflow.
   const auto maxTimeLeft = std::chrono::ceil<milliseconds>(requestClass.clientTimeout);
   out.timeLeft = milliseconds(std::min<std::int64_t>(timeLeftMs, maxTimeLeft.count()));
   out.tenantIndex = tenants_.find(view(message["X-Account"]));
--- a/src/net/request_reader.hpp
+++ b/src/net/request_reader.hpp
@@ -1,4 +1,4 @@
-// Reads what a client's request means to the load balancer, and whether it can be used at all.
+// Validates client requests and extracts their parameters for the load balancer.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -16,9 +16,9 @@
  public:
   explicit RequestReader(const load_balancing::Settings& settings);
 
-  /// Fills in `out` and returns `ok`, or returns the status with which the request is refused: it fits no
-  /// class, or not the form of its class, or does not say who asks and for how long. Such a request would
-  /// cost hosts work for nothing.
+  /// Sets `out` and returns `ok`, or returns the status with which the request is refused: it matches no
+  /// class, doesn't have the form of its class, or lacks a valid correlation id or time limit. Hosts would
+  /// process such a request in vain.
   boost::beast::http::status read(const ClientRequest& message, load_balancing::Request& out) const;
 
   TenantTable& tenants() { return tenants_; }
@@ -26,13 +26,13 @@
 
  private:
   struct RequestClass {
-    std::uint32_t index = 0;  // into the settings' classes
+    std::uint32_t index = 0;  // index into Settings::classes
     load_balancing::Idempotency idempotency{};
     Duration clientTimeout{};
   };
   static boost::beast::http::status checkForm(const ClientRequest& message, const RequestClass& requestClass);
 
-  std::unordered_map<std::string, RequestClass> classes_;  // by name, the first segment of the target
+  std::unordered_map<std::string, RequestClass> classes_;  // by class name, the first segment of the target
   TenantTable tenants_;
 };
 
--- a/src/net/response_relays.hpp
+++ b/src/net/response_relays.hpp
@@ -1,4 +1,5 @@
-// Responses too long to be buffered: each piece goes from the host to the client as it comes.
+// Relays of responses that are too long to be buffered: each piece is forwarded from the host to the client
+// as it arrives.
 #pragma once
 
 #include <memory>
@@ -14,8 +15,9 @@
 
 namespace finchstile {
 
-/// Couples a host's connection with a client's. One piece is under way at a time: the host is read on once
-/// the client has taken the last one. An active request stays in its table as long as its relay.
+/// Connects the connection to a host with that to a client. One piece is in flight at a time: the host is
+/// read again after the client has accepted the last piece. An active request stays in its table as long as
+/// its relay.
 class ResponseRelays {
  public:
   ResponseRelays(ActiveRequestTable& requests, UpstreamPool& pool, GatewayMetricsCollector& metrics)
@@ -24,11 +26,12 @@
   void begin(RelayId id, load_balancing::RequestId requestId, ActiveRequest& request);
   /// The host has sent a piece of the body.
   void onBody(RelayId id, std::string&& piece, bool last);
-  /// The host's response ended before it was complete. The client's connection is ended so that it can tell.
+  /// The host's response ended before it was complete. The client's connection is closed so that the client
+  /// can detect the truncation.
   void onTruncated(RelayId id);
-  /// The client has taken all pieces so far.
+  /// All pieces so far have been written to the client.
   void onWritten(RelayId id);
-  /// The client takes no more.
+  /// The client disconnected.
   void onAborted(RelayId id);
 
   std::size_t size() const { return relays_.size(); }
--- a/src/net/string_view.hpp
+++ b/src/net/string_view.hpp
@@ -6,7 +6,7 @@
 
 namespace finchstile {
 
-/// A standard view of the characters that `text` views; it stays valid as long as `text` does.
+/// Returns a standard view of the characters of `text`, with the same lifetime.
 inline std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
 }  // namespace finchstile
--- a/src/net/upgrade_handler.hpp
+++ b/src/net/upgrade_handler.hpp
@@ -1,5 +1,6 @@
-// Takes over connections of clients that leave HTTP (RFC 9110, 7.8), and the hosts' connections with them.
-// Until then an upgrade is a request like any other: read, passed through the filters, sent to a chosen host.
+// Interface for taking over client connections that are upgraded to another protocol (RFC 9110, 7.8),
+// together with their connections to hosts. Until then an upgrade is processed like any other request: read,
+// passed through the filters, sent to a chosen host.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -18,13 +19,13 @@
 
 using boost::asio::ip::tcp;
 
-/// A request that asks to leave HTTP, and has not left it yet.
+/// An upgrade request that is not established.
 struct PendingUpgrade {
-  tcp::endpoint from;  ///< The client.
+  tcp::endpoint from;  ///< Address of the client.
   Time since{};
 };
 
-/// Both sides have left HTTP; the client has not been answered yet.
+/// An upgrade that the host has accepted. The 101 response has not been sent to the client yet.
 struct UpgradedConnection {
   load_balancing::RequestId request = 0;
   std::uint32_t attempt = 0;
@@ -32,33 +33,34 @@
   std::string hostName;
   PendingUpgrade pendingUpgrade;
   tcp::socket client, upstream;
-  std::string fromClient, fromHost;  ///< Bytes that were read behind the heads.
-  std::string head;                  ///< Of the 101, to be written to the client first.
-  bool extensionNegotiated = false;  ///< AcceptedUpgrade::extensionNegotiated.
+  std::string fromClient, fromHost;  ///< Bytes that were read after the heads.
+  std::string head;                  ///< Head of the 101 response; must be written to the client first.
+  bool extensionNegotiated = false;  ///< See AcceptedUpgrade::extensionNegotiated.
 };
 
 class UpgradeHandler {
  public:
   struct AcceptedUpgrade {
-    std::vector<HeaderLine> toClient;  ///< Header lines of the 101.
-    bool extensionNegotiated = false;  ///< For the handler's own use in `takeOverConnection`.
+    std::vector<HeaderLine> toClient;  ///< Header lines of the 101 response.
+    bool extensionNegotiated = false;  ///< Used only by the handler itself, in `takeOverConnection`.
   };
 
   virtual ~UpgradeHandler() = default;
   virtual bool isUpgradeRequest(const ClientRequest& message) const = 0;
-  /// Returns the response to a request that may not be upgraded. To others it adds the headers that a request
-  /// needs and such clients do not send.
+  /// Returns a response if the request must not be upgraded. Otherwise it adds the headers that the gateway
+  /// requires and that clients of the upgrade protocol don't send.
   virtual std::optional<Response> checkRequest(ClientRequest& message) = 0;
-  /// How long the handshake may take.
+  /// Time limit for the handshake.
   virtual Duration handshakeTimeout() const = 0;
   virtual std::vector<HeaderLine> upstreamHeaders(const ClientRequest& message) const = 0;
-  /// None: the host's 101 is no response to this request.
-  virtual std::optional<AcceptedUpgrade> acceptResponse(const ClientRequest& message,
-                                                        const boost::beast::http::fields& answer) const = 0;
-  /// Each request that may be upgraded is followed by one of the two calls below.
+  /// Returns none if the host's 101 is not a valid response to this request.
+  virtual std::optional<AcceptedUpgrade> acceptResponse(
+      const ClientRequest& message, const boost::beast::http::fields& upstreamHead) const = 0;
+  /// An upgrade request was accepted. Exactly one of the two functions below follows.
   virtual void onUpgradeRequested() = 0;
-  virtual void onUpgradeNotEstablished(const PendingUpgrade& pendingUpgrade, RequestResult how) = 0;
-  /// From here on the handler reports to the load balancer, as a ProtocolHandler does.
+  virtual void onUpgradeNotEstablished(const PendingUpgrade& pendingUpgrade, RequestResult result) = 0;
+  /// Passes both connections to the handler. From now on the handler reports to the load balancer, like a
+  /// ProtocolHandler.
   virtual void takeOverConnection(UpgradedConnection&& upgraded) = 0;
 };
 
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -19,13 +19,13 @@
 using load_balancing::HostId;
 using load_balancing::Outcome;
 
-// A host that shows no sign of life for so long in the middle of a body, in either direction, has stalled.
+// Maximum time without progress in the middle of a body, in either direction.
 constexpr Duration kMaxBodyStall = std::chrono::seconds(5);
-constexpr int kMaxInterimResponses = 8;  // 1xx ahead of one final response
+constexpr int kMaxInterimResponses = 8;  // 1xx responses before the final one
 
-// For how many round trips a last byte is held back. The second one is for the time that the other side takes
-// to notice. The limit is a small part of a latency objective, should a queue or a pause of ours have spoilt
-// the measured round trip.
+// Number of round trips for which the last byte is held back; the second one is for the time that the peer
+// takes to notice. The limit is a small part of a latency objective, in case a queue or a pause of this
+// process inflated the measured round trip.
 constexpr int kVerificationRoundTrips = 2;
 constexpr Duration kMaxVerificationTime = std::chrono::milliseconds(20);
 
@@ -33,9 +33,9 @@
 Outcome outcomeOf(const Head& head) {
   const unsigned status = head.result_int();
   if (status == 200) return Outcome::served;
-  // Only the mark proves that the request never ran.
+  // Only this header proves that the request never ran.
   if ((status == 503 || status == 504) && head["X-Unprocessed"] == "1") return Outcome::rejectedForCapacity;
-  // The request is at fault, not the host. 408 and 429 describe the host's own state.
+  // The request is invalid, and the host is not at fault. 408 and 429 describe the state of the host.
   if (status >= 400 && status < 500 && status != 408 && status != 429) return Outcome::invalidRequest;
   return Outcome::error;
 }
@@ -104,7 +104,8 @@
   if (last && chunked_) request_ += kLastChunk;
   bodyIncomplete_ = !last;
   if (bodyIncomplete_) return request_.empty() ? requestNextBodyPiece() : write(0, request_.size());
-  // With nothing left to write the host would have the complete request, and nobody would read its response.
+  // If no byte is left to hold back, the host already has the complete request, and its response would not be
+  // read.
   if (request_.empty()) return endAttempt(Outcome::reset);
   write(0, request_.size() - 1);
 }
@@ -122,7 +123,7 @@
   asio::async_write(socket_, asio::buffer(request_.data() + from, to - from),
                     [this, self = shared_from_this(), to](error_code error, std::size_t) {
                       if (closed_) return;
-                      // After an error the last byte was never written: the host has not begun.
+                      // After an error the last byte was not written: the host has not started the request.
                       if (error) return endAttempt(Outcome::connectFailed);
                       onWritten(to);
                     });
@@ -140,13 +141,14 @@
   read();
 }
 
-// No check of a socket tells whether the other side is still there. It may have closed or forgotten the
-// connection with the notice under way, may never tell, or may reset at the next bytes; so may any box
-// between. A host begins with the last byte: a request that ends before it is written has not run, whoever
-// ended it, and may go elsewhere. So all bytes but the last are written, and an end has the time to show.
-// This also covers new connections that are accepted and dropped, and processes that died unnoticed. It is of
-// no use, and costs its time, where something between answers for the host or keeps bytes back until the
-// request is complete.
+// Holds back the last byte while the connection is verified. No check of a socket can show whether the peer
+// is still there: it may have closed or lost the connection with the notification in transit or never sent,
+// or may reset it at the next bytes; so may any middlebox. A host starts a request with its last byte: a
+// request that ends before that byte is written has not run, whoever ended it, and may be sent to another
+// host. Therefore all bytes but the last are written, and the end of the connection gets the time to become
+// visible. This also covers new connections that are accepted and dropped, and processes that died unnoticed.
+// It only costs time, without any benefit, if an intermediary responds for the host or buffers the request
+// until it is complete.
 void UpstreamConnection::verifyThenWrite(std::size_t from) {
   stopStallTimer();
   timer_.expires_after(verificationTime());
@@ -162,13 +164,13 @@
   if (std::exchange(watchingBeforeLastByte_, true)) return;
   socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this()](error_code) {
     watchingBeforeLastByte_ = false;
-    // Bytes that come ahead of the complete request are no response to it.
+    // Bytes that arrive before the complete request was sent are not a response to it.
     if (!closed_ && attempt_ != 0 && !lastByteSent_ && !isAlive()) endAttempt(Outcome::connectFailed);
   });
 }
 
-// From the connect: the kernel's own measure counts late acknowledgements, tens of milliseconds, as round
-// trips.
+// The round trip is measured by the connect, because the kernel's own measurement includes delayed
+// acknowledgements of tens of milliseconds.
 Duration UpstreamConnection::verificationTime() const {
   return std::max(pool_.limits_.minVerificationTime,
                   std::min(kVerificationRoundTrips * roundTrip_, kMaxVerificationTime));
@@ -189,8 +191,8 @@
                           });
 }
 
-// Anything but a response that its framing proves complete counts as a reset: the request may have run, and
-// what came is nobody's response.
+// Anything but a response whose framing proves it complete counts as a reset: the request may have run, and
+// the received bytes are discarded.
 void UpstreamConnection::parse() {
   using Step = MessageReader<false>::Step;
   error_code error;
@@ -221,7 +223,7 @@
   if (relaying_) parse();
 }
 
-// Of a response that is not served only the head counts.
+// Only the head is used of a response with another outcome than served.
 void UpstreamConnection::beginRelay() {
   stopStallTimer();
   const auto& head = reader_.parser().get();
@@ -269,7 +271,7 @@
   }
   response.head = std::move(static_cast<http::fields&>(message.base()));
   const AttemptId attempt = std::exchange(attempt_, 0);
-  // The outcome may start the next attempt, so the connection has to be free before it is reported.
+  // Reporting the outcome may start the next attempt, so the connection is freed first.
   if (reusable) pool_.assign(self);
   else closeAndReplace();
   pool_.settle(attempt, outcome, std::move(response));
@@ -294,8 +296,9 @@
 
 // --- Ending
 
-// A broken response may leave its connection open and send no more. A response that has begun must go on
-// within the limit; as long as it does, it may take its time.
+// Starts the timer for a stalled body. A broken response may leave its connection open and send no more. A
+// response that has started must make progress within the limit; as long as it does, its total time is not
+// limited.
 void UpstreamConnection::watchForStall(Duration limit, Outcome outcome) {
   if (std::exchange(stallTimerSet_, true)) return;
   timer_.expires_after(limit);
@@ -310,8 +313,8 @@
   if (std::exchange(stallTimerSet_, false)) timer_.cancel();
 }
 
-// The request may have run. A response that has been begun can't be made good; its client is to see that it
-// is not complete.
+// The request may have run. A response that was partly relayed can't be repaired; its client must be able to
+// detect that it is incomplete.
 void UpstreamConnection::failResponse() {
   if (!relaying_) return endAttempt(Outcome::reset);
   const auto self = shared_from_this();
@@ -329,12 +332,12 @@
   pool_.settle(attempt, outcome);
 }
 
-// Bytes behind the response belong to nothing that was asked for: no next response may be read from there.
+// Bytes after the response belong to no request, and no next response may be read from there.
 bool UpstreamConnection::isReusable() {
   return reader_.parser().keep_alive() && buffer_.size() == 0 && isAlive();
 }
 
-// The host may have closed the connection a moment ago, with the notice still in the queue.
+// The host may have closed the connection a moment ago, with the notification still in the receive queue.
 bool UpstreamConnection::isAlive() {
   char byte = 0;
   const ssize_t unread = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -342,7 +345,7 @@
 }
 
 void UpstreamConnection::watchWhileIdle() {
-  if (std::exchange(watchingIdle_, true)) return;  // the wait of an earlier idle time is still pending
+  if (std::exchange(watchingIdle_, true)) return;  // the wait of an earlier idle period is still pending
   socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this()](error_code error) {
     watchingIdle_ = false;
     if (closed_ || attempt_ != 0) return;
@@ -361,7 +364,7 @@
   socket_.close(ignored);
 }
 
-// Waiting attempts get a new connection in place of this one. The caller keeps this object alive.
+// Closes the connection and opens a new one for waiting attempts. The caller must keep this object alive.
 void UpstreamConnection::closeAndReplace() {
   close();
   pool_.connectForWaiting(host_);
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -1,4 +1,4 @@
-// One connection to a host.
+// Connection to a host.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,8 +15,9 @@
 
 namespace finchstile {
 
-/// Carries one attempt at a time. After anything but a complete response it is closed rather than reused.
-/// Handlers that are pending may keep it alive beyond the pool; none of them uses the pool once it is closed.
+/// Carries one attempt at a time. It is only reused after a complete response; otherwise it is closed.
+/// Pending handlers may keep it alive beyond the pool; none of them uses the pool after the connection was
+/// closed.
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
   UpstreamConnection(UpstreamPool& pool, load_balancing::HostId host);
@@ -25,20 +26,20 @@
   const tcp::endpoint& endpoint() const { return endpoint_; }
   Time idleSince() const { return idleSince_; }
 
-  /// Ends with `UpstreamPool::onConnectEnded`.
+  /// Starts the connect, which ends with `UpstreamPool::onConnectEnded`.
   void connect(const tcp::endpoint& endpoint);
   void send(AttemptId attempt, OutgoingRequest&& request, bool verifyConnection);
-  /// The next piece of a body, after `UpstreamCallbacks::onReadyForRequestBody`.
+  /// Sends the next piece of a request body, after `UpstreamCallbacks::onReadyForRequestBody`.
   void sendBody(const std::string& piece, bool last);
-  /// The piece of a relayed response that came last has been taken.
+  /// Continues to read a relayed response after its last piece was consumed.
   void resumeReading();
-  /// The last byte of the request has been sent, or handed to the system to be.
+  /// True if the last byte of the request was written or is being written.
   bool lastByteSent() const { return lastByteSent_; }
 
-  /// False: the host has closed the connection, or has sent something without being asked.
+  /// Returns false if the host has closed the connection or has sent unsolicited bytes.
   bool isAlive();
   void beginIdle(Time now) { idleSince_ = now; }
-  /// Closes the connection at anything that comes while it is idle, its end above all.
+  /// Closes the connection if the host closes it or sends anything while it is idle.
   void watchWhileIdle();
   void close();
 
@@ -76,24 +77,24 @@
   boost::asio::steady_timer timer_;
   tcp::endpoint endpoint_;
   Time idleSince_{};
-  Duration roundTrip_{};  // as the connect took it
-  bool closed_ = false;   // the pool no longer counts it: closed, or given away by an upgrade
+  Duration roundTrip_{};  // duration of the connect
+  bool closed_ = false;   // closed, or handed over by an upgrade; the pool does not count it any more
   bool connecting_ = true;
   bool watchingIdle_ = false;
   bool watchingBeforeLastByte_ = false;
   bool stallTimerSet_ = false;
 
   // The attempt.
-  AttemptId attempt_ = 0;  // 0: none
-  std::string request_;    // until its last byte is written
+  AttemptId attempt_ = 0;  // 0 if there is none
+  std::string request_;    // bytes to write, until the last byte is written
   bool lastByteSent_ = false;
-  bool bodyIncomplete_ = false;    // more of the request's body is to be sent
-  bool chunked_ = false;           // the request's body
-  bool upgradeRequested_ = false;  // 101 is a response to the request
+  bool bodyIncomplete_ = false;    // more of the request body is to be sent
+  bool chunked_ = false;           // the request body is sent in chunks
+  bool upgradeRequested_ = false;  // the request is an upgrade, to which 101 is a valid response
   boost::beast::flat_buffer buffer_;
   MessageReader<false> reader_;
   int interimResponses_ = 0;
-  bool relaying_ = false;  // the response goes on piece by piece
+  bool relaying_ = false;  // the response is relayed piece by piece
 };
 
 }  // namespace finchstile
--- a/src/net/upstream_host_table.cpp
+++ b/src/net/upstream_host_table.cpp
@@ -23,7 +23,7 @@
     const ListedHost& listed = list.hosts[i];
     const HostPhase phase = entries[i].phase;
     const HostId id = balancer_.findHost(listed.entry.address);
-    if (id == kNone) {  // a removed host may never have been known
+    if (id == kNone) {  // a removed host may never have been in the table
       droppedHosts += phase != HostPhase::removed;
       continue;
     }
@@ -32,13 +32,13 @@
     if (isNew || host.phaseInForce != phase) changes.push_back({id, phase});
     // Connections to the old address must not be used for the new one.
     if (host.endpoint != listed.endpoint) pool_.setPooling(id, false);
-    // Signs of life count only for the process that showed them.
+    // A response counts only for the process that sent it.
     const bool sameProcess = !isNew && host.listed.startedAt == listed.entry.startedAt;
     host = {listed.endpoint, phase, listed.entry, sameProcess ? host.lastResponseAt : Time{}, now};
     listedIds.push_back(id);
   }
   if (droppedHosts > 0)
-    std::fprintf(stderr, "finchstile: %zu of %zu hosts of a list have no room; 65535 are held\n",
+    std::fprintf(stderr, "finchstile: ignoring %zu of %zu hosts of the host list: the limit is 65535 hosts\n",
                  droppedHosts, list.hosts.size());
   std::sort(listedIds.begin(), listedIds.end());
   const bool listIsComplete = kind != HostListUpdate::incremental;
--- a/src/net/upstream_host_table.hpp
+++ b/src/net/upstream_host_table.hpp
@@ -1,4 +1,4 @@
-// The hosts of the endpoint list, as the gateway knows them: address, phase in force, signs of life.
+// Table of the hosts of the endpoint list with their addresses, effective phases and last responses.
 #pragma once
 
 #include <string>
@@ -15,11 +15,11 @@
 
 struct UpstreamHost {
   tcp::endpoint endpoint;
-  /// After the filters; may be worse than the phase that the list gives.
+  /// Effective phase, after the filters; may be more restrictive than that of the list.
   load_balancing::HostPhase phaseInForce = load_balancing::HostPhase::removed;
-  load_balancing::HostEntry listed;  ///< As the list has it.
-  Time lastResponseAt{};             ///< When an attempt last showed that it lives; 0: never.
-  Time lastListedAt{};               ///< When a list last named it.
+  load_balancing::HostEntry listed;  ///< Entry of the list, before the filters.
+  Time lastResponseAt{};  ///< When an attempt last received a response from the host; 0 if none did.
+  Time lastListedAt{};    ///< When a list last contained the host.
 };
 
 struct HostPhaseChange {
@@ -27,41 +27,41 @@
   load_balancing::HostPhase phase{};
 };
 
-/// One row for operators.
+/// Snapshot of one host for operators.
 struct UpstreamHostView {
   load_balancing::HostEntry listed;
   tcp::endpoint endpoint;
   load_balancing::HostPhase phaseInForce{};
-  Time lastResponseAt{};  ///< 0: never.
-  bool avoided = false;   ///< The load balancer sends it nothing for now.
+  Time lastResponseAt{};  ///< When an attempt last received a response; 0 if none did.
+  bool avoided = false;   ///< The load balancer sends no new requests to the host at present.
   std::size_t streams = 0;
 };
 
-/// Applies endpoint lists to the load balancer, to the connection pool, and to its own records.
+/// Applies endpoint lists to the load balancer, the connection pool, and its own records.
 class UpstreamHostTable {
  public:
   UpstreamHostTable(const Clock& clock, load_balancing::LoadBalancer& balancer, UpstreamPool& pool)
       : clock_(clock), balancer_(balancer), pool_(pool) {}
 
-  /// Filters are applied in the order of these calls. Each must outlive the table.
+  /// Filters are applied in the order in which they were added. Each must outlive the table.
   void addFilter(const HostEntryFilter& filter) { filters_.push_back(&filter); }
-  /// Returns the hosts whose phase in force has changed, new hosts among them.
+  /// Returns the hosts whose effective phase has changed, including new hosts.
   std::vector<HostPhaseChange> apply(const HostList& list, load_balancing::HostListUpdate kind);
-  /// Drops the records of removed hosts that neither the load balancer nor the pool still needs.
+  /// Removes the records of removed hosts that neither the load balancer nor the pool needs any more.
   void eraseRemoved();
 
-  /// Null: there is no such host. The pointer stays valid until the host is forgotten.
+  /// Returns null if there is no such host. The pointer stays valid until the host's record is removed.
   UpstreamHost* find(load_balancing::HostId host);
   const UpstreamHost* find(load_balancing::HostId host) const;
   const UpstreamHost* findByName(const std::string& name) const;
   bool isListed(const std::string& name) const;
   bool empty() const { return hosts_.empty(); }
   std::size_t size() const { return hosts_.size(); }
-  /// All listed hosts, as an incremental list.
+  /// Returns all listed hosts, as an incremental list.
   HostList listedHosts() const;
-  std::vector<UpstreamHostView> views() const;  ///< Of listed hosts, sorted by name.
+  std::vector<UpstreamHostView> views() const;  ///< Snapshots of the listed hosts, sorted by name.
   std::size_t listedCount() const;
-  std::size_t avoidedCount() const;  ///< Listed hosts that get no new requests for now.
+  std::size_t avoidedCount() const;  ///< Number of listed hosts that receive no new requests at present.
 
  private:
   load_balancing::HostEntry filtered(const load_balancing::HostEntry& listed) const;
--- a/src/net/upstream_messages.hpp
+++ b/src/net/upstream_messages.hpp
@@ -1,4 +1,4 @@
-// What is sent to hosts and what they answer.
+// Messages that are exchanged with hosts.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -7,22 +7,22 @@
 
 namespace finchstile {
 
-/// Names one attempt of one request at one host. Ids are never used again.
+/// Identifies one attempt of a request at a host. Ids are never reused.
 using AttemptId = std::uint64_t;
 
 using UpstreamRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
 struct UpstreamResponse {
   unsigned status = 0;
-  std::string body, contentType;    ///< Of a served response only.
-  boost::beast::http::fields head;  ///< Of every complete response, whatever its status.
+  std::string body, contentType;    ///< Only set if the outcome is served.
+  boost::beast::http::fields head;  ///< Set for every complete response, regardless of its status.
 };
 
 struct OutgoingRequest {
   UpstreamRequest message;
-  /// False: more of the body follows, framed by the message's Content-Length, or in chunks if it has none.
+  /// If false, more of the body follows, framed by the message's Content-Length, or in chunks if it has none.
   bool bodyComplete = true;
-  bool upgrade = false;  ///< The request asks to leave HTTP, so that 101 is a response to it.
+  bool upgrade = false;  ///< The request is an upgrade, to which 101 is a valid response.
 };
 
 }  // namespace finchstile
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -39,14 +39,14 @@
   }
   upstream.waiting.push_back(id);
   connectForWaiting(host);
-  // Behind other attempts the wait may outlast any single connect. It ends after the same time.
+  // The wait behind other attempts may be longer than any single connect, but is limited by the same timeout.
   attempt.waitTimer.emplace(io_, limits_.connectTimeout);
   attempt.waitTimer->async_wait([this, id](error_code cancelled) {
     if (!cancelled) failWaiting(id);
   });
 }
 
-// False: the attempt is no longer to be sent, and the connection stays free.
+// Returns false if the attempt is not to be sent any more; the connection is still free.
 bool UpstreamPool::sendOn(AttemptId id, const ConnectionPointer& connection) {
   Outcome unsentOutcome = Outcome::connectFailed;
   std::optional<OutgoingRequest> request = callbacks_.composeRequest(id, unsentOutcome);
@@ -89,7 +89,7 @@
   if (attempts_.erase(id) > 0) callbacks_.onOutcome(id, outcome, std::move(response));
 }
 
-// Does nothing if the attempt has got a connection meanwhile.
+// Does nothing if the attempt has got a connection in the meantime.
 void UpstreamPool::failWaiting(AttemptId id, Outcome outcome) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end() || found->second.connection) return;
@@ -106,7 +106,7 @@
 
 void UpstreamPool::assign(const ConnectionPointer& connection) {
   Upstream& upstream = upstreams_[connection->host()];
-  if (connection->endpoint() != upstream.endpoint) {  // the old address may be another host's by now
+  if (connection->endpoint() != upstream.endpoint) {  // the old address may belong to another host by now
     connection->close();
     return connectForWaiting(connection->host());
   }
@@ -123,7 +123,8 @@
 
 void UpstreamPool::connectForWaiting(HostId host) {
   Upstream& upstream = upstreams_[host];
-  // A connection costs the host real work: never more than attempts wait for, and not many at once.
+  // A connect costs the host real work, so there are never more than attempts are waiting, and only a few at
+  // once.
   while (upstream.connecting.size() < std::min(upstream.waiting.size(), limits_.maxConnectingPerHost)) {
     if (connections_ >= limits_.maxConnections && !closeOneIdle()) return;
     const auto connection = std::make_shared<UpstreamConnection>(*this, host);
@@ -141,7 +142,8 @@
     assign(connection);
     return connectForWaiting(host);
   }
-  // One connect stands for one attempt. The others have connects of their own, or get a connection in use.
+  // A failed connect fails one attempt. The others have connects of their own, or get a connection that is in
+  // use now.
   if (upstream.waiting.empty()) return;
   failWaiting(upstream.waiting.front());
   connectForWaiting(host);
@@ -192,7 +194,7 @@
   }
 }
 
-// Gives a descriptor back. False: no connection is idle.
+// Closes an idle connection to free its descriptor. Returns false if none is idle.
 bool UpstreamPool::closeOneIdle() {
   for (auto& [host, upstream] : upstreams_) {
     if (upstream.idle.empty()) continue;
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -1,4 +1,4 @@
-// Connections to the hosts: opened, reused, limited in number, and assigned to attempts.
+// Pool of connections to hosts: opens, reuses and limits connections and assigns them to attempts.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,31 +24,34 @@
 
 class UpstreamConnection;
 
-/// What happens to attempts.
+/// Events of attempts.
 class UpstreamCallbacks {
  public:
   virtual ~UpstreamCallbacks() = default;
-  /// Called right before the first byte is written. None: nothing is sent, and the attempt ends with
-  /// `unsentOutcome`, which the callee may set; as it stands, the attempt found no connection.
+  /// Called directly before the first byte is written. If it returns none, nothing is sent and the attempt
+  /// ends with `unsentOutcome`, which the callee may set; its initial value means that the attempt got no
+  /// connection.
   virtual std::optional<OutgoingRequest> composeRequest(AttemptId attempt,
                                                         load_balancing::Outcome& unsentOutcome) = 0;
-  /// Whether the last byte may still be sent after the connection was verified.
+  /// Returns true if the last byte may still be sent after the connection was verified.
   virtual bool maySendLastByte(AttemptId attempt) = 0;
-  /// All that there was of an incomplete request has been written; `sendBody` has the next piece.
+  /// All bytes of an incomplete request so far have been written; `sendBody` is to pass the next piece.
   virtual void onReadyForRequestBody(AttemptId attempt) = 0;
-  /// The head of the final response is here: whatever becomes of the rest, the host has done its work.
+  /// The head of the final response has arrived. Whatever happens to the rest, the host has done its work.
   virtual void onResponseHeaders(AttemptId attempt) = 0;
-  /// Called once for each attempt, unless it was given up or its response has begun. May be called from
-  /// within `sendBody`, if a last piece leaves nothing to be written, but from no other call of UpstreamPool.
+  /// Called once for each attempt, unless it was abandoned or its response is being relayed. May be called
+  /// from within `sendBody`, if the last piece leaves nothing to be written, but from no other function of
+  /// UpstreamPool.
   virtual void onOutcome(AttemptId attempt, load_balancing::Outcome outcome, UpstreamResponse&& response) = 0;
-  /// A served response that is too long to be buffered, with its body as far as it has come. Each further
-  /// piece waits for `resumeReading`; the last one, or the truncation, ends the attempt.
+  /// A served response that is too long to be buffered has started; `response` has the part of its body that
+  /// has arrived. Each further piece waits for `resumeReading`; the last one, or the truncation, ends the
+  /// attempt.
   virtual void onResponseBegun(AttemptId attempt, UpstreamResponse&& response,
                                std::optional<std::uint64_t> length) = 0;
   virtual void onResponseBody(AttemptId attempt, std::string&& piece, bool last) = 0;
   virtual void onResponseTruncated(AttemptId attempt) = 0;
-  /// The host has answered 101. The connection leaves the pool, with the bytes that came behind the head.
-  /// This ends the attempt.
+  /// The host has responded with 101. The connection leaves the pool, together with the bytes that were read
+  /// after the head. This ends the attempt.
   virtual void onUpgraded(AttemptId attempt, tcp::socket&& socket, std::string&& unreadFromHost,
                           const boost::beast::http::fields& head) = 0;
 };
@@ -57,42 +60,42 @@
  public:
   struct Limits {
     Duration connectTimeout{};
-    Duration maxResponsePause{};  ///< Between the bytes of a response that has begun.
-    Duration maxIdleTime{};       ///< Idle connections are closed after this.
+    Duration maxResponsePause{};  ///< Between the bytes of a response that has started.
+    Duration maxIdleTime{};       ///< Idle connections are closed after this time.
     std::size_t maxConnectingPerHost = 4;
-    std::size_t maxConnections = 256;  ///< In all.
-    /// A last byte that waits for the verification of its connection waits at least so long.
+    std::size_t maxConnections = 256;  ///< To all hosts together.
+    /// Minimum time for which the last byte is held back while its connection is verified.
     Duration minVerificationTime = std::chrono::milliseconds(1);
   };
 
   UpstreamPool(boost::asio::io_context& io, const Clock& clock, Limits limits, UpstreamCallbacks& callbacks);
   ~UpstreamPool();
 
-  /// Sends the attempt as soon as there is a connection. With `verifyConnection` the last byte waits until
-  /// the connection has outlived the bytes before by a round trip.
+  /// Sends the attempt as soon as a connection is available. With `verifyConnection` the last byte is held
+  /// back until the connection has stayed open for a verification time after the other bytes were written.
   void send(AttemptId attempt, load_balancing::HostId host, const tcp::endpoint& endpoint,
             bool verifyConnection = false);
-  /// Closes the attempt's connection; no callback for it follows. Returns true if its last byte may have been
-  /// sent, so that it may have run.
+  /// Closes the attempt's connection without any further callback for the attempt. Returns true if its last
+  /// byte may have been sent, so that the attempt may have run.
   bool abandonAttempt(AttemptId attempt);
   void sendBody(AttemptId attempt, std::string&& piece, bool last);
   void resumeReading(AttemptId attempt);
-  /// Connections to a host that is not pooling are closed instead of kept.
+  /// Enables or disables pooling of idle connections to a host. While disabled, they are closed instead.
   void setPooling(load_balancing::HostId host, bool pooling);
-  /// Drops the host's record. False: an attempt or a connection still needs it.
+  /// Removes the host's record. Returns false if an attempt or a connection still needs it.
   bool removeHost(load_balancing::HostId host);
   void setConnectionOptions(std::size_t maxConnectingPerHost, Duration minVerificationTime) {
     limits_.maxConnectingPerHost = maxConnectingPerHost;
     limits_.minVerificationTime = minVerificationTime;
   }
-  /// Closes connections that are idle for too long. To be called a few times a second; calls in between do no
-  /// harm.
+  /// Closes connections that have been idle for too long. To be called a few times a second; additional calls
+  /// are harmless.
   void sweep();
 
   std::size_t connections() const { return connections_; }
   std::size_t maxConnections() const { return limits_.maxConnections; }
-  std::size_t upstreams() const { return upstreams_.size(); }  ///< Hosts of which there is a record.
-  std::size_t opened() const { return opened_; }               ///< Connections since the start.
+  std::size_t upstreams() const { return upstreams_.size(); }  ///< Number of hosts with a record.
+  std::size_t opened() const { return opened_; }               ///< Connections opened since the start.
   std::size_t sends() const { return sends_; }  ///< Attempts whose last byte was written, since the start.
 
  private:
@@ -100,18 +103,18 @@
   using ConnectionPointer = std::shared_ptr<UpstreamConnection>;
 
   struct Upstream {
-    std::vector<ConnectionPointer> idle;  // the most recently used last
+    std::vector<ConnectionPointer> idle;  // the most recently used one is last
     std::deque<AttemptId> waiting;        // attempts without a connection
     std::vector<ConnectionPointer> connecting;
-    std::size_t connections = 0;  // in all
+    std::size_t connections = 0;  // idle, connecting and in use
     tcp::endpoint endpoint;
     bool pooling = true;
   };
   struct PendingAttempt {
     load_balancing::HostId host = load_balancing::kNone;
     bool verifyConnection = false;
-    ConnectionPointer connection;                        // null while it waits
-    std::optional<boost::asio::steady_timer> waitTimer;  // bounds the wait
+    ConnectionPointer connection;                        // null while the attempt waits
+    std::optional<boost::asio::steady_timer> waitTimer;  // limits the wait
   };
 
   // Called by connections.
@@ -120,12 +123,12 @@
   void onConnectEnded(const ConnectionPointer& connection, bool connected);
   void onIdleConnectionEnded(const ConnectionPointer& connection);
   void onRequestSent() { ++sends_; }
-  /// Ends an attempt whose events the connection reports by itself.
+  /// Removes an attempt whose end the connection reports itself.
   void eraseAttempt(AttemptId attempt) { attempts_.erase(attempt); }
   void settle(AttemptId attempt, load_balancing::Outcome outcome, UpstreamResponse&& response = {});
-  /// Gives a free connection to a waiting attempt, or keeps it idle.
+  /// Assigns a free connection to a waiting attempt, or keeps it idle.
   void assign(const ConnectionPointer& connection);
-  /// Opens connections for waiting attempts.
+  /// Opens connections for waiting attempts, within the limits.
   void connectForWaiting(load_balancing::HostId host);
 
   bool sendOn(AttemptId attempt, const ConnectionPointer& connection);
