--- a/src/net/upstream_host_table.hpp
+++ b/src/net/upstream_host_table.hpp
@@ -16,7 +16,7 @@
 struct UpstreamHost {
   tcp::endpoint endpoint;
   /// Effective phase, after the filters; may be more restrictive than that of the list.
-  load_balancing::HostPhase phaseInForce = load_balancing::HostPhase::removed;
+  load_balancing::HostPhase effectivePhase = load_balancing::HostPhase::removed;
   load_balancing::HostEntry listed;  ///< Entry of the list, before the filters.
   Time lastResponseAt{};  ///< When an attempt last received a response from the host; 0 if none did.
   Time lastListedAt{};    ///< When a list last contained the host.
@@ -31,7 +31,7 @@
 struct UpstreamHostView {
   load_balancing::HostEntry listed;
   tcp::endpoint endpoint;
-  load_balancing::HostPhase phaseInForce{};
+  load_balancing::HostPhase effectivePhase{};
   Time lastResponseAt{};  ///< When an attempt last received a response; 0 if none did.
   bool avoided = false;   ///< The load balancer sends no new requests to the host at present.
   std::size_t streams = 0;
