--- a/src/net/attempt_manager.cpp
+++ b/src/net/attempt_manager.cpp
@@ -60,8 +60,8 @@
   const Time now = clock_.now();
   const auto timeLeft = std::chrono::duration_cast<milliseconds>(attempt->deadline - now);
   if (timeLeft.count() <= 0 || now > attempt->sendDeadline) return std::nullopt;
-  // The client may have closed its connection behind unread bytes, or while a filter continues the request.
-  // No further attempt is started for it, at this host or at others.
+  // The client may have closed its connection after bytes that are still unread, or while a filter continues
+  // the request. No further attempt is started for it, at this host or at others.
   const auto client = request->client.lock();
   if (!client || client->isDisconnected()) {
     unsentOutcome = Outcome::notSent;
@@ -83,27 +83,30 @@
 
 UpstreamRequest AttemptManager::composeMessage(const ActiveRequest& request, const UpstreamHost& host,
                                                milliseconds timeLeft) const {
-  const ClientRequest& from = *request.message;
+  const ClientRequest& clientRequest = *request.message;
   const bool bodyComplete = !request.bodyIncomplete;
-  UpstreamRequest to(from.method(), from.target(), 11);
-  if (from.method() == http::verb::unknown) to.method_string(from.method_string());
-  to.set(http::field::host, host.endpoint.address().to_string() + ":" + std::to_string(host.endpoint.port()));
+  UpstreamRequest upstreamRequest(clientRequest.method(), clientRequest.target(), 11);
+  if (clientRequest.method() == http::verb::unknown)
+    upstreamRequest.method_string(clientRequest.method_string());
+  upstreamRequest.set(http::field::host,
+                      host.endpoint.address().to_string() + ":" + std::to_string(host.endpoint.port()));
   for (const char* name : {"X-Correlation-Id", "Idempotency-Key", "Content-Type"})
-    if (const auto value = from[name]; !value.empty()) to.set(name, value);
-  if (bodyComplete) to.set("X-Time-Left-Ms", std::to_string(timeLeft.count()));
-  else to.set("X-Time-Left-Ms", from["X-Time-Left-Ms"]);
-  to.body() = from.body();
+    if (const auto value = clientRequest[name]; !value.empty()) upstreamRequest.set(name, value);
+  if (bodyComplete) upstreamRequest.set("X-Time-Left-Ms", std::to_string(timeLeft.count()));
+  else upstreamRequest.set("X-Time-Left-Ms", clientRequest["X-Time-Left-Ms"]);
+  upstreamRequest.body() = clientRequest.body();
   if (request.pendingUpgrade)
-    for (const HeaderLine& line : extensions_.upgradeHandler->upstreamHeaders(from))
-      to.insert(line.name, line.value);
+    for (const HeaderLine& line : extensions_.upgradeHandler->upstreamHeaders(clientRequest))
+      upstreamRequest.insert(line.name, line.value);
   if (bodyComplete) {
-    if (!from.body().empty() || from.method() != http::verb::get) to.content_length(from.body().size());
-  } else if (const auto length = from[http::field::content_length]; !length.empty()) {
-    to.set(http::field::content_length, length);
+    if (!clientRequest.body().empty() || clientRequest.method() != http::verb::get)
+      upstreamRequest.content_length(clientRequest.body().size());
+  } else if (const auto length = clientRequest[http::field::content_length]; !length.empty()) {
+    upstreamRequest.set(http::field::content_length, length);
   } else {
-    to.chunked(true);
+    upstreamRequest.chunked(true);
   }
-  return to;
+  return upstreamRequest;
 }
 
 // Without cancellation of attempts the host would otherwise start one whose request has finished.
@@ -271,7 +274,7 @@
 }
 
 // An attempt that reached its deadline while it waited for a connection, because the gateway's own
-// descriptors were exhausted, says nothing about the host.
+// descriptors were exhausted, is no evidence about the host.
 void AttemptManager::observeHost(UpstreamHost& host, Outcome outcome, Time sentAt, bool timedOut) const {
   switch (outcome) {
     case Outcome::served:
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;
 // Bytes of later requests that are read while a request is being processed.
 constexpr std::size_t kMaxReadAheadBytes = std::size_t{16} * 1024;
-// Minimum average rate of a request body: half of what slow lines carry. A slower client is treated as
+// Minimum average rate of a request body: half of what slow links carry. A slower client is treated as
 // unresponsive.
 constexpr double kMinBodyBytesPerSecond = 32 * 1024;
 
@@ -51,10 +51,10 @@
 
 void ClientSession::enter(State state) {
   if (state != State::closed) {
-    auto& sessions = listener_.in(state);
-    sessions.splice(sessions.end(), listener_.in(state_), listPosition_);
+    auto& sessions = listener_.sessionsIn(state);
+    sessions.splice(sessions.end(), listener_.sessionsIn(state_), listPosition_);
   } else {
-    listener_.in(state_).erase(listPosition_);
+    listener_.sessionsIn(state_).erase(listPosition_);
     --listener_.size_;
   }
   state_ = state;
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -177,8 +177,8 @@
 }
 
 Time Gateway::lastResponseAt(const std::string& host) const {
-  const UpstreamHost* const known = hosts_.findByName(host);
-  return known ? known->lastResponseAt : Time{};
+  const UpstreamHost* const upstreamHost = hosts_.findByName(host);
+  return upstreamHost ? upstreamHost->lastResponseAt : Time{};
 }
 
 // --- Held requests
@@ -233,8 +233,8 @@
 }
 
 HostPhase Gateway::hostPhase(HostId host) const {
-  const UpstreamHost* const known = hosts_.find(host);
-  return known ? known->effectivePhase : HostPhase::removed;
+  const UpstreamHost* const upstreamHost = hosts_.find(host);
+  return upstreamHost ? upstreamHost->effectivePhase : HostPhase::removed;
 }
 
 // --- Actions of the load balancer
@@ -400,7 +400,7 @@
 
 void Gateway::continueDrain(Time now) {
   // Connections are kept open until the serve deadline: a client whose connection is closed reconnects
-  // through a front, which may have no other gateway.
+  // through a front proxy, which may have no other gateway.
   if (now >= drainPlan_->serveDeadline()) listener_.beginDrain();
   if (now >= drainPlan_->finalResponseTime() && onDrained_) failOpenRequests();
   const bool noClients = listener_.size() == 0 && now >= drainPlan_->acceptDeadline();
--- a/src/net/gateway_options.hpp
+++ b/src/net/gateway_options.hpp
@@ -9,9 +9,9 @@
 namespace finchstile {
 
 struct ClientConnectionOptions {
-  /// How long a connection may be idle. Longer than clients and fronts keep an unused connection.
+  /// How long a connection may be idle. Longer than clients and front proxies keep an unused connection.
   load_balancing::Duration idleTimeout = std::chrono::seconds(120);
-  /// Time limit for the head of a request, and for its body beyond the transfer time on a slow line. For the
+  /// Time limit for the head of a request, and for its body beyond the transfer time on a slow link. For the
   /// first request it counts from the accept. A slower client would hold a descriptor without being served.
   load_balancing::Duration requestTimeout = std::chrono::milliseconds(2400);
   /// Maximum time without progress while a response is written.
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -31,7 +31,7 @@
 constexpr Duration kBindRetryInterval = milliseconds(20);
 // One connection beyond the limit may exist, while it is refused, per this many served connections.
 constexpr std::size_t kConnectionsPerRefused = 32;
-// How long the request of a usual client may be in transit.
+// How long the request of a typical client may be in transit.
 constexpr Duration kMaxRequestTransit = milliseconds(100);
 // At most one in this many connections may be idle. Otherwise clients that send one request and keep the
 // connection open would use up the limit.
@@ -59,11 +59,11 @@
 void Listener::bind(const tcp::endpoint& endpoint) {
   acceptor_.open(endpoint.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
-  const Time until = clock_.now() + kMaxBindTime;
+  const Time deadline = clock_.now() + kMaxBindTime;
   for (error_code error;;) {
     acceptor_.bind(endpoint, error);
     if (!error) break;
-    if (error != asio::error::address_in_use || clock_.now() >= until)
+    if (error != asio::error::address_in_use || clock_.now() >= deadline)
       throw std::runtime_error("cannot listen at " + endpoint.address().to_string() + ":" +
                                std::to_string(endpoint.port()) + ": " + error.message());
     std::this_thread::sleep_for(kBindRetryInterval);
@@ -85,8 +85,8 @@
   error_code error;
   acceptor_.assign(endpoint.protocol(), fd, error);
   if (error) fail("can't be used: " + error.message());
-  const tcp::endpoint found = acceptor_.local_endpoint(error);
-  if (error || (endpoint.port() != 0 && found != endpoint))
+  const tcp::endpoint boundEndpoint = acceptor_.local_endpoint(error);
+  if (error || (endpoint.port() != 0 && boundEndpoint != endpoint))
     fail("does not listen at the address that is configured");
 }
 
@@ -114,12 +114,13 @@
   // Lingering sessions already have their responses. They do not count against the limit, and are closed
   // below if necessary.
   const bool hasCapacity =
-      size_ - in(State::lingering).size() < maxConnections_ || shedUnfinishedConnection();
+      size_ - sessionsIn(State::lingering).size() < maxConnections_ || shedUnfinishedConnection();
   const auto session = std::make_shared<ClientSession>(std::move(socket), *this);
-  session->listPosition_ = in(State::fresh).insert(in(State::fresh).end(), session);
+  session->listPosition_ = sessionsIn(State::fresh).insert(sessionsIn(State::fresh).end(), session);
   session->stateSince_ = clock_.now();
   ++size_;
-  while (size_ > maxConnections_ + maxRefused_ && !in(State::lingering).empty()) endOldest(State::lingering);
+  while (size_ > maxConnections_ + maxRefused_ && !sessionsIn(State::lingering).empty())
+    endOldest(State::lingering);
   if (hasCapacity) session->start();
   else session->refuseConnection();
 }
@@ -145,7 +146,7 @@
 // Closes a connection to free its descriptor, if one can be closed. Lingering ones are closed first. Returns
 // false if none could.
 bool Listener::shedConnection() {
-  if (in(State::lingering).empty()) return shedUnfinishedConnection();
+  if (sessionsIn(State::lingering).empty()) return shedUnfinishedConnection();
   endOldest(State::lingering);
   return true;
 }
@@ -158,7 +159,7 @@
     for (const State state : {State::fresh, State::reading})
       if (oldestAge(state) > kMaxRequestTransit) return state;
     for (const State state : {State::idle, State::fresh})
-      if (!in(state).empty()) return state;
+      if (!sessionsIn(state).empty()) return state;
     return std::nullopt;
   }();
   if (stateToShed) endOldest(*stateToShed);
@@ -166,12 +167,12 @@
 }
 
 void Listener::trimIdle() {
-  if (in(State::idle).size() > std::max<std::size_t>(1, maxConnections_ / kConnectionsPerIdle))
-    in(State::idle).front()->closeIdle();
+  if (sessionsIn(State::idle).size() > std::max<std::size_t>(1, maxConnections_ / kConnectionsPerIdle))
+    sessionsIn(State::idle).front()->closeIdle();
 }
 
 void Listener::endOldest(State state) {
-  const auto session = in(state).front();
+  const auto session = sessionsIn(state).front();
   if (state == State::lingering) session->close();
   else session->shed();
 }
@@ -193,7 +194,8 @@
 // The action may close other sessions and thereby change the list, hence the copy.
 template <class Action>
 void Listener::forEachIn(State state, Action action) {
-  const std::vector<std::shared_ptr<ClientSession>> sessions(in(state).begin(), in(state).end());
+  const std::vector<std::shared_ptr<ClientSession>> sessions(sessionsIn(state).begin(),
+                                                             sessionsIn(state).end());
   for (const auto& session : sessions)
     if (session->state_ == state) action(*session);
 }
@@ -213,8 +215,8 @@
 }
 
 void Listener::sweepExpired(State state) {
-  for (std::size_t left = in(state).size(); left > 0 && oldestAge(state) > maxAge(state); --left) {
-    const auto session = in(state).front();
+  for (std::size_t left = sessionsIn(state).size(); left > 0 && oldestAge(state) > maxAge(state); --left) {
+    const auto session = sessionsIn(state).front();
     if (state == State::idle) session->closeIdle();
     else session->close();
     if (session->state_ == state) break;  // its request has just arrived
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -72,7 +72,7 @@
   void endOldest(State state);
   void sweepExpired(State state);
   void closeIdleSessions();
-  Sessions& in(State state) { return sessions_[static_cast<std::size_t>(state)]; }
+  Sessions& sessionsIn(State state) { return sessions_[static_cast<std::size_t>(state)]; }
   template <class Action>
   void forEachIn(State state, Action action);
   /// How long the oldest session has been in the state; below 0 if no session is in it.
--- a/src/net/request_filter.hpp
+++ b/src/net/request_filter.hpp
@@ -180,7 +180,7 @@
 
   /// The first filter that responds to the request or holds it ends the phase.
   FilterDecision onRequestReceived(RequestContext& context) const {
-    for (RequestFilter* filter : in(RequestPhase::received)) {
+    for (RequestFilter* filter : filtersOf(RequestPhase::received)) {
       FilterDecision decision = filter->onRequestReceived(context);
       if (decision.response || decision.hold) return decision;
     }
@@ -221,7 +221,7 @@
   }
 
  private:
-  const std::vector<RequestFilter*>& in(RequestPhase phase) const {
+  const std::vector<RequestFilter*>& filtersOf(RequestPhase phase) const {
     return byPhase_[static_cast<std::size_t>(phase)];
   }
   // A filter that was attached after a request was received has no state for it and is not called.
@@ -230,7 +230,7 @@
   }
   template <class Call>
   void forEach(RequestPhase phase, const RequestContext& context, Call call) const {
-    for (RequestFilter* filter : in(phase))
+    for (RequestFilter* filter : filtersOf(phase))
       if (hasStateFor(*filter, context)) call(*filter);
   }
 
