--- a/src/base/crc32.hpp
+++ b/src/base/crc32.hpp
@@ -1,5 +1,5 @@
-// CRC-32 as in IEEE 802.3 (reflected, 0xedb88320): finds what bad disks and torn writes do, not what an enemy
-// does.
+// CRC-32 of IEEE 802.3 (reflected polynomial 0xedb88320). Detects accidental corruption such as disk errors
+// and torn writes, not deliberate changes.
 #pragma once
 
 #include <array>
@@ -12,20 +12,21 @@
 constexpr std::array<std::uint32_t, 256> makeCrcTable() {
   std::array<std::uint32_t, 256> table{};
   for (std::uint32_t i = 0; i < 256; ++i) {
-    std::uint32_t c = i;
-    for (int k = 0; k < 8; ++k) c = (c >> 1) ^ (0xedb88320U & (0U - (c & 1U)));
-    table[i] = c;
+    std::uint32_t crc = i;
+    for (int k = 0; k < 8; ++k) crc = (crc >> 1) ^ (0xedb88320U & (0U - (crc & 1U)));
+    table[i] = crc;
   }
   return table;
 }
 inline constexpr std::array<std::uint32_t, 256> kCrcTable = makeCrcTable();
 }  // namespace detail
 
-// `before`: the sum of what comes ahead of these bytes.
-inline std::uint32_t crc32(std::string_view bytes, std::uint32_t before = 0) {
-  std::uint32_t c = ~before;
-  for (const char b : bytes) c = detail::kCrcTable[(c ^ static_cast<unsigned char>(b)) & 0xff] ^ (c >> 8);
-  return ~c;
+// Returns the checksum of the bytes. `previousCrc` is the checksum of the bytes before them, if any.
+inline std::uint32_t crc32(std::string_view bytes, std::uint32_t previousCrc = 0) {
+  std::uint32_t crc = ~previousCrc;
+  for (const char b : bytes)
+    crc = detail::kCrcTable[(crc ^ static_cast<unsigned char>(b)) & 0xff] ^ (crc >> 8);
+  return ~crc;
 }
 
 }  // namespace finchstile
--- a/src/base/fields.hpp
+++ b/src/base/fields.hpp
@@ -1,4 +1,5 @@
-// Records and messages as bytes, field by field: integers little-endian, text as its length and its bytes.
+// Binary encoding of records and messages, field by field: integers are little-endian, text is its length
+// followed by its bytes.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +21,7 @@
     putLittleEndian(bytes_, value);
     return *this;
   }
-  // Longer than its length can say, it is cut.
+  // Text that is longer than `Length` can represent is truncated.
   template <class Length = std::uint16_t>
   FieldWriter& text(std::string_view s) {
     s = s.substr(0, std::numeric_limits<Length>::max());
@@ -34,32 +35,35 @@
   std::string bytes_;
 };
 
-// Once a field is not there, all that follow read as nothing, and `isComplete` is false.
+// Reads fields in the order in which they were written. After the first missing field all further reads
+// return empty values, and `isComplete` returns false.
 class FieldReader {
  public:
-  explicit FieldReader(std::string_view bytes) : rest_(bytes) {}
+  explicit FieldReader(std::string_view bytes) : remaining_(bytes) {}
   template <class Int>
   Int number() {
-    if (!good_ || rest_.size() < sizeof(Int)) return good_ = false, Int{};
-    const Int value = getLittleEndian<Int>(rest_);
-    rest_.remove_prefix(sizeof(Int));
+    if (!valid_ || remaining_.size() < sizeof(Int)) return valid_ = false, Int{};
+    const Int value = getLittleEndian<Int>(remaining_);
+    remaining_.remove_prefix(sizeof(Int));
     return value;
   }
   template <class Length = std::uint16_t>
   std::string text() {
     const std::size_t n = number<Length>();
-    if (!good_ || rest_.size() < n) return good_ = false, std::string();
-    std::string s(rest_.substr(0, n));
-    rest_.remove_prefix(n);
+    if (!valid_ || remaining_.size() < n) return valid_ = false, std::string();
+    std::string s(remaining_.substr(0, n));
+    remaining_.remove_prefix(n);
     return s;
   }
-  std::string rest() { return std::string(std::exchange(rest_, {})); }
-  bool require(bool holds) { return good_ = good_ && holds; }  // a value that is read must be one that can be
-  bool isComplete() const { return good_ && rest_.empty(); }  // nothing is missing, and nothing more is there
+  std::string rest() { return std::string(std::exchange(remaining_, {})); }
+  /// Makes the input invalid if `condition` is false. To be called for values that were read and have limits.
+  bool require(bool condition) { return valid_ = valid_ && condition; }
+  /// Returns true if all fields were present and valid and no bytes are left.
+  bool isComplete() const { return valid_ && remaining_.empty(); }
 
  private:
-  std::string_view rest_;
-  bool good_ = true;
+  std::string_view remaining_;
+  bool valid_ = true;
 };
 
 }  // namespace finchstile
--- a/src/base/file_name.hpp
+++ b/src/base/file_name.hpp
@@ -1,4 +1,4 @@
-// Names that may hold any byte, as part of a file's name.
+// Converts names of arbitrary bytes to parts of file names.
 #pragma once
 
 #include <algorithm>
--- a/src/base/header_line.hpp
+++ b/src/base/header_line.hpp
@@ -1,4 +1,4 @@
-// A header line of an HTTP message, as its parts.
+// A header line of an HTTP message: name and value.
 #pragma once
 
 #include <string>
--- a/src/base/little_endian.hpp
+++ b/src/base/little_endian.hpp
@@ -1,4 +1,4 @@
-// Integers as bytes, the lowest first.
+// Little-endian encoding of integers.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +9,12 @@
 namespace finchstile {
 
 template <class Int>
-void putLittleEndian(std::string& to, Int value) {
+void putLittleEndian(std::string& out, Int value) {
   for (std::size_t i = 0; i < sizeof(Int); ++i)
-    to += static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * i) & 0xff);
+    out += static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * i) & 0xff);
 }
 
-// `from` has sizeof(Int) bytes at least.
+// `from` must have at least sizeof(Int) bytes.
 template <class Int>
 Int getLittleEndian(std::string_view from) {
   std::uint64_t value = 0;
--- a/src/base/percent.hpp
+++ b/src/base/percent.hpp
@@ -1,4 +1,4 @@
-// Percent-encoding (RFC 3986, 2.1) of names that may hold any byte.
+// Percent-encoding (RFC 3986, 2.1) of names of arbitrary bytes.
 #pragma once
 
 #include <optional>
@@ -7,7 +7,7 @@
 
 namespace finchstile {
 
-// What is visible ASCII and no percent sign stays as it is.
+// Encodes all bytes except visible ASCII characters other than the percent sign.
 inline std::string percentEncoded(std::string_view text) {
   static constexpr char kDigits[] = "0123456789abcdef";
   std::string out;
@@ -18,8 +18,8 @@
   return out;
 }
 
-// Nothing where a percent sign has no two digits behind it. Danger: a name that is decoded twice, or half, is
-// another's.
+// Returns none if a percent sign is not followed by two hexadecimal digits. A name must be decoded exactly
+// once and completely: decoded twice or in part, it would be a different name.
 inline std::optional<std::string> percentDecoded(std::string_view text) {
   const auto digit = [](char c) {
     if (c >= '0' && c <= '9') return c - '0';
--- a/src/base/siphash.hpp
+++ b/src/base/siphash.hpp
@@ -1,5 +1,5 @@
-// SipHash-2-4 with 128 bits out (Aumasson and Bernstein, 2012): keyed, so that nobody who does not hold the
-// seed can make two requests alike, or fill one chain of a table.
+// SipHash-2-4 with 128-bit output (Aumasson and Bernstein, 2012). The hash is keyed, so that without the key
+// nobody can construct requests with equal hashes or collisions in one bucket of a hash table.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
   bool operator==(const SipHash128&) const = default;
 };
 
-// Over parts with their lengths: ("ab", "c") and ("a", "bc") differ.
+// Hashes a sequence of parts including their lengths: ("ab", "c") and ("a", "bc") have different hashes.
 class SipHasher {
  public:
   explicit SipHasher(const SipKey& key);
@@ -24,11 +24,11 @@
   SipHash128 end();
 
  private:
-  void byte(unsigned char b);
-  void word(std::uint64_t m);
-  void round();
-  std::uint64_t v0_, v1_, v2_, v3_, pending_ = 0;
-  std::uint64_t count_ = 0;
+  void addByte(unsigned char b);
+  void addWord(std::uint64_t m);
+  void sipRound();
+  std::uint64_t v0_, v1_, v2_, v3_, pendingWord_ = 0;
+  std::uint64_t byteCount_ = 0;
 };
 
 }  // namespace finchstile
--- a/src/base/splitmix64.hpp
+++ b/src/base/splitmix64.hpp
@@ -1,5 +1,5 @@
-// A small generator for draws that only have to be spread, and the same for a seed on any machine (Steele,
-// Lea, Flood 2014). Not for secrets.
+// SplitMix64 random number generator (Steele, Lea, Flood 2014). It is fast, and a seed gives the same numbers
+// on every machine. Not cryptographically secure.
 #pragma once
 
 #include <cstdint>
--- a/src/operator/reader.cpp
+++ b/src/operator/reader.cpp
@@ -22,20 +22,20 @@
                            {"s", 1'000'000'000},
                            {"m", 60'000'000'000},
                            {"h", 3'600'000'000'000}};
-constexpr double kDurationMost = 10.0 * 365 * 24 * 3600 * 1e9;
+constexpr double kMaxDurationNs = 10.0 * 365 * 24 * 3600 * 1e9;
 
 template <class T>
-std::string range(T least, T most) {
-  return "from " + std::to_string(least) + " to " + std::to_string(most);
+std::string range(T minimum, T maximum) {
+  return "from " + std::to_string(minimum) + " to " + std::to_string(maximum);
 }
 
-std::string shown(double d) {
+std::string formatNumber(double d) {
   char text[32];
   std::snprintf(text, sizeof text, "%g", d);
   return text;
 }
 
-// Levenshtein's distance with swaps of neighbours (optimal string alignment), on keys of bounded length.
+// Edit distance with swaps of neighbouring characters (optimal string alignment), for keys of limited length.
 std::size_t distance(std::string_view a, std::string_view b) {
   std::vector<std::vector<std::size_t>> d(a.size() + 1, std::vector<std::size_t>(b.size() + 1));
   for (std::size_t i = 0; i <= a.size(); ++i) d[i][0] = i;
@@ -60,7 +60,7 @@
   for (const Unit& u : kUnits) {
     if (u.name != unit) continue;
     const double ns = number * static_cast<double>(u.nanoseconds);
-    if (ns > kDurationMost) return std::nullopt;
+    if (ns > kMaxDurationNs) return std::nullopt;
     return Duration(std::llround(ns));
   }
   return std::nullopt;
@@ -80,19 +80,19 @@
 }
 
 std::string nearestOf(std::string_view key, const std::vector<std::string>& known) {
-  constexpr std::size_t kLongest = 64;
-  if (key.size() > kLongest) return {};
-  std::string_view best;
-  // Of a short name nearly any other is a few edits away.
-  std::size_t least = (key.size() <= 2   ? 0
-                       : key.size() <= 4 ? 1
-                                         : std::max<std::size_t>(2, key.size() / 3)) +
-                      1;
+  constexpr std::size_t kMaxKeyLength = 64;
+  if (key.size() > kMaxKeyLength) return {};
+  std::string_view closest;
+  // Nearly any other key is a few edits away from a short one.
+  std::size_t bestDistance = (key.size() <= 2   ? 0
+                              : key.size() <= 4 ? 1
+                                                : std::max<std::size_t>(2, key.size() / 3)) +
+                             1;
   for (const std::string& k : known) {
-    if (k.size() > kLongest) continue;
-    if (const std::size_t d = distance(key, k); d < least) least = d, best = k;
+    if (k.size() > kMaxKeyLength) continue;
+    if (const std::size_t d = distance(key, k); d < bestDistance) bestDistance = d, closest = k;
   }
-  return std::string(best);
+  return std::string(closest);
 }
 
 SettingReader::SettingReader(const SettingNode& table, std::string path,
@@ -133,7 +133,7 @@
   return it == table_.end() ? nullptr : &it->second;
 }
 
-void SettingReader::wrong(const char* key, const SettingNode& at, const std::string& wanted) {
+void SettingReader::addTypeError(const char* key, const SettingNode& at, const std::string& wanted) {
   problems_.push_back({at.line, name(key) + " must be " + wanted + ", and is " + std::string(at.kind())});
 }
 
@@ -149,64 +149,65 @@
   const SettingNode* node = find(key);
   if (!node) return false;
   const bool* value = std::get_if<bool>(&node->value);
-  if (!value) return wrong(key, *node, "true or false"), false;
+  if (!value) return addTypeError(key, *node, "true or false"), false;
   out = *value;
   return true;
 }
 
-bool SettingReader::integer(const char* key, std::int64_t& out, std::int64_t least, std::int64_t most) {
+bool SettingReader::integer(const char* key, std::int64_t& out, std::int64_t minimum, std::int64_t maximum) {
   const SettingNode* node = find(key);
   if (!node) return false;
   const auto* value = std::get_if<std::int64_t>(&node->value);
-  if (!value) return wrong(key, *node, "an integer " + range(least, most)), false;
-  if (*value < least || *value > most)
-    return error(key, "must be " + range(least, most) + ", and is " + std::to_string(*value)), false;
+  if (!value) return addTypeError(key, *node, "an integer " + range(minimum, maximum)), false;
+  if (*value < minimum || *value > maximum)
+    return error(key, "must be " + range(minimum, maximum) + ", and is " + std::to_string(*value)), false;
   out = *value;
   return true;
 }
 
-bool SettingReader::size(const char* key, std::size_t& out, std::size_t least, std::size_t most) {
+bool SettingReader::size(const char* key, std::size_t& out, std::size_t minimum, std::size_t maximum) {
   std::int64_t value = 0;
-  if (!integer(key, value, static_cast<std::int64_t>(least), static_cast<std::int64_t>(most))) return false;
+  if (!integer(key, value, static_cast<std::int64_t>(minimum), static_cast<std::int64_t>(maximum)))
+    return false;
   out = static_cast<std::size_t>(value);
   return true;
 }
 
-bool SettingReader::number(const char* key, double& out, double least, double most) {
+bool SettingReader::number(const char* key, double& out, double minimum, double maximum) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  const std::string wanted = "from " + shown(least) + " to " + shown(most);
+  const std::string wanted = "from " + formatNumber(minimum) + " to " + formatNumber(maximum);
   double value = 0;
   if (const auto* d = std::get_if<double>(&node->value)) value = *d;
   else if (const auto* i = std::get_if<std::int64_t>(&node->value)) value = static_cast<double>(*i);
-  else return wrong(key, *node, "a number " + wanted), false;
-  if (!(value >= least && value <= most))  // NaN as well
-    return error(key, "must be " + wanted + ", and is " + shown(value)), false;
+  else return addTypeError(key, *node, "a number " + wanted), false;
+  if (!(value >= minimum && value <= maximum))  // also rejects NaN
+    return error(key, "must be " + wanted + ", and is " + formatNumber(value)), false;
   out = value;
   return true;
 }
 
-bool SettingReader::duration(const char* key, Duration& out, Duration least, Duration most) {
+bool SettingReader::duration(const char* key, Duration& out, Duration minimum, Duration maximum) {
   const SettingNode* node = find(key);
   if (!node) return false;
   const std::string wanted =
-      "a time from " + formatDuration(least) + " to " + formatDuration(most) + ", as in \"250ms\"";
+      "a time from " + formatDuration(minimum) + " to " + formatDuration(maximum) + ", as in \"250ms\"";
   const auto* text = std::get_if<std::string>(&node->value);
-  if (!text) return wrong(key, *node, wanted), false;
+  if (!text) return addTypeError(key, *node, wanted), false;
   const auto value = parseDuration(*text);
-  if (!value || *value < least || *value > most)
+  if (!value || *value < minimum || *value > maximum)
     return error(key, "must be " + wanted + ", and is \"" + text->substr(0, 40) + "\""), false;
   out = *value;
   return true;
 }
 
-bool SettingReader::text(const char* key, std::string& out, std::size_t longest) {
+bool SettingReader::text(const char* key, std::string& out, std::size_t maxBytes) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  const std::string wanted = "text of 1 to " + std::to_string(longest) + " bytes";
+  const std::string wanted = "text of 1 to " + std::to_string(maxBytes) + " bytes";
   const auto* value = std::get_if<std::string>(&node->value);
-  if (!value) return wrong(key, *node, wanted), false;
-  if (value->empty() || value->size() > longest)
+  if (!value) return addTypeError(key, *node, wanted), false;
+  if (value->empty() || value->size() > maxBytes)
     return error(key, "must be " + wanted + ", and has " + std::to_string(value->size())), false;
   out = *value;
   return true;
@@ -218,7 +219,7 @@
   std::string wanted = "one of";
   for (const std::string& o : of) wanted += " \"" + o + "\"";
   const auto* value = std::get_if<std::string>(&node->value);
-  if (!value) return wrong(key, *node, wanted), false;
+  if (!value) return addTypeError(key, *node, wanted), false;
   if (std::find(of.begin(), of.end(), *value) == of.end()) {
     std::string what = "must be " + wanted + ", and is \"" + value->substr(0, 40) + "\"";
     if (const auto near = nearestOf(*value, of); !near.empty())
@@ -229,20 +230,20 @@
   return true;
 }
 
-bool SettingReader::texts(const char* key, std::vector<std::string>& out, std::size_t most,
-                          std::size_t longest) {
+bool SettingReader::texts(const char* key, std::vector<std::string>& out, std::size_t maxItems,
+                          std::size_t maxBytes) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  const std::string wanted =
-      "a list of at most " + std::to_string(most) + " texts of 1 to " + std::to_string(longest) + " bytes";
+  const std::string wanted = "a list of at most " + std::to_string(maxItems) + " texts of 1 to " +
+                             std::to_string(maxBytes) + " bytes";
   const auto* list = std::get_if<SettingNode::Array>(&node->value);
-  if (!list) return wrong(key, *node, wanted), false;
-  if (list->size() > most)
+  if (!list) return addTypeError(key, *node, wanted), false;
+  if (list->size() > maxItems)
     return error(key, "must be " + wanted + ", and has " + std::to_string(list->size())), false;
   std::vector<std::string> read;
   for (const SettingNode& item : *list) {
     const auto* value = std::get_if<std::string>(&item.value);
-    if (!value || value->empty() || value->size() > longest) {
+    if (!value || value->empty() || value->size() > maxBytes) {
       problems_.push_back({item.line, name(key) + " must be " + wanted + ", and item " +
                                           std::to_string(read.size() + 1) + " is not such a text"});
       return false;
@@ -256,20 +257,21 @@
 bool SettingReader::table(const char* key, const std::function<void(SettingReader&)>& read) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  if (!std::holds_alternative<SettingNode::Table>(node->value)) return wrong(key, *node, "a table"), false;
+  if (!std::holds_alternative<SettingNode::Table>(node->value))
+    return addTypeError(key, *node, "a table"), false;
   SettingReader reader(*node, name(key), problems_);
   read(reader);
   return true;
 }
 
-bool SettingReader::tables(const char* key, std::size_t most,
+bool SettingReader::tables(const char* key, std::size_t maxItems,
                            const std::function<void(SettingReader&)>& read) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  const std::string wanted = "a list of at most " + std::to_string(most) + " tables";
+  const std::string wanted = "a list of at most " + std::to_string(maxItems) + " tables";
   const auto* list = std::get_if<SettingNode::Array>(&node->value);
-  if (!list) return wrong(key, *node, wanted), false;
-  if (list->size() > most)
+  if (!list) return addTypeError(key, *node, wanted), false;
+  if (list->size() > maxItems)
     return error(key, "must be " + wanted + ", and has " + std::to_string(list->size())), false;
   std::size_t number = 0;
   for (const SettingNode& item : *list) {
--- a/tests/operator/document_test.cpp
+++ b/tests/operator/document_test.cpp
@@ -5,7 +5,7 @@
 namespace finchstile {
 namespace {
 
-TEST(Document, KeepsKindsAndLines) {
+TEST(Document, ParsesValueTypesAndLineNumbers) {
   std::vector<SettingProblem> problems;
   const SettingNode d = parseToml("a = 1\n[t]\nb = 'x'\nl = [1.5, true]\nd = 1979-05-27\n", problems);
   ASSERT_TRUE(problems.empty());
@@ -18,7 +18,7 @@
   EXPECT_EQ(t.at("d").kind(), "a date or time");
 }
 
-TEST(Document, NamesTheLineOfASyntaxError) {
+TEST(Document, ReportsLineOfSyntaxError) {
   std::vector<SettingProblem> problems;
   parseToml("a = 1\nb = = 2\n", problems);
   ASSERT_EQ(problems.size(), 1u);
@@ -26,9 +26,9 @@
   EXPECT_EQ(describe("f.toml", problems[0]).substr(0, 18), "f.toml:2: not TOML");
 }
 
-TEST(Document, BoundsSizeAndDepth) {
+TEST(Document, RejectsDocumentAboveSizeOrDepthLimit) {
   std::vector<SettingProblem> problems;
-  parseToml(std::string(kDocumentMost + 1, '\n'), problems);
+  parseToml(std::string(kMaxDocumentBytes + 1, '\n'), problems);
   EXPECT_EQ(problems.size(), 1u);
   std::string deep = "a = ";
   for (int i = 0; i < 40; ++i) deep += "[";
