--- a/src/base/fields.hpp
+++ b/src/base/fields.hpp
@@ -35,8 +35,8 @@
   std::string bytes_;
 };
 
-// Reads fields in the order in which they were written. After the first missing field all further reads
-// return empty values, and `isComplete` returns false.
+// Reads fields in the order in which they were written. After the first missing or invalid field all further
+// fields are read as empty values, and `isComplete` returns false.
 class FieldReader {
  public:
   explicit FieldReader(std::string_view bytes) : remaining_(bytes) {}
@@ -56,9 +56,9 @@
     return s;
   }
   std::string rest() { return std::string(std::exchange(remaining_, {})); }
-  /// Makes the input invalid if `condition` is false. To be called for values that were read and have limits.
+  // Makes the input invalid if `condition` is false. To be called for values that were read and have limits.
   bool require(bool condition) { return valid_ = valid_ && condition; }
-  /// Returns true if all fields were present and valid and no bytes are left.
+  // Returns true if all fields were present and valid and no bytes are left.
   bool isComplete() const { return valid_ && remaining_.empty(); }
 
  private:
--- a/src/base/splitmix64.hpp
+++ b/src/base/splitmix64.hpp
@@ -1,5 +1,5 @@
-// SplitMix64 random number generator (Steele, Lea, Flood 2014). It is fast, and a seed gives the same numbers
-// on every machine. Not cryptographically secure.
+// SplitMix64, a small random number generator (Steele, Lea, Flood 2014). A seed gives the same numbers on
+// every machine. Not cryptographically secure.
 #pragma once
 
 #include <cstdint>
--- a/src/net/attempt_manager.hpp
+++ b/src/net/attempt_manager.hpp
@@ -44,6 +44,7 @@
         relays_(relays),
         pool_(pool) {}
 
+  /// Registers the attempt and passes it to the pool.
   void send(const load_balancing::Action& action);
   /// Marks the attempt as cancelled. `closeCancelled` then closes its connection and `settleCancelled`
   /// reports its outcome.
@@ -69,6 +70,8 @@
   /// Returns false if the attempt or its request no longer exists.
   bool onUpgraded(AttemptId id, tcp::socket&& socket, std::string&& unreadFromHost,
                   const boost::beast::http::fields& head);
+  /// Removes the attempt, sends a served response to the client, and reports the outcome to the load
+  /// balancer. Does nothing if the attempt was settled before.
   void settle(AttemptId id, load_balancing::Outcome outcome, UpstreamResponse&& upstream,
               std::optional<PartialResponse> partial = {}, bool timedOut = false);
 
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -10,10 +10,12 @@
 using load_balancing::Duration;
 using load_balancing::Time;
 
+/// Converts between the gateway's time (load_balancing::Time), std::chrono::steady_clock and Unix time.
 class Clock {
  public:
   Time now() const { return kOrigin + (std::chrono::steady_clock::now() - started_); }
 
+  /// `t` as a time point of std::chrono::steady_clock, for timers.
   std::chrono::steady_clock::time_point steady(Time t) const { return started_ + (t - kOrigin); }
 
   /// Unix time at `t`, as computed from the system time at the start of the process.
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -33,18 +33,21 @@
   Code code_;
 };
 
+/// One host of an endpoint list.
 struct ListedHost {
   /// Its `address` holds the name of the host, which is the same at all gateways.
   load_balancing::HostEntry entry;
   tcp::endpoint endpoint;
 };
 
+/// An endpoint list of discovery, or the changes to one.
 struct HostList {
   std::int64_t version = -1;  ///< Below 0 if the list has no version.
   bool complete = false;      ///< False if the list has only the hosts that changed.
   std::vector<ListedHost> hosts;
 };
 
+/// The configuration of a gateway process.
 struct GatewayConfig {
   std::string name;
   tcp::endpoint listen, discovery;
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -11,9 +11,11 @@
 
 namespace finchstile {
 
+/// Events of a Discovery.
 class DiscoveryCallbacks {
  public:
   virtual ~DiscoveryCallbacks() = default;
+  /// A list has arrived. The next poll has been sent already.
   virtual void onHostList(HostList&& list) = 0;
   /// The watch has failed; `Discovery::watch` starts a new one.
   virtual void onDiscoveryLost() = 0;
@@ -41,6 +43,7 @@
   void move(const tcp::endpoint& endpoint, HostList knownHosts = {});
   /// Requests the complete list from the present service.
   void requestCompleteList() { move(endpoint_); }
+  /// Ends the watch without a callback.
   void stop();
 
  private:
--- a/src/net/event_loop_lag.hpp
+++ b/src/net/event_loop_lag.hpp
@@ -17,6 +17,7 @@
     lag_ = lateness;
     validUntil_ = now + kValidTime;
   }
+  /// The lag that input read at `now` may have had; 0 if there was no lag lately.
   Duration at(Time now) const { return now < validUntil_ ? lag_ : Duration{}; }
 
  private:
--- a/src/net/framing.hpp
+++ b/src/net/framing.hpp
@@ -101,7 +101,8 @@
     takenBytes_ = 0;
   }
 
-  /// Consumes bytes from the buffer. The body accumulates in `parser().get().body()` until it is taken.
+  /// Parses the next step of the message and consumes its bytes from the buffer. The body accumulates in
+  /// `parser().get().body()` until it is taken.
   Step step(boost::beast::flat_buffer& buffer, boost::system::error_code& error) {
     namespace http = boost::beast::http;
     error = {};
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -40,6 +40,7 @@
 
 /// Connects the components of the gateway: each event goes to the component that owns its state, and the
 /// actions that the load balancer queues in response are executed. Owns the load balancer and the only timer.
+/// Not thread-safe: all functions must be called from the thread that runs the io_context.
 class Gateway : ClientCallbacks,
                 UpstreamCallbacks,
                 DiscoveryCallbacks,
@@ -78,6 +79,8 @@
   void applyDynamicSettings(const configuration::SettingsChange& change);
   /// Takes effect at once, except for the fractions of descriptors, which take effect at the next start.
   void setOptions(const GatewayOptions& options);
+  /// Adopts state that the load balancer of another gateway process learned; see
+  /// `LoadBalancer::restoreLearnedState`.
   void restoreLearnedState(const load_balancing::LearnedState& learned);
 
   // --- The endpoint list.
--- a/src/net/gateway_metrics.hpp
+++ b/src/net/gateway_metrics.hpp
@@ -14,6 +14,7 @@
   std::uint64_t succeeded = 0, rejected = 0, failed = 0;
 };
 
+/// A snapshot of the counters and gauges.
 struct GatewayMetrics {
   std::vector<ClassMetrics> classes;  ///< In the order of the settings.
   std::uint64_t attemptsSent = 0;     ///< Attempts whose last byte was written.
--- a/src/net/gateway_metrics_collector.hpp
+++ b/src/net/gateway_metrics_collector.hpp
@@ -27,6 +27,7 @@
     else if (rejected) ++metrics.rejected;
     else ++metrics.failed;
   }
+  /// Counts an established upgrade as a success.
   void onUpgrade(std::uint32_t classIndex) { ++classes_[classIndex].succeeded; }
   void onLoadReport() { ++loadReports_; }
   void onMalformedLoadReport() { ++malformedLoadReports_; }
--- a/src/net/gateway_options.hpp
+++ b/src/net/gateway_options.hpp
@@ -8,6 +8,7 @@
 
 namespace finchstile {
 
+/// Time limits of client connections.
 struct ClientConnectionOptions {
   /// How long a connection may be idle. Longer than clients and front proxies keep an unused connection.
   load_balancing::Duration idleTimeout = std::chrono::seconds(120);
@@ -18,6 +19,7 @@
   load_balancing::Duration writeTimeout = std::chrono::seconds(5);
 };
 
+/// Options of a gateway; the defaults apply where the operator sets nothing.
 struct GatewayOptions {
   ClientConnectionOptions clients;
   /// Fractions of the descriptors that are neither the gateway's own nor reserved. The sum must not exceed
--- a/src/net/host_list_hooks.hpp
+++ b/src/net/host_list_hooks.hpp
@@ -39,6 +39,7 @@
   virtual ~HostObserver() = default;
   /// An attempt got no response, and nothing was received from the host since the attempt was sent.
   virtual void onHostUnresponsive(const std::string& host) = 0;
+  /// A response had a valid load report.
   virtual void onLoadReport(const std::string& host, const load_balancing::LoadReport& report) = 0;
 };
 
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -15,6 +15,8 @@
 
 namespace finchstile {
 
+/// Owns the listening socket and the sessions. Sessions are kept in one list per state, so that the oldest
+/// session of a state is found in constant time.
 class Listener {
  public:
   /// Binds `endpoint` and listens. At most `maxConnections` client connections are served at once.
--- a/src/net/long_poll_client.hpp
+++ b/src/net/long_poll_client.hpp
@@ -13,6 +13,7 @@
 
 namespace finchstile {
 
+/// The response to a long poll.
 struct LongPollResponse {
   unsigned status = 0;
   /// 0 if the response has no Retry-After header or its value is not a number of seconds.
@@ -20,6 +21,7 @@
   std::string body;
 };
 
+/// Events of a LongPollClient. Each poll ends with one of them, unless it is stopped.
 class LongPollCallbacks {
  public:
   virtual ~LongPollCallbacks() = default;
@@ -29,6 +31,7 @@
   virtual void onLongPollFailed() = 0;
 };
 
+/// Sends long polls on one connection, which it opens and reopens as necessary.
 class LongPollClient {
  public:
   /// Time limits of a response.
--- a/src/net/protocol_handler.hpp
+++ b/src/net/protocol_handler.hpp
@@ -49,6 +49,7 @@
   virtual ~ProtocolHandlerCallbacks() = default;
   /// Returns a new id for `submitRequest`.
   virtual load_balancing::RequestId newRequest() = 0;
+  /// Submits a request to the load balancer. The handler receives the resulting actions.
   virtual void submitRequest(ProtocolHandler& handler, const load_balancing::Request& request) = 0;
   /// Reports that an attempt is established: the request is sent to no other host any more, and its timeout
   /// and deadline no longer apply.
--- a/src/net/protocol_handler_registry.hpp
+++ b/src/net/protocol_handler_registry.hpp
@@ -11,6 +11,7 @@
 
 namespace finchstile {
 
+/// Forwards events of the gateway to all handlers, and maps requests to the handlers that submitted them.
 class ProtocolHandlerRegistry {
  public:
   /// The handler must outlive the registry.
--- a/src/net/request_filter.hpp
+++ b/src/net/request_filter.hpp
@@ -36,6 +36,7 @@
 
 namespace finchstile {
 
+/// The phases of a request, as described above.
 enum class RequestPhase : std::uint8_t {
   received,
   admitted,
@@ -52,6 +53,7 @@
   return static_cast<std::uint8_t>(1u << static_cast<unsigned>(phase));
 }
 
+/// How a request ended.
 enum class RequestResult : std::uint8_t {
   /// The client received a host's response, or the response of a filter that held the request. The status
   /// may be an error.
@@ -124,6 +126,7 @@
 class RequestFilterCallbacks {
  public:
   virtual ~RequestFilterCallbacks() = default;
+  /// Sends `response` to the client of a held request.
   virtual void respondToHeld(load_balancing::RequestId request, Response&& response) = 0;
   /// Submits the request to the load balancer, with the present value of RequestContext::earlierAttempt.
   virtual void admitHeld(load_balancing::RequestId request) = 0;
--- a/src/net/request_manager.hpp
+++ b/src/net/request_manager.hpp
@@ -50,6 +50,7 @@
   void onUpgradeResponse(ActiveRequest& request, const boost::beast::http::fields& upstreamHead,
                          std::vector<HeaderLine>& toClient);
 
+  /// Executes an action that a filter queued for a held or continued request.
   void executeHeldAction(HeldRequestAction&& action);
   /// Fails the held requests whose deadlines have passed.
   void failExpiredHeld(Time now);
--- a/src/net/request_reader.hpp
+++ b/src/net/request_reader.hpp
@@ -12,6 +12,7 @@
 
 namespace finchstile {
 
+/// Maps requests to classes and tenants.
 class RequestReader {
  public:
   explicit RequestReader(const load_balancing::Settings& settings);
--- a/src/net/response_relays.hpp
+++ b/src/net/response_relays.hpp
@@ -23,6 +23,7 @@
   ResponseRelays(ActiveRequestTable& requests, UpstreamPool& pool, GatewayMetricsCollector& metrics)
       : requests_(requests), pool_(pool), metrics_(metrics) {}
 
+  /// Starts a relay to the client of `request`.
   void begin(RelayId id, load_balancing::RequestId requestId, ActiveRequest& request);
   /// The host has sent a piece of the body.
   void onBody(RelayId id, std::string&& piece, bool last);
--- a/src/net/tenant_table.hpp
+++ b/src/net/tenant_table.hpp
@@ -13,6 +13,7 @@
 
 namespace finchstile {
 
+/// Owns the names of all tenants that were ever listed.
 class TenantTable {
  public:
   explicit TenantTable(const std::vector<load_balancing::TenantSettings>& tenants) {
--- a/src/net/upgrade_handler.hpp
+++ b/src/net/upgrade_handler.hpp
@@ -38,6 +38,7 @@
   bool extensionNegotiated = false;  ///< See AcceptedUpgrade::extensionNegotiated.
 };
 
+/// Implemented by the handler of one upgrade protocol.
 class UpgradeHandler {
  public:
   struct AcceptedUpgrade {
@@ -52,6 +53,7 @@
   virtual std::optional<Response> checkRequest(ClientRequest& message) = 0;
   /// Time limit for the handshake.
   virtual Duration handshakeTimeout() const = 0;
+  /// Header lines to add to the request that is sent to the host.
   virtual std::vector<HeaderLine> upstreamHeaders(const ClientRequest& message) const = 0;
   /// Returns none if the host's 101 is not a valid response to this request.
   virtual std::optional<AcceptedUpgrade> acceptResponse(
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -28,6 +28,8 @@
 
   /// Starts the connect, which ends with `UpstreamPool::onConnectEnded`.
   void connect(const tcp::endpoint& endpoint);
+  /// Sends the request of an attempt. With `verifyConnection` the last byte is held back while the connection
+  /// is verified.
   void send(AttemptId attempt, OutgoingRequest&& request, bool verifyConnection);
   /// Sends the next piece of a request body, after `UpstreamCallbacks::onReadyForRequestBody`.
   void sendBody(const std::string& piece, bool last);
--- a/src/net/upstream_host_table.hpp
+++ b/src/net/upstream_host_table.hpp
@@ -13,6 +13,7 @@
 
 namespace finchstile {
 
+/// The gateway's record of one host.
 struct UpstreamHost {
   tcp::endpoint endpoint;
   /// Effective phase, after the filters; may be more restrictive than that of the list.
@@ -22,6 +23,7 @@
   Time lastListedAt{};    ///< When a list last contained the host.
 };
 
+/// The new effective phase of a host.
 struct HostPhaseChange {
   load_balancing::HostId host = load_balancing::kNone;
   load_balancing::HostPhase phase{};
--- a/src/net/upstream_messages.hpp
+++ b/src/net/upstream_messages.hpp
@@ -12,12 +12,14 @@
 
 using UpstreamRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
+/// A response of a host.
 struct UpstreamResponse {
   unsigned status = 0;
   std::string body, contentType;    ///< Only set if the outcome is served.
   boost::beast::http::fields head;  ///< Set for every complete response, regardless of its status.
 };
 
+/// A request to a host, ready to be sent.
 struct OutgoingRequest {
   UpstreamRequest message;
   /// If false, more of the body follows, framed by the message's Content-Length, or in chunks if it has none.
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -48,7 +48,9 @@
   /// attempt.
   virtual void onResponseBegun(AttemptId attempt, UpstreamResponse&& response,
                                std::optional<std::uint64_t> length) = 0;
+  /// A piece of a relayed response has arrived.
   virtual void onResponseBody(AttemptId attempt, std::string&& piece, bool last) = 0;
+  /// The relayed response ended before it was complete.
   virtual void onResponseTruncated(AttemptId attempt) = 0;
   /// The host has responded with 101. The connection leaves the pool, together with the bytes that were read
   /// after the head. This ends the attempt.
@@ -56,6 +58,8 @@
                           const boost::beast::http::fields& head) = 0;
 };
 
+/// Sends each attempt on an idle connection to its host, or on a new one when none is idle. Attempts that
+/// wait for a connection are served in order.
 class UpstreamPool {
  public:
   struct Limits {
@@ -78,7 +82,9 @@
   /// Closes the attempt's connection without any further callback for the attempt. Returns true if its last
   /// byte may have been sent, so that the attempt may have run.
   bool abandonAttempt(AttemptId attempt);
+  /// Sends a piece of the request body, after `UpstreamCallbacks::onReadyForRequestBody`.
   void sendBody(AttemptId attempt, std::string&& piece, bool last);
+  /// Continues to read a relayed response after its last piece was consumed.
   void resumeReading(AttemptId attempt);
   /// Enables or disables pooling of idle connections to a host. While disabled, they are closed instead.
   void setPooling(load_balancing::HostId host, bool pooling);
