--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -182,8 +182,6 @@
 
 // --- Writing
 
-// After an incomplete request the connection is closed: the rest of the body would be taken for the next
-// request.
 void ClientSession::respond(Response&& response) {
   if (state_ != State::waiting) return;
   request_ = 0;
@@ -203,6 +201,7 @@
 
 void ClientSession::writeHead(const Response& response, std::optional<std::uint64_t> length) {
   enter(State::writing);
+  // Otherwise the rest of an incomplete request body would be taken for the next request.
   if (std::exchange(bodyIncomplete_, false)) keepAlive_ = false;
   keepAlive_ = keepAlive_ && !response.close && !listener_.closesAfterResponse();
   const auto line = [this](std::string_view name, std::string_view value) {
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -34,7 +34,7 @@
       connection->close();
       continue;
     }
-    if (!sendOn(id, connection)) assign(connection);
+    if (!trySend(id, connection)) assign(connection);
     return;
   }
   upstream.waiting.push_back(id);
@@ -47,7 +47,7 @@
 }
 
 // Returns false if the attempt is not to be sent any more; the connection is still free.
-bool UpstreamPool::sendOn(AttemptId id, const ConnectionPointer& connection) {
+bool UpstreamPool::trySend(AttemptId id, const ConnectionPointer& connection) {
   Outcome unsentOutcome = Outcome::connectFailed;
   std::optional<OutgoingRequest> request = callbacks_.composeRequest(id, unsentOutcome);
   if (!request) {
@@ -113,7 +113,7 @@
   while (!upstream.waiting.empty()) {
     const AttemptId id = upstream.waiting.front();
     upstream.waiting.pop_front();
-    if (sendOn(id, connection)) return;
+    if (trySend(id, connection)) return;
   }
   if (!upstream.pooling) return connection->close();
   connection->beginIdle(clock_.now());
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -137,7 +137,7 @@
   /// Opens connections for waiting attempts, within the limits.
   void connectForWaiting(load_balancing::HostId host);
 
-  bool sendOn(AttemptId attempt, const ConnectionPointer& connection);
+  bool trySend(AttemptId attempt, const ConnectionPointer& connection);
   bool closeOneIdle();
   UpstreamConnection* connectionOf(AttemptId attempt);
   void failWaiting(AttemptId attempt,
