--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -119,7 +119,7 @@
   error_code error;
   for (;;) switch (reader_.step(buffer_, error)) {
       case Step::needsBytes:
-        if (reader_.bufferedBody() > kMaxBufferedBody) return onRequestParsed(false);
+        if (reader_.bufferedBody() > kMaxBufferedBodyBytes) return onRequestParsed(false);
         return awaitBytes();
       case Step::malformed: return refuseInput(error);
       case Step::complete: return onRequestParsed(true);
@@ -313,7 +313,7 @@
   // then stay silent for minutes.
   if (bodyIncomplete_ && now - lastByteAt_ > timeout) return true;
   double bytes = static_cast<double>(reader_.bodyRead());
-  if (bodyIncomplete_) bytes -= static_cast<double>(kMaxBufferedBody);
+  if (bodyIncomplete_) bytes -= static_cast<double>(kMaxBufferedBodyBytes);
   const auto timeForBytes = std::chrono::duration<double>(bytes / kMinBodyBytesPerSecond);
   const Duration pausedTime = bodyIncomplete_ ? bodyPausedTime_ : Duration{};
   return now - stateSince_ - pausedTime > timeout + std::chrono::duration_cast<Duration>(timeForBytes);
