--- a/src/net/request_filter.hpp
+++ b/src/net/request_filter.hpp
@@ -173,13 +173,13 @@
 class RequestFilterChain {
  public:
   void attach(RequestFilter& filter) {
-    filter.chainIndex_ = all_.size();
-    all_.push_back(&filter);
+    filter.chainIndex_ = filters_.size();
+    filters_.push_back(&filter);
     for (std::size_t phase = 0; phase < kRequestPhaseCount; ++phase)
       if (filter.phases() & (1u << phase)) byPhase_[phase].push_back(&filter);
   }
-  bool empty() const { return all_.empty(); }
-  std::size_t size() const { return all_.size(); }
+  bool empty() const { return filters_.empty(); }
+  std::size_t size() const { return filters_.size(); }
 
   /// The first filter that responds to the request or holds it ends the phase.
   FilterDecision onRequestReceived(RequestContext& context) const {
@@ -218,7 +218,7 @@
   /// continue.
   bool continuesWithoutClient(RequestContext& context) const {
     bool continues = false;
-    for (RequestFilter* filter : all_)
+    for (RequestFilter* filter : filters_)
       if (hasStateFor(*filter, context)) continues |= filter->continuesWithoutClient(context);
     return continues;
   }
@@ -238,7 +238,7 @@
   }
 
   std::array<std::vector<RequestFilter*>, kRequestPhaseCount> byPhase_;
-  std::vector<RequestFilter*> all_;
+  std::vector<RequestFilter*> filters_;
 };
 
 }  // namespace finchstile
