--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -151,8 +151,9 @@
   return true;
 }
 
-// Closes a connection that has no complete request. Sessions whose first or next request can't be in transit
-// any more are closed first.
+// Closes a connection that has no complete request. New sessions and sessions with a partial request are
+// closed first if they have been waiting for longer than a typical request is in transit, then idle ones,
+// then other new ones.
 bool Listener::shedUnfinishedConnection() {
   const std::size_t before = size_;
   const auto stateToShed = [this]() -> std::optional<State> {
