--- a/src/net/event_loop_lag.hpp
+++ b/src/net/event_loop_lag.hpp
@@ -1,4 +1,4 @@
-// How late the event loop has lately been.
+// Tracks the recent lag of the event loop.
 #pragma once
 
 #include <chrono>
@@ -7,20 +7,22 @@
 
 namespace finchstile {
 
-/// What is read shortly after the loop was late may have waited in its socket as long.
+/// The lag of the event loop. Input that is read shortly after a lag may have waited in its socket for as
+/// long.
 class EventLoopLag {
  public:
-  /// The loop came to a timer `late` after it was due.
-  void record(Time now, Duration late) {
-    if (late <= kMinLag) return;
-    lag_ = late;
+  /// Records that a timer was handled `lateness` after it was due.
+  void record(Time now, Duration lateness) {
+    if (lateness <= kMinLag) return;
+    lag_ = lateness;
     validUntil_ = now + kValidTime;
   }
+  /// The lag that input read at `now` may have had; 0 if there was no lag lately.
   Duration at(Time now) const { return now < validUntil_ ? lag_ : Duration{}; }
 
  private:
-  // Shorter lags are within the slack of every deadline. If they were taken off the time of every request,
-  // the load balancer would take first attempts for late ones.
+  // Shorter lags are within the slack of every deadline. If they were subtracted from the time of every
+  // request, the load balancer would treat first attempts as late.
   static constexpr Duration kMinLag = std::chrono::milliseconds(20);
   static constexpr Duration kValidTime = std::chrono::milliseconds(100);
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -23,17 +23,18 @@
 using std::chrono::seconds;
 
 constexpr Duration kMaxLingerTime = seconds(1);
-constexpr Duration kMaxLingerTimeInDrain = milliseconds(200);  // lingering must not delay the end
+constexpr Duration kMaxLingerTimeInDrain = milliseconds(200);  // lingering must not delay the exit
 constexpr Duration kPauseAfterFailedAccept = milliseconds(20);
-// A process that replaces another one may start before the system has released the address. This is a third
-// of the time in which the platform wants a restarted process to be ready.
+// A process that replaces another one may start before the kernel has released the address. The value is a
+// third of the time in which the platform requires a restarted process to be ready.
 constexpr Duration kMaxBindTime = milliseconds(3300);
 constexpr Duration kBindRetryInterval = milliseconds(20);
-constexpr std::size_t kConnectionsPerRefused = 32;  // one connection in so many may be refused at once
-// For so long the request of a usual client may be on its way.
+// One connection beyond the limit may exist, while it is refused, per this many served connections.
+constexpr std::size_t kConnectionsPerRefused = 32;
+// How long the request of a typical client may be in transit.
 constexpr Duration kMaxRequestTransit = milliseconds(100);
-// Clients that send one request and keep their connections would use up the limit: at most one in so many of
-// the connections may be idle.
+// At most one in this many connections may be idle. Otherwise clients that send one request and keep the
+// connection open would use up the limit.
 constexpr std::size_t kConnectionsPerIdle = 3;
 
 }  // namespace
@@ -58,11 +59,11 @@
 void Listener::bind(const tcp::endpoint& endpoint) {
   acceptor_.open(endpoint.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
-  const Time until = clock_.now() + kMaxBindTime;
+  const Time deadline = clock_.now() + kMaxBindTime;
   for (error_code error;;) {
     acceptor_.bind(endpoint, error);
     if (!error) break;
-    if (error != asio::error::address_in_use || clock_.now() >= until)
+    if (error != asio::error::address_in_use || clock_.now() >= deadline)
       throw std::runtime_error("cannot listen at " + endpoint.address().to_string() + ":" +
                                std::to_string(endpoint.port()) + ": " + error.message());
     std::this_thread::sleep_for(kBindRetryInterval);
@@ -70,8 +71,8 @@
   acceptor_.listen(asio::socket_base::max_listen_connections);
 }
 
-// The number may belong to another descriptor, a file of ours or somebody else's socket, which must not be
-// taken for the clients' listener.
+// The number may refer to another descriptor, such as a file of this process or a foreign socket, which must
+// not be used as the listener.
 void Listener::inherit(const tcp::endpoint& endpoint, int fd) {
   const auto fail = [fd](const std::string& what) {
     throw std::runtime_error("the inherited descriptor " + std::to_string(fd) + " " + what);
@@ -84,8 +85,8 @@
   error_code error;
   acceptor_.assign(endpoint.protocol(), fd, error);
   if (error) fail("can't be used: " + error.message());
-  const tcp::endpoint found = acceptor_.local_endpoint(error);
-  if (error || (endpoint.port() != 0 && found != endpoint))
+  const tcp::endpoint boundEndpoint = acceptor_.local_endpoint(error);
+  if (error || (endpoint.port() != 0 && boundEndpoint != endpoint))
     fail("does not listen at the address that is configured");
 }
 
@@ -96,11 +97,12 @@
       add(std::move(socket));
       return accept();
     }
-    // Without descriptors accept fails at once, again and again; without the pause the loop would spin.
+    // If no descriptor is available, accept fails at once and repeatedly; without the pause the loop would
+    // spin.
     shedConnection();
     acceptPause_.expires_after(kPauseAfterFailedAccept);
-    acceptPause_.async_wait([this](error_code stopped) {
-      if (!stopped && acceptor_.is_open()) accept();
+    acceptPause_.async_wait([this](error_code cancelled) {
+      if (!cancelled && acceptor_.is_open()) accept();
     });
   });
 }
@@ -109,14 +111,16 @@
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
-  // Lingering sessions have their responses. They do not count against the limit, and give way below.
+  // Lingering sessions already have their responses. They do not count against the limit, and are closed
+  // below if necessary.
   const bool hasCapacity =
-      size_ - in(State::lingering).size() < maxConnections_ || shedUnfinishedConnection();
+      size_ - sessionsIn(State::lingering).size() < maxConnections_ || shedUnfinishedConnection();
   const auto session = std::make_shared<ClientSession>(std::move(socket), *this);
-  session->place_ = in(State::fresh).insert(in(State::fresh).end(), session);
+  session->listPosition_ = sessionsIn(State::fresh).insert(sessionsIn(State::fresh).end(), session);
   session->stateSince_ = clock_.now();
   ++size_;
-  while (size_ > maxConnections_ + maxRefused_ && !in(State::lingering).empty()) endOldest(State::lingering);
+  while (size_ > maxConnections_ + maxRefused_ && !sessionsIn(State::lingering).empty())
+    endOldest(State::lingering);
   if (hasCapacity) session->start();
   else session->refuseConnection();
 }
@@ -129,47 +133,49 @@
   else add(std::move(socket));
 }
 
-// Bytes of a next request that are read already would be missing in the other process. What the kernel holds
-// goes along with the descriptor.
+// Only a connection without buffered bytes is handed over: bytes of a next request that were read already
+// would be missing in the other process. Bytes in the kernel's receive buffer move along with the descriptor.
 bool Listener::handOverSession(ClientSession& session) {
-  const bool resting = session.state_ == State::idle || session.state_ == State::fresh;
-  if (!handOver_ || session.buffer_.size() > 0 || !resting || session.requestStarted_) return false;
+  const bool isIdle = session.state_ == State::idle || session.state_ == State::fresh;
+  if (!handOver_ || session.buffer_.size() > 0 || !isIdle || session.requestStarted_) return false;
   if (!handOver_(session.socket_.native_handle())) return false;
-  session.close();  // only this process's descriptor; the connection continues in the other process
+  session.close();  // closes only this process's descriptor; the connection continues in the other process
   return true;
 }
 
-// Gives a descriptor back, if there is a connection that can be ended. Lingering ones are ended first.
+// Closes a connection to free its descriptor, if one can be closed. Lingering ones are closed first. Returns
+// false if none could.
 bool Listener::shedConnection() {
-  if (in(State::lingering).empty()) return shedUnfinishedConnection();
+  if (sessionsIn(State::lingering).empty()) return shedUnfinishedConnection();
   endOldest(State::lingering);
   return true;
 }
 
-// The request of a usual client may be on its way. So connections for which that can't be the case come
-// first.
+// Closes a connection that has no complete request. New sessions and sessions with a partial request are
+// closed first if they have been waiting for longer than a typical request is in transit, then idle ones,
+// then other new ones.
 bool Listener::shedUnfinishedConnection() {
   const std::size_t before = size_;
-  const auto chosen = [this]() -> std::optional<State> {
+  const auto stateToShed = [this]() -> std::optional<State> {
     for (const State state : {State::fresh, State::reading})
       if (oldestAge(state) > kMaxRequestTransit) return state;
     for (const State state : {State::idle, State::fresh})
-      if (!in(state).empty()) return state;
+      if (!sessionsIn(state).empty()) return state;
     return std::nullopt;
   }();
-  if (chosen) endOldest(*chosen);
+  if (stateToShed) endOldest(*stateToShed);
   return size_ < before;
 }
 
 void Listener::trimIdle() {
-  if (in(State::idle).size() > std::max<std::size_t>(1, maxConnections_ / kConnectionsPerIdle))
-    in(State::idle).front()->closeIdle();
+  if (sessionsIn(State::idle).size() > std::max<std::size_t>(1, maxConnections_ / kConnectionsPerIdle))
+    sessionsIn(State::idle).front()->closeIdle();
 }
 
 void Listener::endOldest(State state) {
-  const auto session = in(state).front();
+  const auto session = sessionsIn(state).front();
   if (state == State::lingering) session->close();
-  else session->drop();
+  else session->shed();
 }
 
 Duration Listener::oldestAge(State state) const {
@@ -186,10 +192,11 @@
   }
 }
 
-// The action may end other sessions and so change the list; hence the copy.
+// The action may close other sessions and thereby change the list, hence the copy.
 template <class Action>
 void Listener::forEachIn(State state, Action action) {
-  const std::vector<std::shared_ptr<ClientSession>> sessions(in(state).begin(), in(state).end());
+  const std::vector<std::shared_ptr<ClientSession>> sessions(sessionsIn(state).begin(),
+                                                             sessionsIn(state).end());
   for (const auto& session : sessions)
     if (session->state_ == state) action(*session);
 }
@@ -198,7 +205,7 @@
   for (const State state : {State::idle, State::writing, State::lingering}) sweepExpired(state);
   for (const State state : {State::fresh, State::reading, State::waiting})
     forEachIn(state, [](ClientSession& session) {
-      if (session.isOverdue()) session.onTooSlow();
+      if (session.isOverdue()) session.onOverdue();
     });
   forEachIn(State::waiting, [](ClientSession& session) { session.checkForDisconnect(); });
   forEachIn(State::relaying, [](ClientSession& session) { session.checkForDisconnect(); });
@@ -209,22 +216,23 @@
 }
 
 void Listener::sweepExpired(State state) {
-  for (std::size_t left = in(state).size(); left > 0 && oldestAge(state) > maxAge(state); --left) {
-    const auto session = in(state).front();
+  for (std::size_t left = sessionsIn(state).size(); left > 0 && oldestAge(state) > maxAge(state); --left) {
+    const auto session = sessionsIn(state).front();
     if (state == State::idle) session->closeIdle();
     else session->close();
-    if (session->state_ == state) break;  // its request has just come
+    if (session->state_ == state) break;  // its request has just arrived
   }
 }
 
-// In a lame duck from the announced time on, and in a drain once nothing is accepted any more.
+// In lame duck mode idle sessions are closed from the announced time on, and in a drain after the listener
+// was closed.
 void Listener::closeIdleSessions() {
   const bool ending = draining_ && !acceptor_.is_open();
   const bool lameDuck = closeIdleAt_ != Time{};
   if (lameDuck ? clock_.now() < closeIdleAt_ : !ending) return;
   forEachIn(State::idle, [](ClientSession& session) { session.closeIdle(); });
   forEachIn(State::fresh, [this, ending](ClientSession& session) {
-    // A client that has just connected to a lame duck may be about to send its request.
+    // A client that has just connected to a lame duck gateway may be about to send its request.
     const bool connectedLongAgo = clock_.now() - session.stateSince_ > kMaxRequestTransit;
     if (!session.requestStarted_ && (ending || connectedLongAgo)) session.closeIdle();
   });
@@ -233,7 +241,7 @@
 void Listener::refuseIncompleteRequests() {
   for (const State state : {State::fresh, State::reading})
     forEachIn(state, [](ClientSession& session) {
-      const bool writesContinue = session.writingContinue_;  // two writes at once would mix
+      const bool writesContinue = session.writingContinue_;  // concurrent writes would interleave
       if (session.requestStarted_ && !writesContinue) session.refuse(http::status::service_unavailable);
     });
 }
@@ -241,8 +249,8 @@
 void Listener::close() {
   draining_ = true;
   if (!acceptor_.is_open()) return;
-  // The kernel has accepted these connections already; closing the listener would reset them. An inherited
-  // listener stays open elsewhere, and the next process accepts what waits there.
+  // The kernel has accepted these connections already, and closing the listener would reset them. An
+  // inherited listener stays open in the other process, which accepts the queued connections.
   for (error_code error; !error && !inherited_;) {
     tcp::socket socket(io_);
     acceptor_.accept(socket, error);
--- a/src/net/long_poll_client.cpp
+++ b/src/net/long_poll_client.cpp
@@ -27,11 +27,11 @@
 
 }  // namespace
 
-// Shared with its pending handlers, which may run after the client has dropped it.
+// Shared with its pending handlers, which may run after the client has released it.
 struct LongPollClient::Connection {
   Connection(boost::asio::io_context& io, const tcp::endpoint& remote, LongPollClient& client)
       : owner(&client), socket(io), endpoint(remote) {}
-  LongPollClient* owner;  // null: the client has dropped the connection, and may be gone
+  LongPollClient* owner;  // null after the client released the connection; the client may be destroyed
   tcp::socket socket;
   const tcp::endpoint endpoint;
   boost::beast::flat_buffer buffer;
@@ -47,7 +47,7 @@
 LongPollClient::~LongPollClient() { stop(); }
 
 void LongPollClient::stop() {
-  if (timerWanted_) *timerWanted_ = false;
+  if (timerArmed_) *timerArmed_ = false;
   timer_.cancel();
   if (const auto connection = std::exchange(connection_, nullptr)) {
     connection->owner = nullptr;
@@ -56,20 +56,20 @@
   }
 }
 
-// A server that was cut off never sends anything, hence the timer. The handler of an expired timer runs even
-// if the timer is set anew or cancelled before the loop comes to it; without the flag it would end the next
-// poll.
+// A server behind a network partition never sends anything, hence the timer. The handler of an expired timer
+// runs even if the timer was restarted or cancelled before the loop reaches the handler; without the flag it
+// would fail the next poll.
 void LongPollClient::failAt(std::chrono::steady_clock::time_point deadline) {
-  if (timerWanted_) *timerWanted_ = false;
-  timerWanted_ = std::make_shared<bool>(true);
+  if (timerArmed_) *timerArmed_ = false;
+  timerArmed_ = std::make_shared<bool>(true);
   timer_.expires_at(deadline);
-  timer_.async_wait([this, wanted = timerWanted_](error_code stopped) {
-    if (!stopped && *wanted) fail();
+  timer_.async_wait([this, armed = timerArmed_](error_code cancelled) {
+    if (!cancelled && *armed) fail();
   });
 }
 
-void LongPollClient::poll(const tcp::endpoint& endpoint, const std::string& target,
-                          const Timeouts& timeouts) {
+void LongPollClient::sendPoll(const tcp::endpoint& endpoint, const std::string& target,
+                              const Timeouts& timeouts) {
   if (connection_ && connection_->endpoint != endpoint) stop();
   if (!connection_) connection_ = std::make_shared<Connection>(io_, endpoint, *this);
   const auto connection = connection_;
@@ -81,7 +81,7 @@
                           endpoint.address().to_string() + ":" + std::to_string(endpoint.port()));
   connection->parser.emplace();
   connection->parser->body_limit(maxBodyBytes_);
-  connection->parser->eager(true);  // otherwise it would stop behind the head
+  connection->parser->eager(true);  // otherwise the parser would stop after the head
   if (connection->connected) return write(connection);
   connection->socket.async_connect(endpoint, [connection](error_code error) {
     LongPollClient* const owner = connection->owner;
@@ -116,7 +116,8 @@
                         });
 }
 
-// Bounds each pause, and the response as a whole: one that comes byte by byte would hold the client for good.
+// Limits each pause and the response as a whole: a response that arrives byte by byte would otherwise occupy
+// the client indefinitely.
 void LongPollClient::onProgress() {
   if (timeouts_.pause == Duration{}) return;
   const auto now = std::chrono::steady_clock::now();
@@ -126,7 +127,7 @@
 }
 
 void LongPollClient::onComplete(const std::shared_ptr<Connection>& connection) {
-  *timerWanted_ = false;
+  *timerArmed_ = false;
   timer_.cancel();
   const bool keepAlive = connection->parser->keep_alive();
   auto message = connection->parser->release();
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -19,13 +19,13 @@
 using load_balancing::HostId;
 using load_balancing::Outcome;
 
-// A host that shows no sign of life for so long in the middle of a body, in either direction, has stalled.
+// Maximum time without progress in the middle of a body, in either direction.
 constexpr Duration kMaxBodyStall = std::chrono::seconds(5);
-constexpr int kMaxInterimResponses = 8;  // 1xx ahead of one final response
+constexpr int kMaxInterimResponses = 8;  // 1xx responses before the final one
 
-// For how many round trips a last byte is held back. The second one is for the time that the other side takes
-// to notice. The limit is a small part of a latency objective, should a queue or a pause of ours have spoilt
-// the measured round trip.
+// Number of round trips for which the last byte is held back; the second one is for the time that the peer
+// takes to notice. The limit is a small part of a latency objective, in case a queue or a pause of this
+// process inflated the measured round trip.
 constexpr int kVerificationRoundTrips = 2;
 constexpr Duration kMaxVerificationTime = std::chrono::milliseconds(20);
 
@@ -33,9 +33,9 @@
 Outcome outcomeOf(const Head& head) {
   const unsigned status = head.result_int();
   if (status == 200) return Outcome::served;
-  // Only the mark proves that the request never ran.
+  // Only this header proves that the request never ran.
   if ((status == 503 || status == 504) && head["X-Unprocessed"] == "1") return Outcome::rejectedForCapacity;
-  // The request is at fault, not the host. 408 and 429 describe the host's own state.
+  // The request is invalid, and the host is not at fault. 408 and 429 describe the state of the host.
   if (status >= 400 && status < 500 && status != 408 && status != 429) return Outcome::invalidRequest;
   return Outcome::error;
 }
@@ -56,8 +56,8 @@
   const Time startedAt = pool_.clock_.now();
   const auto self = shared_from_this();
   timer_.expires_after(pool_.limits_.connectTimeout);
-  timer_.async_wait([this, self](error_code stopped) {
-    if (!stopped && !closed_ && connecting_) endConnect(false);
+  timer_.async_wait([this, self](error_code cancelled) {
+    if (!cancelled && !closed_ && connecting_) endConnect(false);
   });
   socket_.async_connect(endpoint_, [this, self, startedAt](error_code error) {
     if (closed_ || !connecting_) return;
@@ -84,7 +84,7 @@
   interimResponses_ = 0;
   relaying_ = false;
   bodyIncomplete_ = !request.bodyComplete;
-  upgradeAsked_ = request.upgrade;
+  upgradeRequested_ = request.upgrade;
   lastByteSent_ = false;
   std::ostringstream bytes;
   if (bodyIncomplete_) bytes << request.message.base();
@@ -103,8 +103,9 @@
   appendBody(piece);
   if (last && chunked_) request_ += kLastChunk;
   bodyIncomplete_ = !last;
-  if (bodyIncomplete_) return request_.empty() ? wantBody() : write(0, request_.size());
-  // With nothing left to write the host would have the complete request, and nobody would read its response.
+  if (bodyIncomplete_) return request_.empty() ? requestNextBodyPiece() : write(0, request_.size());
+  // If no byte is left to hold back, the host already has the complete request, and its response would not be
+  // read.
   if (request_.empty()) return endAttempt(Outcome::reset);
   write(0, request_.size() - 1);
 }
@@ -114,7 +115,7 @@
   else request_ += piece;
 }
 
-void UpstreamConnection::wantBody() { pool_.callbacks_.onReadyForRequestBody(attempt_); }
+void UpstreamConnection::requestNextBodyPiece() { pool_.callbacks_.onReadyForRequestBody(attempt_); }
 
 void UpstreamConnection::write(std::size_t from, std::size_t to) {
   lastByteSent_ = !bodyIncomplete_ && to == request_.size();
@@ -122,7 +123,7 @@
   asio::async_write(socket_, asio::buffer(request_.data() + from, to - from),
                     [this, self = shared_from_this(), to](error_code error, std::size_t) {
                       if (closed_) return;
-                      // After an error the last byte was never written: the host has not begun.
+                      // After an error the last byte was not written: the host has not started the request.
                       if (error) return endAttempt(Outcome::connectFailed);
                       onWritten(to);
                     });
@@ -130,9 +131,9 @@
 
 void UpstreamConnection::onWritten(std::size_t to) {
   if (bodyIncomplete_) {
-    stopTimer();
+    stopStallTimer();
     request_.clear();
-    return wantBody();
+    return requestNextBodyPiece();
   }
   if (to < request_.size()) return verifyThenWrite(to);
   pool_.onRequestSent();
@@ -140,18 +141,19 @@
   read();
 }
 
-// No check of a socket tells whether the other side is still there. It may have closed or forgotten the
-// connection with the notice under way, may never tell, or may reset at the next bytes; so may any box
-// between. A host begins with the last byte: a request that ends before it is written has not run, whoever
-// ended it, and may go elsewhere. So all bytes but the last are written, and an end has the time to show.
-// This also covers new connections that are accepted and dropped, and processes that died unnoticed. It is of
-// no use, and costs its time, where something between answers for the host or keeps bytes back until the
-// request is complete.
+// Holds back the last byte while the connection is verified. No check of a socket can show whether the peer
+// is still there: it may have closed or lost the connection with the notification in transit or never sent,
+// or may reset it at the next bytes; so may any middlebox. A host starts a request with its last byte: a
+// request that ends before that byte is written has not run, whoever ended it, and may be sent to another
+// host. Therefore all bytes but the last are written, and the end of the connection gets the time to become
+// visible. This also covers new connections that are accepted and dropped, and processes that died unnoticed.
+// It only costs time, without any benefit, if an intermediary responds for the host or buffers the request
+// until it is complete.
 void UpstreamConnection::verifyThenWrite(std::size_t from) {
-  stopTimer();
+  stopStallTimer();
   timer_.expires_after(verificationTime());
-  timer_.async_wait([this, self = shared_from_this(), from](error_code stopped) {
-    if (stopped || closed_) return;
+  timer_.async_wait([this, self = shared_from_this(), from](error_code cancelled) {
+    if (cancelled || closed_) return;
     if (isAlive() && pool_.callbacks_.maySendLastByte(attempt_)) return write(from, request_.size());
     endAttempt(Outcome::connectFailed);
   });
@@ -159,16 +161,16 @@
 }
 
 void UpstreamConnection::watchBeforeLastByte() {
-  if (std::exchange(watchingEarly_, true)) return;
+  if (std::exchange(watchingBeforeLastByte_, true)) return;
   socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this()](error_code) {
-    watchingEarly_ = false;
-    // Bytes that come ahead of the complete request are no response to it.
+    watchingBeforeLastByte_ = false;
+    // Bytes that arrive before the complete request was sent are not a response to it.
     if (!closed_ && attempt_ != 0 && !lastByteSent_ && !isAlive()) endAttempt(Outcome::connectFailed);
   });
 }
 
-// From the connect: the kernel's own measure counts late acknowledgements, tens of milliseconds, as round
-// trips.
+// The round trip is measured by the connect, because the kernel's own measurement includes delayed
+// acknowledgements of tens of milliseconds.
 Duration UpstreamConnection::verificationTime() const {
   return std::max(pool_.limits_.minVerificationTime,
                   std::min(kVerificationRoundTrips * roundTrip_, kMaxVerificationTime));
@@ -180,35 +182,35 @@
   socket_.async_read_some(buffer_.prepare(relaying_ ? kMaxPieceBytes : kMaxReadBytes),
                           [this, self = shared_from_this()](error_code error, std::size_t bytes) {
                             if (closed_) return;
-                            stopTimer();
+                            stopStallTimer();
                             if (error == asio::error::eof && reader_.completeAtEndOfConnection())
                               return parse();
-                            if (error) return endBroken();
+                            if (error) return failResponse();
                             buffer_.commit(bytes);
                             parse();
                           });
 }
 
-// Anything but a response that its framing proves complete counts as a reset: the request may have run, and
-// what came is nobody's response.
+// Anything but a response whose framing proves it complete counts as a reset: the request may have run, and
+// the received bytes are discarded.
 void UpstreamConnection::parse() {
   using Step = MessageReader<false>::Step;
   error_code error;
   for (;;) switch (reader_.step(buffer_, error)) {
-      case Step::malformed: return endBroken();
+      case Step::malformed: return failResponse();
       case Step::head:
         if (reader_.parser().get().result_int() >= 200) pool_.callbacks_.onResponseHeaders(attempt_);
         if (reader_.parser().get().result() == http::status::switching_protocols)
-          return upgradeAsked_ ? onUpgrade() : endBroken();
-        if (reader_.parser().content_length().value_or(0) > kMaxBufferedBodyBytes) return beginLongResponse();
+          return upgradeRequested_ ? onUpgrade() : failResponse();
+        if (reader_.parser().content_length().value_or(0) > kMaxBufferedBodyBytes) return beginRelay();
         break;
       case Step::needsBytes:
         if (relaying_ && reader_.bufferedBody() > 0) return relayBody(false);
-        if (reader_.bufferedBody() > kMaxBufferedBodyBytes) return beginLongResponse();
+        if (reader_.bufferedBody() > kMaxBufferedBodyBytes) return beginRelay();
         watchForStall(relaying_ ? kMaxBodyStall : pool_.limits_.maxResponsePause, Outcome::reset);
         return read();
       case Step::complete:
-        stopTimer();
+        stopStallTimer();
         if (relaying_) return relayBody(true);
         if (reader_.parser().get().result_int() >= 200) return onComplete();
         if (++interimResponses_ > kMaxInterimResponses) return endAttempt(Outcome::reset);
@@ -221,9 +223,9 @@
   if (relaying_) parse();
 }
 
-// Of a response that is not served only the head counts.
-void UpstreamConnection::beginLongResponse() {
-  stopTimer();
+// Only the head is used of a response with another outcome than served.
+void UpstreamConnection::beginRelay() {
+  stopStallTimer();
   const auto& head = reader_.parser().get();
   const Outcome outcome = outcomeOf(head);
   UpstreamResponse response;
@@ -231,7 +233,7 @@
   if (outcome != Outcome::served) {
     const auto self = shared_from_this();
     const AttemptId attempt = std::exchange(attempt_, 0);
-    drop();
+    closeAndReplace();
     return pool_.settle(attempt, outcome, std::move(response));
   }
   relaying_ = true;
@@ -244,15 +246,15 @@
 }
 
 void UpstreamConnection::relayBody(bool last) {
-  stopTimer();
+  stopStallTimer();
   std::string piece = reader_.takeBody();
   if (!last) return pool_.callbacks_.onResponseBody(attempt_, std::move(piece), false);
   const auto self = shared_from_this();
   const AttemptId attempt = std::exchange(attempt_, 0);
   relaying_ = false;
-  pool_.forgetAttempt(attempt);
+  pool_.eraseAttempt(attempt);
   if (isReusable()) pool_.assign(self);
-  else drop();
+  else closeAndReplace();
   pool_.callbacks_.onResponseBody(attempt, std::move(piece), true);
 }
 
@@ -269,17 +271,17 @@
   }
   response.head = std::move(static_cast<http::fields&>(message.base()));
   const AttemptId attempt = std::exchange(attempt_, 0);
-  // The outcome may start the next attempt, so the connection has to be free before it is reported.
+  // Reporting the outcome may start the next attempt, so the connection is freed first.
   if (reusable) pool_.assign(self);
-  else drop();
+  else closeAndReplace();
   pool_.settle(attempt, outcome, std::move(response));
 }
 
 void UpstreamConnection::onUpgrade() {
-  stopTimer();
+  stopStallTimer();
   const auto self = shared_from_this();
   const AttemptId attempt = std::exchange(attempt_, 0);
-  pool_.forgetAttempt(attempt);
+  pool_.eraseAttempt(attempt);
   closed_ = true;
   pool_.onConnectionClosed(host_);
   error_code ignored;
@@ -289,52 +291,53 @@
   const http::fields head = static_cast<const http::fields&>(reader_.parser().get().base());
   pool_.callbacks_.onUpgraded(attempt, std::move(socket_),
                               std::string(static_cast<const char*>(unread.data()), unread.size()), head);
-  pool_.connectMore(host_);
+  pool_.connectForWaiting(host_);
 }
 
 // --- Ending
 
-// A broken response may leave its connection open and send no more. A response that has begun must go on
-// within the limit; as long as it does, it may take its time.
+// Starts the timer for a stalled body. A broken response may leave its connection open and send no more. A
+// response that has started must make progress within the limit; as long as it does, its total time is not
+// limited.
 void UpstreamConnection::watchForStall(Duration limit, Outcome outcome) {
   if (std::exchange(stallTimerSet_, true)) return;
   timer_.expires_after(limit);
-  timer_.async_wait([this, self = shared_from_this(), outcome](error_code stopped) {
-    if (stopped || closed_ || !stallTimerSet_) return;
-    if (relaying_) endBroken();
+  timer_.async_wait([this, self = shared_from_this(), outcome](error_code cancelled) {
+    if (cancelled || closed_ || !stallTimerSet_) return;
+    if (relaying_) failResponse();
     else endAttempt(outcome);
   });
 }
 
-void UpstreamConnection::stopTimer() {
+void UpstreamConnection::stopStallTimer() {
   if (std::exchange(stallTimerSet_, false)) timer_.cancel();
 }
 
-// The request may have run. A response that has been begun can't be made good; its client is to see that it
-// is not complete.
-void UpstreamConnection::endBroken() {
+// The request may have run. A response that was partly relayed can't be repaired; its client must be able to
+// detect that it is incomplete.
+void UpstreamConnection::failResponse() {
   if (!relaying_) return endAttempt(Outcome::reset);
   const auto self = shared_from_this();
   const AttemptId attempt = std::exchange(attempt_, 0);
   relaying_ = false;
-  pool_.forgetAttempt(attempt);
-  drop();
+  pool_.eraseAttempt(attempt);
+  closeAndReplace();
   pool_.callbacks_.onResponseTruncated(attempt);
 }
 
 void UpstreamConnection::endAttempt(Outcome outcome) {
   const auto self = shared_from_this();
   const AttemptId attempt = std::exchange(attempt_, 0);
-  drop();
+  closeAndReplace();
   pool_.settle(attempt, outcome);
 }
 
-// Bytes behind the response belong to nothing that was asked for: no next response may be read from there.
+// Bytes after the response belong to no request, and no next response may be read from there.
 bool UpstreamConnection::isReusable() {
   return reader_.parser().keep_alive() && buffer_.size() == 0 && isAlive();
 }
 
-// The host may have closed the connection a moment ago, with the notice still in the queue.
+// The host may have closed the connection a moment ago, with the notification still in the receive queue.
 bool UpstreamConnection::isAlive() {
   char byte = 0;
   const ssize_t unread = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -342,7 +345,7 @@
 }
 
 void UpstreamConnection::watchWhileIdle() {
-  if (std::exchange(watchingIdle_, true)) return;  // the wait of an earlier idle time is still pending
+  if (std::exchange(watchingIdle_, true)) return;  // the wait of an earlier idle period is still pending
   socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this()](error_code error) {
     watchingIdle_ = false;
     if (closed_ || attempt_ != 0) return;
@@ -361,10 +364,10 @@
   socket_.close(ignored);
 }
 
-// Waiting attempts get a new connection in place of this one. The caller keeps this object alive.
-void UpstreamConnection::drop() {
+// Closes the connection and opens a new one for waiting attempts. The caller must keep this object alive.
+void UpstreamConnection::closeAndReplace() {
   close();
-  pool_.connectMore(host_);
+  pool_.connectForWaiting(host_);
 }
 
 }  // namespace finchstile
