--- a/tests/net/bodies_test.cpp
+++ b/tests/net/bodies_test.cpp
@@ -308,7 +308,7 @@
   host(serveOk);
   start();
   // The stand-in reads a megabyte at the most: this one takes more.
-  hosts[0]->bodyMost = 4'000'000;
+  hosts[0]->maxBodyBytes = 4'000'000;
   const auto c = rawClient();
   c->read();
   c->send(head("POST", "/book", "Content-Length: 2000000\r\n") + body);
--- a/tests/net/end_interleavings_test.cpp
+++ b/tests/net/end_interleavings_test.cpp
@@ -501,7 +501,7 @@
       ran[id].push_back(steady_clock::now());
       open.emplace_back(peer, id);
     });
-  proofLeast = milliseconds(20);
+  minVerificationTimeOverride = milliseconds(20);
   start([](json& config) {
     config["limits"]["sockets"] = 80;
     for (json& g : config["settings"]["grades"]) g["giveUpNs"] = 1'000'000'000, g["aimNs"] = 900'000'000;
--- a/tests/net/ends_test.cpp
+++ b/tests/net/ends_test.cpp
@@ -113,7 +113,7 @@
 // Its client leaves while the last byte is held back, and attempts can't be called off.
 TEST_F(EndsTest, TheLastByteOfOneWhoseClientLeftStaysBack) {
   host(serveOk);
-  proofLeast = milliseconds(200);
+  minVerificationTimeOverride = milliseconds(200);
   start([](json& config) { config["settings"]["ceilings"]["cancel"] = false; });
   const auto c = client();
   c->sendRequest("POST", "/book", 2500, "x");
@@ -195,7 +195,7 @@
   };
   host(reset);
   host(reset);
-  proofLeast = milliseconds(400);
+  minVerificationTimeOverride = milliseconds(400);
   start([](json& config) { config["settings"]["grades"][2]["windowNs"] = 700'000'000; });
   const auto c = client();
   c->sendRequest("POST", "/put", 2500, "", "Idempotency-Key: k2\r\n");
@@ -212,7 +212,7 @@
   };
   host(reset);
   host(reset);
-  proofLeast = milliseconds(100);
+  minVerificationTimeOverride = milliseconds(100);
   start([](json& config) { config["settings"]["grades"][2]["windowNs"] = 700'000'000; });
   const auto c = client();
   c->sendRequest("POST", "/put", 2500, "", "Idempotency-Key: k3\r\n");
@@ -351,7 +351,7 @@
         byReset = r;
         // Danger: hosts that answer nothing but nonsense are an overload, and the cut would refuse what is
         // asked.
-        serve(*usual, 12);
+        expectServed(*usual, 12);
         ASSERT_EQ(answered(whole.substr(0, cut)), 502u)
             << "behind " << cut << " bytes of " << whole.substr(0, 30);
       }
@@ -448,7 +448,7 @@
   for (std::size_t i = 0; i < all.size(); ++i) {  // and the news is heeded
     const auto c = Client::connect(io, all[i]->gateway->endpoint());
     const std::size_t before = all[i]->drains->received.size();
-    serve(*c, 6);
+    expectServed(*c, 6);
     EXPECT_EQ(all[i]->drains->received.size(), before) << "trouble " << i;
   }
 }
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -227,7 +227,7 @@
   for (; at < answers.size(); ++at) {
     // Danger: hosts that answer nothing but nonsense are an overload, and on a slow machine the cut refuses
     // what this test asks.
-    serve(*usual, 20);
+    expectServed(*usual, 20);
     const std::size_t before = received();
     const auto c = client();
     c->sendRequest("POST", "/book", 2500, "x");
@@ -268,7 +268,7 @@
 TEST_F(GatewayTest, UnsafeRequestOutlivesAConnectionThatIsDead) {
   Resetter dead(io);
   host(serveOk);
-  proofLeast = milliseconds(100);  // not so long that the host would be taken for silent
+  minVerificationTimeOverride = milliseconds(100);  // not so long that the host would be taken for silent
   start([&](json& config) { config["known"]["endpoints"].push_back(hostJson("s-dead", dead.endpoint())); });
   const std::vector<std::pair<std::string, std::string>> kinds = {{"/book", ""},
                                                                   {"/put", "Idempotency-Key: k\r\n"}};
@@ -359,7 +359,7 @@
     // Danger: hosts that answer nothing but nonsense are an overload, and the cut refuses what this test
     // asks. Among twenty good answers, however long they take, one is a trouble of its own.
     good = true;
-    serve(*usual, 20, "POST", "/book", "x");
+    expectServed(*usual, 20, "POST", "/book", "x");
     ASSERT_FALSE(HasFailure()) << at;
     good = false;
     const std::size_t before = received(), kept = gateway->upstreamConnections();
@@ -630,7 +630,7 @@
   gateway->reload(readConfig(moved.dump(), clock));  // twice on end: the first call is dropped
   ASSERT_TRUE(until([&] { return !others.empty() && other.peers.size() == 2 && discovery.peers[0]->ended; }));
   for (const Received& r : other.received) EXPECT_EQ(r.target(), "/registry/instances");
-  // The known hosts serve until the list comes, though the new file named none.
+  // The known hosts expectServed until the list comes, though the new file named none.
   hosts[0]->handler = serveOk;
   c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
@@ -663,7 +663,7 @@
   gateway->reload(readConfig(moved.dump(), clock));
   ASSERT_TRUE(until([&] { return others.size() == 1; }));
   EXPECT_EQ(other.received[0].target(), "/registry/instances?since=7&timeout_ms=500");
-  serve(*c, 10);  // until there is an answer by what was known before
+  expectServed(*c, 10);  // until there is an answer by what was known before
   EXPECT_EQ(hosts[0]->received.size() + hosts[1]->received.size(), 10u);
   const std::size_t gone = hosts[0]->received.size();
   // s-2 drains since, and s-3 is new. s-0 was in neither list of the new discovery: it has gone.
@@ -673,7 +673,7 @@
   ASSERT_TRUE(until([&] { return others.size() == 2; }));
   EXPECT_NE(other.received[1].target().find("since=9&"), boost::beast::string_view::npos);
   const std::size_t before = hosts[1]->received.size();
-  serve(*c, 20);
+  expectServed(*c, 20);
   EXPECT_EQ(hosts[0]->received.size(), gone);
   EXPECT_EQ(hosts[2]->received.size(), 0u);
   EXPECT_EQ(hosts[1]->received.size() - before + hosts[3]->received.size(), 20u);
@@ -741,7 +741,7 @@
   polls[1]->reply(200, listJson(2, false, json::array({leaving})).dump());
   ASSERT_TRUE(until([&] { return polls.size() == 3; }));
   const std::size_t before = hosts[0]->received.size();
-  serve(*c, 10);
+  expectServed(*c, 10);
   EXPECT_EQ(hosts[0]->received.size(), before);
   c->close();
   ASSERT_TRUE(until([&] { return done; }));
@@ -830,7 +830,7 @@
 
 TEST_F(GatewayTest, DrainAnswersWhatWasTakenAndThenEnds) {
   host(hold);
-  serveDraining = Duration{};  // clients are sent away at once
+  drainServeTimeOverride = Duration{};  // clients are sent away at once
   start();
   const auto held = client(), idle = client();
   held->sendRequest("GET", "/read", 2900);
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -142,26 +142,26 @@
   Out out;
   gateway->addHostEntryFilter(out);
   const auto c = client();
-  serve(*c, 40);
+  expectServed(*c, 40);
   EXPECT_GT(hosts[0]->received.size(), 0u);
   EXPECT_EQ(gateway->metrics().avoidedHosts, 0u);
   out.names = {"s-0"};
   gateway->reapplyHostFilters();
   const std::size_t before = hosts[0]->received.size();
-  serve(*c, 20);
+  expectServed(*c, 20);
   EXPECT_EQ(gateway->metrics().listedHosts, 2u);
   EXPECT_EQ(gateway->metrics().avoidedHosts, 1u);
   ASSERT_TRUE(until([&] { return !polls.empty(); }));
   const std::size_t asked = polls.size();
   polls.back()->reply(200, listJson(7, true, hostListJson()).dump());
   ASSERT_TRUE(until([&] { return polls.size() > asked; }));
-  serve(*c, 20);
+  expectServed(*c, 20);
   EXPECT_EQ(hosts[0]->received.size(), before);
   EXPECT_TRUE(gateway->isListed("s-0"));
   EXPECT_FALSE(gateway->isListed("s-9"));
   out.names.clear();
   gateway->reapplyHostFilters();
-  serve(*c, 40);
+  expectServed(*c, 40);
   EXPECT_GT(hosts[0]->received.size(), before);
 }
 
--- a/tests/support/bytes.hpp
+++ b/tests/support/bytes.hpp
@@ -1,4 +1,4 @@
-// Literal bytes of an outside format, written as hexadecimal digits.
+// Converts hexadecimal digits to bytes, for test vectors of external formats.
 #pragma once
 
 #include <stdexcept>
@@ -7,7 +7,8 @@
 
 namespace finchstile::testing {
 
-// Returns the bytes that `hex` spells, two digits a byte. Throws std::invalid_argument for anything else.
+// Decodes `hex`, two digits per byte. Throws std::invalid_argument if the number of digits is odd or a pair
+// does not begin with a hexadecimal digit.
 inline std::string fromHex(std::string_view hex) {
   if (hex.size() % 2 != 0) throw std::invalid_argument("odd number of hexadecimal digits");
   std::string bytes;
--- a/tests/support/driver.hpp
+++ b/tests/support/driver.hpp
@@ -1,4 +1,5 @@
-// Feeds a load balancer by hand and keeps its actions. No model of a server: each test says what happens.
+// Drives a LoadBalancer with events chosen by the test and records its actions. Hosts are not modelled: the
+// test decides how each attempt ends.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -101,7 +102,7 @@
       collect();
     }
   }
-  // Serves everything that is out, `count` requests of class `cls` one after another.
+  // Sends `count` requests of class `cls`, one every `time`, and then each time serves all pending attempts.
   void warmUp(std::uint32_t cls, int count, Duration time = milliseconds(50)) {
     for (int i = 0; i < count; ++i) {
       request(cls);
@@ -146,15 +147,15 @@
   Time now;
   LoadBalancer balancer;
   RequestId last = 0;
-  std::vector<SentAttempt> sent, out;
+  std::vector<SentAttempt> sent, out;  // all attempts; those that are pending
   std::vector<Action> all;
   std::map<RequestId, std::uint32_t> classOf;
   std::map<RequestId, ActionKind> answers;
   std::map<RequestId, Duration> retryAfter;
 };
 
-// Serves what is due: `latencyOf(host)` says how long a host takes, zero for never. What is not served within
-// its time limit ends in a time-out.
+// Serves each pending attempt that is at least `latencyOf(host)` old; zero means that the host never answers.
+// An attempt that is not served within its time limit ends as a timeout.
 template <class LatencyOf>
 void serveDue(Driver& d, LatencyOf latencyOf) {
   for (std::size_t k = 0; k < d.out.size();) {
@@ -166,15 +167,16 @@
   }
 }
 
-// A part of the attempts is never answered, on any host; the rest is as quick as ever.
+// A pool of hosts that leave a fraction of the attempts unanswered and serve the others after 20 ms.
 struct LossyPool {
   explicit LossyPool(Driver& driver) : d(driver) {}
-  void play(int rounds, int everyLost) {
+  // Sends three requests per round, one of each class; about one attempt in `lossInterval` is lost (0: none).
+  void play(int rounds, int lossInterval) {
     for (int i = 0; i < rounds; ++i) {
       for (int n = 0; n < 3; ++n) d.request(static_cast<std::uint32_t>(n));
       d.advance(milliseconds(20));
       for (const SentAttempt& s : std::vector<SentAttempt>(d.out)) {
-        if (everyLost > 0 && (s.request * 7 + s.attempt) % static_cast<unsigned>(everyLost) == 0) {
+        if (lossInterval > 0 && (s.request * 7 + s.attempt) % static_cast<unsigned>(lossInterval) == 0) {
           if (d.now >= s.at + s.limit) d.settle(s, Outcome::timeout, false);
         } else {
           d.settle(s, Outcome::served, true);
--- a/tests/support/faulty_directory.hpp
+++ b/tests/support/faulty_directory.hpp
@@ -1,5 +1,5 @@
-// A directory in memory that does to a log what disks and machines do: it tears writes, loses what was not
-// synced, and fails from any operation on.
+// An in-memory log directory that injects the faults of disks and machines: torn writes, loss of unsynced
+// data, and failure of all operations from a given one on.
 #pragma once
 
 #include <map>
@@ -15,13 +15,13 @@
 using wal::LogDirectory;
 using wal::LogFile;
 
-// In a crash any length of what was not synced may be lost, and the last byte of the rest may be wrong. Of
-// the changes of the directory that were not synced, all from some point on are lost.
+// Fault model: a crash may truncate the unsynced part of a file at any length and may corrupt the last byte
+// that remains of it. Renames and removals that were not synced are lost from some point on.
 class FaultyDirectory : public LogDirectory {
  public:
   explicit FaultyDirectory(std::uint32_t seed) : random_(seed) {}
   std::uint64_t operations = 0;
-  std::uint64_t failFrom = 0;  // this operation and all after it fail; 0: none
+  std::uint64_t failFrom = 0;  // number of the first operation that fails, with all later ones; 0: none
 
   std::unique_ptr<LogFile> create(const std::string& name) override {
     if (!nextOperation()) return nullptr;
@@ -70,12 +70,12 @@
     return true;
   }
 
-  // The process ends and the machine runs on: everything that was written is there.
+  // The process ends and the machine keeps running: all written data remains.
   void kill() { failFrom = 0; }
 
-  // The machine stops and starts again.
+  // The machine stops and starts again: applies the fault model and clears `failFrom`.
   void crash() {
-    // The directory is as it was synced, or as it was at some moment since.
+    // The directory returns to its last synced state or to any later one.
     history_.push_back(files_);
     const std::size_t pick = random_() % (history_.size() + 1);
     files_ = pick == 0 ? synced_ : history_[pick - 1];
@@ -84,7 +84,7 @@
       const std::size_t unsynced = copy->bytes.size() - copy->syncedBytes;
       if (unsynced > 0) {
         copy->bytes.resize(copy->syncedBytes + random_() % (unsynced + 1));
-        // A last part that was never written. If an earlier one were missing, it would be damage.
+        // Only the last block may not have reached the disk: a missing earlier one would be corruption.
         if (copy->bytes.size() > copy->syncedBytes && random_() % 3 == 0) copy->bytes.back() ^= 0x55;
       }
       copy->syncedBytes = copy->bytes.size();
@@ -117,7 +117,8 @@
 
     bool append(std::string_view bytes) override {
       const bool succeeds = directory_.nextOperation();
-      if (!succeeds && directory_.operations > directory_.failFrom) return false;  // not the first to fail
+      // Only the first failing append writes a part of its bytes.
+      if (!succeeds && directory_.operations > directory_.failFrom) return false;
       content_->bytes += succeeds ? bytes : bytes.substr(0, directory_.random_() % (bytes.size() + 1));
       return succeeds;
     }
@@ -133,13 +134,13 @@
     std::shared_ptr<Content> content_;
   };
 
-  // Returns whether the operation that begins succeeds.
+  // Counts an operation and returns whether it succeeds.
   bool nextOperation() { return ++operations < failFrom || failFrom == 0; }
   void recordChange() { history_.push_back(files_); }
 
   std::mt19937 random_;
   Files files_, synced_;
-  std::vector<Files> history_;  // before each change since the directory was synced
+  std::vector<Files> history_;  // state before each rename or removal since the last sync of the directory
 };
 
 }  // namespace finchstile::testing
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -1,7 +1,7 @@
-// A fleet in simulated time: many load balancers against modelled hosts, and counts over all of them. No
-// sockets, no threads, and one seed gives one run. The model is small: hosts have slots, a queue and a limit
-// on connections, warm up after their start, and end with or without notice; endpoint lists tell of that
-// late. Its figures are not those of real machines.
+// Simulates a fleet in virtual time: many load balancers, modelled hosts, and counters over all of them. No
+// sockets and no threads; a run is determined by its seed. A modelled host has slots, a queue and a
+// connection limit, warms up after its start, and stops with or without closing its connections. Endpoint
+// lists report such changes with a delay. The results do not predict those of real machines.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -30,16 +30,16 @@
 struct FleetSettings {
   std::uint32_t gateways = 100;
   int hosts = 60;
-  double requestsPerSecond = 2300;  // requests of the whole fleet
+  double requestsPerSecond = 2300;  // over the whole fleet
   std::uint64_t seed = 1;
-  int slots = 4, queue = 8, connections = 88;  // of a host
-  Duration work = milliseconds(80);            // mean of a request on a warm host
-  Duration handshake = milliseconds(15);       // work of a new connection, before its first request
-  Duration listDelay = milliseconds(2500);     // from a change at a host to its publication
+  int slots = 4, queue = 8, connections = 88;  // limits of each host
+  Duration work = milliseconds(80);            // mean service time of a request on a warm host
+  Duration handshake = milliseconds(15);       // extra work of the first request of a connection
+  Duration listDelay = milliseconds(2500);     // least delay from a change at a host to its publication
   double initialCapacityFraction = 0.35;
   Duration warmUpTime = seconds(9);
-  Duration listSpread{};          // beyond that, drawn for each gateway
-  double heavyGatewayFactor = 0;  // requests of the first gateway, times the mean; 0: as many as any
+  Duration listSpread{};          // greatest additional delay, drawn for each gateway
+  double heavyGatewayFactor = 0;  // about the first gateway's requests / mean per gateway; 0: as any other
 };
 
 class Fleet {
@@ -52,11 +52,11 @@
     at(Duration{}, [this] { arrive(); });
   }
 
-  // Schedules an event at a time since the start.
+  // Schedules an event; times count from the start of the simulation. Past times mean now.
   void at(Time when, std::function<void()> what) {
     events_.push({std::max(when, now_), ++order_, std::move(what)});
   }
-  // Starts a new process of this gateway; its list is as old as any.
+  // Starts a new process of this gateway with the host list published last.
   void startGateway(std::uint32_t g) {
     Gateway& gateway = gateways_[g];
     const std::uint32_t incarnation = ++gateway.incarnation;
@@ -77,7 +77,7 @@
     for (const HostEntry& e : published_) audit.onHostPublished(g, e, now_);
     carryOut(g);
   }
-  // With all that it holds.
+  // Ends the process of this gateway together with its requests, attempts and connections.
   void stopGateway(std::uint32_t g) {
     Gateway& gateway = gateways_[g];
     gateway.up = false;
@@ -91,7 +91,7 @@
     for (const auto& [host, n] : gateway.idle) hosts_[static_cast<std::size_t>(host)].open -= n;
     gateway.idle.clear();
   }
-  // Clients send it nothing new; what it holds goes on.
+  // Clients send no new requests to this gateway; its open requests continue.
   void drainGateway(std::uint32_t g) { gateways_[g].isDraining = true; }
   int addHost(const std::string& zone) {
     Host h;
@@ -105,8 +105,8 @@
     return id;
   }
   void drainHost(int id) { publish(id, HostPhase::draining); }
-  // Its connections break and new ones are refused; `silent`: nothing comes back at all. The list tells of
-  // it.
+  // Ends the host's process: its connections are reset and new ones are refused. If `silent`, packets are
+  // dropped instead, and attempts end only by their timeouts. The host is published as removed in both cases.
   void killHost(int id, bool silent = false) {
     Host& h = hosts_[static_cast<std::size_t>(id)];
     h.up = false;
@@ -122,7 +122,7 @@
       for (const Key& key : broken) end(key, Outcome::reset, true);
     publish(id, HostPhase::removed);
   }
-  // Under its name, warming up.
+  // Starts a new process of the host under the same address; it warms up.
   void restartHost(int id) {
     Host& h = hosts_[static_cast<std::size_t>(id)];
     h.up = true;
@@ -145,23 +145,23 @@
     std::size_t requests = 0, served = 0, rejected = 0, failed = 0;
     std::size_t attempts = 0, capacityRejections = 0, refusedConnections = 0, handshakes = 0;
     int maxConnectionsPerHost = 0;
-    std::map<int, std::size_t> sentTo, servedBy;
-    std::set<std::pair<std::uint32_t, int>> pairs;  // gateways and the hosts that they sent to
-    double maxWarmingLoad = 0;  // times what a warming host can do in a window of two seconds
+    std::map<int, std::size_t> sentTo, servedBy;    // by host
+    std::set<std::pair<std::uint32_t, int>> pairs;  // each gateway with each host that it sent to
+    double maxWarmingLoad = 0;  // greatest work / capacity of a warming host in a window of two seconds
     std::size_t duplicateAnswers = 0, sentToDraining = 0;
   };
-  Counts counts;  // may be cleared between two runs
+  Counts counts;  // a test may clear it between two runs
   FleetAudit audit;
-  // Changes the actions of a load balancer before they are carried out: it then breaks a rule.
+  // Modifies the actions of a load balancer before they are carried out, so that it violates a rule.
   std::function<void(std::uint32_t gateway, LoadBalancer& balancer, std::vector<Action>& actions)> tamper;
-  // An unreachable host works, but nothing comes back from it.
+  // An unreachable host keeps running, but nothing arrives from it.
   void setUnreachable(int id, bool isUnreachable) {
     hosts_[static_cast<std::size_t>(id)].isUnreachable = isUnreachable;
   }
-  double lostAnswerFraction = 0;
+  double lostAnswerFraction = 0;  // attempts whose work is done but which end as a reset
   const FleetSettings settings;
   Time now() const { return now_; }
-  double warmth(int id, Time when) const {
+  double capacityFraction(int id, Time when) const {
     const Host& h = hosts_[static_cast<std::size_t>(id)];
     const double passed = std::chrono::duration<double>(when - h.since) / settings.warmUpTime;
     return std::min(1.0, settings.initialCapacityFraction + (1 - settings.initialCapacityFraction) * passed);
@@ -210,9 +210,9 @@
     bool answered;
   };
 
-  double unit() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
+  double uniform() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
   Duration exponential(Duration mean) {
-    return Duration(static_cast<std::int64_t>(-std::log(1 - unit()) * static_cast<double>(mean.count())));
+    return Duration(static_cast<std::int64_t>(-std::log(1 - uniform()) * static_cast<double>(mean.count())));
   }
 
   void publish(int id, HostPhase phase) {
@@ -235,7 +235,7 @@
           continue;
         }
         const Duration later(
-            static_cast<std::int64_t>(unit() * static_cast<double>(settings.listSpread.count())));
+            static_cast<std::int64_t>(uniform() * static_cast<double>(settings.listSpread.count())));
         at(now_ + later, [this, g, e] { deliver(g, e); });
       }
     });
@@ -250,14 +250,15 @@
   void arrive() {
     at(now_ + exponential(Duration(static_cast<std::int64_t>(1e9 / settings.requestsPerSecond))),
        [this] { arrive(); });
-    std::uint32_t g = static_cast<std::uint32_t>(unit() * settings.gateways);
-    if (settings.heavyGatewayFactor > 0 && unit() * settings.gateways < settings.heavyGatewayFactor) g = 0;
-    const auto in = [&](std::uint32_t n) { return gateways_[n].up && !gateways_[n].isDraining; };
-    for (std::uint32_t i = 0; !in(g) && i < settings.gateways; ++i) g = (g + 1) % settings.gateways;
-    if (!in(g)) return;
+    std::uint32_t g = static_cast<std::uint32_t>(uniform() * settings.gateways);
+    if (settings.heavyGatewayFactor > 0 && uniform() * settings.gateways < settings.heavyGatewayFactor) g = 0;
+    const auto acceptsRequests = [&](std::uint32_t n) { return gateways_[n].up && !gateways_[n].isDraining; };
+    for (std::uint32_t i = 0; !acceptsRequests(g) && i < settings.gateways; ++i)
+      g = (g + 1) % settings.gateways;
+    if (!acceptsRequests(g)) return;
     Request q;
     q.id = ++lastRequest_;
-    const double kind = unit();  // the class of high priority is idempotent, the others are not or have a key
+    const double kind = uniform();  // 15% idempotent with high priority, 55% not idempotent, 30% with a key
     q.classIndex = kind < 0.15 ? 0 : kind < 0.7 ? 1 : 2;
     q.timeLeft = milliseconds(1000);
     const double value = q.classIndex == 0 ? 12 : 1;
@@ -340,7 +341,7 @@
   }
 
   void countWarmingSend(std::uint32_t g, int id, Duration work) {
-    const double warm = warmth(id, now_), spent = std::chrono::duration<double>(work).count();
+    const double warm = capacityFraction(id, now_), spent = std::chrono::duration<double>(work).count();
     if (warm >= 1) return;
     const HostEntry& host = hosts_[static_cast<std::size_t>(id)].entry;
     counts.maxWarmingLoad =
@@ -364,20 +365,20 @@
     t.working = true;
     t.waiting = false;
     ++h.busy;
-    const auto duration =
-        Duration(static_cast<std::int64_t>(static_cast<double>(t.work.count()) / warmth(t.host, now_)));
+    const auto duration = Duration(
+        static_cast<std::int64_t>(static_cast<double>(t.work.count()) / capacityFraction(t.host, now_)));
     const std::uint32_t incarnation = t.incarnation;
-    const Time at0 = t.at;
-    at(now_ + duration, [this, key, incarnation, at0] {
+    const Time sentAt = t.at;
+    at(now_ + duration, [this, key, incarnation, sentAt] {
       const auto it = attempts_.find(key);
-      if (it == attempts_.end() || it->second.incarnation != incarnation || it->second.at != at0) return;
+      if (it == attempts_.end() || it->second.incarnation != incarnation || it->second.at != sentAt) return;
       if (hosts_[static_cast<std::size_t>(it->second.host)].isUnreachable) return;
-      if (lostAnswerFraction > 0 && unit() < lostAnswerFraction) return end(key, Outcome::reset, true);
+      if (lostAnswerFraction > 0 && uniform() < lostAnswerFraction) return end(key, Outcome::reset, true);
       end(key, Outcome::served, false);
     });
   }
 
-  // Ends its work at the host.
+  // Frees the slot of the attempt at its host and starts the next queued one.
   void drop(Attempt& t) {
     Host& h = hosts_[static_cast<std::size_t>(t.host)];
     if (t.incarnation != h.incarnation) return;
@@ -441,9 +442,9 @@
   std::map<RequestId, RequestRecord> requests_;
 };
 
-// Days that tests and benchmarks share, from `begin` on.
+// Fault scenarios shared by tests and benchmarks. Each schedules its events from `begin` on.
 
-// Within a second.
+// Restarts each gateway with 300 ms of downtime, 10 ms after the one before.
 inline void restartAllGateways(Fleet& f, Time begin) {
   for (std::uint32_t g = 0; g < f.settings.gateways; ++g) {
     f.at(begin + milliseconds(10 * g), [&f, g] { f.stopGateway(g); });
@@ -451,7 +452,7 @@
   }
 }
 
-// For five seconds; every other host of it without notice.
+// Stops all hosts of one zone for five seconds; every other one of them drops packets silently.
 inline void failOneZone(Fleet& f, Time begin) {
   for (int h = 0; h < f.settings.hosts; h += 2) {
     f.at(begin, [&f, h] { f.killHost(h, h % 4 == 0); });
@@ -459,7 +460,8 @@
   }
 }
 
-// Within seven seconds; successors start two seconds later.
+// Drains 60% of the hosts, one every 200 ms. Each one's replacement starts after two seconds, and its process
+// ends after four.
 inline void replaceSixtyPercentOfHosts(Fleet& f, Time begin) {
   for (int h = 0; h < f.settings.hosts * 6 / 10; ++h) {
     const Time when = begin + milliseconds(200 * h);
@@ -469,8 +471,9 @@
   }
 }
 
-// A tenth of the gateways at a time: clients leave it, a second later its process ends, and the next one
-// starts with the list as it stands. Meanwhile half of the hosts are replaced in steps.
+// Restarts a tenth of the gateways at a time: clients stop using a gateway, its process ends 1.1 s later, and
+// the next process starts with the list published last. Half of the hosts are replaced meanwhile, six at
+// once.
 inline void rollingDeploy(Fleet& f, Time begin) {
   for (std::uint32_t g = 0; g < f.settings.gateways; ++g) {
     const Time when = begin + milliseconds(1300) * (g % 10);
--- a/tests/support/fleet_audit.hpp
+++ b/tests/support/fleet_audit.hpp
@@ -1,7 +1,7 @@
-// The four rules that no gateway may break, checked on what the gateways of a fleet did: 1, each request ends
-// once and in time; 2, no effect takes place twice; 3, nothing is sent to draining hosts; 4, warming hosts
-// are not overloaded. Shares nothing with the decision module: it sees requests, attempts, answers and
-// published hosts.
+// Checks the recorded events of a fleet against the four rules that every gateway must keep: 1, each request
+// ends once and in time; 2, no effect takes place twice; 3, nothing is sent to draining hosts; 4, warming
+// hosts are not overloaded. Shares no logic with the decision module: its inputs are requests, attempts,
+// answers and published hosts.
 #pragma once
 
 #include <cmath>
@@ -78,14 +78,14 @@
         report("2: " + name(id) + " rejected, and it may have run");
     }
   }
-  // A gateway has received the entry of a host. A new process knows only what it has received itself.
+  // A gateway has received the entry of a host. Entries are kept per process: onGatewayStop() clears them.
   void onHostPublished(std::uint32_t gateway, const HostEntry& e, Time now) {
     PublishedHost& host = published_[{gateway, e.address}];
     if (host.phase != e.phase || host.at == Time{}) host.at = now;
     host.phase = e.phase;
     host.started = e.startedAt;
   }
-  // The process has ended with all that it held; repeating that is left to its clients.
+  // The process has ended. Its open requests need no answer from it: their clients may send them again.
   void onGatewayStop(std::uint32_t gateway) {
     for (auto& [id, r] : requests_)
       if (r.gateway == gateway && !r.isAnswered) r.isExcused = true;
@@ -93,8 +93,8 @@
          it != published_.end() && it->first.first == gateway;)
       it = published_.erase(it);
   }
-  // Work of so many seconds was sent to a warming host that can do `capacity` seconds of work a second now.
-  // Returns how many times its capacity was sent to it in the window that ends now.
+  // An attempt of `work` seconds was sent to a warming host that can now do `capacity` seconds of work per
+  // second. Returns the work sent in the window that ends now, as a multiple of that capacity.
   double onWarmingHostSend(std::uint32_t gateway, const HostEntry& host, double work, double capacity,
                            Time now) {
     const auto published = published_.find({gateway, host.address});
@@ -111,8 +111,8 @@
     }
     const double window = std::chrono::duration<double>(kCollapseWindow).count();
     const double times = c.sum / (capacity * window);
-    // Counted by calls, the window allows so many of mean work; two square roots of it and two more are
-    // chance.
+    // The budget as a number of attempts of mean work. An excess of up to two standard deviations (of a
+    // Poisson count) and two more attempts is attributed to chance.
     if (meanWorkSeconds > 0 && c.publishedSum > c.sum * 2 / 3) {
       const double allowed = kCollapseLoadFactor * capacity * window / meanWorkSeconds;
       worstBudgetExcess = std::max(
@@ -123,10 +123,12 @@
       report("4: " + host.address + " was overloaded while warming up");
     return times;
   }
-  double meanWorkSeconds = 0;       // of a call on a warm host; 0: calls are not counted
-  double worstBudgetExcess = -1e9;  // the worst window: calls to a warming host beyond budget and chance
-  double worstBudgetFraction = 0;   // the worst window: calls to a warming host, as a fraction of the budget
-  // Call at the end: no request may be left without an answer past its time.
+  double meanWorkSeconds = 0;  // of an attempt on a warm host; 0: attempts are not counted
+  // Attempts to a warming host in the worst window: beyond budget and chance, and as a fraction of the
+  // budget.
+  double worstBudgetExcess = -1e9;
+  double worstBudgetFraction = 0;
+  // Reports each request that is unanswered past its deadline. Called once, at the end of a run.
   void finish(Time now) {
     for (const auto& [id, r] : requests_)
       if (!r.isAnswered && !r.isExcused && now > r.deadline + kAnswerSlack)
@@ -159,8 +161,8 @@
   };
   struct PublishedHost {
     HostPhase phase = HostPhase::active;
-    Time at{};       // when the gateway received that phase first
-    Time started{};  // of the host process that it knows
+    Time at{};       // when the gateway first received `phase`
+    Time started{};  // start of the host process that the entry names
   };
   struct WarmingSend {
     Time at;
@@ -174,10 +176,11 @@
     bool hasCollapsed = false;
   };
 
-  static constexpr Duration kAnswerSlack = std::chrono::milliseconds(50);  // past a client's time
+  static constexpr Duration kAnswerSlack = std::chrono::milliseconds(50);  // past a request's deadline
   static constexpr Duration kDrainGrace = std::chrono::milliseconds(500);
-  static constexpr double kCollapseLoadFactor = 3;                      // times what a warming host can do,
-  static constexpr Duration kCollapseWindow = std::chrono::seconds(2);  // for this long
+  // A warming host counts as overloaded at this multiple of its capacity, over this window.
+  static constexpr double kCollapseLoadFactor = 3;
+  static constexpr Duration kCollapseWindow = std::chrono::seconds(2);
 
   static std::string name(RequestId id) { return "request " + std::to_string(id); }
   Attempt* find(RequestId id, std::uint32_t attempt) {
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -1,4 +1,4 @@
-// A gateway with hosts and a discovery of the test's own, in the loop of the test.
+// Test fixture: a gateway with scripted hosts and a scripted discovery, all on the test's event loop.
 #pragma once
 
 #include "support/sockets.hpp"
@@ -8,13 +8,15 @@
 struct GatewayTest : ::testing::Test {
   asio::io_context io;
   Clock clock;
-  // Holds each call of discovery; a test answers it when it likes.
+  // Polls received by discovery. None is answered until the test does so.
   std::vector<std::shared_ptr<Peer>> polls;
   Server discovery{io, [this](const auto& peer, const Received&) { polls.push_back(peer); }};
   std::vector<std::unique_ptr<Server>> hosts;
   std::unique_ptr<Gateway> gateway;
-  std::optional<Duration> serveDraining;
-  Duration proofLeast{};  // if set: longer than any pause of a busy machine
+  std::optional<Duration> drainServeTimeOverride;  // replaces options.drainServeTime
+  // Replaces options.minVerificationTime if positive. Chosen longer than the scheduling delays of a busy
+  // machine.
+  Duration minVerificationTimeOverride{};
 
   Server& host(Server::Handler h) { return *hosts.emplace_back(std::make_unique<Server>(io, std::move(h))); }
   json hostListJson() {
@@ -27,16 +29,17 @@
     json config = configJson(discovery.endpoint(), hostListJson());
     change(config);
     GatewayConfig read = readConfig(config.dump(), clock);
-    if (proofLeast > Duration{}) read.options.minVerificationTime = proofLeast;
-    if (serveDraining) read.options.drainServeTime = *serveDraining;
+    if (minVerificationTimeOverride > Duration{})
+      read.options.minVerificationTime = minVerificationTimeOverride;
+    if (drainServeTimeOverride) read.options.drainServeTime = *drainServeTimeOverride;
     gateway = std::make_unique<Gateway>(io, clock, std::move(read));
     gateway->start();
   }
   std::shared_ptr<Client> client() { return Client::connect(io, gateway->endpoint()); }
   bool until(const std::function<bool()>& reached) { return runUntil(io, reached); }
-  // Asks so often, each time when the one before is answered, and expects that it was served.
-  void serve(Client& c, int times, const std::string& method = "GET", const std::string& path = "/read",
-             const std::string& body = "") {
+  // Sends `times` requests, each after the answer to the one before, and expects status 200 for all.
+  void expectServed(Client& c, int times, const std::string& method = "GET",
+                    const std::string& path = "/read", const std::string& body = "") {
     for (int i = 0; i < times; ++i) {
       const std::size_t before = c.answers.size();
       c.sendRequest(method, path, 2500, body);
--- a/tests/support/manual_sync_runner.hpp
+++ b/tests/support/manual_sync_runner.hpp
@@ -1,4 +1,4 @@
-// Runs the sync tasks of a log when the test says so.
+// A SyncRunner that keeps a sync task until the test runs it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
     job = Job{task, std::move(done)};
   }
 
-  // Runs the task that waits. Returns false if there is none.
+  // Runs the pending task and reports its result. Returns false if there is none.
   bool runJob() {
     if (!job) return false;
     const Job current = std::move(*job);
--- a/tests/support/process.hpp
+++ b/tests/support/process.hpp
@@ -1,4 +1,5 @@
-// A program of ours as a process, with its output in a file, ended with the test.
+// Runs a program under test as a child process, with its output in a file and a temporary directory for its
+// files. Both are cleaned up at the end of the test.
 #pragma once
 
 #include <fcntl.h>
@@ -19,7 +20,7 @@
 
 namespace finchstile::testing {
 
-// A folder of its own for a test, gone with it.
+// Creates a new directory and removes it with its contents on destruction.
 class TemporaryDirectory {
  public:
   TemporaryDirectory() {
@@ -39,7 +40,7 @@
   }
 
  private:
-  // mkdtemp(3) fills in the last six letters, which have to be X: a new folder each time.
+  // Template for mkdtemp(3), which replaces the six trailing X.
   std::string path_ = (std::filesystem::temp_directory_path() / "finchstile-").string() + std::string(6, 'X');
 };
 
@@ -48,9 +49,11 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
+// A child process, which the destructor kills if it still runs.
 class Process {
  public:
-  // Standard output and error go to `log`. `inherited`: a descriptor that it has as number 3; below 0: none.
+  // Standard output and error go to the file `log`. The child receives `inherited` as descriptor 3, unless it
+  // is negative.
   Process(const std::string& program, std::vector<std::string> arguments, const std::string& log,
           int inherited = -1)
       : log_(log) {
@@ -58,7 +61,7 @@
     posix_spawn_file_actions_init(&files);
     posix_spawn_file_actions_addopen(&files, STDERR_FILENO, log.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
     posix_spawn_file_actions_adddup2(&files, STDERR_FILENO, STDOUT_FILENO);
-    // Danger: with both numbers the same, dup2 would leave it to be closed on exec.
+    // If `inherited` were 3 itself, dup2 would do nothing and leave its close-on-exec flag set.
     const int copy = inherited >= 0 ? ::fcntl(inherited, F_DUPFD_CLOEXEC, 100) : -1;
     if (copy >= 0) posix_spawn_file_actions_adddup2(&files, copy, 3);
     arguments.insert(arguments.begin(), program);
@@ -78,7 +81,8 @@
 
   void signal(int number) const { kill(pid_, number); }
   bool ended() { return pid_ == 0 || (waitpid(pid_, &status_, WNOHANG) == pid_ && ((pid_ = 0), true)); }
-  int wait() {  // for its end; the exit code, or -1 if a signal ended it
+  // Waits until the process ends. Returns its exit code, or -1 if a signal ended it.
+  int wait() {
     if (pid_ > 0) waitpid(pid_, &status_, 0), pid_ = 0;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
   }
--- a/tests/support/registry.hpp
+++ b/tests/support/registry.hpp
@@ -1,4 +1,5 @@
-// Discovery as two addresses of one registry: whole lists, changes since a version, polls that wait.
+// A scripted discovery service: one registry on two addresses, with complete lists, changes since a version,
+// and long polls.
 #pragma once
 
 #include <map>
@@ -17,18 +18,19 @@
   tcp::endpoint endpoint(std::size_t which) const { return servers[which]->endpoint(); }
   std::size_t polls(std::size_t which) const { return servers[which]->received.size(); }
 
-  // Name and state of one host; a new version that all who wait are told of.
+  // Sets address and status of one host, which makes a new version, and answers all waiting polls with it.
   void set(const std::string& name, const tcp::endpoint& at, const std::string& status) {
     entries_[name] = {++version_, hostJson(name, at, status)};
     for (auto& [peer, since] : std::exchange(waiting_, {})) reply(peer, since);
   }
+  // The complete list.
   json known() const {
     json hosts = json::array();
     for (const auto& [name, e] : entries_)
       if (e.host["status"] != "left") hosts.push_back(e.host);
     return listJson(version_, true, hosts);
   }
-  // Its connections end and nobody can connect any more.
+  // Closes one address: its connections end and new ones are refused.
   void stop(std::size_t which) {
     servers[which]->stop();
     for (const auto& peer : servers[which]->peers) peer->close();
@@ -49,7 +51,7 @@
     try {
       peer->reply(200, list.dump());
     } catch (const boost::system::system_error&) {
-      // Whoever called has gone.
+      // The client has closed its connection.
     }
   }
   void onCall(const std::shared_ptr<Peer>& peer, const Received& call) {
--- a/tests/support/run_until.hpp
+++ b/tests/support/run_until.hpp
@@ -1,4 +1,4 @@
-// Plays a loop up to what a test waits for.
+// Runs an event loop until a condition holds.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,7 +7,7 @@
 
 namespace finchstile::testing {
 
-// Runs the loop until `reached` holds. The limit only ends a test that would hang.
+// Runs the loop until `reached` returns true. Returns false after 20 s, so that a failing test does not hang.
 inline bool runUntil(boost::asio::io_context& io, const std::function<bool()>& reached) {
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!reached()) {
--- a/tests/support/sockets.hpp
+++ b/tests/support/sockets.hpp
@@ -1,5 +1,5 @@
-// Hosts, discovery and clients for the gateway's tests: all on loopback, in the loop of the test, on ports
-// that the system gives out. No model of a server: each test says what a host answers.
+// Scripted HTTP servers and clients for the gateway's tests, on loopback, with ports assigned by the system,
+// all on the test's event loop. A server acts as a host or as discovery; its handler determines the answers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -31,13 +31,13 @@
   return e.address().to_string() + ":" + std::to_string(e.port());
 }
 
-// One accepted connection of a scripted server, with the requests read on it.
+// One accepted connection of a Server.
 struct Peer : std::enable_shared_from_this<Peer> {
   explicit Peer(tcp::socket s) : socket(std::move(s)) {}
   tcp::socket socket;
   boost::beast::flat_buffer buffer;
   std::optional<http::request_parser<http::string_body>> parser;
-  bool ended = false;  // the other side has closed it
+  bool ended = false;  // closed by the other side, or a read failed
 
   void write(const std::string& bytes) { asio::write(socket, asio::buffer(bytes)); }
   void reply(int status, const std::string& body, const std::string& headers = "") {
@@ -52,6 +52,7 @@
 
 using Received = http::request<http::string_body>;
 
+// Accepts connections and passes each request to `handler`, which may answer at once, later or never.
 class Server {
  public:
   using Handler = std::function<void(const std::shared_ptr<Peer>&, const Received&)>;
@@ -61,9 +62,9 @@
   void stop() { acceptor_.close(); }
 
   Handler handler;
-  std::uint64_t bodyMost = 1 << 20;
-  std::vector<std::shared_ptr<Peer>> peers;
-  std::vector<Received> received;
+  std::uint64_t maxBodyBytes = 1 << 20;
+  std::vector<std::shared_ptr<Peer>> peers;  // all connections accepted so far
+  std::vector<Received> received;            // all requests so far
 
  private:
   void accept() {
@@ -76,7 +77,7 @@
   }
   void read(const std::shared_ptr<Peer>& peer) {
     peer->parser.emplace();
-    peer->parser->body_limit(bodyMost);
+    peer->parser->body_limit(maxBodyBytes);
     http::async_read(peer->socket, peer->buffer, *peer->parser, [this, peer](error_code error, std::size_t) {
       if (error) {
         peer->ended = true;
@@ -90,8 +91,8 @@
   tcp::acceptor acceptor_;
 };
 
-// A client connection that sends raw text and keeps the answers. Shared with its pending reads, so that a
-// test may drop it at any time.
+// A client connection that sends requests or raw bytes and collects the answers. Its pending reads share
+// ownership, so that a test may release it at any time.
 class Client : public std::enable_shared_from_this<Client> {
  public:
   static std::shared_ptr<Client> connect(asio::io_context& io, const tcp::endpoint& to) {
@@ -104,8 +105,8 @@
   void write(const std::string& bytes) { asio::write(socket, asio::buffer(bytes)); }
   void sendRequest(const std::string& method, const std::string& path, int leftMs,
                    const std::string& body = "", const std::string& headers = "") {
-    static int asked = 0;
-    id = "id-" + std::to_string(++asked);  // new with every request
+    static int requestCount = 0;
+    id = "id-" + std::to_string(++requestCount);  // each request has an id of its own
     write(method + " " + path + " HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: " + id +
           "\r\nX-Time-Left-Ms: " + std::to_string(leftMs) + "\r\n" + headers +
           (method == "POST" ? "Content-Length: " + std::to_string(body.size()) + "\r\n" : "") + "\r\n" +
@@ -117,7 +118,7 @@
   }
 
   tcp::socket socket;
-  std::string id;  // of the last request
+  std::string id;  // correlation id of the last request
   std::vector<http::response<http::string_body>> answers;
   bool ended = false;
 
@@ -139,7 +140,7 @@
   std::optional<http::response_parser<http::string_body>> parser_;
 };
 
-// How attempts ended, one after the other.
+// Records the outcomes of attempts in the order of their ends.
 struct OutcomeLog : AttemptLog {
   std::vector<load_balancing::Outcome> all;
   std::ptrdiff_t count(load_balancing::Outcome outcome) const {
--- a/tests/support/wires.hpp
+++ b/tests/support/wires.hpp
@@ -1,4 +1,4 @@
-// Raw TCP ends for tests of streams: what came, how it ended, and a server that keeps its connections.
+// Raw TCP connections for tests of streams, and a server that accepts them.
 #pragma once
 
 #include <sys/socket.h>
@@ -12,6 +12,7 @@
 
 namespace finchstile::testing {
 
+// Records what it receives and how the connection ended. Its pending operations share ownership.
 struct TcpConnection : std::enable_shared_from_this<TcpConnection> {
   using tcp = boost::asio::ip::tcp;
   using error_code = boost::system::error_code;
@@ -35,7 +36,7 @@
                              count += n;
                              if (keep) receivedBytes.append(buffer_, n);
                              if (const auto on = onBytes)
-                               on(*this);  // a copy: it may put another in its place
+                               on(*this);  // a copy, since the callback may replace `onBytes`
                              read();
                            });
   }
@@ -43,15 +44,17 @@
     paused = false;
     read();
   }
-  // Written in order, whatever the other side does meanwhile.
+  // Queues `bytes`; writes are sent in order.
   void write(std::string bytes) {
-    out_.push_back(std::move(bytes));
-    if (out_.size() == 1) writeOn();
+    writeQueue_.push_back(std::move(bytes));
+    if (writeQueue_.size() == 1) writeNext();
   }
-  void shutdownSend() {  // its FIN, behind what is still to be written
-    finishing_ = true;
-    if (out_.empty()) shut();
+  // Half-closes the connection (sends FIN) after all queued writes.
+  void shutdownSend() {
+    finPending_ = true;
+    if (writeQueue_.empty()) sendFin();
   }
+  // Sends RST.
   void abort() {
     error_code ignored;
     socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -61,34 +64,35 @@
     error_code ignored;
     socket.close(ignored);
   }
-  bool over() const { return ended || reset; }
+  bool over() const { return ended || reset; }  // `ended`: FIN received; `reset`: any other error
 
   tcp::socket socket;
   std::string receivedBytes;
-  std::uint64_t count = 0;
+  std::uint64_t count = 0;  // of received bytes
+  // `keep`: append to `receivedBytes`; `paused`: no reads until resume().
   bool keep = true, paused = false, ended = false, reset = false;
   std::function<void(TcpConnection&)> onBytes;
 
  private:
-  void writeOn() {
-    boost::asio::async_write(socket, boost::asio::buffer(out_.front()),
+  void writeNext() {
+    boost::asio::async_write(socket, boost::asio::buffer(writeQueue_.front()),
                              [this, self = shared_from_this()](error_code error, std::size_t) {
                                if (error) return;
-                               out_.pop_front();
-                               if (!out_.empty()) return writeOn();
-                               if (finishing_) shut();
+                               writeQueue_.pop_front();
+                               if (!writeQueue_.empty()) return writeNext();
+                               if (finPending_) sendFin();
                              });
   }
-  void shut() {
+  void sendFin() {
     error_code ignored;
     socket.shutdown(tcp::socket::shutdown_send, ignored);
   }
-  std::deque<std::string> out_;
-  bool finishing_ = false;
+  std::deque<std::string> writeQueue_;
+  bool finPending_ = false;
   char buffer_[16 * 1024];
 };
 
-// A worker that carries streams: each connection is kept, and `onConnection` says what is done with it.
+// A host of streams: accepts connections, keeps them in `connections`, and passes each to `onConnection`.
 class TcpServer {
  public:
   using tcp = boost::asio::ip::tcp;
@@ -122,11 +126,13 @@
   tcp::endpoint endpoint_;
 };
 
+// Sends all received bytes back.
 inline void echo(const std::shared_ptr<TcpConnection>& w) {
   w->onBytes = [](TcpConnection& wire) { wire.write(std::exchange(wire.receivedBytes, {})); };
 }
 
-// Bytes that tell their place, so that one lost, doubled or moved is seen.
+// Returns `n` bytes whose values depend on their positions, so that lost, repeated and moved ones are
+// detected.
 inline std::string pattern(std::size_t n) {
   std::string out(n, '\0');
   for (std::size_t i = 0; i < n; ++i) out[i] = static_cast<char>((i * 2654435761u) >> 13);
