--- a/tests/net/attempt_table_test.cpp
+++ b/tests/net/attempt_table_test.cpp
@@ -1,4 +1,4 @@
-// AttemptTable: records and deadlines of attempts.
+// Tests of AttemptTable: records and deadlines of attempts.
 #include "net/attempt_table.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   return attempt;
 }
 
-TEST(AttemptTableTest, ExpiresAttemptsInTheOrderOfTheirDeadlines) {
+TEST(AttemptTableTest, ExpiresAttemptsInOrderOfDeadlines) {
   AttemptTable table;
   const AttemptId late = table.newId(), early = table.newId();
   EXPECT_FALSE(table.nextDeadline());
@@ -30,7 +30,7 @@
   EXPECT_EQ(table.firstExpired(seconds(9)), late);
 }
 
-TEST(AttemptTableTest, ExpiresAttemptByItsNewDeadlineOnly) {
+TEST(AttemptTableTest, ExpiresAttemptOnlyAtItsNewDeadline) {
   AttemptTable table;
   const AttemptId id = table.newId();
   Attempt& attempt = table.add(id, attemptUntil(seconds(5)));
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -1,4 +1,4 @@
-// The gateway's configuration, and the settings that it shares with the adapter.
+// Tests of the gateway's configuration, and of the settings that it has in common with the simulator adapter.
 #include "net/config.hpp"
 
 #include "simulator/settings_reader.hpp"
@@ -7,19 +7,19 @@
 namespace finchstile::testing {
 namespace {
 
-std::string complaint(const std::function<void(json&)>& change) {
+std::string errorOf(const std::function<void(json&)>& change) {
   const Clock clock;
   json config = configJson({asio::ip::make_address("127.0.0.1"), 1}, json::array());
   change(config);
   try {
     readConfig(config.dump(), clock);
-  } catch (const std::exception& bad) {
-    return bad.what();
+  } catch (const std::exception& exception) {
+    return exception.what();
   }
   return "";
 }
 
-TEST(ConfigTest, ReadsSettingsAsTheAdapterDoes) {
+TEST(ConfigTest, ReadsSameSettingsAsAdapter) {
   const Clock clock;
   json config = configJson({asio::ip::make_address("127.0.0.1"), 1}, json::array());
   config["settings"]["tenants"] = {{{"name", "acme"}, {"quotaRps", 12.5}, {"portion", 0.5}}};
@@ -53,17 +53,17 @@
   EXPECT_EQ(a.tenants[0].quotaPerSecond, b.tenants[0].quotaPerSecond);
 }
 
-TEST(ConfigTest, NamesWhatIsWrongInOneLine) {
-  EXPECT_EQ(complaint([](json&) {}), "");
-  EXPECT_NE(complaint([](json& c) { c.erase("settings"); }).find("settings"), std::string::npos);
-  EXPECT_NE(complaint([](json& c) { c["seed"] = "xyz"; }).find("xyz"), std::string::npos);
-  EXPECT_NE(complaint([](json& c) { c["listen"] = "nowhere"; }).find("nowhere"), std::string::npos);
-  EXPECT_NE(complaint([](json& c) { c["settings"]["grades"] = json::array(); }).find("class"),
+TEST(ConfigTest, ReportsInvalidValueInOneLine) {
+  EXPECT_EQ(errorOf([](json&) {}), "");
+  EXPECT_NE(errorOf([](json& c) { c.erase("settings"); }).find("settings"), std::string::npos);
+  EXPECT_NE(errorOf([](json& c) { c["seed"] = "xyz"; }).find("xyz"), std::string::npos);
+  EXPECT_NE(errorOf([](json& c) { c["listen"] = "nowhere"; }).find("nowhere"), std::string::npos);
+  EXPECT_NE(errorOf([](json& c) { c["settings"]["grades"] = json::array(); }).find("class"),
             std::string::npos);
-  EXPECT_NE(complaint([](json& c) { c["settings"]["stepNs"] = "soon"; }).find("stepNs"), std::string::npos);
-  EXPECT_NE(complaint([](json& c) { c["settings"]["ceilings"].erase("idleCloseNs"); }).find("idleCloseNs"),
+  EXPECT_NE(errorOf([](json& c) { c["settings"]["stepNs"] = "soon"; }).find("stepNs"), std::string::npos);
+  EXPECT_NE(errorOf([](json& c) { c["settings"]["ceilings"].erase("idleCloseNs"); }).find("idleCloseNs"),
             std::string::npos);
-  EXPECT_EQ(complaint([](json& c) { c["seed"] = ""; }).find('\n'), std::string::npos);
+  EXPECT_EQ(errorOf([](json& c) { c["seed"] = ""; }).find('\n'), std::string::npos);
 }
 
 ConfigError::Code codeOf(const std::function<void()>& read) {
@@ -100,15 +100,15 @@
   const HostList one = parseHostList(text, clock), two = parseHostList(text, clock);
   ASSERT_EQ(one.hosts.size(), 3u);
   EXPECT_EQ(one.hosts[0].entry.startedAt, two.hosts[0].entry.startedAt);
-  EXPECT_EQ(one.hosts[1].entry.startedAt, Time{});  // 0: long ago
+  EXPECT_EQ(one.hosts[1].entry.startedAt, Time{});  // `sinceMs` 0 means long ago
   EXPECT_EQ(one.hosts[2].entry.phase, load_balancing::HostPhase::removed);
   const auto age = clock.now() - one.hosts[0].entry.startedAt;
   EXPECT_GE(age, std::chrono::milliseconds(1900));
   EXPECT_LT(age, std::chrono::seconds(60));
 }
 
-// Hard case: as many classes and tenants as the largest deployment may have, and one beyond what is held.
-TEST(ConfigTest, ReadsAThousandClassesAndTenants) {
+// A large deployment may have a thousand classes and tenants.
+TEST(ConfigTest, ReadsMoreThan1024ClassesAndTenants) {
   const Clock clock;
   json config = configJson({asio::ip::make_address("127.0.0.1"), 1}, json::array());
   const json grade = config["settings"]["grades"][0];
@@ -125,7 +125,7 @@
   EXPECT_EQ(c.settings.tenants.back().quotaPerSecond, 1.5);
 }
 
-// Hard case: the size to design for.
+// The number of tenants that the gateway is designed for.
 TEST(ConfigTest, Reads27000Tenants) {
   const Clock clock;
   json config = configJson({asio::ip::make_address("127.0.0.1"), 1}, json::array());
@@ -136,14 +136,14 @@
   EXPECT_EQ(c.settings.tenants.back().name, "t-26999");
 }
 
-TEST(ConfigTest, NamesItemsBeyondTheBound) {
-  EXPECT_NE(complaint([](json& c) {
+TEST(ConfigTest, ReportsItemsBeyondLimit) {
+  EXPECT_NE(errorOf([](json& c) {
               const json grade = c["settings"]["grades"][0];
               for (std::size_t i = 3; i < load_balancing::kMaxClasses + 1; ++i)
                 c["settings"]["grades"].push_back(grade);
             }).find("grades has more than 4096 items: there is one numbered 4096"),
             std::string::npos);
-  EXPECT_NE(complaint([](json& c) {
+  EXPECT_NE(errorOf([](json& c) {
               const json tenant = {{"name", "t"}, {"quotaRps", 1}};
               for (std::size_t i = 0; i < load_balancing::kMaxTenants + 1; ++i)
                 c["settings"]["tenants"].push_back(tenant);
--- a/tests/net/event_loop_lag_test.cpp
+++ b/tests/net/event_loop_lag_test.cpp
@@ -1,4 +1,4 @@
-// EventLoopLag: which delays of the loop count, and for how long.
+// Tests of EventLoopLag: which delays of the event loop it reports, and for how long.
 #include "net/event_loop_lag.hpp"
 
 #include <gtest/gtest.h>
@@ -9,13 +9,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(EventLoopLagTest, IgnoresLagWithinTheSlackOfDeadlines) {
+TEST(EventLoopLagTest, IgnoresLagWithinSlackOfDeadlines) {
   EventLoopLag lag;
   lag.record(seconds(1), milliseconds(20));
   EXPECT_EQ(lag.at(seconds(1)), Duration{});
 }
 
-TEST(EventLoopLagTest, ReportsLagForATenthOfASecond) {
+TEST(EventLoopLagTest, ReportsLagFor100Milliseconds) {
   EventLoopLag lag;
   lag.record(seconds(1), milliseconds(21));
   EXPECT_EQ(lag.at(seconds(1) + milliseconds(99)), milliseconds(21));
--- a/tests/net/held_requests_test.cpp
+++ b/tests/net/held_requests_test.cpp
@@ -1,4 +1,4 @@
-// HeldRequests: deadlines of held requests, and the queue of actions.
+// Tests of HeldRequests: deadlines of held requests, and the queue of actions.
 #include "net/held_requests.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   return request;
 }
 
-TEST(HeldRequestsTest, HoldsUntilTwoEventIntervalsBeforeTheClientsDeadline) {
+TEST(HeldRequestsTest, HoldsUntilTwoEventIntervalsBeforeClientDeadline) {
   HeldRequests held;
   EXPECT_EQ(held.hold(seconds(10), requestWithTimeLeft(1, seconds(2)), milliseconds(5)),
             seconds(12) - milliseconds(10));
@@ -30,7 +30,7 @@
             seconds(10) + milliseconds(6));
 }
 
-TEST(HeldRequestsTest, ForgetsReleasedRequest) {
+TEST(HeldRequestsTest, DropsReleasedRequest) {
   HeldRequests held;
   const Time until = held.hold(seconds(10), requestWithTimeLeft(7, seconds(2)), milliseconds(5));
   ASSERT_NE(held.find(until, 7), nullptr);
@@ -44,7 +44,7 @@
   EXPECT_FALSE(held.nextDeadline());
 }
 
-TEST(HeldRequestsTest, ReturnsActionsOnceInTheOrderOfTheirCalls) {
+TEST(HeldRequestsTest, ReturnsActionsOnceInOrderOfQueueing) {
   HeldRequests held;
   held.queue({HeldRequestAction::Kind::admit, 1, {}});
   held.queue({HeldRequestAction::Kind::abandon, 2, {}});
--- a/tests/net/request_filter_test.cpp
+++ b/tests/net/request_filter_test.cpp
@@ -1,4 +1,4 @@
-// RequestFilterChain in a gateway, over loopback sockets.
+// Tests of RequestFilterChain within a gateway, over loopback sockets.
 #include "net/request_filter.hpp"
 
 #include "support/sockets.hpp"
@@ -6,39 +6,40 @@
 namespace finchstile::testing {
 namespace {
 
+// Logs each notification under the name of the filter.
 class Recorder : public RequestFilter {
  public:
   Recorder(std::string name, std::vector<std::string>& log) : name_(std::move(name)), log_(log) {}
   std::uint8_t phases() const override { return 0x7f; }
-  FilterDecision onRequestReceived(RequestContext& x) override {
-    say("arrived " + std::string(x.className));
+  FilterDecision onRequestReceived(RequestContext& context) override {
+    record("arrived " + std::string(context.className));
     if (reject) {
-      Response a;
-      a.status = http::status::unprocessable_entity;
-      return {std::move(a), false};
+      Response response;
+      response.status = http::status::unprocessable_entity;
+      return {std::move(response), false};
     }
     return {};
   }
-  void onRequestAdmitted(RequestContext&) override { say("admitted"); }
-  void onAttemptSending(RequestContext& x, UpstreamRequest& to) override {
-    say(std::string("sent ") + (x.mayHaveRun ? "may have run" : "not run"));
-    to.set("X-" + name_, std::to_string(x.attemptCount));
+  void onRequestAdmitted(RequestContext&) override { record("admitted"); }
+  void onAttemptSending(RequestContext& context, UpstreamRequest& to) override {
+    record(std::string("sent ") + (context.mayHaveRun ? "may have run" : "not run"));
+    to.set("X-" + name_, std::to_string(context.attemptCount));
   }
-  void onAttemptEnded(RequestContext&, bool may) override {
-    say(may ? "settled, may have run" : "settled, never ran");
+  void onAttemptEnded(RequestContext&, bool attemptMayHaveRun) override {
+    record(attemptMayHaveRun ? "settled, may have run" : "settled, never ran");
   }
   void onResponseHeaders(RequestContext&, const ResponseHead& h, std::vector<HeaderLine>& to) override {
-    say("head " + std::to_string(h.status) + (h.fromUpstream ? " of a host" : " of the gateway"));
+    record("head " + std::to_string(h.status) + (h.fromUpstream ? " of a host" : " of the gateway"));
     to.push_back({"X-By-" + name_, "yes"});
   }
-  void onResponseSent(RequestContext&) override { say("done"); }
-  void onRequestCompleted(RequestContext& x, RequestResult end) override {
-    say("ended " + std::to_string(static_cast<int>(end)) + (x.mayHaveRun ? " may have run" : ""));
+  void onResponseSent(RequestContext&) override { record("done"); }
+  void onRequestCompleted(RequestContext& context, RequestResult end) override {
+    record("ended " + std::to_string(static_cast<int>(end)) + (context.mayHaveRun ? " may have run" : ""));
   }
   bool reject = false;
 
  private:
-  void say(const std::string& what) { log_.push_back(name_ + " " + what); }
+  void record(const std::string& what) { log_.push_back(name_ + " " + what); }
   std::string name_;
   std::vector<std::string>& log_;
 };
@@ -91,7 +92,7 @@
                                            "b ended 3"}));
   EXPECT_EQ(gateway->openRequests(), 0u);
   EXPECT_TRUE(host.received.empty());
-  a.reject = false;  // its id is free again, and so is its connection
+  a.reject = false;  // the id and the connection can be used again
   c->write("GET /read/1 HTTP/1.1\r\nX-Correlation-Id: " + c->id + "\r\nX-Time-Left-Ms: 2000\r\n\r\n");
   ASSERT_TRUE(runUntil(io, [&] { return c->answers.size() == 2; }));
   EXPECT_EQ(c->answers[1].result_int(), 200u);
@@ -103,7 +104,7 @@
   const auto c = client();
   c->sendRequest("POST", "/book/1", 400, "x");
   ASSERT_TRUE(runUntil(io, [&] { return c->answers.size() == 1; }));
-  EXPECT_EQ(log.back(), "b ended 1");  // refused, and nothing may have run
+  EXPECT_EQ(log.back(), "b ended 1");  // rejected, and it has not run
 }
 
 TEST_F(RequestFilterTest, CompletesRequestOnceWhenClientDisconnects) {
