--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -13,8 +13,8 @@
   change(config);
   try {
     readConfig(config.dump(), clock);
-  } catch (const std::exception& exception) {
-    return exception.what();
+  } catch (const std::exception& failure) {
+    return failure.what();
   }
   return "";
 }
--- a/tests/net/drain_test.cpp
+++ b/tests/net/drain_test.cpp
@@ -1,4 +1,4 @@
-// Requests in each state of their life at each instant of a drain, on sockets of loopback.
+// Requests in each state at each phase of a drain, over loopback sockets.
 #include <thread>
 
 #include "support/gateway_fixture.hpp"
@@ -9,57 +9,67 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr int kLongestMs = 400;
+constexpr int kLongestDeadlineMs = 400;
 
 struct DrainTest : GatewayTest {
-  static void deadlines(json& c) {
+  static void setShortDeadlines(json& c) {
     for (json& g : c["settings"]["grades"])
-      g["giveUpNs"] = kLongestMs * 1'000'000LL, g["aimNs"] = (kLongestMs - 100) * 1'000'000LL;
+      g["giveUpNs"] = kLongestDeadlineMs * 1'000'000LL, g["aimNs"] = (kLongestDeadlineMs - 100) * 1'000'000LL;
   }
   static std::string post(const std::string& id, const std::string& headers, const std::string& body) {
     return "POST /book HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: " + id +
-           "\r\nX-Time-Left-Ms: " + std::to_string(kLongestMs) + "\r\n" + headers + "\r\n" + body;
+           "\r\nX-Time-Left-Ms: " + std::to_string(kLongestDeadlineMs) + "\r\n" + headers + "\r\n" + body;
   }
-  bool after(Duration d) {
+  bool runFor(Duration d) {
     const auto end = steady_clock::now() + d;
     return until([&] { return steady_clock::now() >= end; });
   }
 };
 
-enum class Life { wholeKept, wholeNew, headInTwo, bodyInTwo, heldByHost, silent, early };
+// How far a client's request has come when the drain begins.
+enum class RequestState {
+  keptConnection,  // nothing sent yet, on a connection that has had an answer
+  newConnection,   // nothing sent yet, on a new connection
+  splitHead,       // a part of the header section
+  splitBody,       // a part of the body
+  pendingAtHost,   // sent to the host, which does not answer
+  silent,          // nothing sent, now or later
+  early            // the same
+};
 
 struct Case {
-  Life life;
+  RequestState state;
   std::shared_ptr<Client> client;
-  bool asked = false;  // its last byte is on its way, on a connection that was open then
+  bool sentWhole = false;  // the last byte of its request was sent on a connection that was open then
 };
 
-// The grid. Each gateway has one client in each state, and the rest of a request comes at one instant of the
-// drain. Whoever's last byte went out on an open connection has one answer; only a connection at rest may be
-// closed in its place, and then nothing of an answer comes.
-TEST_F(DrainTest, EveryStateAtEveryInstantHasItsOneAnswerBeforeTheEnd) {
+// Each gateway has one client in each state, and sends the rest of the requests at one time of the drain. A
+// request whose last byte was sent on an open connection gets exactly one answer. Only an idle connection may
+// be closed instead, and then no byte of an answer is sent.
+TEST_F(DrainTest, AnswersRequestsInEveryStateOnceBeforeProcessEnds) {
   host(hold);
-  const json known = hostListJson();
+  const json hostList = hostListJson();
   struct Drain {
     std::unique_ptr<Gateway> gateway;
-    Duration at{};
+    Duration restAt{};
     std::vector<Case> cases;
-    bool rest = false, done = false;
+    bool restSent = false, done = false;
     steady_clock::time_point ended;
   };
-  // Serving ends at 0.3 s, the listener closes at 0.6 s, the last call comes at 0.84 s, the end at 0.9 s.
+  // serveDeadline is at 0.3 s, listenerCloseTime at 0.6 s, finalResponseTime at 0.84 s, exitTime at 0.9 s.
   std::vector<Drain> drains;
   for (const int ms : {0, 100, 280, 300, 320, 450, 590, 600, 700, 820, 838, 850, 880})
     drains.push_back({nullptr, milliseconds(ms), {}, false, false, {}});
   int id = 0;
   for (Drain& d : drains) {
-    json config = configJson(discovery.endpoint(), known);
-    deadlines(config);
+    json config = configJson(discovery.endpoint(), hostList);
+    setShortDeadlines(config);
     d.gateway = std::make_unique<Gateway>(io, clock, readConfig(config.dump(), clock));
     d.gateway->start();
-    for (const Life life : {Life::wholeKept, Life::wholeNew, Life::headInTwo, Life::bodyInTwo,
-                            Life::heldByHost, Life::silent, Life::early})
-      d.cases.push_back({life, Client::connect(io, d.gateway->endpoint())});
+    for (const RequestState state :
+         {RequestState::keptConnection, RequestState::newConnection, RequestState::splitHead,
+          RequestState::splitBody, RequestState::pendingAtHost, RequestState::silent, RequestState::early})
+      d.cases.push_back({state, Client::connect(io, d.gateway->endpoint())});
     d.cases[0].client->write("GET /health/live HTTP/1.1\r\n\r\n");
   }
   ASSERT_TRUE(until([&] {
@@ -70,71 +80,73 @@
     for (Case& c : d.cases) {
       const std::string name = "grid-" + std::to_string(++id);
       c.client->answers.clear();
-      if (c.life == Life::headInTwo) c.client->write("POST /book HTTP/1.1\r\nHost: api\r\nX-Correl");
-      if (c.life == Life::bodyInTwo) c.client->write(post(name, "Content-Length: 4\r\n", "ab"));
-      if (c.life == Life::heldByHost)
-        c.client->write(post(name, "Content-Length: 1\r\n", "x")), c.asked = true;
+      if (c.state == RequestState::splitHead) c.client->write("POST /book HTTP/1.1\r\nHost: api\r\nX-Correl");
+      if (c.state == RequestState::splitBody) c.client->write(post(name, "Content-Length: 4\r\n", "ab"));
+      if (c.state == RequestState::pendingAtHost)
+        c.client->write(post(name, "Content-Length: 1\r\n", "x")), c.sentWhole = true;
     }
-  const auto told = steady_clock::now();
+  const auto drainStart = steady_clock::now();
   for (Drain& d : drains) d.gateway->drain([&d] { d.done = true, d.ended = steady_clock::now(); });
-  const auto finish = [&](Drain& d) {
+  const auto sendRest = [&](Drain& d) {
     for (Case& c : d.cases) {
       const std::string name = "grid-" + std::to_string(++id);
       if (c.client->ended || !c.client->answers.empty() || d.done) continue;
       try {
-        switch (c.life) {
-          case Life::wholeKept:
-          case Life::wholeNew: c.client->write(post(name, "Content-Length: 1\r\n", "x")); break;
-          case Life::headInTwo:
+        switch (c.state) {
+          case RequestState::keptConnection:
+          case RequestState::newConnection: c.client->write(post(name, "Content-Length: 1\r\n", "x")); break;
+          case RequestState::splitHead:
             c.client->write("ation-Id: " + name + "\r\nX-Time-Left-Ms: 400\r\nContent-Length: 1\r\n\r\nx");
             break;
-          case Life::bodyInTwo: c.client->write("cd"); break;
+          case RequestState::splitBody: c.client->write("cd"); break;
           default: continue;
         }
-        c.asked = true;
+        c.sentWhole = true;
       } catch (const boost::system::system_error&) {
-        // It was closed a moment ago.
+        // The gateway has just closed the connection.
       }
     }
-    d.rest = true;
+    d.restSent = true;
   };
   ASSERT_TRUE(until([&] {
     bool all = true;
     for (Drain& d : drains) {
-      if (!d.rest && steady_clock::now() - told >= d.at) finish(d);
-      all = all && d.rest && d.done;
+      if (!d.restSent && steady_clock::now() - drainStart >= d.restAt) sendRest(d);
+      all = all && d.restSent && d.done;
     }
     return all;
   }));
-  ASSERT_TRUE(after(milliseconds(50)));  // what was written before the end reaches the clients
+  ASSERT_TRUE(runFor(milliseconds(50)));  // the last answers arrive at the clients
   for (Drain& d : drains) {
     const auto ms = [&](steady_clock::time_point t) {
-      return std::chrono::duration_cast<milliseconds>(t - told).count();
+      return std::chrono::duration_cast<milliseconds>(t - drainStart).count();
     };
-    SCOPED_TRACE("rest at " + std::to_string(d.at.count() / 1'000'000) + " ms, ended at " +
+    SCOPED_TRACE("rest at " + std::to_string(d.restAt.count() / 1'000'000) + " ms, ended at " +
                  std::to_string(ms(d.ended)));
     EXPECT_EQ(d.gateway->openRequests(), 0u);
     for (Case& c : d.cases) {
-      SCOPED_TRACE("state " + std::to_string(static_cast<int>(c.life)));
+      SCOPED_TRACE("state " + std::to_string(static_cast<int>(c.state)));
       EXPECT_LE(c.client->answers.size(), 1u);
-      const bool mayClose = c.life == Life::wholeKept || c.life == Life::wholeNew;
-      if (c.asked && !mayClose) EXPECT_EQ(c.client->answers.size(), 1u);
-      if (c.asked && mayClose && d.at < milliseconds(250)) EXPECT_EQ(c.client->answers.size(), 1u);
-      if (c.life == Life::silent || c.life == Life::early) EXPECT_TRUE(c.client->answers.empty());
-      // What came in part is turned down before the end: its last byte would find nobody.
-      if (c.life == Life::headInTwo || c.life == Life::bodyInTwo) EXPECT_EQ(c.client->answers.size(), 1u);
-      EXPECT_TRUE(c.client->ended) << "its connection outlives the drain";
+      const bool mayClose = c.state == RequestState::keptConnection || c.state == RequestState::newConnection;
+      if (c.sentWhole && !mayClose) EXPECT_EQ(c.client->answers.size(), 1u);
+      if (c.sentWhole && mayClose && d.restAt < milliseconds(250)) EXPECT_EQ(c.client->answers.size(), 1u);
+      if (c.state == RequestState::silent || c.state == RequestState::early)
+        EXPECT_TRUE(c.client->answers.empty());
+      // A partial request is refused before the process ends, since its rest would not be read any more.
+      if (c.state == RequestState::splitHead || c.state == RequestState::splitBody)
+        EXPECT_EQ(c.client->answers.size(), 1u);
+      EXPECT_TRUE(c.client->ended) << "connection still open after the drain";
     }
   }
 }
 
-// Hard case: half a request is here as the process ends. It is refused, harmlessly, and nothing goes out.
-TEST_F(DrainTest, HalfARequestIsRefusedAtTheLastCall) {
+// A request that is incomplete at finalResponseTime is refused, and nothing of it is sent to a host.
+TEST_F(DrainTest, RefusesPartialRequestAtFinalResponseTime) {
   host(hold);
-  start(deadlines);
+  start(setShortDeadlines);
   const auto c = client();
   c->write("POST /book HTTP/1.1\r\nHost: api\r\nX-Corr");
-  ASSERT_TRUE(after(milliseconds(30)));
+  ASSERT_TRUE(runFor(milliseconds(30)));
   bool done = false;
   gateway->drain([&] { done = true; });
   ASSERT_TRUE(until([&] { return !c->answers.empty() || done; }));
@@ -145,21 +157,21 @@
   EXPECT_EQ(received(), 0u);
 }
 
-// Hard case: the loop does not run while the signal comes. The drain counts from before the stall.
-TEST_F(DrainTest, AStallAboutTheSignalIsTakenOffTheDrain) {
+// The event loop stalls while the signal arrives. The drain counts from before the stall.
+TEST_F(DrainTest, CountsDrainFromBeforeLoopStall) {
   host(hold);
-  start(deadlines);
+  start(setShortDeadlines);
   const auto c = client();
-  ASSERT_TRUE(after(milliseconds(150)));
-  const auto told = steady_clock::now();
-  std::this_thread::sleep_for(milliseconds(700));  // its timer was due meanwhile
+  ASSERT_TRUE(runFor(milliseconds(150)));
+  const auto stallStart = steady_clock::now();
+  std::this_thread::sleep_for(milliseconds(700));  // a timer of the gateway falls due during the stall
   bool done = false;
   gateway->drain([&] { done = true; });
-  c->write("POST /book HTTP/1.1\r\nHost: api\r\nX-Corr");  // never whole: turned down at the last call
+  c->write("POST /book HTTP/1.1\r\nHost: api\r\nX-Corr");  // never completed: refused at finalResponseTime
   ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
-  // 0.4 s for the longest deadline and 0.7 s: then it is killed. Counted from when the loop came to the
-  // signal, the last call would be at 1.34 s: 0.7 and 0.84, less the lag that is seen.
-  EXPECT_LT(steady_clock::now() - told, milliseconds(1100));
+  // The process is killed after 0.4 s (longest deadline) + 0.7 s. Counted from when the loop handled the
+  // signal, finalResponseTime would be at 1.34 s: 0.7 + 0.84, minus 0.2 s for the observed lag.
+  EXPECT_LT(steady_clock::now() - stallStart, milliseconds(1100));
   ASSERT_TRUE(until([&] { return done; }));
 }
 
