--- a/tests/net/ends_test.cpp
+++ b/tests/net/ends_test.cpp
@@ -1,5 +1,6 @@
-// What is owed when something ends: a client that has gone, a window that has passed, a connection at rest, a
-// place that is given to another, a discovery that fails. Each moment is forced, none is hoped for.
+// Behaviour at the end of things: disconnected clients, expired deduplication windows, idle connections,
+// connections closed in favour of others, truncated answers, failing discovery. Each test forces the moment
+// it is about and does not rely on chance.
 #include <sys/resource.h>
 
 #include "support/gateway_fixture.hpp"
@@ -11,25 +12,25 @@
 using std::chrono::seconds;
 using std::chrono::steady_clock;
 
-// A host whose connections don't come up before it is opened; then within a second, as the system tries
-// again.
+// A host whose connections are not established before open() is called. They are then established within a
+// second, when the kernel retransmits its SYN.
 class LateHost {
  public:
-  explicit LateHost(asio::io_context& io) : io_(io), acceptor_(io, tcp::v4()), filler_(io) {
+  explicit LateHost(asio::io_context& io) : io_(io), acceptor_(io, tcp::v4()), queueFiller_(io) {
     acceptor_.bind(loopback());
     acceptor_.listen(0);
-    filler_.connect(acceptor_.local_endpoint());  // the one that the system takes in ahead of us
+    queueFiller_.connect(acceptor_.local_endpoint());  // fills the accept queue
   }
   tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
   void open() {
     acceptor_.async_accept([this](error_code error, tcp::socket socket) {
       if (error) return;
-      taken_.push_back(std::make_unique<tcp::socket>(std::move(socket)));
-      read(*taken_.back());
+      connections_.push_back(std::make_unique<tcp::socket>(std::move(socket)));
+      read(*connections_.back());
       open();
     });
   }
-  std::string received;  // on all connections
+  std::string received;  // bytes of all connections
 
  private:
   void read(tcp::socket& from) {
@@ -41,13 +42,13 @@
   }
   asio::io_context& io_;
   tcp::acceptor acceptor_;
-  tcp::socket filler_;
-  std::vector<std::unique_ptr<tcp::socket>> taken_;
+  tcp::socket queueFiller_;
+  std::vector<std::unique_ptr<tcp::socket>> connections_;
   std::array<char, 4096> buffer_{};
 };
 
 struct EndsTest : GatewayTest {
-  bool after(Duration d) {
+  bool runFor(Duration d) {
     const auto then = steady_clock::now() + d;
     return until([&] { return steady_clock::now() >= then; });
   }
@@ -58,98 +59,98 @@
   }
 };
 
-// --- A client that has gone
+// --- Disconnected clients
 
-// Behind more bytes than are read ahead its end is not seen; an attempt that is turned away just then must
-// not be followed by another one.
-TEST_F(EndsTest, NothingMoreIsBegunForAClientThatFloodedAndLeft) {
-  std::shared_ptr<Peer> taken;
-  const auto first = [&](const auto& peer, const Received&) { taken = peer; };
-  static OutcomeLog outcomes;  // it outlives the gateway
+// The gateway cannot detect a disconnect behind more bytes than it reads ahead. If a host rejects the attempt
+// at that moment, no other attempt may follow.
+TEST_F(EndsTest, StartsNoAttemptForClientThatDisconnectedBehindUnreadBytes) {
+  std::shared_ptr<Peer> attemptConnection;
+  const auto keepAttempt = [&](const auto& peer, const Received&) { attemptConnection = peer; };
+  static OutcomeLog outcomes;  // must outlive the gateway
   outcomes.all.clear();
-  host(first);
-  host(first);
+  host(keepAttempt);
+  host(keepAttempt);
   start();
   gateway->setAttemptLog(outcomes);
   for (int round = 0; round < 5; ++round) {
-    taken.reset();
+    attemptConnection.reset();
     const std::size_t before = received();
     const auto c = client();
     c->write(head("GET", "/read", "flood-" + std::to_string(round)));
-    ASSERT_TRUE(until([&] { return taken != nullptr; }));
+    ASSERT_TRUE(until([&] { return attemptConnection != nullptr; }));
     c->write(std::string(20 * 1024, 'x'));
-    ASSERT_TRUE(after(milliseconds(5)));  // what is read ahead has been read
+    ASSERT_TRUE(runFor(milliseconds(5)));  // the gateway has read ahead as far as it does
     c->close();
     const auto answered = steady_clock::now();
-    std::exchange(taken, nullptr)->reply(503, "", "X-Unprocessed: 1\r\n");
+    std::exchange(attemptConnection, nullptr)->reply(503, "", "X-Unprocessed: 1\r\n");
     ASSERT_TRUE(until([&] { return gateway->openRequests() == 0; }));
     EXPECT_LT(steady_clock::now() - answered, milliseconds(100));
     EXPECT_EQ(received(), before + 1) << "round " << round;
   }
-  // Nor is it held against a host, or tried at one after the other.
+  // No host is counted as failing, and the request is not tried at further hosts.
   using load_balancing::Outcome;
   EXPECT_EQ(outcomes.count(Outcome::connectFailed), 0);
   EXPECT_LE(outcomes.all.size(), 10u);
 }
 
-// Its first attempt waits for a connection that comes up late; the client leaves meanwhile.
-TEST_F(EndsTest, WhatWaitsForAConnectionIsNotSentForAClientThatLeft) {
+// The client disconnects while the first attempt waits for a slow connection.
+TEST_F(EndsTest, DoesNotSendAttemptAwaitingConnectionAfterClientDisconnects) {
   LateHost late(io);
   start([&](json& config) {
     config["known"]["endpoints"] = json::array({hostJson("late", late.endpoint())});
     config["settings"]["ceilings"]["connectTimeoutNs"] = 1'800'000'000;
-    config["settings"]["ceilings"]["cancel"] = false;  // what waits can't be called off
+    config["settings"]["ceilings"]["cancel"] = false;  // a waiting attempt cannot be cancelled
   });
   const auto c = client();
   c->write(head("GET", "/read", "gone"));
-  ASSERT_TRUE(after(milliseconds(50)));
+  ASSERT_TRUE(runFor(milliseconds(50)));
   c->close();
   late.open();
-  ASSERT_TRUE(after(milliseconds(1500)));
+  ASSERT_TRUE(runFor(milliseconds(1500)));
   EXPECT_EQ(late.received.find("gone"), std::string::npos);
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-// Its client leaves while the last byte is held back, and attempts can't be called off.
-TEST_F(EndsTest, TheLastByteOfOneWhoseClientLeftStaysBack) {
+// The client disconnects while the last byte is held back, and attempts cannot be cancelled.
+TEST_F(EndsTest, WithholdsLastByteAfterClientDisconnects) {
   host(serveOk);
   minVerificationTimeOverride = milliseconds(200);
   start([](json& config) { config["settings"]["ceilings"]["cancel"] = false; });
   const auto c = client();
   c->sendRequest("POST", "/book", 2500, "x");
   ASSERT_TRUE(until([&] { return hosts[0]->peers.size() == 1; }));
-  ASSERT_TRUE(after(milliseconds(20)));
+  ASSERT_TRUE(runFor(milliseconds(20)));
   c->close();
-  ASSERT_TRUE(after(milliseconds(400)));
+  ASSERT_TRUE(runFor(milliseconds(400)));
   EXPECT_EQ(received(), 0u);
   ASSERT_TRUE(until([&] { return gateway->openRequests() == 0; }));
 }
 
-// The host begins to drain while its connection comes up: nothing new to it, also not what was chosen before.
-TEST_F(EndsTest, AHostThatDrainsWhileItsConnectionComesUpGetsNothing) {
+// The host begins to drain while a connection to it is being established. Nothing new may be sent to it,
+// including attempts for which it was chosen before.
+TEST_F(EndsTest, SendsNothingToHostThatDrainsWhileConnecting) {
   LateHost late(io);
-  const json hostListJson = json::array({hostJson("late", late.endpoint())});
+  const json lateHostList = json::array({hostJson("late", late.endpoint())});
   start([&](json& config) {
-    config["known"]["endpoints"] = hostListJson;
+    config["known"]["endpoints"] = lateHostList;
     config["settings"]["ceilings"]["connectTimeoutNs"] = 1'800'000'000;
   });
   const auto c = client();
   c->write(head("GET", "/read", "drained"));
   ASSERT_TRUE(until([&] { return polls.size() == 1; }));
-  json leaving = hostListJson;
+  json leaving = lateHostList;
   leaving[0]["status"] = "leaving";
   polls[0]->reply(200, listJson(2, false, leaving).dump());
-  ASSERT_TRUE(after(milliseconds(50)));
-  late.open();  // its connection is up a second after it was asked for
+  ASSERT_TRUE(runFor(milliseconds(50)));
+  late.open();  // the connection is established a second after the connect
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 503u);
-  ASSERT_TRUE(after(milliseconds(1200)));
+  ASSERT_TRUE(runFor(milliseconds(1200)));
   EXPECT_EQ(late.received, "");
 }
 
-// One that only ends its sending side has left too, by the protocol: a client keeps its connection while it
-// waits.
-TEST_F(EndsTest, AHalfClosedClientHasGone) {
+// A half-close counts as a disconnect: clients keep their connection open while they wait for an answer.
+TEST_F(EndsTest, EndsAttemptWhenClientHalfCloses) {
   host(hold);
   start();
   const auto c = client();
@@ -160,10 +161,10 @@
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-// --- Windows of keyed requests
+// --- Deduplication windows of keyed requests
 
-// The window is open when the resend is decided and over when its connection comes up.
-TEST_F(EndsTest, AKeyedResendWhoseConnectionComesUpBehindTheWindowIsNotSent) {
+// The window is open when the resend is decided and has expired when its connection is established.
+TEST_F(EndsTest, DoesNotResendKeyedRequestWhoseConnectionOpensAfterWindow) {
   LateHost late(io);
   host(hold);
   start([&](json& config) {
@@ -173,72 +174,72 @@
   const auto c = client();
   c->sendRequest("POST", "/put", 2500, "", "Idempotency-Key: k1\r\n");
   ASSERT_TRUE(until([&] { return received() == 1 && polls.size() == 1; }));
-  // The late host is hostListJson once the first attempt is out at the other one, which has run it and goes.
+  // The late host is listed once the first attempt is pending at the other one, which has run it and closes.
   polls[0]->reply(200, listJson(2, false, json::array({hostJson("late", late.endpoint())})).dump());
   ASSERT_TRUE(until([&] { return polls.size() == 2; }));
   hosts[0]->peers[0]->close();
-  ASSERT_TRUE(after(milliseconds(50)));
-  late.open();  // the system tries again a second after it was asked
+  ASSERT_TRUE(runFor(milliseconds(50)));
+  late.open();  // the kernel retransmits its SYN a second after the connect
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 502u);
-  ASSERT_TRUE(after(milliseconds(1200)));
+  ASSERT_TRUE(runFor(milliseconds(1200)));
   EXPECT_EQ(late.received, "");
   EXPECT_EQ(received(), 1u);
 }
 
-// The same while the last byte waits for its connection's proof.
-TEST_F(EndsTest, AKeyedResendWhoseWindowEndsInItsProofIsNotFinished) {
-  int ran = 0;
-  const auto reset = [&](const std::shared_ptr<Peer>& peer, const Received&) {
-    ++ran;
+// The window expires while the last byte waits for the verification of its connection.
+TEST_F(EndsTest, DoesNotCompleteKeyedResendWhoseWindowEndsDuringVerification) {
+  int executions = 0;
+  const auto countAndClose = [&](const std::shared_ptr<Peer>& peer, const Received&) {
+    ++executions;
     peer->close();
   };
-  host(reset);
-  host(reset);
+  host(countAndClose);
+  host(countAndClose);
   minVerificationTimeOverride = milliseconds(400);
   start([](json& config) { config["settings"]["grades"][2]["windowNs"] = 700'000'000; });
   const auto c = client();
   c->sendRequest("POST", "/put", 2500, "", "Idempotency-Key: k2\r\n");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 502u);
-  EXPECT_EQ(ran, 1);
+  EXPECT_EQ(executions, 1);
 }
 
-TEST_F(EndsTest, AKeyedResendInsideItsWindowIsSent) {
-  int ran = 0;
-  const auto reset = [&](const std::shared_ptr<Peer>& peer, const Received&) {
-    if (++ran == 1) peer->close();
+TEST_F(EndsTest, ResendsKeyedRequestWithinWindow) {
+  int executions = 0;
+  const auto closeOnce = [&](const std::shared_ptr<Peer>& peer, const Received&) {
+    if (++executions == 1) peer->close();
     else peer->reply(200, "ok");
   };
-  host(reset);
-  host(reset);
+  host(closeOnce);
+  host(closeOnce);
   minVerificationTimeOverride = milliseconds(100);
   start([](json& config) { config["settings"]["grades"][2]["windowNs"] = 700'000'000; });
   const auto c = client();
   c->sendRequest("POST", "/put", 2500, "", "Idempotency-Key: k3\r\n");
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
-  EXPECT_EQ(ran, 2);
+  EXPECT_EQ(executions, 2);
 }
 
 // --- Closing
 
-// A request that is written in the moment of the close: it is never sent on, and nothing is reset under it,
-// so that its client reads an end in order and asks once more elsewhere.
-TEST_F(EndsTest, ARequestThatCrossesTheCloseOfItsConnectionIsNotResetNorSentOn) {
+// A request may be sent at the moment when the gateway closes its idle connection. It is not forwarded, and
+// the connection is not reset, so that the client reads an orderly close and can send it again elsewhere.
+TEST_F(EndsTest, ClosesIdleConnectionWithoutResetWhenRequestCrossesClose) {
   host(serveOk);
   start();
   const auto c = client();
   c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
-  ASSERT_TRUE(after(milliseconds(5)));
-  gateway->enterLameDuck();  // connections at rest are closed soon
+  ASSERT_TRUE(runFor(milliseconds(5)));
+  gateway->enterLameDuck();  // idle connections are closed soon
   ASSERT_TRUE(until([&] { return c->ended; }));
   error_code error;
   for (int i = 0; i < 3; ++i) {
     asio::write(c->socket, asio::buffer(head("GET", "/read", "crossing-" + std::to_string(i))), error);
     EXPECT_FALSE(error) << error.message() << ", write " << i;
-    ASSERT_TRUE(after(milliseconds(5)));
+    ASSERT_TRUE(runFor(milliseconds(5)));
   }
   char byte = 0;
   c->socket.non_blocking(true);
@@ -249,14 +250,14 @@
   ASSERT_TRUE(until([&] { return gateway->clientConnections() == 0; }));
 }
 
-// Who finds no place reads the refusal, whatever it still sends.
-TEST_F(EndsTest, OneThatIsTurnedAwayMaySendOnAndReadsItsRefusal) {
+// A client refused at the connection limit can read the refusal even if it keeps sending.
+TEST_F(EndsTest, RefusedClientCanKeepSendingAndReadRefusal) {
   host(hold);
   start([](json& config) { config["limits"]["sockets"] = 27; });  // ten clients
-  std::vector<std::shared_ptr<Client>> asking;
+  std::vector<std::shared_ptr<Client>> activeClients;
   for (std::size_t i = 0; i < 10; ++i) {
-    asking.push_back(client());
-    asking.back()->sendRequest("GET", "/read", 2900);
+    activeClients.push_back(client());
+    activeClients.back()->sendRequest("GET", "/read", 2900);
     ASSERT_TRUE(until([&] { return gateway->openRequests() == i + 1; }));
   }
   const auto late = client();
@@ -266,10 +267,10 @@
   for (int i = 0; i < 4; ++i) {
     asio::write(late->socket, asio::buffer(std::string(8000, 'x')), error);
     EXPECT_FALSE(error) << error.message() << ", write " << i;
-    ASSERT_TRUE(after(milliseconds(5)));
+    ASSERT_TRUE(runFor(milliseconds(5)));
   }
   EXPECT_LE(gateway->clientConnections(), 11u);
-  // However many come so, none takes a place, nor the place of one that was turned away.
+  // Further clients are refused as well: neither the open requests nor the refused connections make room.
   for (int i = 0; i < 4; ++i) {
     const auto another = client();
     another->sendRequest("GET", "/read", 2900);
@@ -278,192 +279,199 @@
     EXPECT_EQ(gateway->openRequests(), 10u);
   }
   for (int i = 0; i < 20; ++i) client();
-  ASSERT_TRUE(after(milliseconds(20)));
+  ASSERT_TRUE(runFor(milliseconds(20)));
   EXPECT_LE(gateway->clientConnections(), 11u);
   EXPECT_EQ(gateway->openRequests(), 10u);
 }
 
-// Half a request that has to make room for another client is refused, not cut off: its last byte may be on
-// the way.
-TEST_F(EndsTest, HalfARequestThatMakesRoomIsRefused) {
+// A connection with a partial request that is closed in favour of another client gets a refusal first, since
+// the rest of the request may be on its way.
+TEST_F(EndsTest, RefusesPartialRequestClosedInFavourOfNewClient) {
   host(serveOk);
   start([](json& config) { config["limits"]["sockets"] = 27; });
-  std::vector<std::shared_ptr<Client>> half;
+  std::vector<std::shared_ptr<Client>> partialClients;
   for (int i = 0; i < 10; ++i) {
-    half.push_back(client());
-    half.back()->write("POST /book HTTP/1.1\r\nHost: api\r\nX-Corr");
+    partialClients.push_back(client());
+    partialClients.back()->write("POST /book HTTP/1.1\r\nHost: api\r\nX-Corr");
   }
-  ASSERT_TRUE(after(milliseconds(150)));
+  ASSERT_TRUE(runFor(milliseconds(150)));
   const auto other = client();
   other->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return other->answers.size() == 1; }));
   EXPECT_EQ(other->answers[0].result_int(), 200u);
-  ASSERT_TRUE(until([&] { return half[0]->ended; }));
-  ASSERT_EQ(half[0]->answers.size(), 1u);
-  EXPECT_EQ(half[0]->answers[0].result_int(), 503u);
+  ASSERT_TRUE(until([&] { return partialClients[0]->ended; }));
+  ASSERT_EQ(partialClients[0]->answers.size(), 1u);
+  EXPECT_EQ(partialClients[0]->answers[0].result_int(), 503u);
 }
 
-// A new connection that has to make room: its first request may be on the way, and is told so.
-TEST_F(EndsTest, ANewConnectionThatMakesRoomIsRefused) {
+// A new connection that is closed in favour of another gets a refusal first, since its first request may be
+// on its way.
+TEST_F(EndsTest, RefusesNewConnectionClosedInFavourOfAnother) {
   host(serveOk);
   start([](json& config) { config["limits"]["sockets"] = 27; });
-  std::vector<std::shared_ptr<Client>> fresh;
-  for (int i = 0; i < 11; ++i) fresh.push_back(client());
-  ASSERT_TRUE(until([&] { return fresh[0]->ended; }));
-  ASSERT_EQ(fresh[0]->answers.size(), 1u);
-  EXPECT_EQ(fresh[0]->answers[0].result_int(), 503u);
-  fresh[10]->sendRequest("GET", "/read", 2500);
-  ASSERT_TRUE(until([&] { return fresh[10]->answers.size() == 1; }));
-  EXPECT_EQ(fresh[10]->answers[0].result_int(), 200u);
+  std::vector<std::shared_ptr<Client>> newClients;
+  for (int i = 0; i < 11; ++i) newClients.push_back(client());
+  ASSERT_TRUE(until([&] { return newClients[0]->ended; }));
+  ASSERT_EQ(newClients[0]->answers.size(), 1u);
+  EXPECT_EQ(newClients[0]->answers[0].result_int(), 503u);
+  newClients[10]->sendRequest("GET", "/read", 2500);
+  ASSERT_TRUE(until([&] { return newClients[10]->answers.size() == 1; }));
+  EXPECT_EQ(newClients[10]->answers[0].result_int(), 200u);
 }
 
-// --- Answers that break off
+// --- Truncated answers
 
-// One in chunks with interim answers ahead and a trailer behind, and one whose length is told: cut behind
-// each byte, by a reset and by an end in order. It is never passed on as whole, and what comes next is not
-// harmed.
-TEST_F(EndsTest, AnAnswerThatIsCutBehindAnyByteIsNeverTakenForWhole) {
+// A chunked answer with interim answers before it and a trailer, and one with Content-Length, are truncated
+// after each byte, by a reset and by a close. None may be passed on as complete, and the next answer must be
+// intact.
+TEST_F(EndsTest, FailsRequestWhenAnswerIsTruncatedAfterAnyByte) {
   const std::string chunked =
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
       "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nTransfer-Encoding: chunked\r\n\r\n"
       "4\r\nfour\r\n3\r\nsix\r\n0\r\nX-Sum: 7\r\n\r\n";
-  const std::string counted = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nfoursix";
-  std::string bytes;  // what the next unsafe request is answered; empty: in full
-  bool byReset = false;
+  const std::string withLength = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nfoursix";
+  std::string nextAnswer;  // the answer to the next unsafe request
+  bool closesByReset = false;
   host([&](const std::shared_ptr<Peer>& peer, const Received& r) {
     if (r.target() == "/read") return peer->reply(200, "good");
-    peer->write(bytes);
-    if (byReset) peer->socket.set_option(asio::socket_base::linger(true, 0));
+    peer->write(nextAnswer);
+    if (closesByReset) peer->socket.set_option(asio::socket_base::linger(true, 0));
     peer->close();
   });
   start();
-  const auto c = client(), usual = client();
-  const auto answered = [&](const std::string& what) {
-    bytes = what;
+  const auto c = client(), steadyClient = client();
+  const auto statusFor = [&](const std::string& what) {
+    nextAnswer = what;
     const std::size_t before = c->answers.size();
     c->sendRequest("POST", "/book", 2500, "x");
     EXPECT_TRUE(until([&] { return c->answers.size() > before || c->ended; }));
     return c->answers.size() > before ? c->answers.back().result_int() : 0u;
   };
-  for (const std::string& whole : {chunked, counted})
-    for (std::size_t cut = 0; cut < whole.size(); ++cut)
-      for (const bool r : {true, false}) {
-        byReset = r;
-        // Danger: hosts that answer nothing but nonsense are an overload, and the cut would refuse what is
-        // asked.
-        expectServed(*usual, 12);
-        ASSERT_EQ(answered(whole.substr(0, cut)), 502u)
-            << "behind " << cut << " bytes of " << whole.substr(0, 30);
+  for (const std::string& completeAnswer : {chunked, withLength})
+    for (std::size_t length = 0; length < completeAnswer.size(); ++length)
+      for (const bool isReset : {true, false}) {
+        closesByReset = isReset;
+        // Without enough good answers, the gateway would infer an overload from the failures and refuse the
+        // request under test.
+        expectServed(*steadyClient, 12);
+        ASSERT_EQ(statusFor(completeAnswer.substr(0, length)), 502u)
+            << "after " << length << " bytes of " << completeAnswer.substr(0, 30);
       }
-  byReset = false;
-  for (const std::string& whole : {chunked, counted}) {
-    ASSERT_EQ(answered(whole), 200u);
+  closesByReset = false;
+  for (const std::string& completeAnswer : {chunked, withLength}) {
+    ASSERT_EQ(statusFor(completeAnswer), 200u);
     EXPECT_EQ(c->answers.back().body(), "foursix");
   }
 }
 
 // --- Discovery
 
-// What it has to tell counts as told 6 s after it could be reached, whatever a call of ours met. Each gateway
-// has its own trouble with it; from one moment on polls are answered, with a host that drains.
-enum class Trouble { silent, refuses, resets, half, trickles, watchFallsSilent };
+// A change of the list must reach a gateway within 6 s after discovery has recovered, whatever fault its
+// polls met before. Each gateway has a discovery with another fault, which at some time recovers and reports
+// that a host drains.
+enum class DiscoveryFault { silent, refuses, closes, truncates, trickles, pollUnanswered };
 
-struct Watcher {
-  Trouble trouble;
-  std::vector<std::shared_ptr<Peer>> stuck;
+struct DiscoveryCase {
+  DiscoveryFault fault;
+  std::vector<std::shared_ptr<Peer>> stalledPolls;
   std::unique_ptr<Server> discovery;
-  std::unique_ptr<Server> keeps, drains;
+  std::unique_ptr<Server> activeHost, drainingHost;
   std::unique_ptr<Gateway> gateway;
-  bool well = false;
+  bool recovered = false;
   std::size_t polls = 0;
-  steady_clock::time_point told{};
+  steady_clock::time_point listSentAt{};
 };
 
-TEST_F(EndsTest, EveryTroubleOfDiscoveryIsOverInsideItsSixSeconds) {
-  std::vector<std::unique_ptr<Watcher>> all;
-  for (const Trouble t : {Trouble::silent, Trouble::refuses, Trouble::resets, Trouble::half,
-                          Trouble::trickles, Trouble::watchFallsSilent}) {
-    all.push_back(std::make_unique<Watcher>());
-    Watcher& w = *all.back();
-    w.trouble = t;
-    w.keeps = std::make_unique<Server>(io, serveOk);
-    w.drains = std::make_unique<Server>(io, serveOk);
+TEST_F(EndsTest, ReceivesChangeWithinSixSecondsAfterAnyDiscoveryFault) {
+  std::vector<std::unique_ptr<DiscoveryCase>> cases;
+  for (const DiscoveryFault t :
+       {DiscoveryFault::silent, DiscoveryFault::refuses, DiscoveryFault::closes, DiscoveryFault::truncates,
+        DiscoveryFault::trickles, DiscoveryFault::pollUnanswered}) {
+    cases.push_back(std::make_unique<DiscoveryCase>());
+    DiscoveryCase& w = *cases.back();
+    w.fault = t;
+    w.activeHost = std::make_unique<Server>(io, serveOk);
+    w.drainingHost = std::make_unique<Server>(io, serveOk);
     w.discovery = std::make_unique<Server>(io, [&w](const std::shared_ptr<Peer>& peer, const Received& r) {
       ++w.polls;
-      if (w.well) {
-        // The news is handed out at once; what follows is a watch without any.
+      if (w.recovered) {
+        // The change is sent at once. The polls after it stay unanswered, as there are no more changes.
         if (r.target().find("since=2") != boost::beast::string_view::npos) return;
-        w.told = steady_clock::now();
+        w.listSentAt = steady_clock::now();
         return peer->reply(
-            200,
-            listJson(2, false, json::array({hostJson("drains", w.drains->endpoint(), "leaving")})).dump());
+            200, listJson(2, false, json::array({hostJson("drains", w.drainingHost->endpoint(), "leaving")}))
+                     .dump());
       }
-      switch (w.trouble) {
-        case Trouble::silent: return w.stuck.push_back(peer);
-        case Trouble::refuses: return peer->reply(503, "");
-        case Trouble::resets: return peer->close();
-        case Trouble::half:
+      switch (w.fault) {
+        case DiscoveryFault::silent: return w.stalledPolls.push_back(peer);
+        case DiscoveryFault::refuses: return peer->reply(503, "");
+        case DiscoveryFault::closes: return peer->close();
+        case DiscoveryFault::truncates:
           return peer->write("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"index\":2,\"snapsh");
-        case Trouble::trickles: return w.stuck.push_back(peer), peer->write("HTTP/1.1 200 OK\r\nX-A: ");
-        case Trouble::watchFallsSilent: return;
+        case DiscoveryFault::trickles:
+          return w.stalledPolls.push_back(peer), peer->write("HTTP/1.1 200 OK\r\nX-A: ");
+        case DiscoveryFault::pollUnanswered: return;
       }
     });
-    json config = configJson(
-        w.discovery->endpoint(),
-        json::array({hostJson("keeps", w.keeps->endpoint()), hostJson("drains", w.drains->endpoint())}));
+    json config =
+        configJson(w.discovery->endpoint(), json::array({hostJson("keeps", w.activeHost->endpoint()),
+                                                         hostJson("drains", w.drainingHost->endpoint())}));
     w.gateway = std::make_unique<Gateway>(io, clock, readConfig(config.dump(), clock));
     w.gateway->start();
   }
-  // Well again, for each, in the worst moment: right behind a call that is lost.
-  ASSERT_TRUE(after(milliseconds(2600)));
-  std::vector<std::size_t> seen;
-  for (const auto& w : all) seen.push_back(w->polls);
-  std::vector<steady_clock::time_point> wellAt(all.size());
-  const auto begun = steady_clock::now();
+  // Each discovery recovers at the worst moment: right after a poll that is lost.
+  ASSERT_TRUE(runFor(milliseconds(2600)));
+  std::vector<std::size_t> pollsBefore;
+  for (const auto& w : cases) pollsBefore.push_back(w->polls);
+  std::vector<steady_clock::time_point> recoveredAt(cases.size());
+  const auto startTime = steady_clock::now();
   const auto trickle = [&] {
-    for (const auto& w : all)
-      if (w->trouble == Trouble::trickles)
-        for (const auto& peer : w->stuck)
+    for (const auto& w : cases)
+      if (w->fault == DiscoveryFault::trickles)
+        for (const auto& peer : w->stalledPolls)
           if (!peer->ended) try {
               peer->write("x");
             } catch (const std::exception&) {
               peer->ended = true;
             }
   };
-  auto nextDrop = begun;
+  auto nextTrickle = startTime;
   ASSERT_TRUE(until([&] {
     const auto now = steady_clock::now();
-    if (now >= nextDrop) trickle(), nextDrop = now + milliseconds(100);
-    for (std::size_t i = 0; i < all.size(); ++i)
-      if (!all[i]->well && (all[i]->polls > seen[i] || now > begun + seconds(5)))
-        all[i]->well = true, wellAt[i] = now;
-    return std::all_of(all.begin(), all.end(),
-                       [](const auto& w) { return w->told.time_since_epoch().count(); });
+    if (now >= nextTrickle) trickle(), nextTrickle = now + milliseconds(100);
+    for (std::size_t i = 0; i < cases.size(); ++i)
+      if (!cases[i]->recovered && (cases[i]->polls > pollsBefore[i] || now > startTime + seconds(5)))
+        cases[i]->recovered = true, recoveredAt[i] = now;
+    return std::all_of(cases.begin(), cases.end(),
+                       [](const auto& w) { return w->listSentAt.time_since_epoch().count(); });
   }));
-  for (std::size_t i = 0; i < all.size(); ++i) {
-    EXPECT_LT(all[i]->told - wellAt[i], milliseconds(5600)) << "trouble " << i;
-    EXPECT_LT(all[i]->polls, 30u) << "a storm, trouble " << i;
+  for (std::size_t i = 0; i < cases.size(); ++i) {
+    EXPECT_LT(cases[i]->listSentAt - recoveredAt[i], milliseconds(5600)) << "fault " << i;
+    EXPECT_LT(cases[i]->polls, 30u) << "too many polls, fault " << i;
   }
-  ASSERT_TRUE(after(milliseconds(20)));
-  for (std::size_t i = 0; i < all.size(); ++i) {  // and the news is heeded
-    const auto c = Client::connect(io, all[i]->gateway->endpoint());
-    const std::size_t before = all[i]->drains->received.size();
+  ASSERT_TRUE(runFor(milliseconds(20)));
+  for (std::size_t i = 0; i < cases.size(); ++i) {  // the change is in force
+    const auto c = Client::connect(io, cases[i]->gateway->endpoint());
+    const std::size_t before = cases[i]->drainingHost->received.size();
     expectServed(*c, 6);
-    EXPECT_EQ(all[i]->drains->received.size(), before) << "trouble " << i;
+    EXPECT_EQ(cases[i]->drainingHost->received.size(), before) << "fault " << i;
   }
 }
 
-// A watch that falls silent right behind its call: given up, asked anew, and the first answer wanted soon.
-TEST_F(EndsTest, AWatchThatFallsSilentIsReplacedSoonWhateverTheSettingsAllow) {
-  for (const std::int64_t within : {10, 120}) {
+// A poll that is never answered is repeated. The new one requests a short wait, until there is an answer
+// again.
+TEST_F(EndsTest, RepeatsUnansweredPollSoonWhateverSettingsAllow) {
+  for (const std::int64_t silenceLimitSeconds : {10, 120}) {
     polls.clear();
     hosts.clear();
     host(serveOk);
-    start([&](json& config) { config["settings"]["rules"]["askWithinNs"] = within * 1'000'000'000; });
+    start([&](json& config) {
+      config["settings"]["rules"]["askWithinNs"] = silenceLimitSeconds * 1'000'000'000;
+    });
     ASSERT_TRUE(until([&] { return polls.size() == 1; }));
-    const auto silent = steady_clock::now();
+    const auto polledAt = steady_clock::now();
     ASSERT_TRUE(until([&] { return polls.size() == 2; }));
-    EXPECT_LT(steady_clock::now() - silent, milliseconds(4100)) << within << " s";
+    EXPECT_LT(steady_clock::now() - polledAt, milliseconds(4100)) << silenceLimitSeconds << " s";
     EXPECT_NE(discovery.received.back().target().find("timeout_ms=500"), boost::beast::string_view::npos);
     polls[1]->reply(200, listJson(1, false, json::array()).dump());
     ASSERT_TRUE(until([&] { return polls.size() == 3; }));
@@ -472,8 +480,8 @@
   }
 }
 
-// While clients hold all that they may and each has an attempt out, discovery still gets its descriptor.
-TEST_F(EndsTest, SharesLeaveTheProcessItsOwnDescriptors) {
+// Discovery must get a descriptor even when clients use all of theirs and each has an attempt in flight.
+TEST_F(EndsTest, DescriptorSharesLeaveSixteenForProcess) {
   for (const int sockets : {64, 128, 256, 512, 1024, 4096}) {
     hosts.clear();
     host(hold);
--- a/tests/net/upstream_pool_test.cpp
+++ b/tests/net/upstream_pool_test.cpp
@@ -1,4 +1,4 @@
-// UpstreamPool against scripted hosts on loopback, without a gateway.
+// Tests of UpstreamPool against scripted hosts on loopback, without a gateway.
 #include "net/upstream_pool.hpp"
 
 #include "support/gateway_fixture.hpp"
@@ -11,11 +11,11 @@
 struct UpstreamPoolTest : ::testing::Test, UpstreamCallbacks {
   asio::io_context io;
   Clock clock;
-  bool wanted = true;
+  bool requestOpen = true;
   std::vector<std::pair<AttemptId, load_balancing::Outcome>> outcomes;
   bool maySendLastByte(AttemptId) override { return true; }
   std::optional<OutgoingRequest> composeRequest(AttemptId id, load_balancing::Outcome&) override {
-    if (!wanted) return std::nullopt;
+    if (!requestOpen) return std::nullopt;
     return OutgoingRequest{UpstreamRequest(http::verb::get, "/" + std::to_string(id), 11), true};
   }
   void onReadyForRequestBody(AttemptId) override {}
@@ -29,15 +29,15 @@
   }
 };
 
-// The wait for a connection may outlast the request or the host's place in the list.
-TEST_F(UpstreamPoolTest, WritesNothingForAttemptThatIsNoLongerWanted) {
+// While an attempt waits for a connection, its request may end, or its host may leave the list.
+TEST_F(UpstreamPoolTest, WritesNothingForAttemptWhoseRequestHasEnded) {
   Server host(io, serveOk);
   UpstreamPool pool(io, clock, {milliseconds(500), milliseconds(500), milliseconds(30000), 4}, *this);
   pool.send(1, 0, host.endpoint());
-  wanted = false;
+  requestOpen = false;
   ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 1; }));
   EXPECT_EQ(outcomes[0].second, load_balancing::Outcome::connectFailed);
-  wanted = true;
+  requestOpen = true;
   pool.send(2, 0, host.endpoint());
   ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 2; }));
   EXPECT_EQ(outcomes[1].second, load_balancing::Outcome::served);
@@ -46,7 +46,7 @@
   EXPECT_EQ(host.peers.size(), 1u);  // the connection opened for the first was kept
 }
 
-TEST_F(UpstreamPoolTest, NeverSendsAttemptGivenUpWhileItWaits) {
+TEST_F(UpstreamPoolTest, DoesNotSendAttemptAbandonedWhileWaiting) {
   Server host(io, serveOk);
   UpstreamPool pool(io, clock, {milliseconds(500), milliseconds(500), milliseconds(30000), 4}, *this);
   pool.send(1, 0, host.endpoint());
@@ -58,8 +58,8 @@
   EXPECT_EQ(host.received[0].target(), "/2");
 }
 
-// Held back, the last byte cannot have gone out: what is given up by then has not run.
-TEST_F(UpstreamPoolTest, ReportsAttemptGivenUpBeforeItsLastByteAsNotRun) {
+// An attempt that is abandoned while its last byte is held back cannot have run.
+TEST_F(UpstreamPoolTest, ReportsAttemptAbandonedBeforeItsLastByteAsNotRun) {
   Server host(io, hold);
   UpstreamPool::Limits limits{milliseconds(500), milliseconds(500), milliseconds(30000)};
   limits.minVerificationTime = std::chrono::hours(1);
@@ -89,30 +89,30 @@
   for (AttemptId id = 1; id <= 30; ++id) pool.send(id, 0, host.endpoint());
   EXPECT_EQ(pool.opened(), 4u);
   ASSERT_TRUE(runUntil(io, [&] { return host.received.size() == 30; }));
-  EXPECT_EQ(pool.opened(), 30u);  // all are busy: each needed one, and none was opened beside
+  EXPECT_EQ(pool.opened(), 30u);  // one for each attempt and none more
   EXPECT_TRUE(pool.abandonAttempt(1));
   EXPECT_EQ(pool.connections(), 29u);
 }
 
 TEST_F(UpstreamPoolTest, FailsAttemptsWhoseConnectNeverCompletes) {
-  // A full accept queue that nobody empties: further connects stay unanswered.
-  tcp::acceptor deaf(io);
-  deaf.open(tcp::v4());
-  deaf.bind(loopback());
-  deaf.listen(0);
-  std::vector<tcp::socket> fill;
+  // With a full accept queue, further connects stay unanswered.
+  tcp::acceptor unresponsiveHost(io);
+  unresponsiveHost.open(tcp::v4());
+  unresponsiveHost.bind(loopback());
+  unresponsiveHost.listen(0);
+  std::vector<tcp::socket> queueFillers;
   for (int i = 0; i < 4; ++i) {
-    fill.emplace_back(io);
-    fill.back().async_connect(deaf.local_endpoint(), [](error_code) {});
+    queueFillers.emplace_back(io);
+    queueFillers.back().async_connect(unresponsiveHost.local_endpoint(), [](error_code) {});
   }
   UpstreamPool pool(io, clock, {milliseconds(200), milliseconds(500), milliseconds(30000), 4}, *this);
-  for (AttemptId id = 1; id <= 6; ++id) pool.send(id, 0, deaf.local_endpoint());
+  for (AttemptId id = 1; id <= 6; ++id) pool.send(id, 0, unresponsiveHost.local_endpoint());
   ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 6; }));
   for (const auto& [id, outcome] : outcomes) EXPECT_EQ(outcome, load_balancing::Outcome::connectFailed) << id;
   EXPECT_TRUE(runUntil(io, [&] { return pool.connections() == 0; }));
 }
 
-// A host that takes no more connections still serves on those that it has.
+// A host that refuses new connections still serves on its open ones.
 TEST_F(UpstreamPoolTest, FailsOneAttemptPerFailedConnect) {
   std::vector<std::shared_ptr<Peer>> held;
   auto host = std::make_unique<Server>(io, [&](const auto& peer, const Received&) { held.push_back(peer); });
@@ -122,7 +122,7 @@
   ASSERT_TRUE(runUntil(io, [&] { return held.size() == 1; }));
   host->stop();
   for (AttemptId id = 2; id <= 3; ++id) pool.send(id, 0, at);
-  held[0]->reply(200, "ok");  // its connection is free before the second connect has failed
+  held[0]->reply(200, "ok");  // frees its connection before the second connect fails
   ASSERT_TRUE(runUntil(io, [&] { return held.size() == 2; }));
   held[1]->reply(200, "ok");
   ASSERT_TRUE(runUntil(io, [&] { return outcomes.size() == 3; }));
--- a/tests/net/wire_format_test.cpp
+++ b/tests/net/wire_format_test.cpp
@@ -1,4 +1,4 @@
-// The bytes that the gateway writes to hosts, clients and discovery, against literals.
+// Compares the bytes that the gateway writes to hosts, clients and discovery with literals.
 #include "support/gateway_fixture.hpp"
 #include "support/wires.hpp"
 
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-// The time left depends on the machine, so its digits are replaced before the comparison.
+// Replaces the digits of X-Time-Left-Ms by N, since the time left varies from run to run.
 std::string withoutTimeLeft(std::string bytes) {
   static constexpr std::string_view kName = "X-Time-Left-Ms: ";
   std::size_t at = bytes.find(kName);
@@ -31,28 +31,28 @@
       change(config);
     });
   }
-  // The host answers a request with `bytes` when it has come with its body, of which `bodySize` bytes are
-  // due.
+  // Makes the host answer each first request of a connection with `bytes`, once its header section and
+  // `bodySize` bytes of its body have arrived.
   void answerWith(const std::string& bytes, std::size_t bodySize = 0) {
-    rawHost.onConnection = [bytes, bodySize](const std::shared_ptr<TcpConnection>& wire) {
-      wire->onBytes = [bytes, bodySize](TcpConnection& w) {
-        const std::size_t headEnd = w.receivedBytes.find("\r\n\r\n");
-        if (headEnd == std::string::npos || w.receivedBytes.size() < headEnd + 4 + bodySize) return;
-        w.onBytes = {};
-        w.write(bytes);
+    rawHost.onConnection = [bytes, bodySize](const std::shared_ptr<TcpConnection>& connection) {
+      connection->onBytes = [bytes, bodySize](TcpConnection& self) {
+        const std::size_t headEnd = self.receivedBytes.find("\r\n\r\n");
+        if (headEnd == std::string::npos || self.receivedBytes.size() < headEnd + 4 + bodySize) return;
+        self.onBytes = {};
+        self.write(bytes);
       };
     };
   }
-  std::string received(std::size_t connection = 0) const {
-    return connection < rawHost.connections.size() ? rawHost.connections[connection]->receivedBytes : "";
+  std::string received(std::size_t index = 0) const {
+    return index < rawHost.connections.size() ? rawHost.connections[index]->receivedBytes : "";
   }
-  // The bytes that a client gets for `request`, up to `size` of them.
+  // Returns what a client receives for `request`, as soon as that is at least `size` bytes.
   std::string responseTo(const std::string& request, std::size_t size) {
-    const auto wire = TcpConnection::connect(io, gateway->endpoint());
-    wire->write(request);
-    EXPECT_TRUE(until([&] { return wire->receivedBytes.size() >= size || wire->over(); }))
-        << wire->receivedBytes;
-    return wire->receivedBytes;
+    const auto connection = TcpConnection::connect(io, gateway->endpoint());
+    connection->write(request);
+    EXPECT_TRUE(until([&] { return connection->receivedBytes.size() >= size || connection->over(); }))
+        << connection->receivedBytes;
+    return connection->receivedBytes;
   }
   void expectResponse(const std::string& request, const std::string& response) {
     EXPECT_EQ(withoutTimeLeft(responseTo(request, response.size())), response) << request;
@@ -61,8 +61,8 @@
 
 TEST_F(WireFormatTest, SendsIdempotentRequestToHostInTheseBytes) {
   startWithRawHost();
-  const auto wire = TcpConnection::connect(io, gateway->endpoint());
-  wire->write(
+  const auto connection = TcpConnection::connect(io, gateway->endpoint());
+  connection->write(
       "GET /read/x%20y?a=1&b=%2f HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: id-1\r\nX-Time-Left-Ms: 2500\r\n"
       "X-Account: acme\r\nX-Weight-Hint: 5000\r\nCookie: sid=00ff\r\nX-Other: dropped\r\n\r\n");
   const std::string expected = "GET /read/x%20y?a=1&b=%2f HTTP/1.1\r\nHost: " + text(rawHost.endpoint()) +
@@ -73,8 +73,8 @@
 
 TEST_F(WireFormatTest, SendsKeyedRequestToHostInTheseBytes) {
   startWithRawHost();
-  const auto wire = TcpConnection::connect(io, gateway->endpoint());
-  wire->write(
+  const auto connection = TcpConnection::connect(io, gateway->endpoint());
+  connection->write(
       "POST /put HTTP/1.1\r\nHost: api\r\ncontent-type: text/plain\r\nidempotency-key: key-7\r\n"
       "x-correlation-id: id-2\r\nX-Time-Left-Ms: 2500\r\nContent-Length: 3\r\n\r\nabc");
   const std::string expected = "POST /put HTTP/1.1\r\nHost: " + text(rawHost.endpoint()) +
@@ -86,8 +86,8 @@
 
 TEST_F(WireFormatTest, SendsEmptyPostWithContentLengthZero) {
   startWithRawHost();
-  const auto wire = TcpConnection::connect(io, gateway->endpoint());
-  wire->write(
+  const auto connection = TcpConnection::connect(io, gateway->endpoint());
+  connection->write(
       "POST /book HTTP/1.1\r\nX-Correlation-Id: id-3\r\nX-Time-Left-Ms: 2500\r\nContent-Length: 0\r\n\r\n");
   const std::string expected = "POST /book HTTP/1.1\r\nHost: " + text(rawHost.endpoint()) +
                                "\r\nX-Correlation-Id: id-3\r\nX-Time-Left-Ms: N\r\nContent-Length: 0\r\n\r\n";
@@ -95,11 +95,11 @@
   EXPECT_EQ(withoutTimeLeft(received()), expected);
 }
 
-TEST_F(WireFormatTest, RelaysLongBodyOfKnownLengthWithTheClientsTimeAndLength) {
+TEST_F(WireFormatTest, RelaysLongBodyOfKnownLengthWithClientTimeAndLength) {
   startWithRawHost();
   const std::string body = pattern(200000);
-  const auto wire = TcpConnection::connect(io, gateway->endpoint());
-  wire->write(
+  const auto connection = TcpConnection::connect(io, gateway->endpoint());
+  connection->write(
       "POST /book HTTP/1.1\r\nX-Correlation-Id: id-4\r\nX-Time-Left-Ms: 2500\r\nContent-Length: "
       "200000\r\n\r\n" +
       body);
@@ -113,8 +113,8 @@
 TEST_F(WireFormatTest, RelaysLongBodyOfUnknownLengthInChunks) {
   startWithRawHost();
   const std::string body = pattern(200000);
-  const auto wire = TcpConnection::connect(io, gateway->endpoint());
-  wire->write(
+  const auto connection = TcpConnection::connect(io, gateway->endpoint());
+  connection->write(
       "POST /book HTTP/1.1\r\nX-Correlation-Id: id-5\r\nX-Time-Left-Ms: 2500\r\nTransfer-Encoding: "
       "chunked\r\n\r\n30d40\r\n" +
       body + "\r\n0\r\n\r\n");
@@ -127,7 +127,7 @@
            received().compare(received().size() - end.size(), end.size(), end) == 0;
   }));
   EXPECT_EQ(received().substr(0, head.size()), head);
-  std::string unchunked;  // chunk sizes depend on what a read brings
+  std::string unchunked;  // chunk sizes depend on how much each read returns
   for (std::size_t at = head.size();;) {
     const std::size_t line = received().find("\r\n", at);
     ASSERT_NE(line, std::string::npos);
@@ -178,16 +178,16 @@
   answerWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + body + "\r\n0\r\n\r\n");
   startWithRawHost();
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  const auto wire = TcpConnection::connect(io, gateway->endpoint());
-  wire->write("GET /read HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: 2500\r\n\r\n");
+  const auto connection = TcpConnection::connect(io, gateway->endpoint());
+  connection->write("GET /read HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: 2500\r\n\r\n");
   ASSERT_TRUE(until([&] {
-    return wire->receivedBytes.size() > body.size() &&
-           wire->receivedBytes.compare(wire->receivedBytes.size() - 7, 7, "\r\n0\r\n\r\n") == 0;
+    return connection->receivedBytes.size() > body.size() &&
+           connection->receivedBytes.compare(connection->receivedBytes.size() - 7, 7, "\r\n0\r\n\r\n") == 0;
   }));
-  EXPECT_EQ(wire->receivedBytes.substr(0, head.size()), head);
+  EXPECT_EQ(connection->receivedBytes.substr(0, head.size()), head);
 }
 
-// Rejects every request, with a wait and a header of its own.
+// Rejects every request with a Retry-After, a header line and a body.
 struct RejectingFilter : RequestFilter {
   std::uint8_t phases() const override { return phaseBit(RequestPhase::received); }
   FilterDecision onRequestReceived(RequestContext&) override {
@@ -283,7 +283,7 @@
   EXPECT_EQ(refused->receivedBytes, full);
 }
 
-TEST_F(WireFormatTest, CallsDiscoveryInTheseBytes) {
+TEST_F(WireFormatTest, PollsDiscoveryInTheseBytes) {
   startWithRawHost([&](json& config) { config["discovery"] = text(rawDiscovery.endpoint()); });
   const std::string host = " HTTP/1.1\r\nHost: " + text(rawDiscovery.endpoint()) + "\r\n\r\n";
   ASSERT_TRUE(until([&] {
