--- a/tests/fuzz/configuration_update.cpp
+++ b/tests/fuzz/configuration_update.cpp
@@ -1,4 +1,5 @@
-// Responses of control machines and polls of gateways: an accepted update is complete and reads back equal.
+// Parses any bytes as a response of a control machine and as a poll of a gateway. An accepted update must
+// read back equal, and a valid poll must have a valid encoding.
 #include <cstdlib>
 #include <stdexcept>
 
@@ -32,7 +33,7 @@
       if (again.versionState().hash != store.versionState().hash) std::abort();
     }
   } catch (const std::runtime_error&) {
-    // The text is no update.
+    // Not a valid update.
   }
   if (const auto poll = parsePollTarget(text)) {
     if (!parsePollTarget(formatPollTarget(*poll))) std::abort();
--- a/tests/fuzz/hook_bytecode.cpp
+++ b/tests/fuzz/hook_bytecode.cpp
@@ -1,4 +1,5 @@
-// Any bytes as bytecode, without the check of the checksum: refused, or run within its bounds.
+// Decodes any bytes as bytecode, ignoring the checksum. They must be rejected with a message, or run within
+// the instruction budget.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
--- a/tests/fuzz/hook_source.cpp
+++ b/tests/fuzz/hook_source.cpp
@@ -1,4 +1,5 @@
-// Any bytes as a hook's source: problems, or a program that verifies and runs within its bounds.
+// Compiles any bytes as the source of a hook. The result must be either problems, or a program that verifies,
+// has a reversible encoding, and runs within the instruction budget.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
@@ -16,7 +17,7 @@
   if (compiled.has_value() != problems.empty()) std::abort();
   if (!compiled) return 0;
   if (verify(compiled->program)) std::abort();  // the compiler emits valid programs only
-  // An exception of the decoder ends the program, as it should.
+  // An exception of the decoder is not caught: it ends the process, which counts as a fault.
   if (!(decode(encode(compiled->program)) == compiled->program)) std::abort();
   const std::vector<std::shared_ptr<const Table>> tables(compiled->program.tables.size(),
                                                          std::make_shared<const Table>());
--- a/tests/fuzz/hook_table.cpp
+++ b/tests/fuzz/hook_table.cpp
@@ -1,4 +1,4 @@
-// Any bytes as a table's file.
+// Parses any bytes as a table file. The result must be either a table or problems.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
--- a/tests/fuzz/http_framing.cpp
+++ b/tests/fuzz/http_framing.cpp
@@ -1,5 +1,6 @@
-// Any bytes as a request and as an answer: cut into pieces at any point, with bodies taken at any point, they
-// mean the same as in one piece, and no more of a body is held than has come.
+// Parses any bytes as a request and as an answer. Input split at random points, with the body taken out at
+// random points, must have the same result as unsplit input. No more body bytes may be buffered than have
+// arrived.
 #include <cstdlib>
 #include <string>
 
@@ -10,15 +11,15 @@
 
 namespace {
 
-struct Reading {
-  int verdict = 0;  // 0: more is wanted, 1: whole, 2: bad
+struct ReadResult {
+  int status = 0;  // 0: incomplete, 1: complete, 2: malformed
   std::string head, body;
-  std::size_t left = 0;  // bytes behind the message
-  // What is not whole may be turned down sooner or later, as more of it is looked at; what is whole is the
-  // same.
-  bool agrees(const Reading& o) const {
-    if (verdict != 1 && o.verdict != 1) return verdict == 2 || o.verdict == 2 || body == o.body;
-    return verdict == o.verdict && head == o.head && body == o.body && left == o.left;
+  std::size_t remainingBytes = 0;  // bytes after the message
+  // Malformed input may be detected earlier or later, depending on how it is split. A complete message must
+  // be the same.
+  bool isConsistentWith(const ReadResult& o) const {
+    if (status != 1 && o.status != 1) return status == 2 || o.status == 2 || body == o.body;
+    return status == o.status && head == o.head && body == o.body && remainingBytes == o.remainingBytes;
   }
 };
 
@@ -32,55 +33,56 @@
   return out;
 }
 
-// `seed` 0: all at once.
+// Feeds `bytes` to a MessageReader, split at points drawn from `seed`, or unsplit if `seed` is 0.
+// `closesAfterwards`: the connection is closed after them.
 template <bool isRequest>
-Reading read(std::string_view bytes, std::uint32_t seed, bool ends) {
+ReadResult readMessage(std::string_view bytes, std::uint32_t seed, bool closesAfterwards) {
   MessageReader<isRequest> reader;
   reader.restart();
   boost::beast::flat_buffer buffer(kMaxUnparsedBytes + kMaxReadBytes);
-  Reading out;
+  ReadResult out;
   boost::system::error_code error;
-  std::size_t at = 0;
-  const auto dice = [&seed] { return seed = seed * 1664525 + 1013904223, seed >> 16; };
+  std::size_t offset = 0;
+  const auto nextRandom = [&seed] { return seed = seed * 1664525 + 1013904223, seed >> 16; };
   using Step = typename MessageReader<isRequest>::Step;
   for (;;) {
-    const std::size_t most = seed ? 1 + dice() % 9 : bytes.size();
-    const std::size_t n = std::min({most, bytes.size() - at, kMaxReadBytes});
-    const auto room = buffer.prepare(n);
-    std::copy_n(bytes.data() + at, n, static_cast<char*>(room.data()));
+    const std::size_t maxBytes = seed ? 1 + nextRandom() % 9 : bytes.size();
+    const std::size_t n = std::min({maxBytes, bytes.size() - offset, kMaxReadBytes});
+    const auto space = buffer.prepare(n);
+    std::copy_n(bytes.data() + offset, n, static_cast<char*>(space.data()));
     buffer.commit(n);
-    at += n;
-    for (bool again = true; again;) switch (reader.step(buffer, error)) {
+    offset += n;
+    for (bool continueStepping = true; continueStepping;) switch (reader.step(buffer, error)) {
         case Step::head: break;
-        case Step::malformed: out.verdict = 2; return out;
-        case Step::needsBytes: again = false; break;
+        case Step::malformed: out.status = 2; return out;
+        case Step::needsBytes: continueStepping = false; break;
         case Step::complete: {
-          out.verdict = 1;
+          out.status = 1;
           if (reader.bodyRead() > bytes.size()) std::abort();
           auto m = reader.takeMessage();
           out.head = headOf<isRequest>(m);
           out.body += m.body();
-          out.left = buffer.size() + bytes.size() - at;
+          out.remainingBytes = buffer.size() + bytes.size() - offset;
           return out;
         }
       }
-    if (seed && reader.isHeadComplete() && dice() % 3 == 0) out.body += reader.takeBody();
+    if (seed && reader.isHeadComplete() && nextRandom() % 3 == 0) out.body += reader.takeBody();
     if (reader.bufferedBody() > bytes.size()) std::abort();
-    if (at < bytes.size()) continue;
-    if (!ends || !reader.completeAtEndOfConnection()) {
-      out.left = 0;
+    if (offset < bytes.size()) continue;
+    if (!closesAfterwards || !reader.completeAtEndOfConnection()) {
+      out.remainingBytes = 0;
       if (reader.isHeadComplete()) out.body += reader.takeBody();
       return out;
     }
-    ends = false;  // once more round: it is whole now
+    closesAfterwards = false;  // the close completes the message: step() returns it in the next round
   }
 }
 
 template <bool isRequest>
 void check(std::string_view bytes) {
-  const Reading one = read<isRequest>(bytes, 0, true);
+  const ReadResult expected = readMessage<isRequest>(bytes, 0, true);
   for (std::uint32_t seed = 1; seed < 4; ++seed)
-    if (!read<isRequest>(bytes, seed, true).agrees(one)) std::abort();
+    if (!readMessage<isRequest>(bytes, seed, true).isConsistentWith(expected)) std::abort();
 }
 
 }  // namespace
--- a/tests/fuzz/load_report.cpp
+++ b/tests/fuzz/load_report.cpp
@@ -1,4 +1,4 @@
-// Any bytes as a load report: its numbers are within the bounds, or there is no report.
+// Parses any bytes as a load report. The numbers of a valid report must be absent or within their bounds.
 #include "membership/load_report.hpp"
 
 #include <cmath>
--- a/tests/fuzz/log_segments.cpp
+++ b/tests/fuzz/log_segments.cpp
@@ -1,4 +1,4 @@
-// Recovers a log whose segments are any bytes, and appends to it.
+// Recovers a log whose two segments contain any bytes, appends to it, and recovers it again.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
@@ -9,11 +9,11 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   testing::FaultyDirectory directory(1);
-  // The first byte cuts the rest in two.
+  // The first byte determines where the rest is split into two segments.
   const std::string_view all = asText(data, size);
-  const std::size_t cut = all.empty() ? 0 : static_cast<unsigned char>(all[0]) * all.size() / 256;
-  directory.create("log-00000001")->append(all.substr(std::min<std::size_t>(1, all.size()), cut));
-  directory.create("log-00000002")->append(all.substr(std::min(1 + cut, all.size())));
+  const std::size_t splitAt = all.empty() ? 0 : static_cast<unsigned char>(all[0]) * all.size() / 256;
+  directory.create("log-00000001")->append(all.substr(std::min<std::size_t>(1, all.size()), splitAt));
+  directory.create("log-00000002")->append(all.substr(std::min(1 + splitAt, all.size())));
   std::size_t first = 0, second = 0;
   {
     wal::Log log(directory, {});
@@ -21,7 +21,7 @@
     if (!log.recover([&](std::string_view) { ++first; }, report)) std::abort();
     if (!log.append("more")) std::abort();
   }
-  // The next recovery returns the same records and the appended one.
+  // The second recovery must return as many records and the appended one.
   wal::Log log(directory, {});
   wal::RecoveryReport report;
   std::string last;
--- a/tests/fuzz/operations.cpp
+++ b/tests/fuzz/operations.cpp
@@ -1,5 +1,5 @@
-// Reads any bytes as a call of the administration interface, as the file of cordoned hosts, as learned state
-// and as a message between processes. What is valid has exactly one encoding.
+// Parses any bytes as a request to the administration interface, as the file of cordoned hosts, as learned
+// state and as a handover message. Encoding what was decoded must be stable.
 #include <cstdlib>
 #include <string>
 
@@ -28,7 +28,7 @@
     settings.classes[0].name = "a";
     settings.classes[0].latencyObjective = settings.classes[0].clientTimeout = std::chrono::seconds(1);
     finchstile::load_balancing::LoadBalancer balancer(settings, std::chrono::hours(1));
-    balancer.restoreLearnedState(std::chrono::hours(1), *learned);  // any numbers
+    balancer.restoreLearnedState(std::chrono::hours(1), *learned);  // must tolerate any numbers
     balancer.onTimer(std::chrono::hours(2));
     if (!(balancer.admissionCutoff() >= 0 && balancer.admissionCutoff() <= 100)) std::abort();
   }
--- a/tests/fuzz/operator_file.cpp
+++ b/tests/fuzz/operator_file.cpp
@@ -1,4 +1,4 @@
-// Any bytes as the operator's file: problems, or settings within their bounds.
+// Parses any bytes as the operator's file. The result must be error lines or settings within their bounds.
 #include "app/operator_file.hpp"
 
 #include <cstdlib>
@@ -11,8 +11,8 @@
     if (file.tuning.clientDescriptorFraction + file.tuning.upstreamDescriptorFraction > 0.95001 ||
         file.hooks.hooks.size() > 64)
       std::abort();
-  } catch (const finchstile::OperatorFileError& bad) {
-    if (bad.lines().empty()) std::abort();
+  } catch (const finchstile::OperatorFileError& error) {
+    if (error.lines().empty()) std::abort();
   }
   return 0;
 }
--- a/tests/fuzz/owner_message.cpp
+++ b/tests/fuzz/owner_message.cpp
@@ -1,5 +1,5 @@
-// Decodes any bytes as a message between gateways about keys, and gives them to an owner. A valid message has
-// exactly one encoding, and what the owner sends and holds is bounded.
+// Decodes any bytes as a message between gateways about key ownership, and passes them to an owner. A valid
+// message has exactly one encoding. The size of outgoing messages and the number of owned keys are bounded.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
--- a/tests/fuzz/peer_datagram.cpp
+++ b/tests/fuzz/peer_datagram.cpp
@@ -1,4 +1,4 @@
-// Any bytes as a datagram from another gateway. A valid datagram has one form.
+// Decodes any bytes as a datagram of another gateway. A valid datagram has exactly one encoding.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
@@ -11,7 +11,8 @@
   peer::Datagram d;
   const auto verdict = peer::decode(asText(data, size), key, d);
   if (verdict == peer::DatagramResult::valid && peer::encode(d, key) != asText(data, size)) std::abort();
-  // With a valid signature the rest of the datagram is tested too.
+  // Random input hardly ever has a valid signature, so a signed datagram with the input as payload is decoded
+  // too.
   d.payload = asText(data, size).substr(0, peer::kMaxPayloadBytes);
   const auto whole = peer::encode(d, key);
   peer::Datagram back;
--- a/tests/fuzz/peer_gossip.cpp
+++ b/tests/fuzz/peer_gossip.cpp
@@ -1,5 +1,5 @@
-// Gossip messages and snapshots of other gateways: a message that is read can be written and reads back
-// equal.
+// Decodes any bytes as a gossip message, a snapshot chunk and a snapshot request. Valid input must have an
+// encoding that decodes to the same message.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
--- a/tests/fuzz/proxy_header.cpp
+++ b/tests/fuzz/proxy_header.cpp
@@ -1,4 +1,5 @@
-// Any bytes as the beginning of a connection behind a proxy. What is good stays so, whatever follows it.
+// Parses any bytes as a PROXY protocol header. A valid header must stay valid whatever bytes follow it, and
+// be incomplete without its last byte.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
@@ -16,7 +17,7 @@
   const ProxyRead cut = readProxyHeader(std::string_view(bytes).substr(0, r.used - 1));
   if (longer.verdict != ProxyRead::Verdict::good || longer.used != r.used) std::abort();
   if (cut.verdict != ProxyRead::Verdict::more) std::abort();
-  // Written again, it says the same.
+  // Writing and reading the header again must keep the client's address.
   const ProxyRead again = readProxyHeader(writeProxyHeader(r.header));
   if (again.verdict != ProxyRead::Verdict::good || again.header.ends.has_value() != r.header.ends.has_value())
     std::abort();
--- a/tests/fuzz/trace_line.cpp
+++ b/tests/fuzz/trace_line.cpp
@@ -1,5 +1,5 @@
-// Any bytes as a line of the attempt log. A line that is read is written again without change, and merging
-// and auditing it does no harm.
+// Parses any bytes as a line of the attempt log. A valid line must be written without change after one
+// normalization, and must be accepted by the merger, the auditor and the totals.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
--- a/tests/fuzz/websocket_handshake.cpp
+++ b/tests/fuzz/websocket_handshake.cpp
@@ -1,4 +1,5 @@
-// Any bytes as the heads of a handshake and of its answer.
+// Parses any bytes as the request of an opening handshake. The matching answer must be accepted for a valid
+// request, and the header lines for the host must be well-formed.
 #include <boost/beast/http/empty_body.hpp>
 #include <boost/beast/http/parser.hpp>
 #include <cstdlib>
@@ -19,13 +20,13 @@
   HandshakeRules rules;
   asksForWebSocket(head);
   if (checkRequest(head, rules).status != 0) return 0;
-  Fields answer;
-  answer.set("Connection", "Upgrade");
-  answer.set("Upgrade", "websocket");
-  answer.set("Sec-WebSocket-Accept",
-             acceptOf({head["Sec-WebSocket-Key"].data(), head["Sec-WebSocket-Key"].size()}));
-  if (!checkAccept(head, answer, rules).good) std::abort();
-  // Whatever else stands there: what the host may choose is what goes on to it.
+  Fields response;
+  response.set("Connection", "Upgrade");
+  response.set("Upgrade", "websocket");
+  response.set("Sec-WebSocket-Accept",
+               acceptOf({head["Sec-WebSocket-Key"].data(), head["Sec-WebSocket-Key"].size()}));
+  if (!checkAccept(head, response, rules).good) std::abort();
+  // Whatever other lines the request has, those forwarded to the host are not empty and have no line breaks.
   for (const auto& line : linesForHost(head, rules))
     if (line.value.empty() || line.value.find_first_of("\r\n") != std::string::npos) std::abort();
   return 0;
--- a/tests/net/ends_test.cpp
+++ b/tests/net/ends_test.cpp
@@ -1,6 +1,6 @@
-// Behaviour at the end of things: disconnected clients, expired deduplication windows, idle connections,
-// connections closed in favour of others, truncated answers, failing discovery. Each test forces the moment
-// it is about and does not rely on chance.
+// End conditions: disconnected clients, expired deduplication windows, closed connections, connections closed
+// in favour of others, truncated answers, failing discovery. Each test brings its moment about and does not
+// rely on chance.
 #include <sys/resource.h>
 
 #include "support/gateway_fixture.hpp"
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -345,7 +345,7 @@
       ok + "Transfer-Encoding: chunked\r\n\r\n1;" + std::string(60000, 'x'),
       ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
       ok + "\r\nok",  // ended only by a close that does not come
-      // Malformed, so that X-Unprocessed is void.
+      // X-Unprocessed is ignored, since the answer is malformed.
       "HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\n" + lengthTwo + lengthTwo + "\r\nok",
       interims,
   };
--- a/tests/scale/request_cost_test.cpp
+++ b/tests/scale/request_cost_test.cpp
@@ -1,6 +1,6 @@
-// What a request costs must not grow with the hosts and tenants of a deployment: processor time at two sizes,
-// in one process, the least of several runs. The bound is far above the noise and far below the growth that
-// it guards against (30 and 60 times).
+// The processor time of a request must not grow with the number of hosts and tenants. Compares two sizes
+// within one process and takes the lowest time of several runs. The bound is far above the noise of the
+// measurement and far below the growth that it guards against (30 and 60 times).
 #include <gtest/gtest.h>
 #include <time.h>
 
@@ -11,7 +11,7 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-constexpr double kMaxCostRatio = 8;  // of the large size to the small one
+constexpr double kMaxCostRatio = 8;  // cost at the large size / cost at the small one
 constexpr int kRuns = 7;
 constexpr int kRequests = 500;
 constexpr std::uint32_t kGateways = 520;
@@ -22,7 +22,7 @@
   return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * 1e-9;
 }
 
-// The least processor time of an answered request, in seconds.
+// Returns the lowest mean processor time of a request with one attempt, in seconds, over kRuns runs.
 double costOfRequest(int hosts, int tenants) {
   Settings s = makeSettings();
   s.gatewayCount = kGateways;
@@ -32,17 +32,17 @@
   for (int i = 0; i < hosts; ++i) list.push_back(makeHost(i));
   Time now = seconds(100);
   balancer.onHostListUpdate(now, HostListUpdate::complete, list);
-  RequestId last = 0;
+  RequestId lastId = 0;
   double lowest = 1e9;
   for (int run = 0; run < kRuns; ++run) {
     const double startedAt = processorSeconds();
     for (int i = 0; i < kRequests; ++i) {
       now += milliseconds(4);
       Request q;
-      q.id = ++last;
+      q.id = ++lastId;
       q.classIndex = 0;
       if (tenants > 0)
-        q.tenantIndex = static_cast<std::uint32_t>(last * 7919 % static_cast<RequestId>(tenants));
+        q.tenantIndex = static_cast<std::uint32_t>(lastId * 7919 % static_cast<RequestId>(tenants));
       q.timeLeft = seconds(1);
       balancer.actions().clear();
       balancer.onRequest(now, q);
@@ -57,11 +57,11 @@
   return lowest;
 }
 
-TEST(RequestCost, DoesNotGrowWithTheHosts) {
+TEST(RequestCost, DoesNotGrowWithNumberOfHosts) {
   EXPECT_LT(costOfRequest(6400, 0), kMaxCostRatio * costOfRequest(46, 0));
 }
 
-TEST(RequestCost, DoesNotGrowWithTheTenants) {
+TEST(RequestCost, DoesNotGrowWithNumberOfTenants) {
   EXPECT_LT(costOfRequest(46, 27000), kMaxCostRatio * costOfRequest(46, 100));
 }
 
