--- a/src/membership/endpoint_list.hpp
+++ b/src/membership/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// An endpoint list of discovery, as src/membership sees it. No I/O.
+// Endpoint lists received from service discovery. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,18 +11,18 @@
 namespace finchstile::membership {
 
 struct ListEntry {
-  load_balancing::HostEntry host;  // `host.address` is its name
-  std::string endpoint;            // where it listens, "IP:PORT"
+  load_balancing::HostEntry host;  // `host.address` holds the name of the host
+  std::string endpoint;            // address that the host listens on, "IP:PORT"
 };
 
 struct EndpointList {
-  std::int64_t version = -1;  // below 0: the list has none
-  bool isComplete = false;    // otherwise the entries are changes to the list before
+  std::int64_t version = -1;  // negative: the list is unversioned
+  bool isComplete = false;    // false: only entries that changed since the previous list
   std::vector<ListEntry> hosts;
 };
 
-// Merges entries of one host into the first of them: the worse phase holds, and of the rest what the entry
-// with the later start says. Returns how many entries were removed.
+// Merges all entries of the same host into the first one. The merged entry gets the worst phase of them; the
+// other fields come from the entry with the latest start. Returns the number of removed entries.
 std::size_t mergeDuplicates(std::vector<ListEntry>& entries);
 
 }  // namespace finchstile::membership
--- a/src/membership/flap_damper.cpp
+++ b/src/membership/flap_damper.cpp
@@ -6,14 +6,14 @@
 namespace finchstile::membership {
 namespace {
 
-constexpr double kMinHalfLifeSeconds = 1e-3;  // keeps the division defined
+constexpr double kMinHalfLifeSeconds = 1e-3;  // avoids a division by zero
 
 }  // namespace
 
 bool FlapDamper::onDeparture(const std::string& host, FlapState& state, Time now) {
   state.count = currentCount(state, now) + 1;
-  // The new count with the old time is seldom the release that was scheduled before, which then stays
-  // scheduled: the host is released at the earlier of both times.
+  // Computed from the new count and the old `updatedAt`, this time seldom equals the scheduled one. The
+  // earlier entry then stays in `releases_`, and the host is released at the earlier of the two times.
   if (state.suppressed) releases_.erase({releaseTime(state), host});
   state.updatedAt = now;
   if (state.count < maxFlaps_ && !state.suppressed) return false;
--- a/src/membership/flap_damper.hpp
+++ b/src/membership/flap_damper.hpp
@@ -1,5 +1,6 @@
-// Route flap damping for hosts, after RFC 2439: a host that leaves the list too often is suppressed until its
-// decayed count of departures has fallen to half of the limit. No I/O; the clock is passed in.
+// Route flap damping (RFC 2439) for hosts: a host that leaves the endpoint list too often is suppressed until
+// its exponentially decayed departure count has fallen to half of the limit. No I/O; the caller passes the
+// current time.
 #pragma once
 
 #include <optional>
@@ -11,23 +12,24 @@
 
 namespace finchstile::membership {
 
-// The departures of one host. Kept by its owner, changed by the damper alone.
+// Departure count of one host. Owned by the caller; only FlapDamper modifies it.
 struct FlapState {
-  double count = 0;  // as of `updatedAt`; it decays from there
+  double count = 0;  // value at `updatedAt`; decays exponentially from then on
   Time updatedAt{};
   bool suppressed = false;
 };
 
 class FlapDamper {
  public:
-  // A host is suppressed at `maxFlaps` departures, of which half are forgotten in each `halfLife`.
+  // A host is suppressed when its departure count reaches `maxFlaps`. The count halves every `halfLife`.
   FlapDamper(double maxFlaps, Duration halfLife) : maxFlaps_(maxFlaps), halfLife_(halfLife) {}
 
-  // The host has left the list. True if it is suppressed from now on and was not before.
+  // Records that the host has left the list. Returns true if this departure starts a suppression.
   bool onDeparture(const std::string& host, FlapState& state, Time now);
-  // When `takeReleasable` has a host; empty: none is suppressed.
+  // The earliest time at which a suppression ends; empty if no host is suppressed.
   std::optional<Time> nextRelease() const;
-  // A host whose suppression may end by now. The caller passes its state to `release`.
+  // Removes and returns a host whose suppression has ended; empty if there is none. The caller must pass the
+  // state of that host to `release`.
   std::optional<std::string> takeReleasable(Time now);
   void release(FlapState& state, Time now) const;
   double currentCount(const FlapState& state, Time now) const;
@@ -37,7 +39,7 @@
 
   double maxFlaps_;
   Duration halfLife_;
-  std::set<std::pair<Time, std::string>> releases_;  // by time
+  std::set<std::pair<Time, std::string>> releases_;  // earliest first
 };
 
 }  // namespace finchstile::membership
--- a/src/membership/gossip.cpp
+++ b/src/membership/gossip.cpp
@@ -8,7 +8,7 @@
 
 using Kind = GossipUpdate::Kind;
 
-// Votes kept beyond the quorum, so that it survives the expiry of one.
+// Votes kept beyond the quorum, so that the quorum survives the expiry of some of them.
 constexpr std::size_t kSpareVotes = 3;
 
 HostPhase phaseOf(Kind kind) { return kind == Kind::draining ? HostPhase::draining : HostPhase::removed; }
@@ -35,7 +35,7 @@
   return std::max<std::size_t>(1, std::min(settings_.quorum, others));
 }
 
-// The host if our list names this process of it.
+// Returns the host if the own list contains it with this start time; null otherwise.
 Gossip::Host* Gossip::findProcess(HostKey key, std::int64_t startedUnixMs) {
   const auto it = hosts_.find(key);
   if (it == hosts_.end()) return nullptr;
@@ -43,14 +43,15 @@
   return host.listed && host.startedUnixMs == startedUnixMs ? &host : nullptr;
 }
 
-// --- First-hand knowledge
+// --- Observations of this gateway
 
 void Gossip::onUnresponsive(HostKey key, std::int64_t startedUnixMs, Time now) {
   Host* host = findProcess(key, startedUnixMs);
   if (!host) return;
   const bool wasUnresponsive = unresponsiveSince(*host, now) != Time{};
   host->observedUnresponsiveAt = now;
-  // A known unresponsiveness is passed on again only after its earlier transmissions are over.
+  // While the host already counts as unresponsive, the observation is sent again only after all transmissions
+  // of the earlier one.
   if (!wasUnresponsive || !queue_.contains(key)) enqueue(key, *host, Kind::unresponsive);
 }
 
@@ -63,7 +64,7 @@
   }
   Host& host = it->second;
   if (host.listed && host.startedUnixMs != startedUnixMs) {
-    // Another process: no earlier observation applies to it.
+    // The host has restarted: observations of its earlier process do not apply.
     closeAssertion(host, true, now);
     host.votes.clear();
     host.observedUnresponsiveAt = {};
@@ -80,8 +81,8 @@
   if (phase == HostPhase::active && before != HostPhase::active) queue_.erase(key);
 }
 
-// Closes an assertion that our list decides. An older list than the asserted one can confirm, but not refute
-// it.
+// Closes the assertion if the own list confirms or refutes it. A list that is older than the asserted version
+// can confirm the assertion but not refute it.
 void Gossip::reviewAssertion(Host& host, Time now) {
   if (!host.assertion) return;
   const bool confirmed = phaseSeverity(host.phase) >= phaseSeverity(host.assertion->phase);
@@ -99,7 +100,7 @@
   queue_.eraseIfUnresponsive(key);
 }
 
-// --- Messages of other gateways
+// --- Messages from other gateways
 
 void Gossip::onMessage(GatewayNumber from, std::string_view payload, Time now) {
   const auto updates = decodeGossipMessage(payload);
@@ -121,7 +122,8 @@
   else onPhaseUpdate(update.host, *host, from, update, now);
 }
 
-// Since when the host is held to be unresponsive, by our own attempts or by a quorum; 0: it is not.
+// Returns the time since which the host counts as unresponsive, by attempts of this gateway or by a quorum;
+// 0: it does not.
 Time Gossip::unresponsiveSince(const Host& host, Time now) const {
   const auto isCurrent = [&](Time time) {
     return time != Time{} && now - time < settings_.observationLifetime;
@@ -150,8 +152,8 @@
   enqueue(key, host, Kind::unresponsive);
 }
 
-// False if too many hosts are restricted already. In an overload every gateway may find any host
-// unresponsive, and a pool without hosts serves nobody.
+// Returns false if too many hosts are restricted already. During an overload each gateway may find any host
+// unresponsive, and a pool with all hosts restricted could not serve any request.
 bool Gossip::restrictUnresponsive(HostKey key, Time since) {
   const Time until = since + settings_.observationLifetime;
   const auto restricted = unresponsiveUntil_.find(key);
@@ -172,11 +174,11 @@
 void Gossip::onPhaseUpdate(HostKey key, Host& host, GatewayNumber from, const GossipUpdate& update,
                            Time now) {
   const HostPhase phase = phaseOf(update.kind);
-  const bool addsToOurList =
+  const bool exceedsOwnList =
       update.version > host.version && phaseSeverity(phase) > phaseSeverity(host.phase);
-  if (!addsToOurList) return;
+  if (!exceedsOwnList) return;
   if (host.assertion) {
-    // A repeated assertion gets no younger, and the gateway that made it first answers for it.
+    // A repetition does not renew an assertion, and only the reputation of the first gateway is at stake.
     Assertion& assertion = *host.assertion;
     if (phaseSeverity(phase) <= phaseSeverity(assertion.phase)) return;
     assertion.phase = phase;
@@ -193,13 +195,13 @@
   acceptedPhases_.push_back({key, host.startedUnixMs, phase, update.version, now});
 }
 
-// Whether one more host may be restricted by this gateway's assertions.
+// Returns whether the assertions of a gateway with this reputation may restrict one more host.
 bool Gossip::mayAssert(const PeerReputation& reputation) {
   if (!reputation.coversAnotherAssertion()) {
     ++statistics_.withoutReputation;
     return false;
   }
-  // In a small fleet one host at least, as long as there is another.
+  // At least one host even in a small fleet, unless it is the only one.
   const bool enabled = settings_.maxPhaseFraction > 0 && listedHosts_ > 1;
   const double maxHosts =
       enabled ? std::max(1.0, settings_.maxPhaseFraction * static_cast<double>(listedHosts_)) : 0;
@@ -261,7 +263,8 @@
   return messages;
 }
 
-// The updates of the next message, with their ages. Drops unresponsive hosts that have recovered.
+// Returns the updates of the next message with their ages set. Drops updates of unresponsive hosts that have
+// recovered.
 std::vector<GossipUpdate> Gossip::nextBatch(Time now) {
   std::vector<GossipUpdate> batch;
   for (GossipUpdate& update : queue_.nextBatch()) {
--- a/src/membership/gossip.hpp
+++ b/src/membership/gossip.hpp
@@ -1,12 +1,13 @@
-// Gossip between gateways about hosts: that a host is unresponsive, drains or was removed; never about
-// requests. An update goes to a few gateways drawn at random, a bounded number of times; without changes
-// nothing is sent.
+// The gossip protocol in which gateways report unresponsive, draining and removed hosts to each other. It
+// carries nothing about requests. An update is sent to a few randomly chosen gateways, a bounded number of
+// times; without changes nothing is sent.
 //
-// A gateway passes on only what it holds true: by its own attempts, by its own list, or, of an unresponsive
-// host, because a quorum of others observed it. A faulty gateway therefore convinces nobody that a host is
-// unresponsive. Its assertions about phases restrict a bounded fraction of hosts for a bounded time, and cost
-// its reputation if no list confirms them. Messages have ages instead of times, so clocks need not agree. No
-// I/O; clock and randomness are passed in.
+// A gateway forwards only what it has verified: by its own attempts, by its own endpoint list, or, for an
+// unresponsive host, by a quorum of observations of other gateways. A single faulty gateway therefore cannot
+// make a host count as unresponsive. The phases that it asserts restrict a bounded fraction of hosts for a
+// bounded time, and each assertion that the receiver's list does not confirm lowers its reputation. Messages
+// carry ages instead of timestamps, so clocks need not be synchronized. No I/O; the caller passes the current
+// time and the random seed.
 #pragma once
 
 #include <cstdint>
@@ -29,16 +30,16 @@
 struct GossipSettings {
   GatewayNumber ownNumber = 0;
   GatewayNumber gatewayCount = 1;
-  Duration period = std::chrono::milliseconds(200);  // between messages
-  std::size_t fanout = 3;                            // recipients of each message
-  double retransmitMultiplier = 2;                   // times log2(gateways + 1): transmissions of an update
-  std::size_t quorum = 3;  // other gateways that have to observe an unresponsive host; at most all of them
-  Duration observationLifetime = std::chrono::seconds(3);  // of an observed unresponsiveness
-  Duration phaseLifetime = std::chrono::seconds(10);       // of a phase that our own list does not have
-  double maxPhaseFraction = 0.25;        // of the hosts that one gateway's phases may restrict
-  double maxUnresponsiveFraction = 0.5;  // of the hosts that others' unresponsiveness may restrict
-  double maxReputation = 32;             // unconfirmed assertions until a gateway is ignored
-  Duration reputationInterval = std::chrono::seconds(60);  // in which one of them is forgiven
+  Duration period = std::chrono::milliseconds(200);  // interval between rounds of messages
+  std::size_t fanout = 3;                            // recipients of each round
+  double retransmitMultiplier = 2;  // times log2(gateways + 1): rounds in which an update is sent
+  std::size_t quorum = 3;  // gateways that must observe a host as unresponsive; at most all other ones
+  Duration observationLifetime = std::chrono::seconds(3);  // of an observation as unresponsive
+  Duration phaseLifetime = std::chrono::seconds(10);       // of a peer's phase that the own list lacks
+  double maxPhaseFraction = 0.25;                          // of hosts restricted by the phases of one gateway
+  double maxUnresponsiveFraction = 0.5;                    // of hosts restricted by a quorum of observations
+  double maxReputation = 32;  // unconfirmed assertions until those of a gateway are ignored
+  Duration reputationInterval = std::chrono::seconds(60);  // to regain one point
   std::size_t maxQueuedUpdates = 4096;
 };
 
@@ -48,20 +49,20 @@
   std::uint64_t received = 0;              // messages
   std::uint64_t malformed = 0;             // messages
   std::uint64_t unresponsiveByQuorum = 0;  // hosts that a quorum observed as unresponsive
-  std::uint64_t contradicted = 0;          // observations ignored: the host has responded to us since
-  std::uint64_t assertions = 0;            // of phases, accepted
-  std::uint64_t confirmed = 0;             // assertions that our list confirmed
-  std::uint64_t expired = 0;               // assertions that it did not
-  std::uint64_t withoutReputation = 0;     // assertions ignored: the gateway has no reputation left
-  std::uint64_t overFraction = 0;          // updates ignored: they would restrict too many hosts
-  std::uint64_t dropped = 0;               // updates that the queue had no room for
+  std::uint64_t contradicted = 0;       // observations ignored: the host has responded to this gateway since
+  std::uint64_t assertions = 0;         // of phases, accepted
+  std::uint64_t confirmed = 0;          // assertions confirmed by the own list
+  std::uint64_t expired = 0;            // assertions refuted by the own list or not confirmed in time
+  std::uint64_t withoutReputation = 0;  // assertions ignored: the reputation of the gateway is too low
+  std::uint64_t overFraction = 0;       // updates ignored: they would restrict too many hosts
+  std::uint64_t dropped = 0;            // updates dropped because the queue was full
 };
 
 class Gossip {
  public:
-  // When a host last responded to us; 0: never.
+  // Returns when the host last responded to this gateway; 0: never.
   using LastResponseLookup = std::function<Time(HostKey host)>;
-  // A peer's phase that applies from `since` on for `phaseLifetime`.
+  // A phase asserted by a peer. It applies for `phaseLifetime`, starting at `since`.
   struct AcceptedPhase {
     HostKey host = 0;
     std::int64_t startedUnixMs = 0;
@@ -71,20 +72,24 @@
   };
   Gossip(const GossipSettings& settings, std::uint64_t seed, Time now, LastResponseLookup lastResponse);
 
-  // Our own attempts found the host unresponsive.
+  // The attempts of this gateway found the host unresponsive.
   void onUnresponsive(HostKey host, std::int64_t startedUnixMs, Time now);
-  // An entry of our own list, `active` ones included: it confirms or ends what others assert.
+  // To be called for each entry of the own endpoint list, also for active hosts. An entry confirms or refutes
+  // what peers have asserted about the host.
   void onListed(HostKey host, std::int64_t startedUnixMs, HostPhase phase, std::uint64_t version, Time now);
+  // Drops the state of the host. Its removal is still sent to peers.
   void onHostForgotten(HostKey host);
 
   void onMessage(GatewayNumber from, std::string_view payload, Time now);
-  void onUpdate(GatewayNumber from, const GossipUpdate& update, Time now);  // one, however it was received
-  // The messages to send now. To be called once per period.
+  // Handles one update, received in a gossip message or in a snapshot.
+  void onUpdate(GatewayNumber from, const GossipUpdate& update, Time now);
+  // Returns the messages to send now. To be called once per `period`.
   std::vector<OutgoingMessage> tick(Time now);
 
-  // A quorum of others observed the host as unresponsive, and it has not responded to us since.
+  // Whether a quorum of peers observed the host as unresponsive, and the host has not responded to this
+  // gateway since.
   bool isUnresponsiveByQuorum(HostKey host, Time now) const;
-  // For each host that became unresponsive by quorum since the last call: until when that lasts.
+  // Returns the end times of the restrictions that a quorum has started or extended since the last call.
   std::vector<Time> takeUnresponsiveUntil() { return std::exchange(newUnresponsiveUntil_, {}); }
   std::vector<AcceptedPhase> takeAcceptedPhases() { return std::exchange(acceptedPhases_, {}); }
 
@@ -97,19 +102,19 @@
   const GossipStatistics& statistics() const { return statistics_; }
 
  private:
-  // What another gateway asserts about a host's phase beyond our list.
+  // A phase that a peer asserts and the own list lacks.
   struct Assertion {
     GatewayNumber from = 0;
     HostPhase phase = HostPhase::active;
     std::uint64_t version = 0;
-    Time since{};  // of the first assertion; repeating it does not make it younger
+    Time since{};  // time of the first assertion; repetitions do not renew it
   };
   struct Host {
-    bool listed = false;  // our list names it
+    bool listed = false;  // the own list contains the host
     std::int64_t startedUnixMs = 0;
     HostPhase phase = HostPhase::active;
     std::uint64_t version = 0;
-    Time observedUnresponsiveAt{};  // by our own attempts; 0: never
+    Time observedUnresponsiveAt{};  // by attempts of this gateway; 0: never
     ObservationVotes votes;
     std::optional<Assertion> assertion;
   };
@@ -137,8 +142,8 @@
   const LastResponseLookup lastResponse_;
   std::unordered_map<HostKey, Host> hosts_;
   GossipQueue queue_;
-  std::deque<AssertionExpiry> assertionExpiries_;        // in the order of time
-  std::vector<PeerReputation> reputations_;              // by gateway
+  std::deque<AssertionExpiry> assertionExpiries_;        // earliest first
+  std::vector<PeerReputation> reputations_;              // indexed by gateway
   std::unordered_map<HostKey, Time> unresponsiveUntil_;  // hosts restricted by a quorum
   std::vector<Time> newUnresponsiveUntil_;
   std::vector<AcceptedPhase> acceptedPhases_;
--- a/src/membership/gossip_message.cpp
+++ b/src/membership/gossip_message.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kVersionOffset = 17;
 constexpr std::size_t kAgeOffset = 25;
 
-// Rounds up: an update that is passed on repeatedly must not become younger.
+// Rounds up: with each forwarding an update that is rounded down would become younger.
 std::uint16_t encodeAge(Duration age) {
   const Duration bounded = std::clamp(age, Duration{}, kMaxAge);
   return static_cast<std::uint16_t>((bounded + kAgeUnit - Duration(1)) / kAgeUnit);
--- a/src/membership/gossip_message.hpp
+++ b/src/membership/gossip_message.hpp
@@ -1,7 +1,7 @@
-// The messages in which gateways report hosts to each other. No I/O.
+// Encodes and decodes gossip messages. No I/O.
 //
-// Form: u8 1, u8 count, then for each update u64 host, u64 start, u8 kind, u64 version, u16 age in hundredths
-// of a second; integers are little-endian.
+// Format: u8 1, u8 count, then for each update u64 host, u64 start, u8 kind, u64 version, u16 age in
+// hundredths of a second; integers are little-endian.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace finchstile::membership {
 
-using HostKey = std::uint64_t;  // keyed hash of a host's name, equal at all gateways
+using HostKey = std::uint64_t;  // keyed hash of the host's name, the same on all gateways
 using GatewayNumber = std::uint16_t;
 
 // A message for another gateway.
@@ -23,26 +23,26 @@
   std::string payload;
 };
 
-// One observation of one process of a host.
+// One observation about one process of a host.
 struct GossipUpdate {
-  enum class Kind : std::uint8_t { unresponsive = 1, draining = 2, removed = 3 };  // the values on the wire
+  enum class Kind : std::uint8_t { unresponsive = 1, draining = 2, removed = 3 };  // values on the wire
   HostKey host = 0;
-  std::int64_t startedUnixMs = 0;  // of the process, as the list has it; 0: long ago
+  std::int64_t startedUnixMs = 0;  // start of the process according to the list; 0: long ago
   Kind kind = Kind::unresponsive;
-  std::uint64_t version = 0;  // of the list with that phase; 0 for `unresponsive`
-  Duration age{};             // since the first-hand observation, whoever made it
+  std::uint64_t version = 0;  // of the list that contains the phase; 0 for `unresponsive`
+  Duration age{};             // since the original observation, on whichever gateway
   friend bool operator==(const GossipUpdate&, const GossipUpdate&) = default;
 };
 
 inline constexpr std::uint8_t kGossipMessageType = 1;  // first byte of the payload
 inline constexpr std::size_t kGossipUpdateBytes = 27;
-inline constexpr std::size_t kMaxUpdatesPerMessage = 8;  // 218 bytes, what a peer datagram has room for
+inline constexpr std::size_t kMaxUpdatesPerMessage = 8;  // 218 bytes, the maximum payload of a peer datagram
 inline constexpr Duration kMaxAge = std::chrono::milliseconds(655'350);
 
-// Empty if there are no updates or too many. Ages are rounded up to hundredths of a second and cut at
-// `kMaxAge`.
+// Returns nothing for no updates or more than `kMaxUpdatesPerMessage`. Ages are rounded up to hundredths of a
+// second and limited to `kMaxAge`.
 std::optional<std::string> encodeGossipMessage(const std::vector<GossipUpdate>& updates);
-// Empty if the payload is not exactly of the form above.
+// Returns nothing unless the payload has exactly the format above.
 std::optional<std::vector<GossipUpdate>> decodeGossipMessage(std::string_view payload);
 
 }  // namespace finchstile::membership
--- a/src/membership/gossip_queue.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -17,7 +17,7 @@
 }
 
 std::vector<GossipUpdate> GossipQueue::nextBatch() const {
-  using Ranked = std::pair<std::uint32_t, HostKey>;  // transmissions left, host
+  using Ranked = std::pair<std::uint32_t, HostKey>;  // remaining transmissions, host
   std::vector<Ranked> ranked;
   ranked.reserve(entries_.size());
   for (const auto& [host, entry] : entries_) ranked.emplace_back(entry.remaining, host);
--- a/src/membership/gossip_queue.hpp
+++ b/src/membership/gossip_queue.hpp
@@ -1,5 +1,6 @@
-// The updates that a gateway still has to pass on: each one is sent a fixed number of times, those sent least
-// first, as in the dissemination of SWIM (Das, Gupta, Motivala 2002, section 4.1). No I/O.
+// Queue of the updates that a gateway still has to send. Each update is sent a fixed number of times, the
+// least transmitted updates first, as in the dissemination of SWIM (Das, Gupta, Motivala 2002, section 4.1).
+// No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +13,22 @@
 
 class GossipQueue {
  public:
-  // `transmissions`: how often each update is sent. At most `maxUpdates` hosts have an update at a time.
+  // Each update is sent `transmissions` times. The queue holds at most `maxUpdates` updates, one for each
+  // host.
   GossipQueue(std::size_t maxUpdates, std::uint32_t transmissions)
       : maxUpdates_(maxUpdates), transmissions_(transmissions) {}
 
-  // Replaces an earlier update of this host. False: there is no room.
+  // Replaces an earlier update of the same host. Returns false if the queue is full.
   bool enqueue(const GossipUpdate& update);
   bool contains(HostKey host) const { return entries_.count(host) > 0; }
   bool empty() const { return entries_.empty(); }
   void erase(HostKey host) { entries_.erase(host); }
-  // For a host that is forgotten: that it was removed is still passed on.
+  // For a host whose state is dropped. An update about its draining or removal stays queued.
   void eraseIfUnresponsive(HostKey host);
 
-  // Up to one message of updates, those with the most transmissions left first.
+  // Returns the updates of one message, those with the most remaining transmissions first.
   std::vector<GossipUpdate> nextBatch() const;
-  // After a transmission: the update is dropped after its last one.
+  // Counts a transmission of the host's update and drops the update after the last one.
   void onTransmitted(HostKey host);
 
  private:
--- a/src/membership/host_phase.hpp
+++ b/src/membership/host_phase.hpp
@@ -1,4 +1,4 @@
-// The order of host phases, and the time types of src/membership.
+// Order of the host phases, and the time types used in src/membership.
 #pragma once
 
 #include "finchstile/load_balancer.hpp"
@@ -9,7 +9,7 @@
 using load_balancing::HostPhase;
 using load_balancing::Time;
 
-// 0 for a host that may be used up to 2 for one that is removed.
+// From 0 for an active host to 2 for a removed one.
 constexpr int phaseSeverity(HostPhase phase) {
   switch (phase) {
     case HostPhase::active: return 0;
--- a/src/membership/host_state.cpp
+++ b/src/membership/host_state.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kConfidenceHalfLives = 4;
 
-// Orders NaN below all numbers, so that the joins have a total order.
+// Orders NaN below all numbers, because the joins need a total order.
 double orderedValue(double value) {
   return std::isnan(value) ? -std::numeric_limits<double>::infinity() : value;
 }
--- a/src/membership/host_state.hpp
+++ b/src/membership/host_state.hpp
@@ -1,6 +1,6 @@
-// What a gateway knows of one host: observations, each with its source and age, and the rules that merge
-// them. A merge is the join of a semilattice: late, repeated and reordered observations lead to the same
-// state. No I/O.
+// The state of one host at one gateway: observations with their source and age, and the rules for merging
+// them. A merge is the join of a semilattice, so delayed, repeated and reordered observations lead to the
+// same state. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,24 @@
 
 namespace finchstile::membership {
 
-// When the host's process started; 0: long ago. A host that restarts is another process, to which no earlier
-// observation applies.
+// Start time of the host's process; 0: long ago. After a restart earlier observations of the host no longer
+// apply.
 using Incarnation = Time;
 
-// The phase in an endpoint list.
+// The phase according to the endpoint lists.
 struct ListedPhase {
   HostPhase phase = HostPhase::active;
-  std::uint64_t version = 0;  // of that list
+  std::uint64_t version = 0;  // of the list that contains the phase
 };
 
 struct LoadObservation {
   load_balancing::LoadReport report;
-  Time observedAt{};  // when the report was true
-  Time receivedAt{};  // when it reached this gateway
+  Time observedAt{};  // when the host measured the load
+  Time receivedAt{};  // by this gateway
 };
 
-// The phase in another gateway's list. It counts as long as none of our lists is as new.
+// The phase in the endpoint list of another gateway. It applies until this gateway has a list of the same or
+// a newer version.
 struct PeerPhase {
   HostPhase phase = HostPhase::active;
   std::uint64_t version = 0;  // of the other gateway's list
@@ -40,18 +41,19 @@
   std::optional<LoadObservation> load;
 };
 
-// The newer version; of two phases in one version the worse one: discovery had both, and one was obsolete.
+// The phase of the newer version. Of two phases with the same version the worse one: discovery published
+// both, and one of them was obsolete.
 ListedPhase join(const ListedPhase& a, const ListedPhase& b);
-// The later observation. If both were made at the same time: the higher load, then the one received first.
+// The later observation; at equal times the one with the higher load, then the one received first.
 LoadObservation join(const LoadObservation& a, const LoadObservation& b);
-// The newer version, then the worse phase, then the earlier observation: repeating one does not make it
-// younger.
+// The newer version, then the worse phase, then the earlier observation, so that a repetition does not renew
+// an observation.
 PeerPhase join(const PeerPhase& a, const PeerPhase& b);
-// The later incarnation; of one incarnation the join of all observations.
+// The later incarnation; within the same incarnation the join of all observations.
 HostState join(const HostState& a, const HostState& b);
 
-// The weight of an observation, from 1 down to 0. It halves with each `halfLife` and ends after four of them:
-// a load report describes a queue that lasts for a few responses only.
+// Weight of an observation of this age, from 1 to 0. It halves every `halfLife` and is 0 after four of them,
+// because a load report describes a queue that exists only for the duration of a few responses.
 double confidence(Duration age, Duration halfLife);
 
 }  // namespace finchstile::membership
--- a/src/membership/host_state_table.cpp
+++ b/src/membership/host_state_table.cpp
@@ -59,7 +59,7 @@
 
 bool HostStateTable::onPeerPhase(std::string_view host, Incarnation incarnation, const PeerPhase& phase) {
   const auto it = hosts_.find(host);
-  // An incarnation that our list does not have yet will be listed soon, so it needs no peer.
+  // The phase of another incarnation is ignored: the own list will contain a new incarnation soon.
   if (it == hosts_.end() || it->second.state.incarnation != incarnation) return false;
   std::optional<PeerPhase>& known = it->second.state.peerPhase;
   known = known ? join(*known, phase) : phase;
@@ -77,8 +77,8 @@
   const HostState* state = find(host);
   if (!state) return HostPhase::removed;
   if (!state->peerPhase || state->peerPhase->version <= state->listed.version) return state->listed.phase;
-  // A peer's list may be ahead of ours for a while only. Without this bound a peer that is mistaken about a
-  // version could remove a host for good.
+  // The list of a peer is newer than the own one only for a short time. Without this limit a peer with a
+  // wrong version could remove a host permanently.
   if (now - state->peerPhase->observedAt >= limits_.peerPhaseLifetime) return state->listed.phase;
   return worsePhase(state->listed.phase, state->peerPhase->phase);
 }
