--- a/tests/membership/gossip_test.cpp
+++ b/tests/membership/gossip_test.cpp
@@ -18,10 +18,11 @@
 GossipUpdate unresponsive(HostKey host, Duration age = {}, std::int64_t started = 0) {
   return {host, started, GossipUpdate::Kind::unresponsive, 0, age};
 }
-GossipUpdate phase(HostKey host, GossipUpdate::Kind kind, std::uint64_t version, std::int64_t started = 0) {
-  return {host, started, kind, version, {}};
+GossipUpdate phase(HostKey host, GossipUpdate::Kind updateKind, std::uint64_t version,
+                   std::int64_t started = 0) {
+  return {host, started, updateKind, version, {}};
 }
-std::string bytes(std::vector<GossipUpdate> updates) { return encodeGossipMessage(updates).value(); }
+std::string bytes(std::vector<GossipUpdate> batch) { return encodeGossipMessage(batch).value(); }
 
 // One gateway of five, with ten listed hosts.
 struct TestGateway {
@@ -40,17 +41,17 @@
     });
     for (HostKey h = 1; h <= 10; ++h) gossip->onListed(h, 0, HostPhase::active, 5, now);
   }
-  void receive(GatewayNumber from, std::vector<GossipUpdate> updates) {
-    gossip->onMessage(from, bytes(std::move(updates)), now);
+  void receive(GatewayNumber from, std::vector<GossipUpdate> batch) {
+    gossip->onMessage(from, bytes(std::move(batch)), now);
   }
   std::vector<GossipUpdate> sentUpdates() {
-    std::vector<GossipUpdate> sent;
+    std::vector<GossipUpdate> lastBatch;
     for (const auto& message : gossip->tick(now)) {
-      const auto updates = decodeGossipMessage(message.payload);
-      EXPECT_TRUE(updates);
-      sent = *updates;  // the same for each recipient
+      const auto batch = decodeGossipMessage(message.payload);
+      EXPECT_TRUE(batch);
+      lastBatch = *batch;  // the same for each recipient
     }
-    return sent;
+    return lastBatch;
   }
 };
 
@@ -81,13 +82,13 @@
   gateway.now += milliseconds(100);
   const auto updates = gateway.sentUpdates();
   ASSERT_EQ(updates.size(), 1u);
-  EXPECT_EQ(updates[0].age, Duration(seconds(1)));  // that of the second latestVotes observation
+  EXPECT_EQ(updates[0].age, Duration(seconds(1)));  // that of the second youngest observation
   gateway.now += milliseconds(2000);
   EXPECT_FALSE(gateway.gossip->isUnresponsiveByQuorum(3, gateway.now));  // 3 s after the observation
   EXPECT_EQ(gateway.gossip->statistics().unresponsiveByQuorum, 1u);
 }
 
-// Two gateways that repeat each gateway's observation must not restrict accepted host forever.
+// Two gateways that repeat each other's observation must not restrict a host forever.
 TEST(Gossip, RepeatedObservationsExpire) {
   std::vector<std::unique_ptr<TestGateway>> gateways;
   for (int i = 0; i < 5; ++i)
@@ -102,12 +103,12 @@
         gateways[message.recipient]->gossip->onMessage(from, message.payload,
                                                        gateways[message.recipient]->now);
     unresponsiveByQuorum |= gateways[4]->gossip->isUnresponsiveByQuorum(3, gateways[4]->now);
-    for (auto& gateway : gateways) gateway->now += milliseconds(200);
+    for (auto& member : gateways) member->now += milliseconds(200);
   }
   EXPECT_TRUE(unresponsiveByQuorum);
-  for (auto& gateway : gateways) {
-    EXPECT_FALSE(gateway->gossip->isUnresponsiveByQuorum(3, gateway->now));
-    EXPECT_TRUE(gateway->gossip->tick(gateway->now).empty());
+  for (auto& member : gateways) {
+    EXPECT_FALSE(member->gossip->isUnresponsiveByQuorum(3, member->now));
+    EXPECT_TRUE(member->gossip->tick(member->now).empty());
   }
 }
 
@@ -163,13 +164,13 @@
     gateway.gossip->tick(gateway.now);
     gateway.now += seconds(1);
   }
-  // At most accepted quarter of the hosts (two of ten) for 10 s each, until 32 assertions have expired; then
+  // At most a quarter of the hosts (two of ten) for 10 s each, until 32 assertions have expired; then
   // one per minute.
   EXPECT_LE(accepted, 32u + 10u + 2u);
   EXPECT_FALSE(gateway.gossip->hasReputation(1));
   EXPECT_GT(gateway.gossip->statistics().overFraction, 0u);
   EXPECT_GT(gateway.gossip->statistics().withoutReputation, 0u);
-  // The reputation of gateway gateways is unaffected.
+  // The reputation of other gateways is unaffected.
   gateway.receive(2, {phase(4, GossipUpdate::Kind::draining, 9)});
   EXPECT_EQ(gateway.gossip->takeAcceptedPhases().size(), 1u);
 }
@@ -180,10 +181,10 @@
   gateway.receive(1, {phase(3, GossipUpdate::Kind::removed, 4)});
   EXPECT_TRUE(gateway.gossip->takeAcceptedPhases().empty());
   gateway.receive(1, {phase(3, GossipUpdate::Kind::draining, 6)});
-  const auto accepted = gateway.gossip->takeAcceptedPhases();
-  ASSERT_EQ(accepted.size(), 1u);
-  EXPECT_EQ(accepted[0].phase, HostPhase::draining);
-  EXPECT_EQ(accepted[0].since, gateway.now);
+  const auto acceptedPhases = gateway.gossip->takeAcceptedPhases();
+  ASSERT_EQ(acceptedPhases.size(), 1u);
+  EXPECT_EQ(acceptedPhases[0].phase, HostPhase::draining);
+  EXPECT_EQ(acceptedPhases[0].since, gateway.now);
 }
 
 TEST(Gossip, RepeatedAssertionKeepsTheTimeOfTheFirst) {
@@ -192,7 +193,8 @@
   for (int i = 0; i < 9; ++i) {
     gateway.receive(1, {phase(3, i < 5 ? GossipUpdate::Kind::draining : GossipUpdate::Kind::removed,
                               6 + static_cast<std::uint64_t>(i))});
-    for (const auto& accepted : gateway.gossip->takeAcceptedPhases()) EXPECT_EQ(accepted.since, first);
+    for (const auto& acceptedPhase : gateway.gossip->takeAcceptedPhases())
+      EXPECT_EQ(acceptedPhase.since, first);
     gateway.now += seconds(1);
   }
   EXPECT_EQ(gateway.gossip->statistics().assertions, 1u);
@@ -212,7 +214,7 @@
   EXPECT_EQ(gateway.gossip->statistics().confirmed, 17u);
 }
 
-// During an overload gateways gateways may find gateways hosts unresponsive.
+// During an overload all gateways may find all hosts unresponsive.
 TEST(Gossip, QuorumRestrictsABoundedFractionOfHosts) {
   TestGateway gateway;
   for (HostKey h = 1; h <= 10; ++h)
@@ -228,7 +230,7 @@
   for (HostKey h = 100; h < 10'100; ++h) gateway.gossip->onListed(h, 0, HostPhase::active, 6, gateway.now);
   for (HostKey h = 100; h < 10'100; ++h)
     gateway.gossip->onListed(h, 0, HostPhase::removed, 7,
-                             gateway.now);  // gateways are removed at the same time
+                             gateway.now);  // all are removed at the same time
   std::size_t sent = 0, sentBytes = 0;
   for (int i = 0; i < 50; ++i) {
     for (const auto& message : gateway.gossip->tick(gateway.now)) ++sent, sentBytes += message.payload.size();
@@ -281,7 +283,7 @@
   }
 }
 
-// During accepted network partition each half decides by its own observations.
+// During a network partition each half decides by its own observations.
 TEST(Gossip, PartitionedHalvesDecideIndependently) {
   std::vector<std::unique_ptr<TestGateway>> gateways;
   for (GatewayNumber i = 0; i < 6; ++i)
@@ -299,13 +301,13 @@
     }
   for (GatewayNumber i = 0; i < 6; ++i)
     EXPECT_EQ(gateways[i]->gossip->isUnresponsiveByQuorum(3, gateways[i]->now), i < 3) << i;
-  // After the partition the observations of the gateway half are older than the responses in this half.
+  // After the partition the observations of the other half are older than the responses in this half.
   for (GatewayNumber from = 0; from < 3; ++from)
     gateways[5]->receive(from, {unresponsive(3, milliseconds(300))});
   EXPECT_FALSE(gateways[5]->gossip->isUnresponsiveByQuorum(3, gateways[5]->now));
 }
 
-// Compares with accepted reference that keeps gateways votes, for votes that are reordered, repeated and
+// Compares with a reference that keeps all votes, for votes that are reordered, repeated and
 // delayed.
 TEST(Gossip, DecisionDoesNotDependOnTheOrderOfVotes) {
   for (unsigned seed = 1; seed <= 2000; ++seed) {
--- a/tests/membership/host_state_test.cpp
+++ b/tests/membership/host_state_test.cpp
@@ -35,11 +35,11 @@
 
 ListedPhase randomPhase(std::mt19937& random) { return {static_cast<HostPhase>(random() % 3), random() % 4}; }
 LoadObservation randomLoad(std::mt19937& random) {
-  LoadObservation load =
+  LoadObservation generated =
       loadOf(static_cast<double>(random() % 3), seconds(random() % 4), seconds(random() % 4 + 1));
-  if (random() % 3 == 0) load.report.queue = std::nan("");
-  if (random() % 3 == 0) load.report.inflight = static_cast<double>(random() % 3);
-  return load;
+  if (random() % 3 == 0) generated.report.queue = std::nan("");
+  if (random() % 3 == 0) generated.report.inflight = static_cast<double>(random() % 3);
+  return generated;
 }
 HostState randomState(std::mt19937& random) {
   HostState state;
@@ -84,7 +84,7 @@
     for (int i = 0; i < 12; ++i) {
       const std::uint64_t version = random() % 5 + 1;
       const auto phase = static_cast<HostPhase>(random() % 3);
-      const LoadObservation load = randomLoad(random);
+      const LoadObservation loadObservation = randomLoad(random);
       const PeerPhase peer{static_cast<HostPhase>(random() % 3), random() % 6, seconds(random() % 9)};
       switch (random() % 3) {
         case 0:
@@ -92,7 +92,8 @@
               [=](HostStateTable& table) { table.onListed("a", seconds(1), phase, version, seconds(10)); });
           break;
         case 1:
-          observations.push_back([=](HostStateTable& table) { table.onLoadReport("a", seconds(1), load); });
+          observations.push_back(
+              [=](HostStateTable& table) { table.onLoadReport("a", seconds(1), loadObservation); });
           break;
         default:
           observations.push_back([=](HostStateTable& table) { table.onPeerPhase("a", seconds(1), peer); });
@@ -132,13 +133,14 @@
     HostStateTable table({});
     table.onListed("a", seconds(1), HostPhase::active, 1, seconds(10));
     std::vector<Observation> known = {{Observation::Kind::list, HostPhase::active, 1, seconds(10)}};
-    const std::size_t count = 2 + random() % 10;
+    const std::size_t observationCount = 2 + random() % 10;
     std::vector<Observation> observations;
-    for (std::size_t i = 0; i < count; ++i)
+    for (std::size_t i = 0; i < observationCount; ++i)
       observations.push_back({random() % 2 ? Observation::Kind::list : Observation::Kind::peer,
                               static_cast<HostPhase>(random() % 3), 1 + random() % 6,
                               seconds(10 + random() % 20)});
-    for (std::size_t i = 0; i < 3; ++i) observations.push_back(observations[random() % count]);  // repeated
+    for (std::size_t i = 0; i < 3; ++i)
+      observations.push_back(observations[random() % observationCount]);  // repeated
     std::shuffle(observations.begin(), observations.end(), random);
     for (const Observation& observation : observations) {
       known.push_back(observation);
--- a/tests/membership/list_policy_test.cpp
+++ b/tests/membership/list_policy_test.cpp
@@ -13,20 +13,20 @@
 using std::chrono::seconds;
 
 ListEntry makeEntry(const std::string& name, HostPhase phase = HostPhase::active,
-                    const std::string& endpoint = "", Time startedAt = {}) {
+                    const std::string& listenAddress = "", Time started = {}) {
   ListEntry entry;
   entry.host.address = name;
   entry.host.phase = phase;
-  entry.host.startedAt = startedAt;
-  entry.endpoint = endpoint.empty() ? "at-" + name : endpoint;
+  entry.host.startedAt = started;
+  entry.endpoint = listenAddress.empty() ? "at-" + name : listenAddress;
   return entry;
 }
 
-EndpointList complete(std::int64_t version, std::vector<ListEntry> hosts) {
-  return {version, true, std::move(hosts)};
+EndpointList complete(std::int64_t listVersion, std::vector<ListEntry> hosts) {
+  return {listVersion, true, std::move(hosts)};
 }
-EndpointList change(std::int64_t version, std::vector<ListEntry> hosts) {
-  return {version, false, std::move(hosts)};
+EndpointList change(std::int64_t listVersion, std::vector<ListEntry> hosts) {
+  return {listVersion, false, std::move(hosts)};
 }
 
 // Applies all effective lists, as the gateway does, and keeps the resulting phases.
@@ -37,7 +37,7 @@
   std::set<std::string> unresponsive;
   bool requestedCompleteList = false;
 
-  explicit Follower(const ListPolicySettings& settings = {}) : policy(settings) {}
+  explicit Follower(const ListPolicySettings& policySettings = {}) : policy(policySettings) {}
   void apply(ListPolicy::Decision&& decision) {
     requestedCompleteList = decision.requestCompleteList;
     if (!decision.list) return;
@@ -46,8 +46,9 @@
     for (const ListEntry& entry : decision.list->hosts) phases[entry.host.address] = entry.host.phase;
   }
   void receive(EndpointList list) {
-    apply(policy.onList(std::move(list), now,
-                        [&](std::string_view host) { return unresponsive.count(std::string(host)) == 0; }));
+    apply(policy.onList(std::move(list), now, [&](std::string_view hostName) {
+      return unresponsive.count(std::string(hostName)) == 0;
+    }));
   }
   void advance(Duration duration) {
     for (const Time end = now + duration; now < end;) {
@@ -214,13 +215,13 @@
     EXPECT_EQ(follower.phaseOf("x"), HostPhase::draining);
   }
   EXPECT_EQ(follower.policy.statistics().duplicateHosts, 2u);
-  const auto decision =
+  const auto merged =
       follower.policy.onList(change(3, {makeEntry("y", HostPhase::active, "a:1", seconds(5)),
                                         makeEntry("y", HostPhase::active, "a:2", seconds(6))}),
                              follower.now, [](std::string_view) { return true; });
-  ASSERT_EQ(decision.list->hosts.size(), 1u);
-  EXPECT_EQ(decision.list->hosts[0].endpoint, "a:2");  // of the entry with the later start
-  EXPECT_EQ(decision.list->hosts[0].host.startedAt, Time(seconds(6)));
+  ASSERT_EQ(merged.list->hosts.size(), 1u);
+  EXPECT_EQ(merged.list->hosts[0].endpoint, "a:2");  // of the entry with the later start
+  EXPECT_EQ(merged.list->hosts[0].host.startedAt, Time(seconds(6)));
 }
 
 // An endpoint is reused by a new host while the old host is still listed.
@@ -271,15 +272,15 @@
   for (const bool byCompleteList : {false, true}) {
     Follower follower;
     follower.receive(complete(1, hostsUpTo(5)));
-    std::int64_t version = 1;
+    std::int64_t listVersion = 1;
     for (int i = 0; i < 20; ++i) {
-      ++version;
-      if (byCompleteList) follower.receive(complete(version, hostsUpTo(5, 1)));
-      else follower.receive(change(version, {makeEntry("h0", HostPhase::draining)}));
+      ++listVersion;
+      if (byCompleteList) follower.receive(complete(listVersion, hostsUpTo(5, 1)));
+      else follower.receive(change(listVersion, {makeEntry("h0", HostPhase::draining)}));
       follower.advance(milliseconds(50));
-      ++version;
-      if (byCompleteList) follower.receive(complete(version, hostsUpTo(5)));
-      else follower.receive(change(version, {makeEntry("h0")}));
+      ++listVersion;
+      if (byCompleteList) follower.receive(complete(listVersion, hostsUpTo(5)));
+      else follower.receive(change(listVersion, {makeEntry("h0")}));
       if (i >= 6) EXPECT_EQ(follower.phaseOf("h0"), HostPhase::draining) << i;
       follower.advance(milliseconds(50));
     }
@@ -295,14 +296,14 @@
 TEST(ListPolicy, RollingDeployDoesNotCountAsFlapping) {
   Follower follower;
   follower.receive(complete(1, hostsUpTo(5)));
-  std::int64_t version = 1;
+  std::int64_t listVersion = 1;
   for (int i = 0; i < 5; ++i) {
     const std::string name = "h" + std::to_string(i);
-    follower.receive(change(++version, {makeEntry(name, HostPhase::draining)}));
+    follower.receive(change(++listVersion, {makeEntry(name, HostPhase::draining)}));
     follower.advance(seconds(1));
-    follower.receive(change(++version, {makeEntry(name, HostPhase::removed)}));
+    follower.receive(change(++listVersion, {makeEntry(name, HostPhase::removed)}));
     follower.advance(seconds(1));
-    follower.receive(change(++version, {makeEntry(name, HostPhase::active, "", follower.now)}));
+    follower.receive(change(++listVersion, {makeEntry(name, HostPhase::active, "", follower.now)}));
     EXPECT_EQ(follower.phaseOf(name), HostPhase::active);
   }
   EXPECT_EQ(follower.policy.statistics().flappingHosts, 0u);
@@ -344,20 +345,20 @@
     std::mt19937 random(seed);
     Follower follower;
     follower.receive(complete(1, hostsUpTo(6)));
-    std::int64_t version = 1;
+    std::int64_t listVersion = 1;
     std::map<std::string, Time> inactiveSince;  // according to accepted lists
     for (int i = 0; i < 6; ++i) follower.unresponsive.clear();
     for (int step = 0; step < 120; ++step) {
-      EndpointList list;
-      list.isComplete = random() % 3 == 0;
-      list.version = random() % 5 == 0 ? version - 1 : ++version;
+      EndpointList randomList;
+      randomList.isComplete = random() % 3 == 0;
+      randomList.version = random() % 5 == 0 ? listVersion - 1 : ++listVersion;
       for (int i = 0; i < 6; ++i)
         if (random() % 2)
-          list.hosts.push_back(makeEntry("h" + std::to_string(i), static_cast<HostPhase>(random() % 3),
-                                         "p:" + std::to_string(random() % 8), seconds(random() % 4)));
-      const bool isCurrent = list.version >= version;
+          randomList.hosts.push_back(makeEntry("h" + std::to_string(i), static_cast<HostPhase>(random() % 3),
+                                               "p:" + std::to_string(random() % 8), seconds(random() % 4)));
+      const bool isCurrent = randomList.version >= listVersion;
       std::map<std::string, HostPhase> worstPhases;
-      for (const ListEntry& entry : list.hosts) {
+      for (const ListEntry& entry : randomList.hosts) {
         const auto [it, isFirst] = worstPhases.emplace(entry.host.address, entry.host.phase);
         if (!isFirst && entry.host.phase != HostPhase::active) it->second = entry.host.phase;
       }
@@ -368,10 +369,10 @@
           if (it != worstPhases.end() && it->second == HostPhase::active) inactiveSince.erase(name);
           else if (it != worstPhases.end())
             inactiveSince[name] = follower.now - seconds(1);  // listed: effective at once
-          else if (list.isComplete) inactiveSince.emplace(name, follower.now);
+          else if (randomList.isComplete) inactiveSince.emplace(name, follower.now);
         }
       }
-      follower.receive(std::move(list));
+      follower.receive(std::move(randomList));
       const Duration pause = milliseconds(random() % 300);
       follower.advance(pause);
       for (const auto& [name, since] : inactiveSince)
@@ -379,7 +380,7 @@
           ASSERT_NE(follower.phaseOf(name), HostPhase::active) << "seed " << seed << " step " << step;
     }
     follower.advance(seconds(120));
-    follower.receive(complete(++version, hostsUpTo(6)));
+    follower.receive(complete(++listVersion, hostsUpTo(6)));
     follower.advance(seconds(1));
     for (int i = 0; i < 6; ++i)
       ASSERT_EQ(follower.phaseOf("h" + std::to_string(i)), HostPhase::active) << seed;
--- a/tests/membership/snapshot_message_test.cpp
+++ b/tests/membership/snapshot_message_test.cpp
@@ -56,11 +56,11 @@
 
 TEST(SnapshotMessage, RejectsTruncatedAndInvalidChunks) {
   const auto chunk = encodeSnapshot(snapshotOf(seconds(30), {hostRecord(1)}), 5).at(0);
-  // A chunk that is truncated between two records is still validPrefixes; any other truncation makes it
+  // A chunk that is truncated between two records is still valid; any other truncation makes it
   // invalid.
   std::size_t validPrefixes = 0;
-  for (std::size_t size = 0; size < chunk.size(); ++size)
-    validPrefixes += decodeChunk(chunk.substr(0, size)).has_value();
+  for (std::size_t length = 0; length < chunk.size(); ++length)
+    validPrefixes += decodeChunk(chunk.substr(0, length)).has_value();
   EXPECT_EQ(validPrefixes, 5u);
   EXPECT_FALSE(decodeChunk(chunk + '\x09'));
   EXPECT_FALSE(decodeChunk(std::string(kMaxMessageBytes + 1, '\x03')));
--- a/tests/membership/warm_start_test.cpp
+++ b/tests/membership/warm_start_test.cpp
@@ -20,7 +20,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-// A starting gateway. Host key is named "h<key>" and was started long ago unless it is in `restarted`.
+// A starting gateway. Host number k is named "h<k>" and was started long ago unless it is in `restarted`.
 struct StartingGateway {
   WarmStartSettings settings;
   Time now = seconds(100);
@@ -70,11 +70,11 @@
 };
 
 TEST(WarmStart, MergesTenThousandHosts) {
-  StateSnapshot snapshot = snapshotOf(minutes(3), {});
-  for (HostKey key = 1; key <= 10'000; ++key) snapshot.hosts.push_back(hostRecord(key, 1.5));
+  StateSnapshot peerSnapshot = snapshotOf(minutes(3), {});
+  for (HostKey key = 1; key <= 10'000; ++key) peerSnapshot.hosts.push_back(hostRecord(key, 1.5));
   StartingGateway gateway;
-  gateway.receiveSnapshot(1, snapshot);
-  gateway.receiveSnapshot(2, snapshot);
+  gateway.receiveSnapshot(1, peerSnapshot);
+  gateway.receiveSnapshot(2, peerSnapshot);
   EXPECT_TRUE(gateway.start->isFinished());
   const auto state = gateway.learned();
   ASSERT_TRUE(state);
@@ -104,7 +104,7 @@
   gateway.receiveSnapshot(1, snapshotOf(milliseconds(500), {hostRecord(1, 5)}));
   gateway.receiveSnapshot(2, snapshotOf(milliseconds(900), {hostRecord(1, 5)}));
   EXPECT_TRUE(gateway.start->isFinished());
-  EXPECT_FALSE(gateway.learned());  // as after gateway restart of all gateways at the same time
+  EXPECT_FALSE(gateway.learned());  // as after a restart of all gateways at the same time
   EXPECT_EQ(gateway.start->statistics().tooYoung, 2u);
   StartingGateway withYoungPeer;
   withYoungPeer.receiveSnapshot(1, snapshotOf(seconds(3), {hostRecord(1, 5)}));
@@ -129,9 +129,9 @@
   EXPECT_EQ(observations[0].age, Duration(milliseconds(15'500)));
   EXPECT_EQ(observations[1].age, Duration(milliseconds(600)));
   EXPECT_LT(observations[0].weight, observations[1].weight);
-  const double relativeLatency = gateway.learned()->hosts.at(0).relativeLatency;
-  EXPECT_GT(relativeLatency, 1);
-  EXPECT_LT(relativeLatency, 1.4);
+  const double mergedLatency = gateway.learned()->hosts.at(0).relativeLatency;
+  EXPECT_GT(mergedLatency, 1);
+  EXPECT_LT(mergedLatency, 1.4);
 }
 
 TEST(WarmStart, OldRecordHasNoWeight) {
@@ -178,12 +178,12 @@
 
 // Datagrams are lost, repeated, reordered, truncated or forged.
 TEST(WarmStart, TransmissionFaultsDoNotCorruptTheState) {
-  StateSnapshot snapshot = snapshotOf(minutes(3), {});
-  for (HostKey key = 1; key <= 200; ++key) snapshot.hosts.push_back(hostRecord(key, 2));
+  StateSnapshot peerSnapshot = snapshotOf(minutes(3), {});
+  for (HostKey key = 1; key <= 200; ++key) peerSnapshot.hosts.push_back(hostRecord(key, 2));
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
     StartingGateway gateway;
-    auto chunks = encodeSnapshot(snapshot, gateway.nonces.at(1));
+    auto chunks = encodeSnapshot(peerSnapshot, gateway.nonces.at(1));
     for (int i = 0; i < 20; ++i) chunks.push_back(chunks[random() % chunks.size()]);
     std::shuffle(chunks.begin() + 1, chunks.end(), random);
     std::set<HostKey> received;
@@ -201,7 +201,7 @@
     }
     const auto state = gateway.learned();
     ASSERT_TRUE(state);
-    // A chunk that is truncated at the end of gateway record isExpected as received, so its other records are
+    // A chunk that is truncated at the end of a record counts as received, so its other records are
     // lost.
     ASSERT_LE(state->hosts.size(), received.size());
     ASSERT_GE(state->hosts.size() + 25, received.size());
@@ -226,12 +226,12 @@
 
 TEST(WarmStart, FinishesAtTheDeadline) {
   StartingGateway gateway(10);
-  StateSnapshot snapshot = snapshotOf(minutes(3), {});
-  for (HostKey key = 1; key <= 400; ++key) snapshot.hosts.push_back(hostRecord(key));
+  StateSnapshot peerSnapshot = snapshotOf(minutes(3), {});
+  for (HostKey key = 1; key <= 400; ++key) peerSnapshot.hosts.push_back(hostRecord(key));
   const GatewayNumber from = gateway.nonces.begin()->first;
-  const auto chunks = encodeSnapshot(snapshot, gateway.nonces.at(from));
+  const auto chunks = encodeSnapshot(peerSnapshot, gateway.nonces.at(from));
   for (std::size_t i = 0; i < chunks.size() && !gateway.start->isFinished();
-       ++i) {  // one every 50 ms, for 5 snapshot in total
+       ++i) {  // one every 50 ms, for 5 s in total
     gateway.start->onMessage(from, chunks[i], gateway.now);
     gateway.advance(milliseconds(50));
   }
--- a/tests/membership/wire_format_test.cpp
+++ b/tests/membership/wire_format_test.cpp
@@ -41,16 +41,16 @@
 
 TEST(MembershipWireFormat, SnapshotChunkHasTheseBytes) {
   StateSnapshot snapshot;
-  StateSnapshot::GatewayRecord& gateway = snapshot.gateway.emplace();
-  gateway.age = seconds(90);
-  gateway.arrivalRate = 1;
-  gateway.arrivalSamples = 2;
-  gateway.answers = 3;
-  gateway.inTimeRate = 4;
-  gateway.meanLatencyObjective = 5;
-  gateway.meanTypicalLatency = 6;
-  gateway.unloadedConcurrency = 7;
-  gateway.servedFraction = 8;
+  StateSnapshot::GatewayRecord& gatewayRecord = snapshot.gateway.emplace();
+  gatewayRecord.age = seconds(90);
+  gatewayRecord.arrivalRate = 1;
+  gatewayRecord.arrivalSamples = 2;
+  gatewayRecord.answers = 3;
+  gatewayRecord.inTimeRate = 4;
+  gatewayRecord.meanLatencyObjective = 5;
+  gatewayRecord.meanTypicalLatency = 6;
+  gatewayRecord.unloadedConcurrency = 7;
+  gatewayRecord.servedFraction = 8;
   snapshot.classes = {{0x0102030405060708, 1.5, 2.5, 0.25, milliseconds(900)}};
   snapshot.machineTypes = {{0x1112131415161718, 70, 1.25}};
   snapshot.priorityLevels = {{12, 5}};
