--- a/src/configuration/client.cpp
+++ b/src/configuration/client.cpp
@@ -12,16 +12,16 @@
 
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusUnavailable = 503;
-// The file holds the complete set, so writing it at each change would cost too much. Versions that a crash
-// loses are polled again after the start.
+// The file contains the complete configuration, so writing it after each change would be too expensive.
+// Versions lost in a crash are polled again after the restart.
 constexpr Duration kMinFileWriteInterval = std::chrono::seconds(30);
 
 }  // namespace
 
-// What the worker's jobs share; they run one at a time.
+// State shared by the jobs on the worker, which run one at a time.
 struct Client::WorkerState {
-  WorkerState(const load_balancing::Settings& start, std::string snapshotPath)
-      : store(start), path(std::move(snapshotPath)) {}
+  WorkerState(const load_balancing::Settings& initialSettings, std::string snapshotPath)
+      : store(initialSettings), path(std::move(snapshotPath)) {}
 
   ConfigurationStore store;
   const std::string path;
@@ -32,12 +32,13 @@
   ApplyOutcome outcome;
   VersionState versionState;
   std::size_t tenantCount = 0;
-  std::string parseError;  // empty: the response was an update
+  std::string parseError;  // empty: the response is a valid update
 };
 
 Client::Client(boost::asio::io_context& io, const boost::asio::any_io_executor& worker, const Clock& clock,
                const ConfigurationSettings& settings, const std::string& gatewayName, std::uint64_t seed,
-               const load_balancing::Settings& start, std::function<void(const SettingsChange&)> applyChange,
+               const load_balancing::Settings& initialSettings,
+               std::function<void(const SettingsChange&)> applyChange,
                std::function<void(const std::string&)> log)
     : io_(io),
       worker_(boost::asio::make_strand(worker)),
@@ -48,9 +49,9 @@
       log_(std::move(log)),
       randomEngine_(seed),
       endpoints_(settings.addresses, gatewayName, settings.backoff),
-      workerState_(std::make_shared<WorkerState>(start, settings.snapshotPath)),
+      workerState_(std::make_shared<WorkerState>(initialSettings, settings.snapshotPath)),
       self_(std::make_shared<Client*>(this)),
-      watch_(io, kMaxUpdateBytes, *this),
+      longPollClient_(io, kMaxUpdateBytes, *this),
       pollTimer_(io),
       fileTimer_(io),
       nextFileWriteAt_(clock.now()) {
@@ -62,19 +63,19 @@
 void Client::start() {
   running_ = true;
   if (!std::exchange(snapshotFileLoaded_, true)) loadSnapshotFile();
-  // All gateways may start at the same moment, so the first poll is delayed at random.
+  // All gateways may start at the same time, so the first poll is delayed by a random time.
   const auto maxDelay = static_cast<double>(settings_.backoff.maxFailoverDelay.count());
-  schedulePoll(clock_.now() + Duration(static_cast<std::int64_t>(randomUnit() * maxDelay)));
+  schedulePoll(clock_.now() + Duration(static_cast<std::int64_t>(randomFraction() * maxDelay)));
 }
 
 void Client::stop() {
   running_ = false;
   pollTimer_.cancel();
-  watch_.stop();
+  longPollClient_.stop();
 }
 
-// Runs on the loop: the gateway does not serve yet, so nothing is blocked. The log lines are part of the
-// operators' documentation.
+// Runs on the loop: the gateway does not serve requests yet, so blocking the loop delays none. The log lines
+// are part of the operators' documentation.
 void Client::loadSnapshotFile() {
   if (settings_.snapshotPath.empty()) return;
   ConfigurationStore& store = workerState_->store;
@@ -96,12 +97,12 @@
   }
 }
 
-double Client::randomUnit() { return static_cast<double>(randomEngine_() >> 11) * 0x1.0p-53; }
+double Client::randomFraction() { return static_cast<double>(randomEngine_() >> 11) * 0x1.0p-53; }
 
 // --- Polling
 
 void Client::schedulePoll(Time notBefore) {
-  const ControlPlaneEndpoints::Choice choice = endpoints_.choose(clock_.now(), randomUnit());
+  const ControlPlaneEndpoints::Choice choice = endpoints_.choose(clock_.now(), randomFraction());
   currentEndpoint_ = choice.endpoint;
   pollTimer_.expires_at(clock_.steady(std::max(notBefore, choice.notBefore)));
   pollTimer_.async_wait([self = self_](const boost::system::error_code& cancelled) {
@@ -114,28 +115,28 @@
   endpoints_.onPolled(currentEndpoint_);
   ++statistics_.polls;
   ++pollNumber_;
-  // After a failure the next machine may be silent too, and a held poll would delay a change by its full
-  // wait. Without a wait the machine has to answer at once, with or without news.
+  // After a failure the next machine may be unresponsive as well, and with a long poll that would show only
+  // after the full wait. Without a wait a machine responds immediately, also if there is no newer version.
   const Duration maxWait = retryingAfterFailure_ ? Duration{} : settings_.longPollWait;
-  const LongPollClient::Timeouts patience{maxWait + settings_.silenceTimeout, settings_.silenceTimeout,
+  const LongPollClient::Timeouts timeouts{maxWait + settings_.silenceTimeout, settings_.silenceTimeout,
                                           settings_.maxResponseTime};
   const PollRequest request{gatewayName_, versionState_, maxWait};
-  watch_.call(settings_.endpoints[currentEndpoint_], formatPollTarget(request), patience);
+  longPollClient_.call(settings_.endpoints[currentEndpoint_], formatPollTarget(request), timeouts);
 }
 
 void Client::onLongPollFailed() { onEndpointFailure(); }
 
 void Client::onEndpointFailure() {
-  endpoints_.onFailure(currentEndpoint_, clock_.now(), randomUnit());
+  endpoints_.onFailure(currentEndpoint_, clock_.now(), randomFraction());
   statistics_.endpointFailures = endpoints_.failureCount();
   retryingAfterFailure_ = true;
-  watch_.stop();
+  longPollClient_.stop();
   schedulePoll(clock_.now());
 }
 
 void Client::onLongPollResponse(LongPollResponse&& response) {
   if (response.status == kStatusUnavailable && response.retryAfter > Duration{}) {
-    endpoints_.onRetryAfter(currentEndpoint_, clock_.now(), response.retryAfter, randomUnit());
+    endpoints_.onRetryAfter(currentEndpoint_, clock_.now(), response.retryAfter, randomFraction());
     schedulePoll(clock_.now());
   } else if (response.status != kStatusOk) {
     onEndpointFailure();
@@ -144,7 +145,7 @@
   }
 }
 
-// Parses and applies the update on the worker and returns to the loop with the result.
+// Parses and applies the update on the worker, then continues on the loop with the result.
 void Client::processOnWorker(std::string&& body) {
   boost::asio::post(worker_, [&io = io_, self = self_, state = workerState_, pollNumber = pollNumber_,
                               text = std::move(body)] {
@@ -163,7 +164,7 @@
   });
 }
 
-// Runs on the loop between two requests, so each request sees all of a change or nothing of it.
+// Runs on the loop between two requests, so each request sees either all of a change or none of it.
 void Client::onUpdateProcessed(const ProcessedUpdate& processed) {
   versionState_ = processed.versionState;
   statistics_.tenantCount = processed.tenantCount;
@@ -174,10 +175,10 @@
     scheduleFileWrite();
   }
   recordResult(processed);
-  // A client that was stopped and started meanwhile has polled again; going on here would make two polls at
-  // once.
+  // A client that was stopped and started in the meantime has polled again; continuing here would lead to two
+  // concurrent polls.
   if (!running_ || processed.pollNumber != pollNumber_) return;
-  // Errors are reported with the next poll, and the machine does not send that version again.
+  // Errors are reported with the next poll, after which the machine does not send that version again.
   const bool reportsErrors = !processed.outcome.errors.empty();
   const bool usable = result == ApplyResult::accepted || result == ApplyResult::unchanged ||
                       result == ApplyResult::gap || reportsErrors;
@@ -190,11 +191,11 @@
   schedulePoll(polledAt_ + settings_.minPollInterval);
 }
 
-// Counts and logs the result. The line of a rejected version is part of the operators' documentation.
+// Counts and logs the result. The log line of a rejected version is part of the operators' documentation.
 void Client::recordResult(const ProcessedUpdate& processed) {
   const std::string& address = settings_.addresses[currentEndpoint_];
   if (!processed.parseError.empty()) {
-    log_("configuration: " + address + " answers what is " + processed.parseError);
+    log_("configuration: " + address + " sent an invalid update, backing off: " + processed.parseError);
     return;
   }
   const ApplyOutcome& outcome = processed.outcome;
@@ -220,7 +221,7 @@
   }
 }
 
-// --- The file
+// --- Snapshot file
 
 void Client::scheduleFileWrite() {
   if (settings_.snapshotPath.empty() || std::exchange(fileWritePending_, true)) return;
--- a/src/configuration/client.hpp
+++ b/src/configuration/client.hpp
@@ -1,6 +1,6 @@
-// Polls the control machines for newer versions of the configuration and hands accepted changes to the
-// gateway. ConfigurationStore decides what becomes of an update, ControlPlaneEndpoints which machine is
-// polled and when.
+// Long-polls the control machines, which publish the configuration, for newer versions and passes accepted
+// changes to the gateway. ConfigurationStore decides whether an update is accepted, and ControlPlaneEndpoints
+// which machine is polled and when.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -22,8 +22,8 @@
 
 namespace finchstile::configuration {
 
-// File descriptors that a client holds at most: its connection, the one it has just closed, and the file that
-// is written.
+// Maximum number of file descriptors of a Client: its connection, the connection closed last, and the file
+// being written.
 inline constexpr std::size_t kMaxClientDescriptors = 3;
 
 class Client : LongPollCallbacks {
@@ -38,32 +38,32 @@
     std::uint64_t stale = 0;
     std::uint64_t polls = 0;
     std::uint64_t endpointFailures = 0;
-    std::size_t tenantCount = 0;  // of the active set
+    std::size_t tenantCount = 0;  // in the active configuration
   };
 
-  // `worker` runs the parsing and checking of updates and the writing of the file; it must not be the loop's
-  // thread, which long updates would block. `applyChange` is called on the loop and has to apply all of a
-  // change before it returns. `log` writes one line. `start` is the configuration that is active before any
-  // version; `seed` is for the jitter. `io`, `clock` and what the callbacks use must outlive the client;
-  // `worker` must run or be joined.
+  // `worker` parses and validates updates and writes the file. It must not run on the thread of the loop,
+  // which long updates would block. `applyChange` is called on the loop and must apply the whole change
+  // before it returns. `log` writes one line. `initialSettings` are active until a version is accepted;
+  // `seed` is for the jitter. `io`, `clock` and everything that the callbacks use must outlive the client;
+  // `worker` must keep running or be joined.
   Client(boost::asio::io_context& io, const boost::asio::any_io_executor& worker, const Clock& clock,
          const ConfigurationSettings& settings, const std::string& gatewayName, std::uint64_t seed,
-         const load_balancing::Settings& start, std::function<void(const SettingsChange&)> applyChange,
-         std::function<void(const std::string&)> log);
+         const load_balancing::Settings& initialSettings,
+         std::function<void(const SettingsChange&)> applyChange, std::function<void(const std::string&)> log);
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  // Starts to poll. The first call applies the version in the file before, if there is a valid one.
+  // Starts polling. The first call also applies the version stored in the file, if it is valid.
   void start();
-  // Ends polling; `start` resumes it.
+  // Stops polling; `start` resumes it.
   void stop();
 
   const Statistics& statistics() const { return statistics_; }
-  std::string exposition() const;  // the statistics in the exposition format of metrics
-  std::string summary() const;     // the statistics in one line for the log
-  std::uint64_t bytesSent() const { return watch_.bytesSent(); }
-  std::uint64_t bytesReceived() const { return watch_.bytesReceived(); }
+  std::string exposition() const;  // statistics in the Prometheus exposition format
+  std::string summary() const;     // statistics as one log line
+  std::uint64_t bytesSent() const { return longPollClient_.bytesSent(); }
+  std::uint64_t bytesReceived() const { return longPollClient_.bytesReceived(); }
 
  private:
   struct WorkerState;
@@ -80,7 +80,7 @@
   void onEndpointFailure();
   void scheduleFileWrite();
   void writeFileOnWorker();
-  double randomUnit();
+  double randomFraction();
 
   boost::asio::io_context& io_;
   boost::asio::any_io_executor worker_;  // a strand: one job at a time
@@ -92,20 +92,20 @@
   std::mt19937_64 randomEngine_;
   ControlPlaneEndpoints endpoints_;
   std::shared_ptr<WorkerState> workerState_;
-  // Points to null once this client is destroyed: results of the worker are dropped then.
+  // Set to null when this client is destroyed; later results of the worker are dropped.
   std::shared_ptr<Client*> self_;
   VersionState versionState_;
-  LongPollClient watch_;
+  LongPollClient longPollClient_;
   boost::asio::steady_timer pollTimer_;
   boost::asio::steady_timer fileTimer_;
   Time nextFileWriteAt_;
   bool fileWritePending_ = false;
-  std::size_t currentEndpoint_ = 0;  // of the poll that is out or scheduled
+  std::size_t currentEndpoint_ = 0;  // endpoint of the pending or scheduled poll
   Time polledAt_{};
-  std::uint64_t pollNumber_ = 0;  // of the last poll
+  std::uint64_t pollNumber_ = 0;  // number of the latest poll
   bool running_ = false;
   bool snapshotFileLoaded_ = false;
-  bool retryingAfterFailure_ = false;  // no poll was answered since one failed
+  bool retryingAfterFailure_ = false;  // from a failed poll until the next successful one
   Statistics statistics_;
 };
 
--- a/src/configuration/configuration_store.cpp
+++ b/src/configuration/configuration_store.cpp
@@ -4,13 +4,13 @@
 
 namespace finchstile::configuration {
 
-ConfigurationStore::ConfigurationStore(const load_balancing::Settings& start) {
-  for (const auto& tenant : start.tenants) {
+ConfigurationStore::ConfigurationStore(const load_balancing::Settings& initialSettings) {
+  for (const auto& tenant : initialSettings.tenants) {
     tenants_.try_emplace(tenant.name, Tenant{usedTenantIndexes_, tenant.quotaPerSecond, 0, 0, true});
     ++usedTenantIndexes_;
   }
   listedTenants_ = tenants_.size();
-  for (const auto& cls : start.classes) {
+  for (const auto& cls : initialSettings.classes) {
     classIndex_.emplace(cls.name, static_cast<std::uint32_t>(classes_.size()));
     classes_.push_back({cls, std::nullopt});
   }
@@ -19,12 +19,13 @@
 // --- Acceptance
 
 ApplyOutcome ConfigurationStore::apply(const Update& update) {
-  if (auto settled = settleByVersion(update)) return std::move(*settled);
+  if (auto decided = decideByVersion(update)) return std::move(*decided);
   auto errors = validate(update);
   if (!errors.empty()) return reject(update, ApplyResult::rejected, std::move(errors));
 
   const std::uint64_t hash = hashAfter(update);
-  // Changes that are applied to another set than theirs would lead to a set that nobody has published.
+  // Changes that are applied to a configuration other than the one they refer to would lead to a
+  // configuration that was never published.
   if (!update.isSnapshot && (versionState_.version == Version{} || hash != update.hash)) {
     versionState_.needsSnapshot = true;
     ApplyOutcome outcome;
@@ -33,23 +34,23 @@
   }
   if (hash != update.hash) {
     const std::string message =
-        "is " + formatHash(update.hash) + ", and the entries have " + formatHash(hash);
+        "is " + formatHash(update.hash) + ", but the hash of the entries is " + formatHash(hash);
     return reject(update, ApplyResult::rejected, {{"hash", "", message}});
   }
 
-  // From here on nothing can fail, so the update becomes active as a whole.
+  // Nothing below can fail, so the update becomes active as a whole.
   ApplyOutcome outcome;
   outcome.result = ApplyResult::accepted;
   outcome.change.version = update.version;
   if (update.isSnapshot) ++acceptedSnapshots_;
   for (const DocumentChange& change : update.changes) applyChange(change, outcome.change);
-  if (update.isSnapshot) removeUnnamed(update, outcome.change);
+  if (update.isSnapshot) removeOmitted(update, outcome.change);
   versionState_ = VersionState{update.version, update.hash, false, std::nullopt};
   return outcome;
 }
 
-// The outcome of an update that its version decides already; empty if it is newer and has to be validated.
-std::optional<ApplyOutcome> ConfigurationStore::settleByVersion(const Update& update) {
+// Returns the outcome if the version alone decides it; empty if the update is newer and has to be validated.
+std::optional<ApplyOutcome> ConfigurationStore::decideByVersion(const Update& update) {
   const VersionState& state = versionState_;
   ApplyOutcome outcome;
   if (update.version < state.version) {
@@ -65,7 +66,7 @@
   }
   if (!isActiveVersion) return std::nullopt;
   if (update.hash != state.hash)
-    return reject(update, ApplyResult::conflict, {{"hash", "", "is not that of the version in force"}});
+    return reject(update, ApplyResult::conflict, {{"hash", "", "differs from that of the active version"}});
   versionState_.needsSnapshot = false;
   outcome.result = ApplyResult::unchanged;
   return outcome;
@@ -81,7 +82,7 @@
   return outcome;
 }
 
-// All errors: those of the text, and what this gateway can not apply.
+// Returns all errors: those found while parsing, and those of entries that this gateway cannot apply.
 std::vector<ValidationError> ConfigurationStore::validate(const Update& update) const {
   std::vector<ValidationError> errors = update.errors;
   std::size_t tenantIndexes = usedTenantIndexes_;
@@ -93,8 +94,8 @@
     const bool needsIndex = change.document && tenants_.count(nameInKey(change.key)) == 0;
     if (needsIndex && ++tenantIndexes > load_balancing::kMaxTenants)
       errors.push_back({change.key, "",
-                        "is one more than the " + std::to_string(load_balancing::kMaxTenants) +
-                            " names that fit; a restart forgets those removed"});
+                        "exceeds the limit of " + std::to_string(load_balancing::kMaxTenants) +
+                            " tenant names; a restart frees the names of removed tenants"});
   }
   return errors;
 }
@@ -107,12 +108,11 @@
     return;
   }
   if (!change.document) return;
-  const auto clientTimeout = classes_[*index].start.clientTimeout;
+  const auto clientTimeout = classes_[*index].initialSettings.clientTimeout;
   if (std::get<ClassDocument>(*change.document).latencyObjective <= clientTimeout) return;
   const auto timeoutMs = std::chrono::duration_cast<std::chrono::milliseconds>(clientTimeout).count();
-  errors.push_back(
-      {change.key, "aim_ms",
-       "must be at most " + std::to_string(timeoutMs) + ", the time after which its clients give up"});
+  errors.push_back({change.key, "aim_ms",
+                    "must be at most " + std::to_string(timeoutMs) + ", the client timeout of the class"});
 }
 
 // --- Hashes
@@ -126,7 +126,7 @@
   return hash;
 }
 
-// Of the active document under a key; 0 if there is none.
+// Returns the hash of the active document under the key; 0 if there is none.
 std::uint64_t ConfigurationStore::activeHash(const std::string& key) const {
   const std::string name = nameInKey(key);
   if (isTenantKey(key)) {
@@ -143,7 +143,7 @@
   return at == classIndex_.end() ? nullptr : &at->second;
 }
 
-// --- Changes to the active set
+// --- Changes to the active configuration
 
 void ConfigurationStore::applyChange(const DocumentChange& change, SettingsChange& out) {
   if (!isTenantKey(change.key)) {
@@ -170,7 +170,7 @@
   if (!unchanged) out.tenants.push_back({tenant.index, document.name, document.quotaPerSecond});
 }
 
-// Keeps the tenant's index: requests that are active may still refer to it.
+// Keeps the index of the tenant, because active requests may still refer to it.
 void ConfigurationStore::removeTenant(const std::string& name, SettingsChange& out) {
   const auto at = tenants_.find(name);
   if (at == tenants_.end() || !at->second.listed) return;
@@ -187,20 +187,20 @@
     out.classes.push_back(
         {index, document->latencyObjective, document->priorityWeight, document->lateValueFraction});
   } else {
-    out.classes.push_back(
-        {index, cls.start.latencyObjective, cls.start.priorityWeight, cls.start.lateValueFraction});
+    out.classes.push_back({index, cls.initialSettings.latencyObjective, cls.initialSettings.priorityWeight,
+                           cls.initialSettings.lateValueFraction});
   }
 }
 
-// Tenants that a snapshot leaves out are no longer listed; its other classes return to the settings of the
-// start.
-void ConfigurationStore::removeUnnamed(const Update& snapshot, SettingsChange& out) {
-  std::unordered_set<std::string> namedClasses;
+// Handles the documents that a snapshot omits: their tenants are no longer listed, and their classes return
+// to the initial settings.
+void ConfigurationStore::removeOmitted(const Update& snapshot, SettingsChange& out) {
+  std::unordered_set<std::string> includedClasses;
   for (const DocumentChange& change : snapshot.changes)
-    if (!isTenantKey(change.key)) namedClasses.insert(nameInKey(change.key));
+    if (!isTenantKey(change.key)) includedClasses.insert(nameInKey(change.key));
   for (std::uint32_t i = 0; i < classes_.size(); ++i) {
-    const bool isNamed = namedClasses.count(classes_[i].start.name) > 0;
-    if (classes_[i].document && !isNamed) setClass(i, std::nullopt, out);
+    const bool isIncluded = includedClasses.count(classes_[i].initialSettings.name) > 0;
+    if (classes_[i].document && !isIncluded) setClass(i, std::nullopt, out);
   }
   for (const auto& [name, tenant] : tenants_)
     if (tenant.snapshotCount != acceptedSnapshots_) removeTenant(name, out);
@@ -216,7 +216,7 @@
   }
   for (const Class& cls : classes_) {
     if (!cls.document) continue;
-    entries.push_back(serializeEntry({std::string(kClassPrefix) + cls.start.name, *cls.document}));
+    entries.push_back(serializeEntry({std::string(kClassPrefix) + cls.initialSettings.name, *cls.document}));
   }
   return serializeUpdate(versionState_.version, versionState_.hash, true, entries);
 }
--- a/src/configuration/configuration_store.hpp
+++ b/src/configuration/configuration_store.hpp
@@ -1,5 +1,5 @@
-// The configuration that is active at one gateway, and the rules by which an update is accepted. No I/O and
-// no clock: equal updates in equal order lead to equal states.
+// The active configuration of a gateway, and the rules for accepting updates. No I/O and no clock: the same
+// updates in the same order lead to the same state.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,24 @@
 
 namespace finchstile::configuration {
 
-// What became of an update.
+// Outcome of applying an update.
 enum class ApplyResult {
-  accepted,   // it is active now
-  unchanged,  // its version is active already
-  stale,      // of an older epoch or revision: its sender lags behind, or was fenced off
-  gap,        // changes to a set that is not the active one: a snapshot is requested next
-  rejected,   // it has errors: the last accepted version stays active
-  conflict,   // the active version with other contents: replicas differ, ours stays active
+  accepted,   // the update is active now
+  unchanged,  // its version was active already
+  stale,      // older epoch or revision: the control machine lags behind or was fenced off
+  gap,        // changes to a configuration other than the active one: a snapshot is requested next
+  rejected,   // the update has errors: the last accepted version stays active
+  conflict,   // active version with different contents: replicas have diverged, the active one stays
 };
 
-// The setting of one tenant from now on. An index is never reused for another name.
+// New setting of one tenant. An index is never reused for another name.
 struct TenantChange {
-  std::uint32_t index = 0;  // into the load balancer's tenants
+  std::uint32_t index = 0;  // index of the tenant in the load balancer
   std::string name;
   std::optional<double> quotaPerSecond;  // empty: the tenant is no longer listed
 };
 
-// What the gateway applies in one step.
+// Changes that the gateway applies in one step.
 struct SettingsChange {
   Version version;
   std::vector<TenantChange> tenants;
@@ -39,38 +39,38 @@
 
 struct ApplyOutcome {
   ApplyResult result = ApplyResult::unchanged;
-  std::vector<ValidationError> errors;  // of an update that is rejected or in conflict for the first time
+  std::vector<ValidationError> errors;  // of an update that is rejected or conflicting for the first time
   SettingsChange change;                // of an accepted update
 };
 
 class ConfigurationStore {
  public:
-  // Starts with the tenants and classes of the gateway's own configuration, before any version.
-  explicit ConfigurationStore(const load_balancing::Settings& start);
+  // `initialSettings` contain the tenants and classes that are active until a version is accepted.
+  explicit ConfigurationStore(const load_balancing::Settings& initialSettings);
 
-  // Accepts the update as a whole or changes nothing but the version state. A rejected version that comes
-  // again gives the same result without errors: they were reported before.
+  // Applies the whole update, or changes nothing but the version state. If a rejected version is received
+  // again, the result is the same but without errors, because they have been reported already.
   ApplyOutcome apply(const Update& update);
 
   const VersionState& versionState() const { return versionState_; }
   std::size_t tenantCount() const { return listedTenants_; }
-  // The active set as the text of a snapshot update, which `parseUpdate` reads.
+  // The active configuration as the text of a snapshot update, readable by `parseUpdate`.
   std::string serialize() const;
 
  private:
   struct Tenant {
     std::uint32_t index = 0;
     double quotaPerSecond = 0;
-    std::uint64_t hash = 0;           // of its document; 0: it comes from the gateway's own configuration
-    std::uint32_t snapshotCount = 0;  // `acceptedSnapshots_` when it was last set
-    bool listed = false;              // otherwise only its index is kept
+    std::uint64_t hash = 0;           // of its document; 0: it is from the initial settings
+    std::uint32_t snapshotCount = 0;  // value of `acceptedSnapshots_` when the tenant was last set
+    bool listed = false;              // false: removed, only the index is kept
   };
   struct Class {
-    load_balancing::ClassSettings start;
-    std::optional<ClassDocument> document;  // empty: the settings of the start are active
+    load_balancing::ClassSettings initialSettings;
+    std::optional<ClassDocument> document;  // empty: the initial settings are active
   };
 
-  std::optional<ApplyOutcome> settleByVersion(const Update& update);
+  std::optional<ApplyOutcome> decideByVersion(const Update& update);
   ApplyOutcome reject(const Update& update, ApplyResult result, std::vector<ValidationError> errors);
   std::vector<ValidationError> validate(const Update& update) const;
   void validateClass(const DocumentChange& change, std::vector<ValidationError>& errors) const;
@@ -82,7 +82,7 @@
   void setTenant(const TenantDocument& document, SettingsChange& out);
   void removeTenant(const std::string& name, SettingsChange& out);
   void setClass(std::uint32_t index, const std::optional<ClassDocument>& document, SettingsChange& out);
-  void removeUnnamed(const Update& snapshot, SettingsChange& out);
+  void removeOmitted(const Update& snapshot, SettingsChange& out);
 
   std::unordered_map<std::string, Tenant> tenants_;
   std::vector<Class> classes_;
--- a/src/configuration/control_plane_endpoints.cpp
+++ b/src/configuration/control_plane_endpoints.cpp
@@ -32,13 +32,13 @@
   lastPolled_ = preferenceOrder_.front();
 }
 
-ControlPlaneEndpoints::Choice ControlPlaneEndpoints::choose(Time now, double unit) const {
+ControlPlaneEndpoints::Choice ControlPlaneEndpoints::choose(Time now, double randomFraction) const {
   const auto available =
       std::find_if(preferenceOrder_.begin(), preferenceOrder_.end(),
                    [&](std::size_t endpoint) { return states_[endpoint].notBefore <= now; });
   if (available != preferenceOrder_.end()) {
     const bool isFailover = *available != lastPolled_;
-    const Duration delay = isFailover ? scaled(settings_.maxFailoverDelay, unit) : Duration{};
+    const Duration delay = isFailover ? scaled(settings_.maxFailoverDelay, randomFraction) : Duration{};
     return {*available, now + delay};
   }
   const auto soonest = std::min_element(
@@ -47,18 +47,19 @@
   return {*soonest, states_[*soonest].notBefore};
 }
 
-void ControlPlaneEndpoints::onFailure(std::size_t endpoint, Time now, double unit) {
+void ControlPlaneEndpoints::onFailure(std::size_t endpoint, Time now, double randomFraction) {
   EndpointState& state = states_[endpoint];
   state.consecutiveFailures = std::min(state.consecutiveFailures + 1, kMaxDoublings);
   ++failureCount_;
   const Duration doubled = settings_.minBackoff * (1 << state.consecutiveFailures);
   const Duration maxJitter = std::min(doubled, settings_.maxBackoff);
-  state.notBefore = now + settings_.minBackoff + scaled(maxJitter, unit);
+  state.notBefore = now + settings_.minBackoff + scaled(maxJitter, randomFraction);
 }
 
-void ControlPlaneEndpoints::onRetryAfter(std::size_t endpoint, Time now, Duration retryAfter, double unit) {
+void ControlPlaneEndpoints::onRetryAfter(std::size_t endpoint, Time now, Duration retryAfter,
+                                         double randomFraction) {
   const Duration bounded = std::clamp(retryAfter, Duration{}, settings_.maxBackoff);
-  states_[endpoint].notBefore = now + scaled(bounded, 1 + unit);
+  states_[endpoint].notBefore = now + scaled(bounded, 1 + randomFraction);
 }
 
 }  // namespace finchstile::configuration
--- a/src/configuration/control_plane_endpoints.hpp
+++ b/src/configuration/control_plane_endpoints.hpp
@@ -1,6 +1,6 @@
-// Which control machine a gateway polls, and when. Gateways spread over the machines by rendezvous hashing,
-// without coordination, and back off with full jitter after failures. No I/O; clock and randomness are passed
-// in.
+// Selects the control machine that a gateway polls, and the time of the poll. Gateways are distributed over
+// the machines by rendezvous hashing, without coordination, and back off with full jitter after failures. No
+// I/O; the caller passes the current time and random numbers.
 #pragma once
 
 #include <cstddef>
@@ -17,32 +17,34 @@
 
 struct BackoffSettings {
   Duration maxFailoverDelay =
-      std::chrono::milliseconds(250);              // before another machine is polled, drawn evenly
-  Duration minBackoff = std::chrono::seconds(1);   // after each failure of a machine
-  Duration maxBackoff = std::chrono::seconds(30);  // bound of the random part on top of it
+      std::chrono::milliseconds(250);  // limit of the random delay before another machine is polled
+  Duration minBackoff = std::chrono::seconds(1);   // fixed part, after each failure of a machine
+  Duration maxBackoff = std::chrono::seconds(30);  // limit of the random part that is added to it
 };
 
 class ControlPlaneEndpoints {
  public:
-  // `addresses` name the machines, at least one; `gatewayName` names this gateway. Both enter the hash.
+  // `addresses` are those of the machines, at least one; `gatewayName` is the name of this gateway. Both
+  // enter the hash.
   ControlPlaneEndpoints(const std::vector<std::string>& addresses, const std::string& gatewayName,
                         const BackoffSettings& settings);
 
   struct Choice {
-    std::size_t endpoint = 0;  // into the addresses
-    Time notBefore{};          // when it may be polled
+    std::size_t endpoint = 0;  // index into the addresses
+    Time notBefore{};          // earliest time to poll it
   };
-  // The most preferred machine that is not in backoff, otherwise the one whose backoff ends first. A machine
-  // other than the one polled last is polled after a random delay: all gateways of a failed machine would
-  // reach the next one at the same moment otherwise. `unit`: random, in [0, 1).
-  Choice choose(Time now, double unit) const;
+  // Returns the most preferred machine that is not in backoff, otherwise the one whose backoff ends first. A
+  // machine other than the one polled last is polled after a random delay; without it all gateways of a
+  // failed machine would reach the next one at the same time. `randomFraction` is uniformly distributed in
+  // [0, 1).
+  Choice choose(Time now, double randomFraction) const;
 
   void onPolled(std::size_t endpoint) { lastPolled_ = endpoint; }
   void onSuccess(std::size_t endpoint) { states_[endpoint].consecutiveFailures = 0; }
-  // The machine was silent, refused, lags behind, or sent something that is no update.
-  void onFailure(std::size_t endpoint, Time now, double unit);
-  // The machine answered with a Retry-After.
-  void onRetryAfter(std::size_t endpoint, Time now, Duration retryAfter, double unit);
+  // The machine was unresponsive, refused the poll, lags behind, or sent an invalid update.
+  void onFailure(std::size_t endpoint, Time now, double randomFraction);
+  // The machine responded with a Retry-After header.
+  void onRetryAfter(std::size_t endpoint, Time now, Duration retryAfter, double randomFraction);
 
   // Indexes into the addresses, most preferred first.
   const std::vector<std::size_t>& preferenceOrder() const { return preferenceOrder_; }
--- a/src/configuration/document.cpp
+++ b/src/configuration/document.cpp
@@ -8,7 +8,7 @@
 namespace finchstile::configuration {
 namespace {
 
-// A fixed key: every gateway and control machine has to compute equal hashes.
+// Fixed, because all gateways and control machines have to compute the same hashes.
 constexpr SipKey kHashKey{};
 
 std::string bytesOf(double value) {
--- a/src/configuration/document.hpp
+++ b/src/configuration/document.hpp
@@ -1,4 +1,5 @@
-// The documents of a configuration: the settings of one tenant or of one class, addressed by key. No I/O.
+// Documents of the configuration: each holds the settings of one tenant or class and is addressed by a key.
+// No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 inline constexpr std::string_view kTenantPrefix = "tenant/";
 inline constexpr std::string_view kClassPrefix = "class/";
-inline constexpr std::size_t kMaxNameBytes = 256;  // of a tenant's or class's name
+inline constexpr std::size_t kMaxNameBytes = 256;  // of the name of a tenant or class
 
 // Stored under "tenant/NAME".
 struct TenantDocument {
@@ -21,7 +22,7 @@
   double quotaPerSecond = 0;  // requests per second over all gateways; 0: no quota
 };
 
-// Stored under "class/NAME". Overrides the settings that the gateway started with for this class.
+// Stored under "class/NAME". Overrides the initial settings of this class.
 struct ClassDocument {
   std::string name;
   double priorityWeight = 1;  // "worth" on the wire
@@ -38,11 +39,12 @@
 };
 
 bool isTenantKey(std::string_view key);
-// The part of a key after its prefix; the whole key if it has no prefix.
+// Returns the part of the key after its prefix; the whole key if it has no prefix.
 std::string nameInKey(std::string_view key);
 
-// The hash of one document. The hash of a set is the sum of its documents' hashes modulo 2^64, so updating it
-// costs no more than the change itself. It detects replicas that differ; it does not protect against forgery.
+// Hash of one document. The hash of a configuration is the sum of the hashes of its documents modulo 2^64, so
+// the cost of updating it depends only on the size of the change. It detects diverged replicas; it does not
+// protect against forgery.
 std::uint64_t documentHash(const TenantDocument& tenant);
 std::uint64_t documentHash(const ClassDocument& cls);
 std::uint64_t documentHash(const Document& document);
--- a/src/configuration/poll_request.cpp
+++ b/src/configuration/poll_request.cpp
@@ -14,7 +14,7 @@
 
 using QueryParameters = std::map<std::string, std::string, std::less<>>;
 
-// Percent-encodes a value, and also the characters that separate parameters in a query.
+// Percent-encodes a value, including the characters that separate parameters in a query.
 std::string encodeQueryValue(const std::string& text) {
   std::string encoded;
   for (const char c : percentEncoded(text)) {
--- a/src/configuration/settings.hpp
+++ b/src/configuration/settings.hpp
@@ -1,4 +1,5 @@
-// The [configuration] table of the operator's file: how a gateway polls the control machines.
+// Settings of the [configuration] table in the operator's configuration file: how a gateway polls the control
+// machines.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,17 +13,20 @@
 
 struct ConfigurationSettings {
   bool enabled = false;
-  std::vector<std::string> addresses;                     // of the control machines, as the file has them
-  std::vector<boost::asio::ip::tcp::endpoint> endpoints;  // of `addresses`, in their order
-  Duration longPollWait = std::chrono::seconds(1);  // a machine may hold a poll without news for so long
-  Duration silenceTimeout = std::chrono::milliseconds(500);   // and be silent for so long beyond it
+  std::vector<std::string> addresses;                     // of the control machines, as in the file
+  std::vector<boost::asio::ip::tcp::endpoint> endpoints;  // of `addresses`, in the same order
+  Duration longPollWait =
+      std::chrono::seconds(1);  // how long a machine may hold a poll while there is no newer version
+  Duration silenceTimeout =
+      std::chrono::milliseconds(500);  // time without data, beyond `longPollWait`, until a poll fails
   Duration maxResponseTime = std::chrono::minutes(1);         // from the first byte of a response to its last
   Duration minPollInterval = std::chrono::milliseconds(250);  // between the starts of two polls
   BackoffSettings backoff;
-  std::string snapshotPath;  // of the file that keeps the last accepted version; empty: none is kept
+  std::string snapshotPath;  // of the file that stores the last accepted version; empty: no file
 };
 
-// Reads the table into `out` and reports errors to the reader. Relative paths begin at `folder`.
+// Reads the table into `out` and reports errors to the reader. Relative paths are resolved
+// against `folder`.
 void readConfigurationSettings(SettingReader& root, const std::string& folder, ConfigurationSettings& out);
 
 }  // namespace finchstile::configuration
--- a/src/configuration/snapshot_file.cpp
+++ b/src/configuration/snapshot_file.cpp
@@ -29,7 +29,7 @@
 
 [[noreturn]] void throwErrno(Operation operation, const std::string& path) {
   throw SnapshotFileError(operation,
-                          path + " can not be " + participle(operation) + ": " + std::strerror(errno));
+                          path + " cannot be " + participle(operation) + ": " + std::strerror(errno));
 }
 
 void writeAndSync(int descriptor, const std::string& text, const std::string& path) {
@@ -46,7 +46,7 @@
 }  // namespace
 
 void replaceFile(const std::string& path, const std::string& text) {
-  // The name has the process in it: during a process handover two gateways may write at the same time.
+  // The name contains the process id, because during a handover two processes may write at the same time.
   const std::string temporary = path + "." + std::to_string(::getpid());
   try {
     const Descriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
@@ -67,8 +67,7 @@
   }
   const auto size = file.tellg();
   if (size < 0 || static_cast<std::size_t>(size) > kMaxUpdateBytes)
-    throw SnapshotFileError(Operation::checkSize,
-                            path + " is larger than any version that was written there");
+    throw SnapshotFileError(Operation::checkSize, path + " is larger than the maximum size of an update");
   file.seekg(0);
   std::string text(static_cast<std::size_t>(size), '\0');
   if (!file.read(text.data(), size)) throwErrno(Operation::read, path);
--- a/src/configuration/snapshot_file.hpp
+++ b/src/configuration/snapshot_file.hpp
@@ -1,5 +1,5 @@
-// The file that keeps the last accepted version. It is replaced as a whole, so a crash leaves the old or the
-// new version.
+// The file that stores the last accepted version. It is replaced atomically, so after a crash it contains the
+// old or the new version.
 #pragma once
 
 #include <optional>
@@ -8,7 +8,7 @@
 
 namespace finchstile::configuration {
 
-// The message is one line with the path and the system's reason.
+// The message is one line with the path and, for system calls, the system's error.
 class SnapshotFileError : public std::runtime_error {
  public:
   enum class Operation { create, write, sync, replace, read, checkSize };
@@ -20,11 +20,11 @@
   Operation operation_;
 };
 
-// Throws SnapshotFileError; the file is then as it was before.
+// Replaces the content of the file. Throws SnapshotFileError, in which case the content is unchanged.
 void replaceFile(const std::string& path, const std::string& text);
 
-// Empty: there is no such file. Throws SnapshotFileError if the file can not be read or is longer than any
-// update.
+// Returns nothing if the file does not exist. Throws SnapshotFileError if the file cannot be read or is
+// larger than any update.
 std::optional<std::string> readFileIfExists(const std::string& path);
 
 }  // namespace finchstile::configuration
--- a/src/configuration/update.cpp
+++ b/src/configuration/update.cpp
@@ -16,7 +16,7 @@
 constexpr double kMinLatencyObjectiveMs = 0.001;
 constexpr double kMaxLatencyObjectiveMs = 24.0 * 3600 * 1000;
 constexpr double kMaxNumber = 1e12;
-constexpr std::size_t kMaxQuotedBytes = 40;  // of a faulty value in a message
+constexpr std::size_t kMaxQuotedBytes = 40;  // of an invalid value that a message quotes
 constexpr std::size_t kMaxQuotedHashBytes = 32;
 constexpr std::size_t kHashDigits = 16;
 
@@ -29,7 +29,7 @@
                                                                   text.substr(0, kMaxQuotedHashBytes) + "'");
 }
 
-// Reads the fields of one entry and collects what is wrong with them. The arguments must outlive it.
+// Reads the fields of one entry and collects their errors. The constructor arguments must outlive the reader.
 class EntryReader {
  public:
   EntryReader(const json& entry, const std::string& key, std::vector<ValidationError>& errors)
@@ -42,7 +42,7 @@
     valid_ = false;
   }
 
-  // A required number; `min` and an error if it is missing or out of range.
+  // Reads a required number. If it is missing or out of range, adds an error and returns `min`.
   double number(const char* field, double min, double max) {
     ++fieldsRead_;
     const auto at = entry_.find(field);
@@ -58,14 +58,13 @@
     return min;
   }
 
-  // An ignored field would be a setting that its author believes to be in force, so unknown fields are
-  // errors.
+  // Unknown fields are errors: the author of a field that is ignored would assume that it takes effect.
   void rejectUnknownFields(std::initializer_list<std::string_view> known) {
-    const std::size_t expectedFields = fieldsRead_ + 1;  // and the key
+    const std::size_t expectedFields = fieldsRead_ + 1;  // the fields read, and the key
     if (valid_ && entry_.size() == expectedFields) return;
     for (const auto& [field, value] : entry_.items()) {
       const bool isKnown = field == "key" || std::find(known.begin(), known.end(), field) != known.end();
-      if (!isKnown) addError(field, "is no field of such an entry");
+      if (!isKnown) addError(field, "is not a known field of this entry");
     }
   }
 
@@ -103,12 +102,12 @@
   return isTenantKey(key) ? readTenant(reader, name) : readClass(reader, name);
 }
 
-// The key of an entry; null and an error if it has no usable one.
+// Returns the key of the entry. If it has no valid key, adds an error and returns null.
 const std::string* readKey(const json& entry, std::size_t number, std::vector<ValidationError>& errors) {
   const std::string place = "entry " + std::to_string(number);
   const auto field = entry.is_object() ? entry.find("key") : entry.end();
   if (!entry.is_object() || field == entry.end() || !field->is_string()) {
-    errors.push_back({place, "key", "must be a text"});
+    errors.push_back({place, "key", "must be a string"});
     return nullptr;
   }
   const auto* key = field->get_ptr<const std::string*>();
@@ -118,19 +117,21 @@
   return nullptr;
 }
 
-// `seenKeys`: of the entries before this one; they refer to the JSON document.
+// `seenKeys` contains the keys of the earlier entries and refers to the JSON document.
 void readEntry(const json& entry, std::size_t number, Update& update,
                std::unordered_set<std::string_view>& seenKeys) {
   const std::string* key = readKey(entry, number, update.errors);
   if (!key) return;
   if (!seenKeys.insert(*key).second) {
-    update.errors.push_back({*key, "", "stands twice"});
+    update.errors.push_back({*key, "", "occurs more than once"});
     return;
   }
   if (const auto removed = entry.find("removed"); removed != entry.end()) {
     const bool isRemoval = removed->is_boolean() && removed->get<bool>();
     if (isRemoval && entry.size() == 2 && !update.isSnapshot) update.changes.push_back({*key, std::nullopt});
-    else update.errors.push_back({*key, "removed", "must be true and alone, in changes"});
+    else
+      update.errors.push_back(
+          {*key, "removed", "must be true and the only other field, and is not allowed in a snapshot"});
     return;
   }
   if (auto document = readDocument(entry, *key, update.errors))
@@ -147,7 +148,7 @@
   update.hash = parseHash(root.at("hash").get<std::string>());
   const json& entries = root.at("entries");
   if (!entries.is_array())
-    throw UpdateParseError(UpdateParseError::Code::invalidEntries, "entries is no list");
+    throw UpdateParseError(UpdateParseError::Code::invalidEntries, "entries must be an array");
   std::unordered_set<std::string_view> seenKeys;
   seenKeys.reserve(entries.size());
   update.changes.reserve(entries.size());
@@ -155,7 +156,8 @@
   for (const json& entry : entries) readEntry(entry, number++, update, seenKeys);
   return update;
 } catch (const json::exception& error) {
-  throw UpdateParseError(UpdateParseError::Code::invalidJson, std::string("no update: ") + error.what());
+  throw UpdateParseError(UpdateParseError::Code::invalidJson,
+                         std::string("malformed JSON or field: ") + error.what());
 }
 
 std::string serializeEntry(const DocumentChange& change) {
--- a/src/configuration/validation_error.hpp
+++ b/src/configuration/validation_error.hpp
@@ -1,4 +1,4 @@
-// One fault of an update, as it is reported to the control machine and to the operator. No I/O.
+// An error in an update, as reported to the control machine and to the operator. No I/O.
 #pragma once
 
 #include <string>
@@ -6,16 +6,16 @@
 
 namespace finchstile::configuration {
 
-// Names the faulty place of an update and says what would be right.
+// Identifies the invalid part of an update and describes what is expected.
 struct ValidationError {
-  std::string key;      // of the document, "entry N" for an entry without a usable key, or "hash"
+  std::string key;      // of the document, "entry N" for an entry without a valid key, or "hash"
   std::string field;    // empty: the entry as a whole
   std::string message;  // continues "KEY.FIELD: "
 };
 
 // One line: "KEY.FIELD: MESSAGE".
 std::string describe(const ValidationError& error);
-// One line with the first few errors and the number of the others.
+// One line with the first few errors and the number of further ones.
 std::string describe(const std::vector<ValidationError>& errors);
 
 }  // namespace finchstile::configuration
--- a/src/configuration/version.hpp
+++ b/src/configuration/version.hpp
@@ -1,4 +1,4 @@
-// Versions of the configuration, and what a gateway reports of them. No I/O.
+// Versions of the configuration, and the version state that a gateway reports. No I/O.
 #pragma once
 
 #include <compare>
@@ -8,8 +8,8 @@
 
 namespace finchstile::configuration {
 
-// Versions are ordered by epoch, then by revision. Each writer has an epoch of its own; a later epoch fences
-// off the writers before it.
+// Versions are ordered by epoch, then by revision. Each writer has its own epoch; a later epoch fences off
+// earlier writers.
 struct Version {
   std::uint64_t epoch = 0;
   std::uint64_t revision = 0;
@@ -19,18 +19,18 @@
 
 std::string formatHash(std::uint64_t hash);  // 16 lower-case hexadecimal digits
 
-// A version that this gateway does not accept, and the reason for the control machine's operators.
+// A version that this gateway has rejected, with the reason for the operators of the control machine.
 struct RejectedVersion {
   Version version;
   std::uint64_t hash = 0;
   std::string reason;
 };
 
-// What a poll reports: the active version, and a rejected one that must not be sent again.
+// Reported by a poll: the active version, and a rejected one that must not be sent again.
 struct VersionState {
   Version version;
-  std::uint64_t hash = 0;     // of the active set
-  bool needsSnapshot = true;  // changes relative to `version` can not be applied
+  std::uint64_t hash = 0;     // of the active configuration
+  bool needsSnapshot = true;  // changes relative to `version` cannot be applied
   std::optional<RejectedVersion> rejected;
 };
 
--- a/tests/configuration/client_test.cpp
+++ b/tests/configuration/client_test.cpp
@@ -1,4 +1,4 @@
-// Polling over loopback sockets, with control machines that fail.
+// Polling of control machines over loopback sockets, with failing machines.
 #include "configuration/client.hpp"
 
 #include <unistd.h>
@@ -56,7 +56,7 @@
   }
   void start() {
     client = std::make_unique<Client>(
-        io, worker.get_executor(), clock, settings, "n0", 7, startSettings(),
+        io, worker.get_executor(), clock, settings, "n0", 7, initialSettings(),
         [this](const SettingsChange& change) { changes.push_back(change); },
         [this](const std::string& line) { logLines.push_back(line); });
     client->start();
@@ -64,13 +64,13 @@
   void publish(const std::vector<DocumentChange>& changes) {
     for (const auto& machine : machines) machine->publish(changes);
   }
-  bool until(const std::function<bool()>& reached) { return runUntil(io, reached); }
+  bool waitUntil(const std::function<bool()>& reached) { return runUntil(io, reached); }
   bool becomesActive(std::uint64_t revision) {
-    return until([&] { return client->statistics().activeVersion.revision == revision; });
+    return waitUntil([&] { return client->statistics().activeVersion.revision == revision; });
   }
   void runFor(std::chrono::milliseconds time) {
     const auto end = std::chrono::steady_clock::now() + time;
-    until([&] { return std::chrono::steady_clock::now() >= end; });
+    waitUntil([&] { return std::chrono::steady_clock::now() >= end; });
   }
   ControlMachine& preferred() {
     return *machines[ControlPlaneEndpoints(settings.addresses, "n0", {}).preferenceOrder().front()];
@@ -79,24 +79,24 @@
 
 TEST_F(ClientTest, AppliesChangesAndReportsTheActiveVersion) {
   addMachines(1);
-  machines[0]->publish({tenant("a", 1)});
+  machines[0]->publish({tenantChange("a", 1)});
   start();
   ASSERT_TRUE(becomesActive(1));
-  machines[0]->publish({tenant("b", 2), classOf("read", 5, 300)});
+  machines[0]->publish({tenantChange("b", 2), classChange("read", 5, 300)});
   ASSERT_TRUE(becomesActive(2));
   EXPECT_EQ(changes.back().tenants.size(), 1u);
   EXPECT_EQ(changes.back().classes.size(), 1u);
-  EXPECT_TRUE(until([&] { return machines[0]->log.have({1, 2}) == 1; }));  // reported by the next poll
+  EXPECT_TRUE(waitUntil([&] { return machines[0]->log.have({1, 2}) == 1; }));  // reported by the next poll
   EXPECT_EQ(machines[0]->log.wholes(), 1u);
 }
 
 TEST_F(ClientTest, ReportsRejectedRevisionOnceWithItsReason) {
   addMachines(1);
-  publish({tenant("a", 1)});
+  publish({tenantChange("a", 1)});
   start();
   ASSERT_TRUE(becomesActive(1));
-  publish({classOf("read", 1, 9000)});
-  ASSERT_TRUE(until([&] { return machines[0]->log.reports().at("n0").turnedDown.has_value(); }));
+  publish({classChange("read", 1, 9000)});
+  ASSERT_TRUE(waitUntil([&] { return machines[0]->log.reports().at("n0").turnedDown.has_value(); }));
   EXPECT_NE(machines[0]->log.reports().at("n0").turnedDown->reason.find("class/read.aim_ms: must be at most"),
             std::string::npos);
   const std::uint64_t polls = machines[0]->polls();
@@ -106,49 +106,50 @@
   EXPECT_EQ(std::count_if(logLines.begin(), logLines.end(),
                           [](const auto& line) { return line.find("1.2") != std::string::npos; }),
             1);
-  publish({classOf("read", 1, 900)});
+  publish({classChange("read", 1, 900)});
   ASSERT_TRUE(becomesActive(3));
 }
 
 TEST_F(ClientTest, FailsOverFromAKilledMachine) {
   addMachines(4);
-  publish({tenant("a", 1)});
+  publish({tenantChange("a", 1)});
   start();
   ASSERT_TRUE(becomesActive(1));
   preferred().kill();
-  publish({tenant("b", 1)});
+  publish({tenantChange("b", 1)});
   EXPECT_TRUE(becomesActive(2));
   EXPECT_GE(client->statistics().endpointFailures, 1u);
 }
 
-TEST_F(ClientTest, FailsOverFromASilentMachineAfterWaitAndSilenceTimeout) {
+TEST_F(ClientTest, FailsOverFromAnUnresponsiveMachineAfterWaitAndSilenceTimeout) {
   addMachines(4);
-  publish({tenant("a", 1)});
+  publish({tenantChange("a", 1)});
   start();
   ASSERT_TRUE(becomesActive(1));
   preferred().fault = ControlFault::silent;
-  const auto begun = std::chrono::steady_clock::now();
-  publish({tenant("b", 1)});
+  const auto startedAt = std::chrono::steady_clock::now();
+  publish({tenantChange("b", 1)});
   ASSERT_TRUE(becomesActive(2));
-  EXPECT_LT(std::chrono::steady_clock::now() - begun, seconds(3));
+  EXPECT_LT(std::chrono::steady_clock::now() - startedAt, seconds(3));
 }
 
-// Two of four machines become silent at the same moment.
-TEST_F(ClientTest, SecondSilentMachineCostsOnlyTheSilenceTimeout) {
+// Two of four machines become unresponsive at the same time.
+TEST_F(ClientTest, SecondUnresponsiveMachineDelaysFailoverOnlyByTheSilenceTimeout) {
   settings.longPollWait = milliseconds(1200);
   settings.backoff.minBackoff = settings.backoff.maxBackoff = seconds(5);  // longer than the test
   addMachines(4);
-  publish({tenant("a", 1)});
+  publish({tenantChange("a", 1)});
   start();
   ASSERT_TRUE(becomesActive(1));
   const auto order = ControlPlaneEndpoints(settings.addresses, "n0", {}).preferenceOrder();
   machines[order[0]]->fault = ControlFault::silent;
   machines[order[1]]->fault = ControlFault::silent;
-  publish({tenant("b", 1)});
-  const auto begun = std::chrono::steady_clock::now();
+  publish({tenantChange("b", 1)});
+  const auto startedAt = std::chrono::steady_clock::now();
   ASSERT_TRUE(becomesActive(2));
-  // 1.2 s and 0.2 s of the first, 0.2 s of the second, and jitter; 1.2 s more with a wait at the second.
-  EXPECT_LT(std::chrono::steady_clock::now() - begun, milliseconds(2500));
+  // 1.2 s and 0.2 s at the first machine, 0.2 s at the second, and jitter. A long poll at the second machine
+  // would add 1.2 s.
+  EXPECT_LT(std::chrono::steady_clock::now() - startedAt, milliseconds(2500));
   EXPECT_EQ(client->statistics().endpointFailures, 2u);
 }
 
@@ -157,16 +158,16 @@
     SCOPED_TRACE(static_cast<int>(fault));
     client.reset();
     for (auto& machine : machines)
-      retired.push_back(std::move(machine));  // their connections are still in the loop
+      retired.push_back(std::move(machine));  // the loop still has handlers of their connections
     machines.clear();
     settings.addresses.clear();
     settings.endpoints.clear();
     addMachines(2);
-    publish({tenant("a", 1)});
+    publish({tenantChange("a", 1)});
     start();
     ASSERT_TRUE(becomesActive(1));
     preferred().fault = fault;
-    publish({tenant("b", 1)});
+    publish({tenantChange("b", 1)});
     ASSERT_TRUE(becomesActive(2));
     EXPECT_GE(client->statistics().endpointFailures, 1u);
   }
@@ -174,37 +175,37 @@
 
 TEST_F(ClientTest, FailsOverFromAStaleReplica) {
   addMachines(2);
-  publish({tenant("a", 1)});
+  publish({tenantChange("a", 1)});
   start();
   ASSERT_TRUE(becomesActive(1));
   ControlMachine& staleMachine = preferred();
   for (const auto& machine : machines)
     if (machine.get() != &staleMachine) {
-      machine->publish({tenant("b", 1)});
-      machine->publish({tenant("c", 1)});
+      machine->publish({tenantChange("b", 1)});
+      machine->publish({tenantChange("c", 1)});
     }
   staleMachine.kill();
   ASSERT_TRUE(becomesActive(3));
   staleMachine.restart();
-  ASSERT_TRUE(until([&] { return client->statistics().stale > 0; }));
+  ASSERT_TRUE(waitUntil([&] { return client->statistics().stale > 0; }));
   EXPECT_EQ(client->statistics().activeVersion.revision, 3u);
-  publish({tenant("d", 1)});
+  publish({tenantChange("d", 1)});
   EXPECT_TRUE(becomesActive(4));
 }
 
 TEST_F(ClientTest, ReportsConflictOfMachinesUntilTheNextRevision) {
   addMachines(2);
-  machines[0]->publish({tenant("a", 1)});
-  machines[1]->publish({tenant("a", 2)});
+  machines[0]->publish({tenantChange("a", 1)});
+  machines[1]->publish({tenantChange("a", 2)});
   start();
   ASSERT_TRUE(becomesActive(1));
   preferred().kill();
-  ASSERT_TRUE(until([&] { return client->statistics().conflicts == 1; }));
+  ASSERT_TRUE(waitUntil([&] { return client->statistics().conflicts == 1; }));
   ControlMachine& other = &preferred() == machines[0].get() ? *machines[1] : *machines[0];
   const std::uint64_t wholes = other.log.wholes();
   runFor(milliseconds(500));
-  EXPECT_LE(other.log.wholes() - wholes, 1u);  // not with each poll
-  other.publish({tenant("b", 2)});
+  EXPECT_LE(other.log.wholes() - wholes, 1u);  // the snapshot is not sent with each poll
+  other.publish({tenantChange("b", 2)});
   EXPECT_TRUE(becomesActive(2));
 }
 
@@ -212,28 +213,28 @@
   machines.push_back(std::make_unique<ControlMachine>(io, fake_upstream::ControlLog::Settings{1, 1000, 400}));
   settings.addresses = {machines[0]->address()};
   settings.endpoints = {machines[0]->endpoint()};
-  std::vector<DocumentChange> all;
-  for (int i = 0; i < 10; ++i) all.push_back(tenant("t" + std::to_string(i), 1));
-  machines[0]->publish(all);  // some 500 bytes, more than the budget of a second
+  std::vector<DocumentChange> allTenants;
+  for (int i = 0; i < 10; ++i) allTenants.push_back(tenantChange("t" + std::to_string(i), 1));
+  machines[0]->publish(allTenants);  // about 500 bytes, more than the budget of one second
   const PollRequest another{"other", {}, {}};
   const double now =
       std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
   ASSERT_EQ(machines[0]->log.answer(another, now)->status, 200u);
   ASSERT_EQ(machines[0]->log.answer(another, now)->status, 503u);
   start();
-  ASSERT_TRUE(until([&] { return client->statistics().polls >= 1; }));
+  ASSERT_TRUE(waitUntil([&] { return client->statistics().polls >= 1; }));
   ASSERT_TRUE(becomesActive(1));
   EXPECT_EQ(client->statistics().endpointFailures, 0u);
   EXPECT_LE(client->statistics().polls, 6u);
 }
 
-TEST_F(ClientTest, AppliesTheKeptVersionBeforeTheFirstPoll) {
+TEST_F(ClientTest, AppliesTheStoredVersionBeforeTheFirstPoll) {
   addMachines(1);
   settings.snapshotPath = (folder / "configuration.json").string();
-  publish({tenant("a", 1), classOf("read", 5, 300)});
+  publish({tenantChange("a", 1), classChange("read", 5, 300)});
   start();
   ASSERT_TRUE(becomesActive(1));
-  ASSERT_TRUE(until([&] { return std::filesystem::exists(settings.snapshotPath); }));
+  ASSERT_TRUE(waitUntil([&] { return std::filesystem::exists(settings.snapshotPath); }));
   client.reset();
   machines[0]->kill();
   changes.clear();
@@ -242,34 +243,35 @@
   ASSERT_EQ(changes.size(), 1u);
   EXPECT_EQ(client->statistics().tenantCount, 1u);
   machines[0]->restart();
-  publish({tenant("b", 1)});
+  publish({tenantChange("b", 1)});
   ASSERT_TRUE(becomesActive(2));
-  EXPECT_EQ(machines[0]->log.wholes(), 1u);  // changes were enough
+  EXPECT_EQ(machines[0]->log.wholes(), 1u);  // no further snapshot was needed
 }
 
-// The file holds the complete set, so writing it at each change of a burst would cost too much.
-TEST_F(ClientTest, WritesTheFileOnceForManyChanges) {
+// The file contains the complete configuration, so writing it at each change of a burst would be too
+// expensive.
+TEST_F(ClientTest, WritesTheFileOnceForABurstOfChanges) {
   addMachines(1);
   settings.snapshotPath = (folder / "configuration.json").string();
   settings.minPollInterval = milliseconds(0);
-  publish({tenant("a", 1)});
+  publish({tenantChange("a", 1)});
   start();
-  ASSERT_TRUE(until([&] { return std::filesystem::exists(settings.snapshotPath); }));
+  ASSERT_TRUE(waitUntil([&] { return std::filesystem::exists(settings.snapshotPath); }));
   for (int i = 2; i < 12; ++i) {
-    publish({tenant("a", i)});
+    publish({tenantChange("a", i)});
     ASSERT_TRUE(becomesActive(static_cast<std::uint64_t>(i)));
   }
   runFor(milliseconds(50));
   EXPECT_EQ(parseUpdate(*readFileIfExists(settings.snapshotPath)).version, (Version{1, 1}));
 }
 
-TEST_F(ClientTest, TruncatedFileIsLoggedAndTheStartConfigurationStaysActive) {
+TEST_F(ClientTest, TruncatedFileIsLoggedAndInitialSettingsStayActive) {
   addMachines(1);
   settings.snapshotPath = (folder / "configuration.json").string();
-  ConfigurationStore store(startSettings());
+  ConfigurationStore store(initialSettings());
   fake_upstream::ControlLog log;
-  log.publish({tenant("a", 1)});
-  sync(log, store);
+  log.publish({tenantChange("a", 1)});
+  applyNextUpdate(log, store);
   const std::string text = store.serialize();
   for (std::size_t length = 0; length < text.size(); ++length) {
     std::ofstream(settings.snapshotPath, std::ios::trunc) << text.substr(0, length);
@@ -286,15 +288,15 @@
 TEST_F(ClientTest, UnwritableFileIsLoggedAndTheVersionBecomesActive) {
   addMachines(1);
   settings.snapshotPath = (folder / "missing" / "configuration.json").string();
-  publish({tenant("a", 1)});
+  publish({tenantChange("a", 1)});
   start();
   ASSERT_TRUE(becomesActive(1));
-  ASSERT_TRUE(until([&] { return !logLines.empty(); }));
+  ASSERT_TRUE(waitUntil([&] { return !logLines.empty(); }));
   ASSERT_EQ(logLines.size(), 1u);
-  EXPECT_NE(logLines[0].find("can not be made"), std::string::npos);
+  EXPECT_NE(logLines[0].find("cannot be made"), std::string::npos);
 }
 
-TEST_F(ClientTest, WithoutMachinesTheStartConfigurationStaysActiveAndPollsAreFew) {
+TEST_F(ClientTest, InitialSettingsStayActiveAndPollsAreBoundedWithoutMachines) {
   addMachines(1);
   machines[0]->kill();
   start();
@@ -302,38 +304,38 @@
   EXPECT_EQ(client->statistics().activeVersion, Version{});
   EXPECT_LE(client->statistics().polls, 12u);
   machines[0]->restart();
-  publish({tenant("a", 1)});
+  publish({tenantChange("a", 1)});
   EXPECT_TRUE(becomesActive(1));
 }
 
-// A machine that answers every poll at once must not be polled in a tight loop.
+// A machine that responds to every poll immediately must not be polled in a tight loop.
 TEST_F(ClientTest, KeepsTheMinimumPollInterval) {
   settings.minPollInterval = milliseconds(100);
   settings.longPollWait = milliseconds(100);
   addMachines(1);
-  publish({tenant("a", 1)});
+  publish({tenantChange("a", 1)});
   start();
   ASSERT_TRUE(becomesActive(1));
   const std::uint64_t polls = client->statistics().polls;
   const auto end = std::chrono::steady_clock::now() + seconds(1);
   for (int i = 0; std::chrono::steady_clock::now() < end; ++i) {
-    publish({tenant("b", i)});
+    publish({tenantChange("b", i)});
     runFor(milliseconds(5));
   }
   EXPECT_LE(client->statistics().polls - polls, 12u);
-  EXPECT_TRUE(until([&] { return client->statistics().activeVersion == machines[0]->log.version(); }));
+  EXPECT_TRUE(waitUntil([&] { return client->statistics().activeVersion == machines[0]->log.version(); }));
 }
 
-// A response that takes longer than the silence timeout while data keeps coming, as a snapshot for many
-// gateways does.
+// A response takes longer than the silence timeout while data keeps arriving, as a snapshot for many gateways
+// does.
 TEST_F(ClientTest, WaitsForASlowResponseUpToTheMaximumResponseTime) {
   for (const bool exceedsMaximum : {false, true}) {
     SCOPED_TRACE(exceedsMaximum);
     client.reset();
     fake_upstream::ControlLog log;
-    std::vector<DocumentChange> all;
-    for (int i = 0; i < 200; ++i) all.push_back(tenant("t" + std::to_string(i), 1));
-    log.publish(all);
+    std::vector<DocumentChange> allTenants;
+    for (int i = 0; i < 200; ++i) allTenants.push_back(tenantChange("t" + std::to_string(i), 1));
+    log.publish(allTenants);
     const std::string body = log.answer({"n0", {}, {}}, 0)->body;
     const std::string text =
         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -344,8 +346,8 @@
     settings.endpoints = {acceptor.local_endpoint()};
     settings.maxResponseTime = exceedsMaximum ? milliseconds(400) : milliseconds(5000);
     start();
-    ASSERT_TRUE(until([&] { return peer.is_open(); }));
-    // In ten pieces, 100 ms apart: longer than `wait` and `silence` together.
+    ASSERT_TRUE(waitUntil([&] { return peer.is_open(); }));
+    // In ten pieces, 100 ms apart: longer than the long-poll wait and the silence timeout together.
     std::size_t sent = 0;
     while (sent < text.size() && client->statistics().endpointFailures == 0) {
       const std::size_t piece = std::min(text.size() / 10 + 1, text.size() - sent);
@@ -360,12 +362,12 @@
   }
 }
 
-// One poll is out at a time, and no update is lost.
+// Only one poll is pending at a time, and no update is lost.
 TEST_F(ClientTest, StopAndStartWhileTheWorkerIsBusyKeepsOnePoll) {
   addMachines(1);
-  std::vector<DocumentChange> all;
-  for (int i = 0; i < 20000; ++i) all.push_back(tenant("t" + std::to_string(i), 1));
-  publish(all);
+  std::vector<DocumentChange> allTenants;
+  for (int i = 0; i < 20000; ++i) allTenants.push_back(tenantChange("t" + std::to_string(i), 1));
+  publish(allTenants);
   start();
   for (int i = 0; i < 20; ++i) {
     runFor(milliseconds(7));
@@ -373,7 +375,7 @@
     client->start();
   }
   ASSERT_TRUE(becomesActive(1));
-  publish({tenant("t1", 2)});
+  publish({tenantChange("t1", 2)});
   ASSERT_TRUE(becomesActive(2));
   EXPECT_EQ(changes.size(), 2u);
   EXPECT_EQ(client->statistics().endpointFailures, 0u);  // a second poll would cancel the first
@@ -384,11 +386,11 @@
 
 TEST_F(ClientTest, WorkerDropsResultsOfADestroyedClient) {
   addMachines(1);
-  std::vector<DocumentChange> all;
-  for (int i = 0; i < 20000; ++i) all.push_back(tenant("t" + std::to_string(i), 1));
-  publish(all);
+  std::vector<DocumentChange> allTenants;
+  for (int i = 0; i < 20000; ++i) allTenants.push_back(tenantChange("t" + std::to_string(i), 1));
+  publish(allTenants);
   start();
-  ASSERT_TRUE(until([&] { return machines[0]->bytesSent() > 0; }));
+  ASSERT_TRUE(waitUntil([&] { return machines[0]->bytesSent() > 0; }));
   client.reset();
   worker.join();
   runFor(milliseconds(50));
--- a/tests/configuration/poll_request_test.cpp
+++ b/tests/configuration/poll_request_test.cpp
@@ -1,4 +1,4 @@
-// Targets of polls: written, read back, and distinguished from other targets.
+// Formatting and parsing of poll targets, and rejection of other targets.
 #include "configuration/poll_request.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace finchstile::configuration::testing {
 namespace {
 
-TEST(PollRequest, FormattedTargetIsParsedBack) {
+TEST(PollRequest, ParsesFormattedTargets) {
   PollRequest request;
   request.gatewayName = "n 1&x=%+";
   request.state = {{3, 41}, 0xabc, false, RejectedVersion{{3, 42}, 7, "tenant/a&b: bad = 100%"}};
--- a/tests/configuration/snapshot_file_test.cpp
+++ b/tests/configuration/snapshot_file_test.cpp
@@ -1,4 +1,4 @@
-// The file that keeps the last accepted version.
+// The file that stores the last accepted version.
 #include "configuration/snapshot_file.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   }
 }
 
-TEST(SnapshotFile, ReplacedFileIsReadBack) {
+TEST(SnapshotFile, ReadsTheReplacedContent) {
   const Folder folder;
   const std::string path = folder / "kept.json";
   EXPECT_EQ(readFileIfExists(path), std::nullopt);
--- a/tests/configuration/update_test.cpp
+++ b/tests/configuration/update_test.cpp
@@ -1,4 +1,4 @@
-// Updates as texts: what is no update, and the code of the error.
+// Error codes of texts that are not valid updates, and descriptions of validation errors.
 #include "configuration/update.hpp"
 
 #include <gtest/gtest.h>
@@ -34,7 +34,7 @@
             std::nullopt);
 }
 
-TEST(Update, ErrorQuotesAnInvalidHashUpToABound) {
+TEST(Update, ErrorQuotesAnInvalidHashUpToItsLimit) {
   try {
     parseUpdate(R"({"epoch":1,"index":1,"snapshot":true,"hash":")" + std::string(100, 'x') +
                 R"(","entries":[]})");
@@ -46,14 +46,15 @@
 
 TEST(ValidationError, DescribesTheFirstThreeErrorsAndCountsTheOthers) {
   const ValidationError withField{"tenant/a", "quota_per_second", "is missing"};
-  const ValidationError withoutField{"tenant/b", "", "stands twice"};
+  const ValidationError withoutField{"tenant/b", "", "occurs more than once"};
   EXPECT_EQ(describe(withField), "tenant/a.quota_per_second: is missing");
-  EXPECT_EQ(describe(withoutField), "tenant/b: stands twice");
+  EXPECT_EQ(describe(withoutField), "tenant/b: occurs more than once");
   EXPECT_EQ(describe(std::vector<ValidationError>{}), "");
   EXPECT_EQ(describe(std::vector{withoutField, withField}),
-            "tenant/b: stands twice; tenant/a.quota_per_second: is missing");
+            "tenant/b: occurs more than once; tenant/a.quota_per_second: is missing");
   EXPECT_EQ(describe(std::vector(5, withoutField)),
-            "tenant/b: stands twice; tenant/b: stands twice; tenant/b: stands twice; and 2 more");
+            "tenant/b: occurs more than once; tenant/b: occurs more than once; tenant/b: occurs more than "
+            "once; and 2 more");
 }
 
 }  // namespace
--- a/tests/configuration/wire_format_test.cpp
+++ b/tests/configuration/wire_format_test.cpp
@@ -1,5 +1,5 @@
-// Bytes of the poll call, of update texts and of the kept file, against literals: control machines and files
-// of other versions depend on them.
+// Poll targets, update texts and the snapshot file, compared with literal bytes: control machines and files
+// of other releases depend on them.
 #include <gtest/gtest.h>
 
 #include "configuration/configuration_store.hpp"
@@ -11,10 +11,11 @@
 
 using std::chrono::milliseconds;
 
-// Written by a gateway of the first version that kept the file.
-constexpr const char* kKeptFile = R"({"epoch":1,"index":41,"snapshot":true,"hash":"da8fb2eca89d4013",)"
-                                  R"("entries":[{"key":"tenant/acme","quota_per_second":10.0},)"
-                                  R"({"aim_ms":500.0,"key":"class/read","late_share":0.25,"worth":3.0}]})";
+// Written by the first release that had a snapshot file.
+constexpr const char* kSnapshotFileOfFirstRelease =
+    R"({"epoch":1,"index":41,"snapshot":true,"hash":"da8fb2eca89d4013",)"
+    R"("entries":[{"key":"tenant/acme","quota_per_second":10.0},)"
+    R"({"aim_ms":500.0,"key":"class/read","late_share":0.25,"worth":3.0}]})";
 
 TEST(ConfigurationWireFormat, PollTargetHasTheseBytes) {
   PollRequest poll{"gateway 1&x=%+#", {{3, 41}, 0xabc, false, std::nullopt}, milliseconds(1000)};
@@ -39,10 +40,11 @@
 }
 
 TEST(ConfigurationWireFormat, EntriesHaveTheseBytes) {
-  EXPECT_EQ(serializeEntry(tenant("a b/c\"\\", 0.1)), R"({"key":"tenant/a b/c\"\\","quota_per_second":0.1})");
-  EXPECT_EQ(serializeEntry(classOf("read", 3, 500, 0.25)),
+  EXPECT_EQ(serializeEntry(tenantChange("a b/c\"\\", 0.1)),
+            R"({"key":"tenant/a b/c\"\\","quota_per_second":0.1})");
+  EXPECT_EQ(serializeEntry(classChange("read", 3, 500, 0.25)),
             R"({"aim_ms":500.0,"key":"class/read","late_share":0.25,"worth":3.0})");
-  EXPECT_EQ(serializeEntry(noTenant("a")), R"({"key":"tenant/a","removed":true})");
+  EXPECT_EQ(serializeEntry(tenantRemoval("a")), R"({"key":"tenant/a","removed":true})");
 }
 
 TEST(ConfigurationWireFormat, UpdateHasTheseBytes) {
@@ -58,12 +60,12 @@
   EXPECT_EQ(formatHash(documentHash(ClassDocument{"read", 3, milliseconds(500), 0.25})), "cb7a5fc477dc296f");
 }
 
-TEST(ConfigurationWireFormat, KeptFileOfTheFirstVersionIsReadAndWrittenAgain) {
-  ConfigurationStore store(startSettings());
-  ASSERT_EQ(store.apply(parseUpdate(kKeptFile)).result, ApplyResult::accepted);
+TEST(ConfigurationWireFormat, SnapshotFileOfTheFirstReleaseIsReadAndWrittenUnchanged) {
+  ConfigurationStore store(initialSettings());
+  ASSERT_EQ(store.apply(parseUpdate(kSnapshotFileOfFirstRelease)).result, ApplyResult::accepted);
   EXPECT_EQ(store.versionState().version, (Version{1, 41}));
   EXPECT_EQ(store.tenantCount(), 1u);
-  EXPECT_EQ(store.serialize(), kKeptFile);
+  EXPECT_EQ(store.serialize(), kSnapshotFileOfFirstRelease);
 }
 
 }  // namespace
