--- a/src/drain/plan.cpp
+++ b/src/drain/plan.cpp
@@ -8,21 +8,22 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The platform counts at most this much of the longest deadline, and kills the process this long after it. A
-// drain that used the whole of a longer deadline would be killed with requests unanswered.
+// The platform limits the longest deadline to kMaxCountedDeadline and kills the process kKillAfterDeadline
+// after it. A drain that used all of a longer deadline would be killed with requests still open.
 constexpr Duration kMaxCountedDeadline = seconds(3);
 constexpr Duration kKillAfterDeadline = milliseconds(700);
 
-// Load balancers in front go on connecting for 0.2 to 0.4 s after the signal.
+// Load balancers in front of the gateway continue to open connections for 0.2 to 0.4 s after the signal.
 constexpr Duration kAcceptTime = milliseconds(600);
 constexpr Duration kMinAcceptTime = milliseconds(400);
 
-// On a shared machine a process may wait for a core for a fifth of a second.
+// On a shared machine a process may have to wait 0.2 s for a core.
 constexpr Duration kExitMargin = milliseconds(200);
 constexpr Duration kMaxLag = milliseconds(200);
 
-constexpr Duration kFinalWriteTime = milliseconds(60);       // to write the last responses
-constexpr Duration kMinLastRequestTime = milliseconds(540);  // for a request that comes at the end of serving
+constexpr Duration kFinalWriteTime = milliseconds(60);  // to write the last responses
+constexpr Duration kMinLastRequestTime =
+    milliseconds(540);  // for a request that arrives just before serveDeadline
 
 }  // namespace
 
@@ -45,11 +46,11 @@
   return std::max(signalledAt_, std::min(signalledAt_ + maxServeTime_, latest));
 }
 
-// With very short deadlines the minimum would reach beyond the exit, so it shrinks with the lag.
+// With very short deadlines kMinAcceptTime would end after exitTime, so it is shortened by the lag.
 Time DrainPlan::acceptDeadline() const {
   const Time latest = finalResponseTime() - kFinalWriteTime;
-  const Time wanted = std::min(signalledAt_ + kAcceptTime, latest);
-  return std::max(wanted, signalledAt_ + kMinAcceptTime - worstLag_);
+  const Time preferred = std::min(signalledAt_ + kAcceptTime, latest);
+  return std::max(preferred, signalledAt_ + kMinAcceptTime - worstLag_);
 }
 
 Time DrainPlan::listenerCloseTime() const { return std::max(acceptDeadline(), serveDeadline()); }
--- a/src/drain/plan.hpp
+++ b/src/drain/plan.hpp
@@ -1,20 +1,20 @@
-// When a gateway that has received the signal to end stops accepting clients, serving them, and waiting for
-// hosts. No I/O.
+// Schedule of a drain: when a gateway that has received the termination signal stops accepting clients,
+// serving requests and waiting for hosts. No I/O.
 //
 // The platform kills the process 0.7 s after the longest deadline of a request, counted from the signal, and
-// no sooner. Deadlines above 3 s count as 3 s. Requests that are unanswered by then are lost.
+// not earlier. Deadlines above 3 s count as 3 s. Requests without a response by then are lost.
 //
 //   signalledAt        the earliest time at which the signal may have been sent
-//   acceptDeadline     until then clients may still connect; later the process may end once no client is left
-//   serveDeadline      until then responses leave connections open; later each response closes its connection
+//   acceptDeadline     until then clients can connect; later the process may exit once no client is left
+//   serveDeadline      until then responses keep connections open; later each response closes its connection
 //   listenerCloseTime  the accept queue is emptied, and the listener is closed
-//   finalResponseTime  every open request gets its final response, also one that has arrived only in part
-//   exitTime           the process ends
+//   finalResponseTime  every open request gets its final response, also one that was received only in part
+//   exitTime           the process exits
 //   killTime           the earliest time at which the platform kills the process
 //
-// The time between exit and kill is a margin for a late event loop. It grows by the worst lag seen while
-// draining, at most 0.2 s: exitTime and finalResponseTime become that much earlier, and the times before them
-// as far as they depend on these. killTime stays.
+// The time between exitTime and killTime is a margin for a delayed event loop. It grows by the largest lag
+// observed during the drain, at most 0.2 s: exitTime and finalResponseTime become earlier by this lag, and
+// the times before them as far as they depend on these. killTime does not change.
 #pragma once
 
 #include "finchstile/load_balancer.hpp"
@@ -25,18 +25,19 @@
 using load_balancing::Time;
 
 struct DrainSettings {
-  Duration longestDeadline{};  // of any request
+  Duration longestDeadline{};  // of all requests
   Duration
-      maxServeTime{};  // for how long connections stay open at most; 0: each response closes its connection
-  bool sharedListener = false;  // other processes accept from the listener, so no connection stays open
+      maxServeTime{};  // how long connections are kept open at most; 0: each response closes its connection
+  bool sharedListener =
+      false;  // other processes accept from the same listener, so connections are not kept open
 };
 
 class DrainPlan {
  public:
-  // `signalledAt`: the time of the signal, or the earliest time at which it may have come.
+  // `signalledAt` is the time of the signal, or the earliest time at which it may have been sent.
   DrainPlan(Time signalledAt, const DrainSettings& settings);
 
-  // The event loop was so late. Negative lags are ignored.
+  // Reports how late the event loop was. Negative lags are ignored.
   void onLag(Duration lag);
 
   Time acceptDeadline() const;
--- a/src/handover/channel.cpp
+++ b/src/handover/channel.cpp
@@ -14,12 +14,12 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr std::size_t kMaxDescriptors = 8;  // for which there is room in one receive call
+constexpr std::size_t kMaxDescriptors = 8;  // that one receive call can return
 
 bool isWouldBlock(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
 
-// Takes all descriptors of a received message, also those that are not wanted: any other would stay open for
-// good.
+// Takes ownership of all descriptors of a received message, also of unexpected ones, which would leak
+// otherwise.
 std::vector<std::unique_ptr<Descriptor>> takeDescriptors(msghdr& header) {
   std::vector<std::unique_ptr<Descriptor>> descriptors;
   for (cmsghdr* control = CMSG_FIRSTHDR(&header); control; control = CMSG_NXTHDR(&header, control)) {
@@ -51,7 +51,7 @@
   socket_.async_wait(asio::posix::stream_descriptor::wait_read, onReadable);
 }
 
-// Returns false if there is no further message for now, or the channel is closed.
+// Returns false if no further message is available now, or the channel is closed.
 bool Channel::receiveNext() {
   alignas(cmsghdr) char control[CMSG_SPACE(kMaxDescriptors * sizeof(int))];
   iovec part{buffer_.data(), buffer_.size()};
@@ -102,7 +102,7 @@
     sent = ::sendmsg(socket_.native_handle(), &header, MSG_DONTWAIT | MSG_NOSIGNAL);
   } while (sent < 0 && errno == EINTR);
   if (sent >= 0) return SendResult::sent;
-  // ETOOMANYREFS: the user has as many descriptors under way in messages as the system allows.
+  // ETOOMANYREFS: the user's descriptors in transit have reached the system's limit.
   const bool mayRetry = isWouldBlock(errno) || errno == ENOBUFS || errno == ETOOMANYREFS;
   return mayRetry ? SendResult::wouldBlock : SendResult::failed;
 }
@@ -126,7 +126,7 @@
   if (fd < 0) return nullptr;
   auto channel = std::make_shared<Channel>(io, fd);
   const auto* const to = reinterpret_cast<const sockaddr*>(&*address);
-  if (::connect(fd, to, sizeof *address) != 0 || !isPeerOwnUser(fd)) {
+  if (::connect(fd, to, sizeof *address) != 0 || !isPeerSameUser(fd)) {
     channel->close();
     return nullptr;
   }
--- a/src/handover/channel.hpp
+++ b/src/handover/channel.hpp
@@ -1,6 +1,6 @@
-// One connection between two processes of a gateway, which carries messages and the descriptors of client
-// connections. Nothing that arrives is trusted beyond its format; the peer must be a process of the same
-// user.
+// Connection between two processes of a gateway that transfers messages and the descriptors of client
+// connections. Received messages are trusted only as far as their format is checked; the peer must be a
+// process of the same user.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,24 +20,25 @@
  public:
   enum class SendResult {
     sent,
-    wouldBlock,  // the peer has to read first
-    failed       // the channel is closed or will be reported as closed soon
+    wouldBlock,  // the peer has to read first; the message was not sent
+    failed       // the channel is closed, or onClosed will be called soon
   };
 
-  // Takes the connected socket `fd`.
+  // Takes ownership of the connected socket `fd`.
   Channel(boost::asio::io_context& io, int fd);
 
-  // Called for each message in order. The descriptor of a connection belongs to the receiver; it is null for
-  // all other kinds.
+  // Called for each message, in order. The callee owns the descriptor of a connection; it is null for all
+  // other kinds of message.
   std::function<void(const Message&, std::unique_ptr<Descriptor>)> onMessage;
-  // Called once when the peer has closed the channel or has sent anything invalid, and not after close().
-  // Neither callback is called during a call of the channel.
+  // Called once when the peer has closed the channel or has sent an invalid message, but not after close().
+  // Neither callback is called from within a method of the channel.
   std::function<void()> onClosed;
 
-  // To be called once, with the callbacks set.
+  // Starts receiving. To be called once, after the callbacks were set.
   void start();
 
-  // Sends a copy of `descriptor` along unless it is negative; the caller closes its own.
+  // Sends the message, with a duplicate of `descriptor` unless it is negative. The caller keeps its
+  // descriptor and has to close it.
   SendResult send(const Message& message, int descriptor = -1);
 
   void close();
@@ -49,7 +50,7 @@
   void closeAndReport();
 
   boost::asio::posix::stream_descriptor socket_;
-  std::vector<char> buffer_;  // for one message
+  std::vector<char> buffer_;  // holds one message
   bool closed_ = false;
 };
 
--- a/src/handover/learned_state_text.cpp
+++ b/src/handover/learned_state_text.cpp
@@ -23,7 +23,7 @@
 
 std::string toText(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-// Whether the successor assumes the same of a host that it knows nothing of.
+// Returns whether the host has the values that the successor assumes for a host without learned state.
 bool isDefault(const LearnedState::Host& host) {
   return host.relativeLatency == 1 && host.failureRate == 0 && host.answerRate == 0 &&
          host.ejectedFor == Duration{} && host.ejections == 0;
@@ -65,12 +65,12 @@
           toNumber(host.at(4)),          toDuration(host.at(5)), host.at(6).get<int>()};
 }
 
-// The hosts worth handing over, the most important first.
+// Returns the hosts with learned values, the most important ones first.
 std::vector<const LearnedState::Host*> rankedHosts(const LearnedState& learned) {
   std::vector<const LearnedState::Host*> hosts;
   for (const auto& host : learned.hosts)
     if (!isDefault(host)) hosts.push_back(&host);
-  // A rate that is not a number has no place in an order and would break the sort.
+  // NaN has no order and would break the sort.
   const auto rank = [](const LearnedState::Host& host) {
     return std::pair(host.ejectedFor, std::isfinite(host.answerRate) ? host.answerRate : 0);
   };
--- a/src/handover/learned_state_text.hpp
+++ b/src/handover/learned_state_text.hpp
@@ -1,4 +1,4 @@
-// What the load balancer has learned, as the text that a process hands to its successor. No I/O.
+// Encodes and decodes the learned state of the load balancer that a process passes to its successor. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,19 +11,19 @@
 namespace finchstile::handover {
 
 inline constexpr std::size_t kMaxLearnedStateBytes =
-    60'000;  // holds about 600 hosts of which something is known
+    60'000;  // enough for about 600 hosts with learned values
 
 struct LearnedStateText {
   std::string text;
-  std::size_t omittedHosts = 0;  // that found no room in the text
+  std::size_t omittedHosts = 0;  // hosts that did not fit into the text
 };
 
-// JSON in the format of version 1. Hosts of which nothing is known are left out. Ejected hosts come first,
-// then those with the highest response rate.
+// Returns JSON in format version 1. Hosts without learned values are left out. Ejected hosts come first, then
+// those with the highest response rate.
 LearnedStateText encodeLearnedState(const load_balancing::LearnedState& learned);
 
-// Returns nothing unless the text is complete and of version 1. Numbers are not checked; the load balancer
-// limits them to values that make sense.
+// Returns nothing unless the text is complete and in format version 1. Numbers are not validated; the load
+// balancer limits them to plausible values.
 std::optional<load_balancing::LearnedState> decodeLearnedState(std::string_view text);
 
 }  // namespace finchstile::handover
--- a/src/handover/listener.cpp
+++ b/src/handover/listener.cpp
@@ -40,18 +40,19 @@
     throw HandoverListenerError(code, path_ + ": " + step + ": " + std::strerror(error));
   };
   const auto address = unixAddress(temporaryPath);
-  if (!address) return fail(Code::invalidPath, "no path for a socket", ENAMETOOLONG);
+  if (!address) return fail(Code::invalidPath, "not a valid socket path", ENAMETOOLONG);
   const int fd = newUnixSocket();
-  if (fd < 0) fail(Code::noSocket, "no socket", errno);
+  if (fd < 0) fail(Code::noSocket, "cannot create a socket", errno);
   socket_.assign(fd);
   ::unlink(temporaryPath.c_str());
   const auto* const at = reinterpret_cast<const sockaddr*>(&*address);
-  if (::bind(fd, at, sizeof *address) != 0) fail(Code::cannotBind, "can't be bound", errno);
+  if (::bind(fd, at, sizeof *address) != 0) fail(Code::cannotBind, "cannot bind the socket", errno);
   ::chmod(temporaryPath.c_str(), kSocketMode);
-  if (::listen(fd, kAcceptQueue) != 0) fail(Code::cannotListen, "can't be listened at", errno);
+  if (::listen(fd, kAcceptQueue) != 0) fail(Code::cannotListen, "cannot listen on the socket", errno);
   struct stat status {};
   if (::stat(temporaryPath.c_str(), &status) == 0) inode_ = status.st_ino;
-  if (::rename(temporaryPath.c_str(), path_.c_str()) != 0) fail(Code::cannotRename, "can't be named", errno);
+  if (::rename(temporaryPath.c_str(), path_.c_str()) != 0)
+    fail(Code::cannotRename, "cannot rename the socket to this path", errno);
 }
 
 HandoverListener::~HandoverListener() {
@@ -73,7 +74,7 @@
   const int fd = ::accept4(socket_.native_handle(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   if (fd < 0) return;
   auto channel = std::make_shared<Channel>(io_, fd);
-  if (isPeerOwnUser(fd)) onConnect_(std::move(channel));
+  if (isPeerSameUser(fd)) onConnect_(std::move(channel));
   else channel->close();
 }
 
--- a/src/handover/listener.hpp
+++ b/src/handover/listener.hpp
@@ -1,4 +1,4 @@
-// Waits for the successor of this process.
+// Listens for the connection of the successor of this process.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,7 +13,8 @@
 
 namespace finchstile::handover {
 
-// Says why a process cannot listen for a successor. The text names the path, the step and the system's cause.
+// Thrown if a process cannot listen for a successor. The message contains the path, the failed step and the
+// system's error.
 class HandoverListenerError : public std::runtime_error {
  public:
   enum class Code { invalidPath, noSocket, cannotBind, cannotListen, cannotRename };
@@ -27,9 +28,9 @@
 
 class HandoverListener {
  public:
-  // Listens at `path` in place of any process that did: the path is replaced by a rename, so there is a
-  // listener at any time. `onConnect` is called with a channel for each process of the same user that
-  // connects. Throws HandoverListenerError.
+  // Listens at `path` in place of any process that did so before. The path is replaced by a rename, so there
+  // is a listener at any time. `onConnect` is called with a channel for each connecting process of the same
+  // user. Throws HandoverListenerError.
   HandoverListener(boost::asio::io_context& io, const std::string& path,
                    std::function<void(std::shared_ptr<Channel>)> onConnect);
   // Removes the path, unless another process has replaced it.
@@ -46,8 +47,9 @@
   const std::string path_;
   std::function<void(std::shared_ptr<Channel>)> onConnect_;
   boost::asio::posix::stream_descriptor socket_;
-  std::uint64_t inode_ = 0;
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once this object is destroyed
+  std::uint64_t inode_ = 0;  // of the own socket, to recognize a replacement of the path
+  const std::shared_ptr<bool> alive_ =
+      std::make_shared<bool>(true);  // false after the destruction of this object
 };
 
 }  // namespace finchstile::handover
--- a/src/handover/message.hpp
+++ b/src/handover/message.hpp
@@ -1,7 +1,7 @@
-// The messages between two processes of one gateway while the successor takes over from the predecessor. No
-// I/O.
+// Encodes and decodes the messages between two processes of a gateway while the successor takes over from the
+// predecessor. No I/O.
 //
-// One message is one datagram of a SOCK_SEQPACKET socket, so that a descriptor sent along arrives with its
+// Each message is one datagram of a SOCK_SEQPACKET socket, so a descriptor always arrives together with its
 // message:
 //
 //   offset  bytes
@@ -12,15 +12,15 @@
 //        8  ...    payload
 //
 //   kind 1  hello         from the successor: the payload is the gateway's name
-//   kind 2  welcome       the predecessor's answer: the payload is the gateway's name
+//   kind 2  welcome       the predecessor's response: the payload is the gateway's name
 //   kind 3  connection    from the predecessor: an idle client connection; its descriptor is sent along, no
 //                         payload
 //   kind 4  finished      from the predecessor: no more connections follow; no payload
 //   kind 5  learnedState  from the predecessor, after its welcome: what its load balancer has learned
 //                         (learned_state_text.hpp)
 //
-// A process closes its channel when anything else arrives. Two versions with different formats thus close
-// client connections at the end of the predecessor, as if there were no successor.
+// A process closes its channel when it receives anything else. Between two releases with different formats
+// client connections are therefore closed when the predecessor exits, as if there were no successor.
 #pragma once
 
 #include <cstdint>
@@ -32,9 +32,9 @@
 
 inline constexpr std::uint8_t kProtocolVersion = 1;
 inline constexpr std::size_t kMaxMessageBytes = std::size_t{64} * 1024;
-inline constexpr std::size_t kMaxNameBytes = 256;  // of a gateway's name
+inline constexpr std::size_t kMaxNameBytes = 256;  // of the name of a gateway
 
-// The values are sent.
+// Values on the wire.
 enum class MessageKind : std::uint8_t {
   hello = 1,
   welcome = 2,
@@ -51,8 +51,8 @@
 // Longer payloads are truncated: names to kMaxNameBytes, learned state to what a message holds.
 std::string encode(const Message& message);
 
-// `descriptors`: how many arrived with the message. Returns nothing unless it is valid, with one descriptor
-// for a connection and none for all others.
+// `descriptors` is the number of descriptors received with the message. Returns nothing unless the message is
+// valid, with one descriptor for a connection and none for all other kinds.
 std::optional<Message> decode(std::string_view bytes, std::size_t descriptors);
 
 }  // namespace finchstile::handover
--- a/src/handover/unix_socket.cpp
+++ b/src/handover/unix_socket.cpp
@@ -17,7 +17,7 @@
 
 int newUnixSocket() { return ::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | SOCK_NONBLOCK, 0); }
 
-bool isPeerOwnUser(int fd) {
+bool isPeerSameUser(int fd) {
   ucred peer{};
   socklen_t size = sizeof peer;
   return ::getsockopt(fd, SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0 && peer.uid == ::geteuid();
--- a/src/handover/unix_socket.hpp
+++ b/src/handover/unix_socket.hpp
@@ -1,4 +1,4 @@
-// The local sockets over which processes of one gateway find each other.
+// Unix domain sockets that connect the processes of a gateway.
 #pragma once
 
 #include <sys/un.h>
@@ -8,13 +8,14 @@
 
 namespace finchstile::handover {
 
-// Returns nothing if the path is empty or too long for an address.
+// Returns nothing if the path is empty or too long for a socket address.
 std::optional<sockaddr_un> unixAddress(const std::string& path);
 
-// A non-blocking socket that keeps message boundaries; below 0 on failure, with errno set.
+// Returns a non-blocking socket that preserves message boundaries; negative on failure, with errno set.
 int newUnixSocket();
 
-// Whether the process at the other end runs as this process' user. Client connections are handed to it.
-bool isPeerOwnUser(int fd);
+// Returns whether the peer process runs as the same user as this process. Only such a process may receive
+// client connections.
+bool isPeerSameUser(int fd);
 
 }  // namespace finchstile::handover
--- a/src/ops/admin_call.hpp
+++ b/src/ops/admin_call.hpp
@@ -1,13 +1,13 @@
-// The calls of the administration interface, parsed from a request line. No I/O.
+// Parses the calls of the administration interface from request lines. No I/O.
 //
 //   GET /api/ready          whether this process is ready to serve
 //   GET /api/telemetry      the metrics
-//   PUT /api/exclude/ID     cordon host ID: it gets nothing new
+//   PUT /api/exclude/ID     cordon host ID: it gets no new requests
 //   PUT /api/include/ID     uncordon host ID
-//   PUT /api/evacuate       enter lame duck mode: clients are asked to leave
+//   PUT /api/evacuate       enter lame duck mode: clients are requested to disconnect
 //   PUT /api/rejoin         leave lame duck mode
-//   GET /api/hosts          what is known of all hosts, each fact with its source and age
-//   GET /api/hosts/ID       what is known of host ID
+//   GET /api/hosts          state of all hosts, each value with its source and age
+//   GET /api/hosts/ID       state of host ID
 #pragma once
 
 #include <optional>
@@ -20,20 +20,18 @@
 
 struct AdminCall {
   AdminCallKind kind = AdminCallKind::ready;
-  // For exclude, include and hosts: the host's name in the endpoint list, percent-decoded. Empty for all
-  // hosts.
+  // For exclude, include and hosts: name of the host in the endpoint list, percent-decoded. Empty: all hosts.
   std::string host;
 };
 
 struct AdminCallResult {
   std::optional<AdminCall> call;
-  // Without a call the status of the response: 400 malformed, 404 no such call, 405 another method is
-  // allowed.
+  // Status of the response if `call` is empty: 400 malformed, 404 unknown call, 405 wrong method.
   unsigned status = 200;
-  std::string_view allow;  // for 405: the allowed method
+  std::string_view allow;  // allowed method, for status 405
 };
 
-// `target` is the request target as received; a query is ignored. Names of hosts have 1 to 256 bytes.
+// `target` is the request target as received; a query is ignored. Names of hosts must have 1 to 256 bytes.
 AdminCallResult parseAdminCall(std::string_view method, std::string_view target);
 
 }  // namespace finchstile::ops
--- a/src/ops/admin_server.cpp
+++ b/src/ops/admin_server.cpp
@@ -14,14 +14,14 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kAcceptPause(20);    // after a failed accept, mostly for lack of descriptors
-constexpr milliseconds kLingerTime(500);    // for the client to read its response and close
+constexpr milliseconds kAcceptPause(20);    // after a failed accept, usually for lack of descriptors
+constexpr milliseconds kLingerTime(500);    // for the client to read the response and close
 constexpr std::size_t kDiscardBytes = 512;  // read at once while lingering
 constexpr unsigned kHttp11 = 11;
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kNotFound = 404;
 
-// Other errors mean that the client has disconnected.
+// Any other error means that the client has disconnected.
 bool isMalformed(const error_code& error) {
   return error.category() == http::make_error_code(http::error::bad_method).category() &&
          error != http::error::end_of_stream && error != http::error::partial_message;
@@ -29,7 +29,8 @@
 
 }  // namespace
 
-// A connection is in `sessions_` from accept to close(). Its handlers keep the object alive a little longer.
+// A connection. It is in `sessions_` from accept to close(); pending handlers keep it alive until they have
+// run.
 class AdminServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(AdminServer& server, tcp::socket socket)
@@ -41,7 +42,7 @@
     parser_.body_limit(server.limits_.maxCallBytes);
   }
 
-  Sessions::iterator place{};
+  Sessions::iterator position{};
 
   void start() {
     closeAfter(server_.limits_.callTimeout);
@@ -59,7 +60,7 @@
     error_code ignored;
     timer_.cancel();
     socket_.close(ignored);
-    server_.sessions_.erase(place);
+    server_.sessions_.erase(position);
   }
 
  private:
@@ -89,7 +90,7 @@
     http::async_write(socket_, response_, onWritten);
   }
 
-  // Closing a socket with unread bytes resets the connection, and the response may be lost with it.
+  // Closing a socket with unread bytes resets the connection, and the client may lose the response.
   void linger() {
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
@@ -123,12 +124,12 @@
   bool closed_ = false;
 };
 
-AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& at, AdminCallHandler& handler,
+AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& listenAddress, AdminCallHandler& handler,
                          Limits limits)
     : io_(io), handler_(handler), limits_(limits), acceptor_(io), pause_(io) {
-  acceptor_.open(at.protocol());
+  acceptor_.open(listenAddress.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
-  acceptor_.bind(at);
+  acceptor_.bind(listenAddress);
   acceptor_.listen(asio::socket_base::max_listen_connections);
   accept();
 }
@@ -167,7 +168,7 @@
     oldest->close();
   }
   const auto session = std::make_shared<Session>(*this, std::move(socket));
-  session->place = sessions_.insert(sessions_.end(), session);
+  session->position = sessions_.insert(sessions_.end(), session);
   session->start();
 }
 
--- a/src/ops/admin_server.hpp
+++ b/src/ops/admin_server.hpp
@@ -1,6 +1,5 @@
-// The HTTP/1.1 server of the administration interface, with one call for each connection. Clients that are
-// silent or send half a call keep others out for no time: when there are too many connections, the oldest is
-// closed.
+// HTTP/1.1 server of the administration interface, with one call per connection. Clients that are idle or
+// send an incomplete call cannot block others: when there are too many connections, the oldest one is closed.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +19,7 @@
 
 struct Reply {
   unsigned status = 200;
-  std::string body;  // text/plain
+  std::string body;  // sent as text/plain
 };
 
 class AdminCallHandler {
@@ -33,13 +32,14 @@
  public:
   struct Limits {
     std::size_t maxConnections = 32;
-    std::chrono::milliseconds callTimeout = std::chrono::milliseconds(5000);  // to receive a complete call
-    std::size_t maxCallBytes = 8192;                                          // of the header and of the body
+    std::chrono::milliseconds callTimeout = std::chrono::milliseconds(5000);  // for receiving a complete call
+    std::size_t maxCallBytes = 8192;  // of the header, and of the body
   };
 
-  // Listens at once. `handler` must outlive the server. Throws boost::system::system_error if the address
-  // cannot be listened at.
-  AdminServer(boost::asio::io_context& io, const tcp::endpoint& at, AdminCallHandler& handler, Limits limits);
+  // Starts listening immediately. `handler` must outlive the server. Throws boost::system::system_error if it
+  // cannot listen at the address.
+  AdminServer(boost::asio::io_context& io, const tcp::endpoint& listenAddress, AdminCallHandler& handler,
+              Limits limits);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
--- a/src/ops/exposition.cpp
+++ b/src/ops/exposition.cpp
@@ -7,7 +7,7 @@
 namespace finchstile::ops {
 namespace {
 
-// Rough sizes, to allocate once.
+// Estimated sizes, so that one allocation is enough.
 constexpr std::size_t kBytesWithoutClasses = 256;
 constexpr std::size_t kBytesPerClass = 192;
 
--- a/src/ops/exposition.hpp
+++ b/src/ops/exposition.hpp
@@ -1,4 +1,4 @@
-// The metrics as text in the Prometheus exposition format, version 0.0.4. No I/O.
+// Renders the metrics in the Prometheus text exposition format, version 0.0.4. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
   std::uint64_t loaded = 0, invalid = 0;  // configurations applied and rejected since the start
 };
 
-// Lines like "lb_transactions_total{group="log-in",state="answered"} 812". Every class has its lines from the
-// start, in the order of the classes.
+// Returns lines such as "lb_transactions_total{group="log-in",state="answered"} 812". Each class has its
+// lines from the start, in the order of `metrics.classes`.
 std::string renderMetrics(const GatewayMetrics& metrics, const ConfigMetrics& config);
 
 }  // namespace finchstile::ops
--- a/src/ops/host_cordon.cpp
+++ b/src/ops/host_cordon.cpp
@@ -18,7 +18,7 @@
 
 std::string endLine(std::size_t hosts) { return std::string(kEndPrefix) + std::to_string(hosts); }
 
-// Removes and returns the first line, without its end. Returns nothing if no line is complete.
+// Removes and returns the first line, without its newline. Returns nothing if there is no complete line.
 std::optional<std::string_view> takeLine(std::string_view& text) {
   const std::size_t end = text.find('\n');
   if (end == std::string_view::npos) return std::nullopt;
@@ -74,14 +74,14 @@
     if (entry.phase == HostPhase::active) entry.phase = HostPhase::draining;
     return;
   }
-  // The host may have been restarted while it was cordoned, and the list reports that seconds late. All
-  // gateways together would overload it if they took it for warmed up.
+  // The host may have been restarted while it was cordoned, and the list reports that seconds late. If it
+  // counted as warm, all gateways together would overload it.
   entry.startedAt = std::max(entry.startedAt, it->second.uncordonedAt);
 }
 
-void HostCordon::expire(Time now, Duration keep) {
+void HostCordon::expire(Time now, Duration retention) {
   for (auto it = hosts_.begin(); it != hosts_.end();) {
-    const bool expired = !it->second.cordoned && now - it->second.uncordonedAt > keep;
+    const bool expired = !it->second.cordoned && now - it->second.uncordonedAt > retention;
     it = expired ? hosts_.erase(it) : std::next(it);
   }
 }
@@ -100,7 +100,7 @@
   for (const auto& [host, state] : hosts_)
     if (state.cordoned && hosts->count(host) == 0) uncordoned.push_back(host);
   for (const std::string& host : uncordoned) uncordon(host, now);
-  // Uncordoned hosts make room for cordoned ones.
+  // Uncordoned hosts are erased to make room for cordoned ones.
   if (hosts_.size() + hosts->size() > kMaxHosts) expire(now, kExpireAll);
   for (const std::string& host : *hosts) cordon(host);
   return true;
--- a/src/ops/state_file.cpp
+++ b/src/ops/state_file.cpp
@@ -35,7 +35,7 @@
 }
 
 bool StateFile::write(const std::string& text) {
-  // While one process takes over from another both may write, so each uses a temporary file of its own.
+  // During a handover two processes may write at the same time, so each uses its own temporary file.
   const std::string temporaryPath = path_ + "." + std::to_string(::getpid());
   if (!writeFile(temporaryPath, text) || ::rename(temporaryPath.c_str(), path_.c_str()) != 0) {
     ::unlink(temporaryPath.c_str());
@@ -51,7 +51,7 @@
   std::ifstream file(path_, std::ios::binary);
   if (!file) return std::nullopt;
   std::string text{std::istreambuf_iterator<char>(file), {}};
-  // A version written after currentVersion() is read again by the next call.
+  // If the file was replaced after currentVersion(), the next call reads it again.
   knownVersion_ = version;
   return text;
 }
--- a/src/ops/state_file.hpp
+++ b/src/ops/state_file.hpp
@@ -1,5 +1,4 @@
-// A small file that the processes of one gateway share. It is replaced as a whole, and read when it has
-// changed.
+// A small file shared by the processes of a gateway. It is replaced atomically, and read when it has changed.
 #pragma once
 
 #include <cstdint>
@@ -15,15 +14,17 @@
 
   const std::string& path() const { return path_; }
 
-  // Writes a temporary file beside it and renames that. Returns false if the old content stays.
+  // Replaces the content, by renaming a temporary file in the same directory. On failure returns false and
+  // keeps the old content.
   bool write(const std::string& text);
 
-  // What another process has written since the last call. The first call returns whatever is there. Nothing
-  // if the file has not changed, or cannot be read.
+  // Returns the content if another process has replaced the file since the last call; the first call returns
+  // any existing content. Returns nothing if the file has not changed or cannot be read.
   std::optional<std::string> readIfChanged();
 
  private:
-  // Differs for each version of the file: a rename brings another inode.
+  // Identifies a version of the file. It differs after each replacement, because the new file has another
+  // inode.
   struct Version {
     std::uint64_t inode = 0;
     std::int64_t bytes = 0;
--- a/src/peer/channel.cpp
+++ b/src/peer/channel.cpp
@@ -33,8 +33,7 @@
 void Channel::receiveNext() {
   const auto onReceive = [this](const boost::system::error_code& error, std::size_t size) {
     if (error == boost::asio::error::operation_aborted) return;
-    // Any other error belongs to a datagram sent earlier, whose recipient was not there: nothing was
-    // received.
+    // Any other error reports that a datagram sent earlier was not delivered; nothing was received.
     if (!error) onReceived({buffer_.data(), size});
     receiveNext();
   };
--- a/src/peer/channel.hpp
+++ b/src/peer/channel.hpp
@@ -1,4 +1,4 @@
-// Datagrams to and from the other gateways over one UDP socket. Nothing is queued and nothing is resent.
+// Exchanges datagrams with the other gateways over one UDP socket, without queueing or retransmission.
 #pragma once
 
 #include <array>
@@ -18,32 +18,36 @@
 
 struct ChannelStatistics {
   std::uint64_t sent = 0;
-  std::uint64_t sendFailures = 0;  // too long, to nobody of the list, or refused by the system
-  std::uint64_t delivered = 0;     // to a handler
-  std::array<std::uint64_t, kDatagramResultCount> byResult{};  // received, by DatagramResult
+  std::uint64_t sendFailures = 0;  // payload too long, unknown recipient, or system error
+  std::uint64_t delivered = 0;     // passed to a handler
+  std::array<std::uint64_t, kDatagramResultCount>
+      byResult{};  // received datagrams, indexed by DatagramResult
 };
 
 class Channel {
  public:
   struct Settings {
     udp::endpoint listenEndpoint;
-    std::vector<udp::endpoint> peerEndpoints;  // by gateway number; this gateway's own one as others see it
+    std::vector<udp::endpoint>
+        peerEndpoints;  // by gateway number, including the own endpoint as seen by others
     GatewayNumber ownNumber = 0;
     SipKey key;
-    std::uint64_t epoch = 0;  // of this start, see Datagram
+    std::uint64_t epoch = 0;  // of this start, see Datagram::epoch
   };
   using Handler = std::function<void(GatewayNumber sender, std::uint64_t epoch, std::string_view payload)>;
 
-  // Opens the socket and starts to receive. Throws boost::system::system_error if the address is not
+  // Opens the socket and starts receiving. Throws boost::system::system_error if the endpoint is not
   // available. `io` must outlive the channel.
   Channel(boost::asio::io_context& io, const Settings& settings);
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
 
-  // Called on the loop for each valid datagram of the topic; replaces an earlier handler.
+  // Sets the handler, which is called on the loop for each valid datagram of the topic. Replaces an earlier
+  // one.
   void setHandler(Topic topic, Handler handler);
 
-  // May lose the datagram, like the network: if the system's buffer is full, it is dropped and counted.
+  // Sends a datagram without a delivery guarantee: if the system's send buffer is full, it is dropped and
+  // counted as a failure.
   void send(Topic topic, GatewayNumber recipient, std::string_view payload);
 
   udp::endpoint endpoint() const { return socket_.local_endpoint(); }
@@ -53,7 +57,7 @@
   const ChannelStatistics& statistics() const { return statistics_; }
 
  private:
-  static constexpr std::size_t kTopicSlots = 4;  // indexed by Topic
+  static constexpr std::size_t kTopicSlots = 4;  // handlers are indexed by Topic
 
   void receiveNext();
   void onReceived(std::string_view bytes);
@@ -63,7 +67,7 @@
   udp::socket socket_;
   std::vector<ReplayWindow> replayWindows_;  // by sender
   std::array<Handler, kTopicSlots> handlers_;
-  // One byte longer than any valid datagram, so that longer ones are recognized.
+  // One byte longer than the longest valid datagram, to recognize longer ones.
   std::array<char, kMaxDatagramBytes + 1> buffer_{};
   udp::endpoint senderEndpoint_;  // of the datagram in `buffer_`
   std::uint64_t lastSequenceNumber_ = 0;
--- a/src/peer/datagram.cpp
+++ b/src/peer/datagram.cpp
@@ -23,7 +23,7 @@
   return signature;
 }
 
-// Takes equal time for any contents, so it does not reveal how many bytes of a guess are right.
+// The time does not depend on the contents, so it does not reveal how many bytes of a forged signature match.
 bool equalInConstantTime(std::string_view a, std::string_view b) {
   unsigned char difference = a.size() == b.size() ? 0 : 1;
   for (std::size_t i = 0; i < a.size() && i < b.size(); ++i)
--- a/src/peer/replay_window.hpp
+++ b/src/peer/replay_window.hpp
@@ -1,15 +1,15 @@
-// Accepts each datagram of one sender once. No I/O.
+// Rejects repeated datagrams of one sender. No I/O.
 #pragma once
 
 #include <cstdint>
 
 namespace finchstile::peer {
 
-// A window of 64 sequence numbers up to the highest one received, as in RFC 4303, section 3.4.3.
+// Sliding window of the 64 sequence numbers up to the highest one received, as in RFC 4303, section 3.4.3.
 class ReplayWindow {
  public:
-  // False for a number that was received before or lies below the window, and for an epoch before the newest
-  // one. A newer epoch starts an empty window.
+  // Returns false for a number that was received before or is below the window, and for an epoch earlier than
+  // the newest one. A newer epoch starts an empty window.
   bool accept(std::uint64_t epoch, std::uint64_t sequenceNumber);
 
  private:
--- a/src/peer/secret.cpp
+++ b/src/peer/secret.cpp
@@ -35,16 +35,15 @@
   if (file.get() < 0 || ::fstat(file.get(), &status) != 0)
     fail(SecretError::Code::unreadable, std::strerror(errno));
   if ((status.st_mode & kGroupAndOthers) != 0)
-    fail(SecretError::Code::insecurePermissions,
-         "others may read or write it: it must be of mode 0600 or 0400");
-  char text[kSecretDigits + 2] = {};  // longer by one byte than what is valid, so that more is recognized
+    fail(SecretError::Code::insecurePermissions, "accessible by other users, its mode must be 0600 or 0400");
+  char text[kSecretDigits + 2] = {};  // one byte longer than the longest valid text, to recognize longer ones
   const ssize_t size = ::read(file.get(), text, sizeof text);
   std::string_view digits(text, size < 0 ? 0 : static_cast<std::size_t>(size));
   if (digits.size() == kSecretDigits + 1 && digits.back() == '\n') digits.remove_suffix(1);
   SipKey key;
   const bool valid = digits.size() == kSecretDigits && parseHalf(digits.substr(0, kHalfDigits), key.a) &&
                      parseHalf(digits.substr(kHalfDigits), key.b);
-  if (!valid) fail(SecretError::Code::malformed, "must be 32 hexadecimal digits and nothing else");
+  if (!valid) fail(SecretError::Code::malformed, "must contain exactly 32 hexadecimal digits");
   return key;
 }
 
--- a/src/peer/secret.hpp
+++ b/src/peer/secret.hpp
@@ -1,4 +1,4 @@
-// The secret that all gateways share, from a file.
+// Loads the secret that all gateways share from a file.
 #pragma once
 
 #include <stdexcept>
@@ -12,9 +12,9 @@
 class SecretError : public std::runtime_error {
  public:
   enum class Code {
-    unreadable,           // the system refuses to open or read the file
-    insecurePermissions,  // users other than its owner may read or write it
-    malformed,            // not 32 hexadecimal digits
+    unreadable,           // the file cannot be opened
+    insecurePermissions,  // group or other users have access to the file
+    malformed,            // the content is not 32 hexadecimal digits, or cannot be read
   };
   SecretError(Code code, const std::string& message) : std::runtime_error(message), code_(code) {}
   Code code() const { return code_; }
@@ -23,7 +23,7 @@
   Code code_;
 };
 
-// Reads 32 hexadecimal digits, with or without a line end after them. Throws SecretError.
+// Reads 32 hexadecimal digits, optionally followed by a newline. Throws SecretError.
 SipKey loadSecret(const std::string& path);
 
 }  // namespace finchstile::peer
--- a/src/peer/settings.cpp
+++ b/src/peer/settings.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxAddressBytes = 64;
 constexpr std::size_t kMaxPathBytes = 1024;
 
-// The list as the file has it; invalid addresses have an empty endpoint in `out`.
+// Returns the addresses as in the file. Invalid ones get an empty endpoint in `out`.
 std::vector<std::string> readAddresses(SettingReader& reader, PeerSettings& out) {
   std::vector<std::string> addresses;
   if (!reader.texts("addresses", addresses, kMaxPeers, kMaxAddressBytes)) return addresses;
--- a/tests/handover/learned_state_text_test.cpp
+++ b/tests/handover/learned_state_text_test.cpp
@@ -1,4 +1,4 @@
-// Learned state as text between processes.
+// Encoding and decoding of the learned state that a process passes to its successor.
 #include "handover/learned_state_text.hpp"
 
 #include <gtest/gtest.h>
@@ -10,84 +10,84 @@
 
 using load_balancing::LearnedState;
 
-LearnedState some() {
-  LearnedState l;
-  l.age = std::chrono::seconds(40);
-  l.arrivalRate = 20.5;
-  l.answers = 900;
-  l.inTimeRate = 210;
-  l.servedFraction = 0.97;
-  l.classes = {{"cut-plan", 0.08, 0, 0.01, std::chrono::milliseconds(1200)}};
-  l.machineTypes = {{"std-4c", 31, 0.9}};
-  l.priorityLevels = {{1, 20}, {12, 5}};
-  l.hosts = {{"s-1", std::chrono::seconds(9), 1.5, 0.1, 22, std::chrono::seconds(2), 1}};
-  return l;
+LearnedState exampleState() {
+  LearnedState state;
+  state.age = std::chrono::seconds(40);
+  state.arrivalRate = 20.5;
+  state.answers = 900;
+  state.inTimeRate = 210;
+  state.servedFraction = 0.97;
+  state.classes = {{"cut-plan", 0.08, 0, 0.01, std::chrono::milliseconds(1200)}};
+  state.machineTypes = {{"std-4c", 31, 0.9}};
+  state.priorityLevels = {{1, 20}, {12, 5}};
+  state.hosts = {{"s-1", std::chrono::seconds(9), 1.5, 0.1, 22, std::chrono::seconds(2), 1}};
+  return state;
 }
 
-TEST(LearnedStateText, RoundTrips) {
-  const auto back = decodeLearnedState(encodeLearnedState(some()).text);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->age, some().age);
-  EXPECT_EQ(back->arrivalRate, 20.5);
-  EXPECT_EQ(back->classes[0].name, "cut-plan");
-  EXPECT_EQ(back->classes[0].typicalTimeLeft, std::chrono::milliseconds(1200));
-  EXPECT_EQ(back->machineTypes[0].provenRate, 31);
-  EXPECT_EQ(back->priorityLevels[1].priorityWeight, 12);
-  EXPECT_EQ(back->hosts[0].address, "s-1");
-  EXPECT_EQ(back->hosts[0].ejectedFor, std::chrono::seconds(2));
+TEST(LearnedStateText, DecodesEncodedState) {
+  const auto decoded = decodeLearnedState(encodeLearnedState(exampleState()).text);
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->age, exampleState().age);
+  EXPECT_EQ(decoded->arrivalRate, 20.5);
+  EXPECT_EQ(decoded->classes[0].name, "cut-plan");
+  EXPECT_EQ(decoded->classes[0].typicalTimeLeft, std::chrono::milliseconds(1200));
+  EXPECT_EQ(decoded->machineTypes[0].provenRate, 31);
+  EXPECT_EQ(decoded->priorityLevels[1].priorityWeight, 12);
+  EXPECT_EQ(decoded->hosts[0].address, "s-1");
+  EXPECT_EQ(decoded->hosts[0].ejectedFor, std::chrono::seconds(2));
 }
 
-// The two processes may be of different versions, so the format is fixed by a literal text.
-TEST(LearnedStateText, TextIsFixed) {
-  const std::string fixed =
+// The two processes may be of different releases, so the format is compared with a literal text.
+TEST(LearnedStateText, EncodesLiteralText) {
+  const std::string expectedText =
       R"({"age":40000000000,"classes":[["cut-plan",0.08,0.0,0.01,1200000000]],)"
       R"("hosts":[["s-1",9000000000,1.5,0.1,22.0,2000000000,1]],"kinds":[["std-4c",31.0,0.9]],)"
       R"("levels":[[1.0,20.0],[12.0,5.0]],"pool":[20.5,0.0,900.0,210.0,0.0,0.0,0.0,0.97],"v":1})";
-  EXPECT_EQ(encodeLearnedState(some()).text, fixed);
-  EXPECT_TRUE(decodeLearnedState(fixed));
+  EXPECT_EQ(encodeLearnedState(exampleState()).text, expectedText);
+  EXPECT_TRUE(decodeLearnedState(expectedText));
 }
 
-TEST(LearnedStateText, RejectsIncompleteText) {
-  const std::string whole = encodeLearnedState(some()).text;
-  for (std::size_t cut = 0; cut < whole.size(); ++cut)
-    EXPECT_FALSE(decodeLearnedState(whole.substr(0, cut))) << cut;
-  for (const char* bad : {"null", "[]", "{}", "{\"v\":2}", "{\"v\":1,\"age\":\"x\"}"})
-    EXPECT_FALSE(decodeLearnedState(bad)) << bad;
-  LearnedState odd = some();
-  odd.inTimeRate = std::nan("");
-  const auto back = decodeLearnedState(encodeLearnedState(odd).text);
-  ASSERT_TRUE(back);
-  EXPECT_TRUE(std::isnan(back->inTimeRate));
+TEST(LearnedStateText, RejectsIncompleteAndInvalidText) {
+  const std::string completeText = encodeLearnedState(exampleState()).text;
+  for (std::size_t length = 0; length < completeText.size(); ++length)
+    EXPECT_FALSE(decodeLearnedState(completeText.substr(0, length))) << length;
+  for (const char* invalidText : {"null", "[]", "{}", "{\"v\":2}", "{\"v\":1,\"age\":\"x\"}"})
+    EXPECT_FALSE(decodeLearnedState(invalidText)) << invalidText;
+  LearnedState stateWithNan = exampleState();
+  stateWithNan.inTimeRate = std::nan("");
+  const auto decoded = decodeLearnedState(encodeLearnedState(stateWithNan).text);
+  ASSERT_TRUE(decoded);
+  EXPECT_TRUE(std::isnan(decoded->inTimeRate));
 }
 
 TEST(LearnedStateText, OmitsHostsThatDoNotFit) {
-  LearnedState l = some();
-  l.hosts.resize(10'000, l.hosts[0]);
-  const auto [text, leftOut] = encodeLearnedState(l);
+  LearnedState state = exampleState();
+  state.hosts.resize(10'000, state.hosts[0]);
+  const auto [text, omittedHosts] = encodeLearnedState(state);
   EXPECT_LE(text.size(), kMaxLearnedStateBytes);
-  const auto back = decodeLearnedState(text);
-  ASSERT_TRUE(back);
-  EXPECT_GT(back->hosts.size(), 500u);
-  EXPECT_EQ(back->hosts.size() + leftOut, 10'000u);  // all omitted hosts are counted
+  const auto decoded = decodeLearnedState(text);
+  ASSERT_TRUE(decoded);
+  EXPECT_GT(decoded->hosts.size(), 500u);
+  EXPECT_EQ(decoded->hosts.size() + omittedHosts, 10'000u);  // all omitted hosts are counted
 }
 
-// A gateway that knows something of few hosts among thousands hands all of that over, wherever they stand in
-// the list.
-TEST(LearnedStateText, KeepsKnownHostsAmongManyUnknownOnes) {
-  LearnedState l = some();
-  l.hosts.clear();
+// Only a few of thousands of hosts have learned values. All of these are passed on, whatever their position
+// in the list.
+TEST(LearnedStateText, KeepsHostsWithLearnedValuesAmongManyWithout) {
+  LearnedState state = exampleState();
+  state.hosts.clear();
   for (int i = 0; i < 4096; ++i)
-    l.hosts.push_back({"host-with-a-long-name-" + std::to_string(i), {}, 1, 0, 0, {}, 0});
-  l.hosts[4000].answerRate = 3;
-  l.hosts[4095].ejectedFor = std::chrono::seconds(1);
-  l.hosts[2048].answerRate = std::nan("");
-  const auto [text, leftOut] = encodeLearnedState(l);
-  EXPECT_EQ(leftOut, 0u);
-  const auto back = decodeLearnedState(text);
-  ASSERT_TRUE(back);
-  ASSERT_EQ(back->hosts.size(), 3u);
-  EXPECT_EQ(back->hosts[0].address, "host-with-a-long-name-4095");  // ejected hosts first
-  EXPECT_EQ(back->hosts[1].address, "host-with-a-long-name-4000");
+    state.hosts.push_back({"host-with-a-long-name-" + std::to_string(i), {}, 1, 0, 0, {}, 0});
+  state.hosts[4000].answerRate = 3;
+  state.hosts[4095].ejectedFor = std::chrono::seconds(1);
+  state.hosts[2048].answerRate = std::nan("");
+  const auto [text, omittedHosts] = encodeLearnedState(state);
+  EXPECT_EQ(omittedHosts, 0u);
+  const auto decoded = decodeLearnedState(text);
+  ASSERT_TRUE(decoded);
+  ASSERT_EQ(decoded->hosts.size(), 3u);
+  EXPECT_EQ(decoded->hosts[0].address, "host-with-a-long-name-4095");  // ejected hosts first
+  EXPECT_EQ(decoded->hosts[1].address, "host-with-a-long-name-4000");
 }
 
 }  // namespace
--- a/tests/handover/message_test.cpp
+++ b/tests/handover/message_test.cpp
@@ -1,4 +1,4 @@
-// Encodes and decodes the messages between two processes of one gateway.
+// Encoding and decoding of the messages between two processes of a gateway.
 #include "handover/message.hpp"
 
 #include <gtest/gtest.h>
@@ -8,14 +8,14 @@
 namespace finchstile::handover {
 namespace {
 
-TEST(HandoverMessage, RoundTripsEachKind) {
+TEST(HandoverMessage, DecodesEncodedMessagesOfEachKind) {
   for (const MessageKind kind :
        {MessageKind::hello, MessageKind::welcome, MessageKind::connection, MessageKind::finished}) {
-    const bool named = kind == MessageKind::hello || kind == MessageKind::welcome;
-    const auto m = decode(encode({kind, "n 3"}), kind == MessageKind::connection);
-    ASSERT_TRUE(m);
-    EXPECT_EQ(m->kind, kind);
-    EXPECT_EQ(m->text, named ? "n 3" : "");
+    const bool hasName = kind == MessageKind::hello || kind == MessageKind::welcome;
+    const auto message = decode(encode({kind, "n 3"}), kind == MessageKind::connection);
+    ASSERT_TRUE(message);
+    EXPECT_EQ(message->kind, kind);
+    EXPECT_EQ(message->text, hasName ? "n 3" : "");
   }
   EXPECT_EQ(decode(encode({MessageKind::hello, std::string(900, 'x')}), 0)->text.size(), kMaxNameBytes);
   EXPECT_EQ(decode(encode({MessageKind::learnedState, std::string(60'000, 'x')}), 0)->text.size(), 60'000u);
@@ -23,23 +23,25 @@
 }
 
 TEST(HandoverMessage, RejectsInvalidMessages) {
-  const std::string good = encode({MessageKind::hello, "n3"}), client = encode({MessageKind::connection, {}});
-  for (std::size_t cut = 0; cut < 8; ++cut) EXPECT_FALSE(decode(good.substr(0, cut), 0)) << cut;
-  for (std::size_t at = 0; at < 8; ++at)
+  const std::string helloBytes = encode({MessageKind::hello, "n3"}),
+                    connectionBytes = encode({MessageKind::connection, {}});
+  for (std::size_t length = 0; length < 8; ++length)
+    EXPECT_FALSE(decode(helloBytes.substr(0, length), 0)) << length;
+  for (std::size_t offset = 0; offset < 8; ++offset)
     for (int bit = 0; bit < 8; ++bit) {
-      std::string bad = client;
-      bad[at] = static_cast<char>(bad[at] ^ (1 << bit));
-      EXPECT_FALSE(decode(bad, 1)) << at << " " << bit;
+      std::string corrupted = connectionBytes;
+      corrupted[offset] = static_cast<char>(corrupted[offset] ^ (1 << bit));
+      EXPECT_FALSE(decode(corrupted, 1)) << offset << " " << bit;
     }
-  EXPECT_FALSE(decode(client + "x", 1));
-  EXPECT_FALSE(decode(client, 0));  // a connection without its descriptor
-  EXPECT_FALSE(decode(client, 2));
-  EXPECT_FALSE(decode(good, 1));  // a descriptor with a message that has none
-  EXPECT_FALSE(decode(good + std::string(kMaxNameBytes, 'x'), 0));
+  EXPECT_FALSE(decode(connectionBytes + "x", 1));
+  EXPECT_FALSE(decode(connectionBytes, 0));  // a connection without its descriptor
+  EXPECT_FALSE(decode(connectionBytes, 2));
+  EXPECT_FALSE(decode(helloBytes, 1));  // a descriptor with a message that has none
+  EXPECT_FALSE(decode(helloBytes + std::string(kMaxNameBytes, 'x'), 0));
 }
 
-// The two processes may be of different versions, so the format is fixed by literal bytes of each kind.
-TEST(HandoverMessage, BytesOfEachKindAreFixed) {
+// The two processes may be of different releases, so each kind is compared with literal bytes.
+TEST(HandoverMessage, EncodesLiteralBytesForEachKind) {
   using namespace std::string_literals;
   EXPECT_EQ(encode({MessageKind::hello, "n3"}), "fsho\x01\x01\0\0n3"s);
   EXPECT_EQ(encode({MessageKind::welcome, "n3"}), "fsho\x01\x02\0\0n3"s);
--- a/tests/ops/admin_call_test.cpp
+++ b/tests/ops/admin_call_test.cpp
@@ -1,3 +1,4 @@
+// Parsing of administration calls from request lines.
 #include "ops/admin_call.hpp"
 
 #include <gtest/gtest.h>
@@ -13,20 +14,20 @@
   EXPECT_EQ(parseAdminCall("GET", "/api/telemetry?x=1").call->kind, AdminCallKind::telemetry);
   EXPECT_EQ(parseAdminCall("PUT", "/api/evacuate").call->kind, AdminCallKind::evacuate);
   EXPECT_EQ(parseAdminCall("PUT", "/api/rejoin").call->kind, AdminCallKind::rejoin);
-  const auto out = parseAdminCall("PUT", "/api/exclude/s-5be2a07c"),
-             back = parseAdminCall("PUT", "/api/include/a%2Fb%20c");
-  EXPECT_EQ(out.call->kind, AdminCallKind::exclude);
-  EXPECT_EQ(out.call->host, "s-5be2a07c");
-  EXPECT_EQ(back.call->kind, AdminCallKind::include);
-  EXPECT_EQ(back.call->host, "a/b c");
+  const auto excludeCall = parseAdminCall("PUT", "/api/exclude/s-5be2a07c"),
+             includeCall = parseAdminCall("PUT", "/api/include/a%2Fb%20c");
+  EXPECT_EQ(excludeCall.call->kind, AdminCallKind::exclude);
+  EXPECT_EQ(excludeCall.call->host, "s-5be2a07c");
+  EXPECT_EQ(includeCall.call->kind, AdminCallKind::include);
+  EXPECT_EQ(includeCall.call->host, "a/b c");
 }
 
-TEST(AdminCall, RejectsOtherRequestsWithStatus) {
+TEST(AdminCall, RejectsOtherRequestsWithTheirStatus) {
   for (const char* target : {"/", "", "/api", "/api/", "/apis/ready", "/api/ready/", "/api/exclude",
                              "/api/nothing", "/api/ready/x", "/health/ready"}) {
-    const AdminCallResult r = parseAdminCall("GET", target);
-    EXPECT_FALSE(r.call) << target;
-    EXPECT_EQ(r.status, 404u) << target;
+    const AdminCallResult result = parseAdminCall("GET", target);
+    EXPECT_FALSE(result.call) << target;
+    EXPECT_EQ(result.status, 404u) << target;
   }
   EXPECT_EQ(parseAdminCall("PUT", "/api/ready").status, 405u);
   EXPECT_EQ(parseAdminCall("PUT", "/api/ready").allow, "GET");
--- a/tests/ops/exposition_test.cpp
+++ b/tests/ops/exposition_test.cpp
@@ -1,3 +1,4 @@
+// The metrics in the exposition format.
 #include "ops/exposition.hpp"
 
 #include <gtest/gtest.h>
@@ -5,16 +6,16 @@
 namespace finchstile::ops {
 namespace {
 
-TEST(Exposition, HasOneLineForEachMetric) {
-  GatewayMetrics f;
-  f.classes = {{"log-in", 812, 3, 1}, {"a\"b\\c\nd", 0, 0, 0}};
-  f.attemptsSent = 900;
-  f.activeRequests = 14;
-  f.listedHosts = 12;
-  f.avoidedHosts = 2;
-  f.loadReports = 5;
-  f.malformedLoadReports = 6;
-  EXPECT_EQ(renderMetrics(f, {4, 1}),
+TEST(Exposition, RendersEachMetricInOneLine) {
+  GatewayMetrics metrics;
+  metrics.classes = {{"log-in", 812, 3, 1}, {"a\"b\\c\nd", 0, 0, 0}};
+  metrics.attemptsSent = 900;
+  metrics.activeRequests = 14;
+  metrics.listedHosts = 12;
+  metrics.avoidedHosts = 2;
+  metrics.loadReports = 5;
+  metrics.malformedLoadReports = 6;
+  EXPECT_EQ(renderMetrics(metrics, {4, 1}),
             "# TYPE lb_transactions_total counter\n"
             "lb_transactions_total{group=\"log-in\",state=\"answered\"} 812\n"
             "lb_transactions_total{group=\"log-in\",state=\"deferred\"} 3\n"
--- a/tests/ops/state_file_test.cpp
+++ b/tests/ops/state_file_test.cpp
@@ -1,4 +1,4 @@
-// The file that the processes of a gateway share.
+// The file that is shared by the processes of a gateway.
 #include "ops/state_file.hpp"
 
 #include <gtest/gtest.h>
@@ -10,17 +10,18 @@
 
 TEST(StateFileTest, ReturnsEachChangeByAnotherProcessOnce) {
   const testing::Folder folder;
-  StateFile one(folder / "s"), two(folder / "s");
-  EXPECT_FALSE(one.readIfChanged());
-  ASSERT_TRUE(one.write("first"));
-  EXPECT_FALSE(one.readIfChanged());  // its own change
-  EXPECT_EQ(two.readIfChanged(), "first");
-  EXPECT_FALSE(two.readIfChanged());
-  ASSERT_TRUE(two.write("other"));  // of the same size, and perhaps in the same instant
-  EXPECT_EQ(one.readIfChanged(), "other");
-  StateFile nowhere(folder / "missing/s");
-  EXPECT_FALSE(nowhere.write("x"));
-  EXPECT_FALSE(nowhere.readIfChanged());
+  StateFile firstProcess(folder / "s"), secondProcess(folder / "s");
+  EXPECT_FALSE(firstProcess.readIfChanged());
+  ASSERT_TRUE(firstProcess.write("first"));
+  EXPECT_FALSE(firstProcess.readIfChanged());  // its own change
+  EXPECT_EQ(secondProcess.readIfChanged(), "first");
+  EXPECT_FALSE(secondProcess.readIfChanged());
+  ASSERT_TRUE(
+      secondProcess.write("other"));  // of the same size, and possibly with the same modification time
+  EXPECT_EQ(firstProcess.readIfChanged(), "other");
+  StateFile unwritable(folder / "missing/s");
+  EXPECT_FALSE(unwritable.write("x"));
+  EXPECT_FALSE(unwritable.readIfChanged());
 }
 
 }  // namespace
--- a/tests/peer/replay_window_test.cpp
+++ b/tests/peer/replay_window_test.cpp
@@ -1,4 +1,4 @@
-// Each datagram of a sender is accepted once.
+// Rejection of replayed datagrams.
 #include "peer/replay_window.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   EXPECT_FALSE(window.accept(5, 98));  // below the window
   EXPECT_TRUE(window.accept(5, 1'000'000));
   EXPECT_FALSE(window.accept(5, 163));
-  EXPECT_FALSE(window.accept(4, 2'000'000));  // of an earlier epoch
+  EXPECT_FALSE(window.accept(4, 2'000'000));  // earlier epoch
   EXPECT_TRUE(window.accept(6, 1));
   EXPECT_FALSE(window.accept(5, 1'000'001));
 }
--- a/tests/peer/secret_test.cpp
+++ b/tests/peer/secret_test.cpp
@@ -1,4 +1,4 @@
-// The file with the secret that all gateways share.
+// Loading of the secret that all gateways share.
 #include "peer/secret.hpp"
 
 #include <gtest/gtest.h>
@@ -29,18 +29,18 @@
     std::filesystem::permissions(path, static_cast<std::filesystem::perms>(mode));
     return path;
   };
-  const SipKey k = loadSecret(secret("0706050403020100f0e0d0c0b0a09080\n"));
-  EXPECT_EQ(k.a, 0x0706050403020100u);
-  EXPECT_EQ(k.b, 0xf0e0d0c0b0a09080u);
+  const SipKey key = loadSecret(secret("0706050403020100f0e0d0c0b0a09080\n"));
+  EXPECT_EQ(key.a, 0x0706050403020100u);
+  EXPECT_EQ(key.b, 0xf0e0d0c0b0a09080u);
   EXPECT_THROW(loadSecret(secret("0706050403020100f0e0d0c0b0a09080", 0644)), std::runtime_error);
-  for (const char* bad :
+  for (const char* invalidText :
        {"", "0706", "0706050403020100f0e0d0c0b0a0908g", "0706050403020100f0e0d0c0b0a09080aa",
         "0706050403020100f0e0d0c0b0a09080\n\n", " 706050403020100f0e0d0c0b0a09080"})
-    EXPECT_THROW(loadSecret(secret(bad)), std::runtime_error) << bad;
+    EXPECT_THROW(loadSecret(secret(invalidText)), std::runtime_error) << invalidText;
   EXPECT_THROW(loadSecret(folder / "none"), std::runtime_error);
 }
 
-TEST(Secret, ErrorHasItsCode) {
+TEST(Secret, ReportsTheErrorCodeOfEachFault) {
   const finchstile::testing::Folder folder;
   const std::string path = folder / "secret";
   EXPECT_EQ(errorOf(path), Code::unreadable);
--- a/tests/peer/settings_test.cpp
+++ b/tests/peer/settings_test.cpp
@@ -1,4 +1,4 @@
-// The [peers] table.
+// Settings of the [peers] table.
 #include "peer/settings.hpp"
 
 #include <gtest/gtest.h>
@@ -8,15 +8,15 @@
 namespace finchstile::peer {
 namespace {
 
-TEST(PeerSettings, ParsesEndpointsExactly) {
+TEST(PeerSettings, ParsesOnlyCompleteEndpoints) {
   EXPECT_EQ(parseEndpoint("10.0.0.4:7946")->port(), 7946);
   EXPECT_EQ(parseEndpoint("[::1]:7946")->address().to_string(), "::1");
-  for (const char* bad : {"", "10.0.0.4", "10.0.0.4:", "10.0.0.4:0", "10.0.0.4:65536", "host:1", "::1:7946",
-                          "10.0.0.4:7946x", "[10.0.0.4]:1", "10.0.0:1"})
-    EXPECT_FALSE(parseEndpoint(bad)) << bad;
+  for (const char* invalidText : {"", "10.0.0.4", "10.0.0.4:", "10.0.0.4:0", "10.0.0.4:65536", "host:1",
+                                  "::1:7946", "10.0.0.4:7946x", "[10.0.0.4]:1", "10.0.0:1"})
+    EXPECT_FALSE(parseEndpoint(invalidText)) << invalidText;
 }
 
-TEST(PeerSettings, ReadsAddressesUpToTheBound) {
+TEST(PeerSettings, ReadsAddressesUpToTheMaximumNumber) {
   const auto read = [](int addresses, PeerSettings& out) {
     std::string text = "[peers]\nenabled = true\nsecret_file = 's'\nown = '10.0.0.1:7946'\naddresses = [";
     for (int i = 0; i < addresses; ++i)
@@ -28,7 +28,7 @@
       readPeerSettings(root, "", out);
     }
     std::string lines;
-    for (const SettingProblem& p : problems) lines += describe("f", p) + "\n";
+    for (const SettingProblem& problem : problems) lines += describe("f", problem) + "\n";
     return lines;
   };
   PeerSettings some, most, more;
