--- a/tests/ops/state_file_test.cpp
+++ b/tests/ops/state_file_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 TEST(StateFileTest, ReturnsEachChangeByAnotherProcessOnce) {
-  const testing::Folder folder;
+  const testing::TemporaryDirectory folder;
   StateFile firstProcess(folder / "s"), secondProcess(folder / "s");
   EXPECT_FALSE(firstProcess.readIfChanged());
   ASSERT_TRUE(firstProcess.write("first"));
