--- a/src/configuration/client.cpp
+++ b/src/configuration/client.cpp
@@ -121,7 +121,7 @@
   const LongPollClient::Timeouts timeouts{maxWait + settings_.silenceTimeout, settings_.silenceTimeout,
                                           settings_.maxResponseTime};
   const PollRequest request{gatewayName_, versionState_, maxWait};
-  longPollClient_.call(settings_.endpoints[currentEndpoint_], formatPollTarget(request), timeouts);
+  longPollClient_.poll(settings_.endpoints[currentEndpoint_], formatPollTarget(request), timeouts);
 }
 
 void Client::onLongPollFailed() { onEndpointFailure(); }
