--- a/tests/ops/host_cordon_test.cpp
+++ b/tests/ops/host_cordon_test.cpp
@@ -2,6 +2,7 @@
 #include "ops/host_cordon.hpp"
 
 #include <gtest/gtest.h>
+
 #include <random>
 #include <set>
 
