--- a/src/membership/list_policy.hpp
+++ b/src/membership/list_policy.hpp
@@ -75,9 +75,8 @@
   const ListStatistics& statistics() const { return statistics_; }
   std::int64_t version() const { return version_; }
   Time lastAcceptedAt() const { return lastAcceptedAt_; }  // 0: none yet
-  bool isHolding() const {
-    return holdUntil_ != Time{};
-  }  // whether omissions of a suspicious list are held back
+  // Whether omissions of a suspicious list are held back.
+  bool isHolding() const { return holdUntil_ != Time{}; }
   std::size_t hostCount() const { return hosts_.size(); }
   // Why the effective phase of the host differs from the list; empty: it does not. Operators read the text.
   std::string_view restrictionReason(std::string_view host) const;
--- a/src/membership/warm_start.hpp
+++ b/src/membership/warm_start.hpp
@@ -1,7 +1,7 @@
 // Warm start of a gateway: it requests snapshots from running gateways and merges them, weighted by the age
-// of each record and by the uptime of the sending gateway. Serving does not wait for it. A snapshot cannot
-// override the endpoint lists, and phases in it are handled as assertions of that peer (gossip.hpp). No I/O;
-// the caller passes the current time and the random seed.
+// of each record and by the uptime of the sending gateway. Serving does not wait for it. A snapshot
+// overrides neither the endpoint lists nor the rules applied to them, and its phases are handled as
+// assertions of that peer (gossip.hpp). No I/O; the caller passes the current time and the random seed.
 #pragma once
 
 #include <cstdint>
@@ -24,13 +24,11 @@
   GatewayNumber ownNumber = 0;
   GatewayNumber gatewayCount = 1;
   std::size_t parallelRequests = 2;
-  std::size_t maxRequests = 4;  // total number of gateways requested from
-  Duration peerTimeout =
-      std::chrono::milliseconds(100);           // without a chunk, until another gateway is requested from
-  Duration deadline = std::chrono::seconds(2);  // since the start; later chunks are ignored
-  Duration fullTrustUptime =
-      std::chrono::seconds(10);                  // uptime from which a gateway's records have full weight
-  Duration minUptime = std::chrono::seconds(1);  // uptime below which they have none
+  std::size_t maxRequests = 4;                            // in total
+  Duration peerTimeout = std::chrono::milliseconds(100);  // without a chunk, before the next request
+  Duration deadline = std::chrono::seconds(2);            // since the start; later chunks are ignored
+  Duration fullTrustUptime = std::chrono::seconds(10);    // from which a gateway's records have full weight
+  Duration minUptime = std::chrono::seconds(1);           // below which a gateway's records have no weight
   Duration hostRecordHalfLife = std::chrono::seconds(5);  // of the weight of a host record
   std::size_t maxHostRecords = 65'536;
 };
