--- a/src/ops/host_cordon.hpp
+++ b/src/ops/host_cordon.hpp
@@ -37,7 +37,7 @@
 
   bool isCordoned(const std::string& host) const;
   std::size_t count() const { return cordonedHosts_; }
-  bool isRemembered(const std::string& host) const { return hosts_.count(host) > 0; }
+  bool isTracked(const std::string& host) const { return hosts_.count(host) > 0; }
 
   // Changes an entry of the endpoint list to its effective phase and start time.
   void apply(load_balancing::HostEntry& entry) const;
--- a/tests/ops/host_cordon_test.cpp
+++ b/tests/ops/host_cordon_test.cpp
@@ -68,9 +68,9 @@
   cordons.apply(later);
   EXPECT_EQ(later.startedAt, seconds(101));
   cordons.expire(seconds(105), seconds(9));
-  EXPECT_TRUE(cordons.isRemembered("a"));
+  EXPECT_TRUE(cordons.isTracked("a"));
   cordons.expire(seconds(110), seconds(9));
-  EXPECT_FALSE(cordons.isRemembered("a"));
+  EXPECT_FALSE(cordons.isTracked("a"));
 }
 
 TEST(HostCordon, LimitsTheNumberOfHosts) {
