--- a/src/membership/gossip.hpp
+++ b/src/membership/gossip.hpp
@@ -78,7 +78,7 @@
   // what peers have asserted about the host.
   void onListed(HostKey host, std::int64_t startedUnixMs, HostPhase phase, std::uint64_t version, Time now);
   // Drops the state of the host. Its removal is still sent to peers.
-  void onHostForgotten(HostKey host);
+  void onHostErased(HostKey host);
 
   void onMessage(GatewayNumber from, std::string_view payload, Time now);
   // Handles one update, received in a gossip message or in a snapshot.
