--- a/src/configuration/control_plane_endpoints.hpp
+++ b/src/configuration/control_plane_endpoints.hpp
@@ -16,10 +16,12 @@
 using load_balancing::Time;
 
 struct BackoffSettings {
-  Duration maxFailoverDelay =
-      std::chrono::milliseconds(250);  // limit of the random delay before another machine is polled
-  Duration minBackoff = std::chrono::seconds(1);   // fixed part, after each failure of a machine
-  Duration maxBackoff = std::chrono::seconds(30);  // limit of the random part that is added to it
+  // Limit of the random delay before another machine is polled.
+  Duration maxFailoverDelay = std::chrono::milliseconds(250);
+  // Backoff after each failure of a machine: a fixed part, and the limit of the random part that is added to
+  // it.
+  Duration minBackoff = std::chrono::seconds(1);
+  Duration maxBackoff = std::chrono::seconds(30);
 };
 
 class ControlPlaneEndpoints {
--- a/src/configuration/settings.hpp
+++ b/src/configuration/settings.hpp
@@ -15,10 +15,10 @@
   bool enabled = false;
   std::vector<std::string> addresses;                     // of the control machines, as in the file
   std::vector<boost::asio::ip::tcp::endpoint> endpoints;  // of `addresses`, in the same order
-  Duration longPollWait =
-      std::chrono::seconds(1);  // how long a machine may hold a poll while there is no newer version
-  Duration silenceTimeout =
-      std::chrono::milliseconds(500);  // time without data, beyond `longPollWait`, until a poll fails
+  // How long a machine may hold a poll while there is no newer version.
+  Duration longPollWait = std::chrono::seconds(1);
+  // After which time without data, beyond `longPollWait`, a poll fails.
+  Duration silenceTimeout = std::chrono::milliseconds(500);
   Duration maxResponseTime = std::chrono::minutes(1);         // from the first byte of a response to its last
   Duration minPollInterval = std::chrono::milliseconds(250);  // between the starts of two polls
   BackoffSettings backoff;
--- a/src/drain/plan.hpp
+++ b/src/drain/plan.hpp
@@ -26,10 +26,10 @@
 
 struct DrainSettings {
   Duration longestDeadline{};  // of all requests
-  Duration
-      maxServeTime{};  // how long connections are kept open at most; 0: each response closes its connection
-  bool sharedListener =
-      false;  // other processes accept from the same listener, so connections are not kept open
+  // How long connections are kept open at most; 0: each response closes its connection.
+  Duration maxServeTime{};
+  // Whether other processes accept from the same listener; if so, connections are not kept open.
+  bool sharedListener = false;
 };
 
 class DrainPlan {
--- a/src/handover/learned_state_text.hpp
+++ b/src/handover/learned_state_text.hpp
@@ -10,8 +10,8 @@
 
 namespace finchstile::handover {
 
-inline constexpr std::size_t kMaxLearnedStateBytes =
-    60'000;  // enough for about 600 hosts with learned values
+// Enough for about 600 hosts with learned values.
+inline constexpr std::size_t kMaxLearnedStateBytes = 60'000;
 
 struct LearnedStateText {
   std::string text;
--- a/src/handover/listener.hpp
+++ b/src/handover/listener.hpp
@@ -48,8 +48,8 @@
   std::function<void(std::shared_ptr<Channel>)> onConnect_;
   boost::asio::posix::stream_descriptor socket_;
   std::uint64_t inode_ = 0;  // of the own socket, to recognize a replacement of the path
-  const std::shared_ptr<bool> alive_ =
-      std::make_shared<bool>(true);  // false after the destruction of this object
+  // Set to false by the destructor, for handlers that run later.
+  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace finchstile::handover
--- a/src/membership/gossip.hpp
+++ b/src/membership/gossip.hpp
@@ -32,14 +32,16 @@
   GatewayNumber gatewayCount = 1;
   Duration period = std::chrono::milliseconds(200);  // interval between rounds of messages
   std::size_t fanout = 3;                            // recipients of each round
-  double retransmitMultiplier = 2;  // times log2(gateways + 1): rounds in which an update is sent
-  std::size_t quorum = 3;  // gateways that must observe a host as unresponsive; at most all other ones
+  // An update is sent in `retransmitMultiplier` * log2(gatewayCount + 1) rounds, rounded up.
+  double retransmitMultiplier = 2;
+  // Number of other gateways that have to observe a host as unresponsive; at most all of them.
+  std::size_t quorum = 3;
   Duration observationLifetime = std::chrono::seconds(3);  // of an observation as unresponsive
   Duration phaseLifetime = std::chrono::seconds(10);       // of a peer's phase that the own list lacks
   double maxPhaseFraction = 0.25;                          // of hosts restricted by the phases of one gateway
   double maxUnresponsiveFraction = 0.5;                    // of hosts restricted by a quorum of observations
-  double maxReputation = 32;  // unconfirmed assertions until those of a gateway are ignored
-  Duration reputationInterval = std::chrono::seconds(60);  // to regain one point
+  double maxReputation = 32;  // unconfirmed assertions until a gateway is ignored
+  Duration reputationInterval = std::chrono::seconds(60);  // to regain one point of reputation
   std::size_t maxQueuedUpdates = 4096;
 };
 
