--- a/tests/configuration/gateway_test.cpp
+++ b/tests/configuration/gateway_test.cpp
@@ -24,11 +24,11 @@
     return phaseBit(RequestPhase::received) | phaseBit(RequestPhase::completed);
   }
   FilterDecision onRequestReceived(RequestContext& context) override {
-    arrived.emplace_back(context.tenantChange);
+    arrived.emplace_back(context.tenant);
     return {};
   }
   void onRequestCompleted(RequestContext& context, RequestResult) override {
-    ended.emplace_back(context.tenantChange);
+    ended.emplace_back(context.tenant);
   }
 };
 
@@ -68,8 +68,8 @@
   bool becomesActive(const Version& version) {
     return until([&] { return client->statistics().activeVersion == version; });
   }
-  void sendRequest(TestClient& testClient, const std::string& tenantChange) {
-    testClient.sendRequest("GET", "/read", 2500, "", "X-Account: " + tenantChange + "\r\n");
+  void sendRequest(TestClient& testClient, const std::string& tenantName) {
+    testClient.sendRequest("GET", "/read", 2500, "", "X-Account: " + tenantName + "\r\n");
   }
 };
 
