--- a/src/base/address.hpp
+++ b/src/base/address.hpp
@@ -1,4 +1,4 @@
-// "10.0.0.4:8443": an address and a port, as settings have them.
+// Parsing of "10.0.0.4:8443": IP address and port of settings.
 #pragma once
 
 #include <boost/asio/ip/address.hpp>
@@ -11,7 +11,7 @@
 
 namespace finchstile {
 
-// Nothing if it is none. No names: nothing is looked up.
+// Empty if invalid. Host names are not resolved.
 inline std::optional<std::pair<boost::asio::ip::address, std::uint16_t>> parseAddress(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
@@ -25,7 +25,8 @@
   return std::pair(address, port);
 }
 
-// The same as operators write it: an IPv6 address in brackets, "[::1]:9000", and no port 0.
+// Listen address in the notation of operator settings: IPv6 in brackets, as in "[::1]:9000"; port 0 is
+// rejected.
 inline std::optional<std::pair<boost::asio::ip::address, std::uint16_t>> parseListenAddress(
     std::string_view text) {
   const std::size_t close = text.rfind("]:");
--- a/src/base/crc32.hpp
+++ b/src/base/crc32.hpp
@@ -1,5 +1,4 @@
-// CRC-32 as in IEEE 802.3 (reflected, 0xedb88320): finds what bad disks and torn writes do, not what an enemy
-// does.
+// CRC-32 of IEEE 802.3 (reflected, 0xedb88320). Detects disk errors and torn writes, not deliberate changes.
 #pragma once
 
 #include <array>
@@ -21,7 +20,7 @@
 inline constexpr std::array<std::uint32_t, 256> kCrcTable = makeCrcTable();
 }  // namespace detail
 
-// `before`: the sum of what comes ahead of these bytes.
+// `before`: checksum of the preceding bytes.
 inline std::uint32_t crc32(std::string_view bytes, std::uint32_t before = 0) {
   std::uint32_t c = ~before;
   for (const char b : bytes) c = detail::kCrcTable[(c ^ static_cast<unsigned char>(b)) & 0xff] ^ (c >> 8);
--- a/src/base/descriptor.hpp
+++ b/src/base/descriptor.hpp
@@ -1,4 +1,4 @@
-// A file descriptor that is closed with its owner; below 0: none.
+// Owns a file descriptor and closes it on destruction; a negative value means none.
 #pragma once
 
 #include <unistd.h>
@@ -16,7 +16,7 @@
   Descriptor(const Descriptor&) = delete;
   Descriptor& operator=(const Descriptor&) = delete;
   int get() const { return fd_; }
-  int release() { return std::exchange(fd_, -1); }  // the caller's from then on
+  int release() { return std::exchange(fd_, -1); }  // transfers ownership to the caller
 
  private:
   int fd_;
--- a/src/base/fields.hpp
+++ b/src/base/fields.hpp
@@ -1,4 +1,4 @@
-// Records and messages as bytes, field by field: integers little-endian, text as its length and its bytes.
+// Binary encoding of records and messages: little-endian integers, and text as its length and bytes.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +20,7 @@
     putLittleEndian(bytes_, value);
     return *this;
   }
-  // Longer than its length can say, it is cut.
+  // Text longer than the maximum of `Length` is truncated.
   template <class Length = std::uint16_t>
   FieldWriter& text(std::string_view s) {
     s = s.substr(0, std::numeric_limits<Length>::max());
@@ -34,7 +34,7 @@
   std::string bytes_;
 };
 
-// Once a field is not there, all that follow read as nothing, and `isComplete` is false.
+// After a missing field, all later fields read as empty or 0 and `isComplete` is false.
 class FieldReader {
  public:
   explicit FieldReader(std::string_view bytes) : rest_(bytes) {}
@@ -54,8 +54,8 @@
     return s;
   }
   std::string rest() { return std::string(std::exchange(rest_, {})); }
-  bool require(bool holds) { return good_ = good_ && holds; }  // a value that is read must be one that can be
-  bool isComplete() const { return good_ && rest_.empty(); }  // nothing is missing, and nothing more is there
+  bool require(bool holds) { return good_ = good_ && holds; }  // marks the record invalid unless `holds`
+  bool isComplete() const { return good_ && rest_.empty(); }   // no field is missing and no bytes are left
 
  private:
   std::string_view rest_;
--- a/src/base/file_name.hpp
+++ b/src/base/file_name.hpp
@@ -1,4 +1,4 @@
-// Names that may hold any byte, as part of a file's name.
+// Conversion of names with arbitrary bytes to file name components.
 #pragma once
 
 #include <algorithm>
--- a/src/base/header_line.hpp
+++ b/src/base/header_line.hpp
@@ -1,4 +1,4 @@
-// A header line of an HTTP message, as its parts.
+// Name and value of an HTTP header field.
 #pragma once
 
 #include <string>
--- a/src/base/little_endian.hpp
+++ b/src/base/little_endian.hpp
@@ -1,4 +1,4 @@
-// Integers as bytes, the lowest first.
+// Little-endian encoding of integers.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
     to += static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * i) & 0xff);
 }
 
-// `from` has sizeof(Int) bytes at least.
+// `from` must have at least sizeof(Int) bytes.
 template <class Int>
 Int getLittleEndian(std::string_view from) {
   std::uint64_t value = 0;
--- a/src/base/metric_label.hpp
+++ b/src/base/metric_label.hpp
@@ -1,5 +1,4 @@
-// The value of a label in the exposition format of scrapers: a backslash, a quote and a line's end are
-// escaped.
+// Escapes a label value for the Prometheus exposition format: backslash, double quote and newline.
 #pragma once
 
 #include <string>
--- a/src/base/percent.hpp
+++ b/src/base/percent.hpp
@@ -1,4 +1,4 @@
-// Percent-encoding (RFC 3986, 2.1) of names that may hold any byte.
+// Percent-encoding (RFC 3986, 2.1) of names with arbitrary bytes.
 #pragma once
 
 #include <optional>
@@ -7,7 +7,7 @@
 
 namespace finchstile {
 
-// What is visible ASCII and no percent sign stays as it is.
+// Visible ASCII except the percent sign is unchanged.
 inline std::string percentEncoded(std::string_view text) {
   static constexpr char kDigits[] = "0123456789abcdef";
   std::string out;
@@ -18,8 +18,8 @@
   return out;
 }
 
-// Nothing where a percent sign has no two digits behind it. Danger: a name that is decoded twice, or half, is
-// another's.
+// Empty if a percent sign is not followed by two hex digits. Partial decoding must not succeed: the result
+// could be the name of another object.
 inline std::optional<std::string> percentDecoded(std::string_view text) {
   const auto digit = [](char c) {
     if (c >= '0' && c <= '9') return c - '0';
--- a/src/base/siphash.hpp
+++ b/src/base/siphash.hpp
@@ -1,5 +1,5 @@
-// SipHash-2-4 with 128 bits out (Aumasson and Bernstein, 2012): keyed, so that nobody who does not hold the
-// seed can make two requests alike, or fill one chain of a table.
+// SipHash-2-4 with 128-bit output (Aumasson and Bernstein, 2012). Keyed, so that nobody without the key can
+// produce colliding requests or overload one chain of a hash table.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
   bool operator==(const SipHash128&) const = default;
 };
 
-// Over parts with their lengths: ("ab", "c") and ("a", "bc") differ.
+// Hashes each part with its length: ("ab", "c") and ("a", "bc") differ.
 class SipHasher {
  public:
   explicit SipHasher(const SipKey& key);
--- a/src/base/splitmix64.hpp
+++ b/src/base/splitmix64.hpp
@@ -1,5 +1,5 @@
-// A small generator for draws that only have to be spread, and the same for a seed on any machine (Steele,
-// Lea, Flood 2014). Not for secrets.
+// Pseudo-random generator with the same sequence for a seed on every platform (Steele, Lea, Flood 2014). Not
+// for secrets.
 #pragma once
 
 #include <cstdint>
--- a/src/operator/reader.cpp
+++ b/src/operator/reader.cpp
@@ -29,14 +29,14 @@
   return "from " + std::to_string(least) + " to " + std::to_string(most);
 }
 
-std::string shown(double d) {
+std::string formatNumber(double d) {
   char text[32];
   std::snprintf(text, sizeof text, "%g", d);
   return text;
 }
 
-// Levenshtein's distance with swaps of neighbours (optimal string alignment), on keys of bounded length.
-std::size_t distance(std::string_view a, std::string_view b) {
+// Optimal string alignment distance (Levenshtein with adjacent swaps); key lengths are bounded by the caller.
+std::size_t editDistance(std::string_view a, std::string_view b) {
   std::vector<std::vector<std::size_t>> d(a.size() + 1, std::vector<std::size_t>(b.size() + 1));
   for (std::size_t i = 0; i <= a.size(); ++i) d[i][0] = i;
   for (std::size_t j = 0; j <= b.size(); ++j) d[0][j] = j;
@@ -83,14 +83,14 @@
   constexpr std::size_t kLongest = 64;
   if (key.size() > kLongest) return {};
   std::string_view best;
-  // Of a short name nearly any other is a few edits away.
+  // A short key is within a few edits of almost any other, so it needs a closer match.
   std::size_t least = (key.size() <= 2   ? 0
                        : key.size() <= 4 ? 1
                                          : std::max<std::size_t>(2, key.size() / 3)) +
                       1;
   for (const std::string& k : known) {
     if (k.size() > kLongest) continue;
-    if (const std::size_t d = distance(key, k); d < least) least = d, best = k;
+    if (const std::size_t d = editDistance(key, k); d < least) least = d, best = k;
   }
   return std::string(best);
 }
@@ -106,13 +106,13 @@
 
 SettingReader::~SettingReader() {
   for (const auto& [key, value] : table_) {
-    if (std::find(known_.begin(), known_.end(), key) != known_.end()) continue;
+    if (std::find(readKeys_.begin(), readKeys_.end(), key) != readKeys_.end()) continue;
     std::string what = "unknown key " + name(key);
-    if (const auto near = nearestOf(key, known_); !near.empty()) {
+    if (const auto near = nearestOf(key, readKeys_); !near.empty()) {
       what += "; did you mean " + name(near) + "?";
     } else {
       what += "; known here:";
-      for (const std::string& k : known_) what += " " + k;
+      for (const std::string& k : readKeys_) what += " " + k;
     }
     problems_.push_back({value.line, std::move(what)});
   }
@@ -128,12 +128,12 @@
 }
 
 const SettingNode* SettingReader::find(const char* key) {
-  if (std::find(known_.begin(), known_.end(), key) == known_.end()) known_.emplace_back(key);
+  if (std::find(readKeys_.begin(), readKeys_.end(), key) == readKeys_.end()) readKeys_.emplace_back(key);
   const auto it = table_.find(std::string_view(key));
   return it == table_.end() ? nullptr : &it->second;
 }
 
-void SettingReader::wrong(const char* key, const SettingNode& at, const std::string& wanted) {
+void SettingReader::addTypeError(const char* key, const SettingNode& at, const std::string& wanted) {
   problems_.push_back({at.line, name(key) + " must be " + wanted + ", and is " + std::string(at.kind())});
 }
 
@@ -149,7 +149,7 @@
   const SettingNode* node = find(key);
   if (!node) return false;
   const bool* value = std::get_if<bool>(&node->value);
-  if (!value) return wrong(key, *node, "true or false"), false;
+  if (!value) return addTypeError(key, *node, "true or false"), false;
   out = *value;
   return true;
 }
@@ -158,7 +158,7 @@
   const SettingNode* node = find(key);
   if (!node) return false;
   const auto* value = std::get_if<std::int64_t>(&node->value);
-  if (!value) return wrong(key, *node, "an integer " + range(least, most)), false;
+  if (!value) return addTypeError(key, *node, "an integer " + range(least, most)), false;
   if (*value < least || *value > most)
     return error(key, "must be " + range(least, most) + ", and is " + std::to_string(*value)), false;
   out = *value;
@@ -175,13 +175,13 @@
 bool SettingReader::number(const char* key, double& out, double least, double most) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  const std::string wanted = "from " + shown(least) + " to " + shown(most);
+  const std::string wanted = "from " + formatNumber(least) + " to " + formatNumber(most);
   double value = 0;
   if (const auto* d = std::get_if<double>(&node->value)) value = *d;
   else if (const auto* i = std::get_if<std::int64_t>(&node->value)) value = static_cast<double>(*i);
-  else return wrong(key, *node, "a number " + wanted), false;
-  if (!(value >= least && value <= most))  // NaN as well
-    return error(key, "must be " + wanted + ", and is " + shown(value)), false;
+  else return addTypeError(key, *node, "a number " + wanted), false;
+  if (!(value >= least && value <= most))  // also rejects NaN
+    return error(key, "must be " + wanted + ", and is " + formatNumber(value)), false;
   out = value;
   return true;
 }
@@ -192,7 +192,7 @@
   const std::string wanted =
       "a time from " + formatDuration(least) + " to " + formatDuration(most) + ", as in \"250ms\"";
   const auto* text = std::get_if<std::string>(&node->value);
-  if (!text) return wrong(key, *node, wanted), false;
+  if (!text) return addTypeError(key, *node, wanted), false;
   const auto value = parseDuration(*text);
   if (!value || *value < least || *value > most)
     return error(key, "must be " + wanted + ", and is \"" + text->substr(0, 40) + "\""), false;
@@ -205,7 +205,7 @@
   if (!node) return false;
   const std::string wanted = "text of 1 to " + std::to_string(longest) + " bytes";
   const auto* value = std::get_if<std::string>(&node->value);
-  if (!value) return wrong(key, *node, wanted), false;
+  if (!value) return addTypeError(key, *node, wanted), false;
   if (value->empty() || value->size() > longest)
     return error(key, "must be " + wanted + ", and has " + std::to_string(value->size())), false;
   out = *value;
@@ -218,7 +218,7 @@
   std::string wanted = "one of";
   for (const std::string& o : of) wanted += " \"" + o + "\"";
   const auto* value = std::get_if<std::string>(&node->value);
-  if (!value) return wrong(key, *node, wanted), false;
+  if (!value) return addTypeError(key, *node, wanted), false;
   if (std::find(of.begin(), of.end(), *value) == of.end()) {
     std::string what = "must be " + wanted + ", and is \"" + value->substr(0, 40) + "\"";
     if (const auto near = nearestOf(*value, of); !near.empty())
@@ -236,7 +236,7 @@
   const std::string wanted =
       "a list of at most " + std::to_string(most) + " texts of 1 to " + std::to_string(longest) + " bytes";
   const auto* list = std::get_if<SettingNode::Array>(&node->value);
-  if (!list) return wrong(key, *node, wanted), false;
+  if (!list) return addTypeError(key, *node, wanted), false;
   if (list->size() > most)
     return error(key, "must be " + wanted + ", and has " + std::to_string(list->size())), false;
   std::vector<std::string> read;
@@ -256,7 +256,8 @@
 bool SettingReader::table(const char* key, const std::function<void(SettingReader&)>& read) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  if (!std::holds_alternative<SettingNode::Table>(node->value)) return wrong(key, *node, "a table"), false;
+  if (!std::holds_alternative<SettingNode::Table>(node->value))
+    return addTypeError(key, *node, "a table"), false;
   SettingReader reader(*node, name(key), problems_);
   read(reader);
   return true;
@@ -268,7 +269,7 @@
   if (!node) return false;
   const std::string wanted = "a list of at most " + std::to_string(most) + " tables";
   const auto* list = std::get_if<SettingNode::Array>(&node->value);
-  if (!list) return wrong(key, *node, wanted), false;
+  if (!list) return addTypeError(key, *node, wanted), false;
   if (list->size() > most)
     return error(key, "must be " + wanted + ", and has " + std::to_string(list->size())), false;
   std::size_t number = 0;
--- a/tests/operator/document_test.cpp
+++ b/tests/operator/document_test.cpp
@@ -5,7 +5,7 @@
 namespace finchstile {
 namespace {
 
-TEST(Document, KeepsKindsAndLines) {
+TEST(Document, KeepsTypesAndLineNumbers) {
   std::vector<SettingProblem> problems;
   const SettingNode d = parseToml("a = 1\n[t]\nb = 'x'\nl = [1.5, true]\nd = 1979-05-27\n", problems);
   ASSERT_TRUE(problems.empty());
@@ -18,7 +18,7 @@
   EXPECT_EQ(t.at("d").kind(), "a date or time");
 }
 
-TEST(Document, NamesTheLineOfASyntaxError) {
+TEST(Document, ReportsTheLineOfASyntaxError) {
   std::vector<SettingProblem> problems;
   parseToml("a = 1\nb = = 2\n", problems);
   ASSERT_EQ(problems.size(), 1u);
--- a/tests/operator/reader_test.cpp
+++ b/tests/operator/reader_test.cpp
@@ -20,7 +20,7 @@
   return lines;
 }
 
-TEST(Durations, AreANumberAndAUnit) {
+TEST(Durations, ParseNumberAndUnitAndRejectOtherText) {
   EXPECT_EQ(parseDuration("250ms"), milliseconds(250));
   EXPECT_EQ(parseDuration("1.5s"), milliseconds(1500));
   EXPECT_EQ(parseDuration("2h"), seconds(7200));
@@ -30,7 +30,7 @@
     EXPECT_EQ(formatDuration(*parseDuration(good)), good);
 }
 
-TEST(Reader, TakesGoodValuesAndLeavesOthersAlone) {
+TEST(Reader, ReadsValidValuesAndKeepsDefaultsOfMissingKeys) {
   bool b = false;
   std::int64_t i = 7, missing = 5;
   double d = 0;
@@ -52,8 +52,8 @@
   EXPECT_EQ(list, (std::vector<std::string>{"x", "y"}));
 }
 
-// One look at the list must be enough to mend a file.
-TEST(Reader, ListsAllErrorsAtOnceWithWhatIsAllowed) {
+// All errors are reported together, so that a file can be corrected in one pass.
+TEST(Reader, ReportsAllErrorsWithAllowedValues) {
   std::int64_t i = 7;
   load_balancing::Duration t = seconds(1);
   std::string c = "open";
@@ -81,7 +81,7 @@
   EXPECT_EQ(c, "open");
 }
 
-TEST(Reader, ListsOfTablesAreBoundedAndNumbered) {
+TEST(Reader, ArraysOfTablesAreBoundedAndNumbered) {
   const auto read = [](SettingReader& r) {
     r.tables("hook", 2, [](SettingReader& h) {
       std::string name;
@@ -94,7 +94,7 @@
   EXPECT_EQ(problemsOf("hook = 3\n", read).size(), 1u);
 }
 
-TEST(Reader, NearestKnowsSwapsAndGivesUpOnStrangers) {
+TEST(Reader, NearestOfFindsSwapsAndRejectsUnrelatedKeys) {
   EXPECT_EQ(nearestOf("idel", {"idle", "request"}), "idle");
   EXPECT_EQ(nearestOf("descriptor_shares", {"descriptor_share"}), "descriptor_share");
   EXPECT_EQ(nearestOf("zzzzzz", {"idle", "request"}), "");
