--- a/src/stream/account.cpp
+++ b/src/stream/account.cpp
@@ -8,8 +8,8 @@
 namespace finchstile::stream {
 namespace {
 
-// Danger: a storm would fill the log, and the loop with it.
-constexpr double kLinesPerSecond = 50;
+// Limits log lines, so that many simultaneous endings do not flood the log and block the event loop.
+constexpr double kMaxLogLinesPerSecond = 50;
 
 template <class E>
 constexpr std::size_t at(E e) {
@@ -23,27 +23,28 @@
 
 }  // namespace
 
-bool StreamAccount::mayLog(Time now) {
-  if (tokensAt_ == Time{}) tokens_ = kLinesPerSecond;
-  else tokens_ += std::chrono::duration<double>(now - tokensAt_).count() * kLinesPerSecond;
-  tokensAt_ = now;
-  tokens_ = std::min(tokens_, kLinesPerSecond);
+bool StreamAccount::takeLogToken(Time now) {
+  if (lastRefill_ == Time{}) tokens_ = kMaxLogLinesPerSecond;
+  else tokens_ += std::chrono::duration<double>(now - lastRefill_).count() * kMaxLogLinesPerSecond;
+  lastRefill_ = now;
+  tokens_ = std::min(tokens_, kMaxLogLinesPerSecond);
   if (tokens_ < 1) return false;
   tokens_ -= 1;
   return true;
 }
 
-std::string StreamAccount::onEnded(const std::string& name, const Ended& e, bool begun, Time now) {
-  Named& n = of(name);
-  const Became became = becameOf(e.how);
+std::string StreamAccount::onEnded(const std::string& name, const EndedStream& e, bool established,
+                                   Time now) {
+  NameStats& n = of(name);
+  const StreamResult became = resultOf(e.how);
   ++n.ended[at(e.how.who)][at(e.how.why)];
   ++n.became[at(became)];
   n.in += e.in;
   n.out += e.out;
-  if (begun) --n.held;
-  if (log_ == LogEnds::none || (log_ == LogEnds::failed && became != Became::failed)) return {};
-  if (!mayLog(now)) {
-    ++unsaid_;
+  if (established) --n.held;
+  if (log_ == LogEnds::none || (log_ == LogEnds::failed && became != StreamResult::failed)) return {};
+  if (!takeLogToken(now)) {
+    ++suppressedLines_;
     return {};
   }
   char numbers[128];
@@ -55,17 +56,17 @@
                      " from=" + e.from;
   if (!e.host.empty()) text.append(" host=").append(e.host);
   text += numbers;
-  if (unsaid_ > 0) text += " unsaid=" + std::to_string(std::exchange(unsaid_, 0));
+  if (suppressedLines_ > 0) text += " unsaid=" + std::to_string(std::exchange(suppressedLines_, 0));
   return text;
 }
 
-std::uint64_t StreamAccount::ended(Became became) const {
+std::uint64_t StreamAccount::ended(StreamResult became) const {
   std::uint64_t sum = 0;
   for (const auto& [name, n] : names_) sum += n.became[at(became)];
   return sum;
 }
 
-std::uint64_t StreamAccount::ended(Ender who, Why why) const {
+std::uint64_t StreamAccount::ended(EndedBy who, EndReason why) const {
   std::uint64_t sum = 0;
   for (const auto& [name, n] : names_) sum += n.ended[at(who)][at(why)];
   return sum;
@@ -90,11 +91,11 @@
     line(out, "bytes_total", label + ",way=\"in\"", n.in);
     line(out, "bytes_total", label + ",way=\"out\"", n.out);
     for (std::size_t w = 0; w < 3; ++w)
-      for (std::size_t y = 0; y < kWhys; ++y)
+      for (std::size_t y = 0; y < kEndReasonCount; ++y)
         if (n.ended[w][y] > 0)
           line(out, "ended_total",
-               label + ",by=\"" + std::string(nameOf(static_cast<Ender>(w))) + "\",why=\"" +
-                   std::string(nameOf(static_cast<Why>(y))) + "\"",
+               label + ",by=\"" + std::string(nameOf(static_cast<EndedBy>(w))) + "\",why=\"" +
+                   std::string(nameOf(static_cast<EndReason>(y))) + "\"",
                n.ended[w][y]);
   }
   return out;
@@ -104,9 +105,9 @@
   std::uint64_t held = 0;
   for (const auto& [name, n] : names_) held += n.held;
   return "streams held=" + std::to_string(held) + " taken=" + std::to_string(taken()) +
-         " served=" + std::to_string(ended(Became::served)) +
-         " refused=" + std::to_string(ended(Became::refused)) +
-         " failed=" + std::to_string(ended(Became::failed));
+         " served=" + std::to_string(ended(StreamResult::served)) +
+         " refused=" + std::to_string(ended(StreamResult::refused)) +
+         " failed=" + std::to_string(ended(StreamResult::failed));
 }
 
 }  // namespace finchstile::stream
--- a/src/stream/deadlines.hpp
+++ b/src/stream/deadlines.hpp
@@ -1,6 +1,6 @@
-// When to look at which stream again, without a timer for each: a stream that moves only notes the time; it
-// is looked at when it could have become due, and put back if it moved since. So a look costs once for each
-// idle time, however much goes on. No I/O.
+// Deadline queue of streams without a timer for each. Activity only updates the time stored in the stream;
+// the stream is examined when its deadline passes, and rescheduled if it was active since. The cost is one
+// check per idle timeout, independent of the traffic. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 class Deadlines {
  public:
-  // Brings forward, or puts off, the look at `id`; `Time::max()`: none.
+  // Sets the deadline of `id`; `Time::max()` removes it.
   void set(std::uint64_t id, Time at) {
     const auto it = at_.find(id);
     if (it != at_.end()) {
@@ -31,15 +31,15 @@
     }
     order_.emplace(at, id);
   }
-  // Brings it forward only.
-  void atLatest(std::uint64_t id, Time at) {
+  // Moves the deadline earlier, never later.
+  void setNoLaterThan(std::uint64_t id, Time at) {
     const auto it = at_.find(id);
     if (it == at_.end() || at < it->second) set(id, at);
   }
   void erase(std::uint64_t id) { set(id, Time::max()); }
 
   Time next() const { return order_.empty() ? Time::max() : order_.begin()->first; }
-  // One that is due, taken out; 0: none.
+  // Removes and returns a stream whose deadline has passed; 0 if there is none.
   std::uint64_t pop(Time now) {
     if (order_.empty() || order_.begin()->first > now) return 0;
     const std::uint64_t id = order_.begin()->second;
--- a/src/stream/ending.cpp
+++ b/src/stream/ending.cpp
@@ -4,61 +4,61 @@
 
 using load_balancing::Outcome;
 
-Became becameOf(const Ending& e) {
+StreamResult resultOf(const Ending& e) {
   switch (e.why) {
-    case Why::turnedAway: return Became::refused;
-    case Why::unreached:
-    case Why::left:
-    case Why::header: return Became::failed;
-    default: return e.orderly ? Became::served : Became::failed;
+    case EndReason::turnedAway: return StreamResult::refused;
+    case EndReason::unreached:
+    case EndReason::left:
+    case EndReason::header: return StreamResult::failed;
+    default: return e.orderly ? StreamResult::served : StreamResult::failed;
   }
 }
 
 Outcome outcomeOf(const Ending& e) {
-  if (e.who != Ender::host) return Outcome::served;
+  if (e.who != EndedBy::host) return Outcome::served;
   switch (e.why) {
-    case Why::reset:
-    case Why::protocol:
-    case Why::tooBig: return Outcome::reset;
-    case Why::stalled:
-    case Why::silent: return Outcome::timeout;
+    case EndReason::reset:
+    case EndReason::protocol:
+    case EndReason::tooBig: return Outcome::reset;
+    case EndReason::stalled:
+    case EndReason::silent: return Outcome::timeout;
     default: return Outcome::served;
   }
 }
 
-std::string_view nameOf(Ender e) {
+std::string_view nameOf(EndedBy e) {
   switch (e) {
-    case Ender::client: return "client";
-    case Ender::host: return "host";
-    case Ender::gateway: return "gateway";
+    case EndedBy::client: return "client";
+    case EndedBy::host: return "host";
+    case EndedBy::gateway: return "gateway";
   }
   return "";
 }
 
-std::string_view nameOf(Why w) {
+std::string_view nameOf(EndReason w) {
   switch (w) {
-    case Why::finished: return "finished";
-    case Why::reset: return "reset";
-    case Why::turnedAway: return "turned_away";
-    case Why::unreached: return "unreached";
-    case Why::left: return "left";
-    case Why::drain: return "drain";
-    case Why::idle: return "idle";
-    case Why::halfIdle: return "half_idle";
-    case Why::stalled: return "stalled";
-    case Why::silent: return "silent";
-    case Why::protocol: return "protocol";
-    case Why::tooBig: return "too_big";
-    case Why::header: return "header";
+    case EndReason::finished: return "finished";
+    case EndReason::reset: return "reset";
+    case EndReason::turnedAway: return "turned_away";
+    case EndReason::unreached: return "unreached";
+    case EndReason::left: return "left";
+    case EndReason::drain: return "drain";
+    case EndReason::idle: return "idle";
+    case EndReason::halfIdle: return "half_idle";
+    case EndReason::stalled: return "stalled";
+    case EndReason::silent: return "silent";
+    case EndReason::protocol: return "protocol";
+    case EndReason::tooBig: return "too_big";
+    case EndReason::header: return "header";
   }
   return "";
 }
 
-std::string_view nameOf(Became b) {
+std::string_view nameOf(StreamResult b) {
   switch (b) {
-    case Became::served: return "served";
-    case Became::refused: return "refused";
-    case Became::failed: return "failed";
+    case StreamResult::served: return "served";
+    case StreamResult::refused: return "refused";
+    case StreamResult::failed: return "failed";
   }
   return "";
 }
--- a/src/stream/ending.hpp
+++ b/src/stream/ending.hpp
@@ -1,4 +1,5 @@
-// How a stream ended: what became of it, who ended it, and why. Every stream that was taken has one, once.
+// How a stream ended: its result, which party ended it, and the reason. Each accepted stream has exactly one
+// ending.
 #pragma once
 
 #include <cstdint>
@@ -11,42 +12,43 @@
 enum class Side : std::uint8_t { client, host };
 constexpr Side other(Side s) { return s == Side::client ? Side::host : Side::client; }
 
-enum class Ender : std::uint8_t { client, host, gateway };
-enum class Why : std::uint8_t {
-  finished,    // both directions ended in order
-  reset,       // broken off by a side
-  turnedAway,  // unsent, or no host took it: trying again is harmless
-  unreached,   // it could not begin, and may have run
-  left,        // its client went before it had begun
-  drain,       // its host goes, or the gateway does
-  idle,        // nothing went on it for too long, in either direction
-  halfIdle,    // the same, with one direction ended
-  stalled,     // a side took nothing of what was there for it
+enum class EndedBy : std::uint8_t { client, host, gateway };
+enum class EndReason : std::uint8_t {
+  finished,    // both directions were closed in order
+  reset,       // reset or lost connection of a side
+  turnedAway,  // not sent, or no host accepted it; safe to retry
+  unreached,   // not established, but a host may have processed it
+  left,        // the client disconnected before the stream was established
+  drain,       // the host or the gateway is draining
+  idle,        // idle timeout: no bytes in either direction
+  halfIdle,    // idle timeout of a half-closed stream
+  stalled,     // a side accepted none of the bytes waiting for it
   silent,      // a side did not answer a ping
-  protocol,    // a side broke the protocol that is looked into
-  tooBig,      // a message or frame beyond the limit
-  header       // its PROXY protocol header is none that may be taken
+  protocol,    // protocol violation found by the codec
+  tooBig,      // a message or frame exceeds the limit
+  header       // the PROXY protocol header is missing or invalid
 };
-inline constexpr std::size_t kWhys = 13;
-enum class Became : std::uint8_t { served, refused, failed };
+inline constexpr std::size_t kEndReasonCount = 13;
+enum class StreamResult : std::uint8_t { served, refused, failed };
 
 struct Ending {
-  Ender who = Ender::gateway;
-  Why why = Why::finished;
-  // Both sides can tell that it ended as it should: by FIN, or by a close code of its protocol.
+  EndedBy who = EndedBy::gateway;
+  EndReason why = EndReason::finished;
+  // Both sides can see that the end is intended: by FIN or by a close code of the protocol.
   bool orderly = true;
   bool operator==(const Ending&) const = default;
 };
 
-// A stream that had begun is served if it ended in order, and has failed if it did not; nobody was promised
-// how long it lasts.
-Became becameOf(const Ending& e);
+// Result of an ending. An established stream is served if it ended in order and failed otherwise; its
+// duration does not matter, since clients are promised none.
+StreamResult resultOf(const Ending& e);
 
-// What the module is told of the host. Only what a host does itself counts against it.
+// Outcome of the attempt as reported to the decision module. Only failures caused by the host count against
+// it.
 load_balancing::Outcome outcomeOf(const Ending& e);
 
-std::string_view nameOf(Ender e);
-std::string_view nameOf(Why w);
-std::string_view nameOf(Became b);
+std::string_view nameOf(EndedBy e);
+std::string_view nameOf(EndReason w);
+std::string_view nameOf(StreamResult b);
 
 }  // namespace finchstile::stream
--- a/src/stream/flow.hpp
+++ b/src/stream/flow.hpp
@@ -1,6 +1,6 @@
-// The two directions of a stream and how each ends. A direction ends with the FIN of the side that sends on
-// it (RFC 9293, 3.6): the other side is shown that end once it has been written all that came before, and the
-// other direction goes on. Decides; does no I/O.
+// Lifecycle of the two directions of a stream. A direction ends with the FIN of its sender (RFC 9293, 3.6):
+// the FIN is forwarded once all earlier bytes have been written, and the other direction stays open (half-
+// close). Makes decisions only; no I/O.
 #pragma once
 
 #include <array>
@@ -13,45 +13,45 @@
 namespace finchstile::stream {
 
 struct FlowLimits {
-  Duration idle{};      // nothing in either direction; 0: for ever
-  Duration halfIdle{};  // the same, once one direction has ended
-  Duration stalled{};   // bytes wait for a side and it takes none; 0: for ever
+  Duration idle{};      // idle timeout over both directions; 0: none
+  Duration halfIdle{};  // idle timeout of a half-closed stream
+  Duration stalled{};   // longest time a side may accept none of the bytes waiting for it; 0: no limit
 };
 
 class Flow {
  public:
-  Flow(const FlowLimits& limits, Time now) : limits_(limits), moved_(now) {}
+  Flow(const FlowLimits& limits, Time now) : limits_(limits), lastActivity_(now) {}
 
-  // Bytes were read from a side, or written to one.
-  void onMoved(Time now) { moved_ = now; }
-  // Bytes wait to be written to `to`, and it takes none now; or it took them all.
+  // Bytes were read from or written to a side.
+  void onActivity(Time now) { lastActivity_ = now; }
+  // onBlocked: a write to `to` would block. onUnblocked: a write to `to` succeeded.
   void onBlocked(Side to, Time now);
   void onUnblocked(Side to) { at(to).blocked = Time{}; }
   // The FIN of `from` was read.
   void onEnd(Side from);
-  // All that came from `from` has been written. True: show its end to the other side now.
+  // All bytes read from `from` have been written. True: forward its FIN to the other side now.
   bool onDelivered(Side from);
-  // Both directions have ended and are shown as ended.
+  // The ending, once both directions have ended and both FINs were forwarded.
   std::optional<Ending> over() const;
   bool ended(Side from) const { return at(from).ended; }
 
-  // When to ask `overdue` again, if nothing happens until then; `Time::max()`: never.
+  // Time of the next `overdue` check if nothing happens before; `Time::max()`: never.
   Time due() const;
   std::optional<Ending> overdue(Time now) const;
 
  private:
   struct Direction {
-    bool ended = false, shown = false;
-    Time blocked{};  // towards this side, since then; 0: it is not
+    bool ended = false, endForwarded = false;
+    Time blocked{};  // start of write blocking towards this side; 0: not blocked
   };
   Direction& at(Side s) { return sides_[static_cast<std::size_t>(s)]; }
   const Direction& at(Side s) const { return sides_[static_cast<std::size_t>(s)]; }
   Duration idleLimit() const;
 
   FlowLimits limits_;
-  Time moved_;
-  std::array<Direction, 2> sides_;  // by the side that sends; `blocked` by the side that takes
-  std::optional<Side> first_;       // to end
+  Time lastActivity_;
+  std::array<Direction, 2> sides_;  // indexed by the sending side, but `blocked` by the receiving side
+  std::optional<Side> firstEnded_;  // side that sent its FIN first
 };
 
 }  // namespace finchstile::stream
--- a/src/stream/proxy_protocol.cpp
+++ b/src/stream/proxy_protocol.cpp
@@ -13,10 +13,10 @@
 using ip::tcp;
 
 constexpr std::string_view kSignature("\r\n\r\n\0\r\nQUIT\n", 12);
-constexpr std::size_t kFixed = 16;
+constexpr std::size_t kFixedHeaderBytes = 16;
 constexpr unsigned char kLocal = 0x20, kProxy = 0x21, kTcp4 = 0x11, kTcp6 = 0x21, kUnspec = 0x00;
-constexpr unsigned char kTypeCrc = 0x03;  // PP2_TYPE_CRC32C
-constexpr std::size_t kEnds4 = 12, kEnds6 = 36;
+constexpr unsigned char kCrc32cType = 0x03;  // PP2_TYPE_CRC32C
+constexpr std::size_t kIpv4AddressBytes = 12, kIpv6AddressBytes = 36;
 
 unsigned char byteAt(std::string_view b, std::size_t i) { return static_cast<unsigned char>(b[i]); }
 std::size_t wordAt(std::string_view b, std::size_t i) { return byteAt(b, i) * 256u + byteAt(b, i + 1); }
@@ -31,7 +31,8 @@
           tcp::endpoint(Address(to), static_cast<std::uint16_t>(wordAt(b, ports + 2)))};
 }
 
-std::uint32_t crcWithout(std::string_view header, std::size_t at) {  // with the four bytes of the sum as 0
+std::uint32_t crcWithZeroedChecksum(std::string_view header,
+                         std::size_t at) {  // CRC-32C with the four checksum bytes at `at` taken as 0
   boost::crc_optimal<32, 0x1EDC6F41, 0xFFFFFFFF, 0xFFFFFFFF, true, true> crc;
   static constexpr char kNone[4] = {};
   crc.process_bytes(header.data(), at);
@@ -40,18 +41,18 @@
   return crc.checksum();
 }
 
-// Null: good. The fields themselves are not ours to know, but for the sum.
+// Returns the error, or null if valid. Values of TLVs other than the checksum are not interpreted.
 const char* checkFields(std::string_view header, std::size_t at) {
-  bool summed = false;
+  bool hasChecksum = false;
   while (at < header.size()) {
-    if (header.size() - at < 3) return "a field is cut off";
+    if (header.size() - at < 3) return "TLV header is truncated";
     const std::size_t length = wordAt(header, at + 1);
-    if (header.size() - at - 3 < length) return "a field reaches beyond the header";
-    if (byteAt(header, at) == kTypeCrc) {
-      if (length != 4 || std::exchange(summed, true)) return "not one sum of four bytes";
+    if (header.size() - at - 3 < length) return "TLV exceeds the header";
+    if (byteAt(header, at) == kCrc32cType) {
+      if (length != 4 || std::exchange(hasChecksum, true)) return "CRC-32C must occur once with 4 bytes";
       const std::size_t v = at + 3;
-      const std::uint32_t told = static_cast<std::uint32_t>(wordAt(header, v) << 16 | wordAt(header, v + 2));
-      if (told != crcWithout(header, v)) return "the sum does not fit";
+      const std::uint32_t storedCrc = static_cast<std::uint32_t>(wordAt(header, v) << 16 | wordAt(header, v + 2));
+      if (storedCrc != crcWithZeroedChecksum(header, v)) return "CRC-32C mismatch";
     }
     at += 3 + length;
   }
@@ -80,26 +81,27 @@
 
 ProxyRead readProxyHeader(std::string_view b) {
   const std::size_t known = std::min(b.size(), kSignature.size());
-  if (b.substr(0, known) != kSignature.substr(0, known)) return bad("not a header of version 2");
-  if (b.size() < kFixed) return {};
+  if (b.substr(0, known) != kSignature.substr(0, known)) return bad("no PROXY protocol version 2 signature");
+  if (b.size() < kFixedHeaderBytes) return {};
   const unsigned char command = byteAt(b, 12), family = byteAt(b, 13);
-  if (command != kLocal && command != kProxy) return bad("neither LOCAL nor PROXY of version 2");
+  if (command != kLocal && command != kProxy) return bad("version and command are neither LOCAL nor PROXY of version 2");
   const std::size_t length = wordAt(b, 14);
-  if (kFixed + length > kProxyHeaderMost) return bad("longer than is taken");
-  const std::size_t ends = family == kTcp4 ? kEnds4 : family == kTcp6 ? kEnds6 : 0;
+  if (kFixedHeaderBytes + length > kMaxProxyHeaderBytes) return bad("header exceeds 528 bytes");
+  const std::size_t ends = family == kTcp4 ? kIpv4AddressBytes : family == kTcp6 ? kIpv6AddressBytes : 0;
   if (family != kTcp4 && family != kTcp6 && (family != kUnspec || command != kLocal))
     return bad("not TCP over IPv4 or IPv6");
-  if (length < ends) return bad("too short for its addresses");
-  if (b.size() < kFixed + length) return {};
-  const std::string_view header = b.substr(0, kFixed + length);
+  if (length < ends) return bad("header is too short for its address family");
+  if (b.size() < kFixedHeaderBytes + length) return {};
+  const std::string_view header = b.substr(0, kFixedHeaderBytes + length);
   ProxyRead r;
-  // Of LOCAL without a family all that follows is to be passed over (2.2.1).
+  // For LOCAL with an unspecified family, the rest of the header must be ignored (2.2.1).
   if (family != kUnspec)
-    if (const char* why = checkFields(header, kFixed + ends)) return bad(why);
+    if (const char* why = checkFields(header, kFixedHeaderBytes + ends)) return bad(why);
   if (command == kProxy)
-    r.header.ends = family == kTcp4
-                        ? readEnds<ip::address_v4::bytes_type, ip::address_v4>(header.substr(kFixed))
-                        : readEnds<ip::address_v6::bytes_type, ip::address_v6>(header.substr(kFixed));
+    r.header.ends =
+        family == kTcp4
+            ? readEnds<ip::address_v4::bytes_type, ip::address_v4>(header.substr(kFixedHeaderBytes))
+            : readEnds<ip::address_v6::bytes_type, ip::address_v6>(header.substr(kFixedHeaderBytes));
   r.verdict = ProxyRead::Verdict::good;
   r.used = header.size();
   return r;
@@ -117,7 +119,7 @@
   }
   out += static_cast<char>(kProxy);
   out += static_cast<char>(four ? kTcp4 : kTcp6);
-  appendWord(out, four ? kEnds4 : kEnds6);
+  appendWord(out, four ? kIpv4AddressBytes : kIpv6AddressBytes);
   if (four) append(out, h.ends->from.address().to_v4().to_bytes(), h.ends->to.address().to_v4().to_bytes());
   else append(out, h.ends->from.address().to_v6().to_bytes(), h.ends->to.address().to_v6().to_bytes());
   appendWord(out, h.ends->from.port());
--- a/src/stream/proxy_protocol.hpp
+++ b/src/stream/proxy_protocol.hpp
@@ -1,8 +1,9 @@
-// The PROXY protocol, version 2, binary ("The PROXY protocol", section 2.2): who the client is, ahead of its
-// first byte, from a proxy before us or to a host behind us. TCP over IPv4 and IPv6 only. No I/O.
+// PROXY protocol version 2, binary format ("The PROXY protocol", section 2.2): the address of the client
+// ahead of its first byte, received from a proxy in front of the gateway or sent to a host. TCP over IPv4 and
+// IPv6 only. No I/O.
 //
-// Read strictly: a header that two readers could take differently, or that says what can not be for TCP, is
-// bad, and so is the connection that it came on.
+// Parsing is strict: a header that implementations could read differently, or that is not possible for TCP,
+// is rejected together with its connection.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,26 +15,28 @@
 namespace finchstile::stream {
 
 struct ProxyHeader {
-  // Of the client, and where it connected to. None: LOCAL, the proxy speaks for itself (health checks).
+  // Client address and the address it connected to. Empty: LOCAL, a connection of the proxy itself (health
+  // checks).
   struct Ends {
     boost::asio::ip::tcp::endpoint from, to;
   };
   std::optional<Ends> ends;
 };
 
-inline constexpr std::size_t kProxyHeaderMost = 16 + 512;  // addresses and further fields (TLVs)
+inline constexpr std::size_t kMaxProxyHeaderBytes = 16 + 512;  // fixed part, addresses and TLVs
 
 struct ProxyRead {
   enum class Verdict { more, good, bad } verdict = Verdict::more;
   ProxyHeader header;
-  std::size_t used = 0;  // bytes of it, if it is good
-  const char* why = "";  // if it is bad
+  std::size_t used = 0;  // size of the header, if it is good
+  const char* why = "";  // reason, if it is bad
 };
 
-// Of the first bytes of a connection; `more` asks for more of them.
+// Parses the first bytes of a connection; `more`: call again once more bytes have arrived.
 ProxyRead readProxyHeader(std::string_view bytes);
 
-// Both of one family, else (a mapped address beside a plain one) the header says LOCAL.
+// Writes a header with both addresses if they are of one family; otherwise (an IPv4-mapped address beside an
+// IPv4 one) a LOCAL header.
 std::string writeProxyHeader(const ProxyHeader& header);
 
 }  // namespace finchstile::stream
--- a/src/stream/relay.cpp
+++ b/src/stream/relay.cpp
@@ -14,15 +14,16 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// Turns of reading and writing in one go: a fast stream must not keep the loop to itself.
-constexpr int kTurns = 8;
-// For the words that end a protocol to be written, and answered.
-constexpr Duration kFarewell = std::chrono::seconds(2);
+// Reads per pump() before yielding to the event loop, so that a fast stream does not starve others.
+constexpr int kMaxReadsPerPump = 8;
+// Time for close messages to be written and answered.
+constexpr Duration kCloseHandshakeTimeout = std::chrono::seconds(2);
 
-// Danger: in the midst of a unit nothing of ours can go in; a side must not count as silent for it.
-constexpr Duration kPingAgain = std::chrono::milliseconds(50);
+// Retry interval of a ping that could not be inserted within a unit; the side must not count as silent for
+// that.
+constexpr Duration kPingRetryInterval = std::chrono::milliseconds(50);
 
-bool again(const error_code& error) {
+bool wouldBlock(const error_code& error) {
   return error == asio::error::would_block || error == asio::error::try_again;
 }
 
@@ -41,25 +42,25 @@
     error_code ignored;
     socket(side).non_blocking(true, ignored);
     socket(side).set_option(tcp::no_delay(true), ignored);
-    // Read with the handshake. Not of the budget: at most what one read may bring, and gone with it.
-    const std::string& early = side == Side::client ? parts.fromClient : parts.fromHost;
+    // Bytes read with the handshake. Not charged to the budget: at most one read, and freed once forwarded.
+    const std::string& prefetched = side == Side::client ? parts.fromClient : parts.fromHost;
     Pipe& p = pipe(side);
-    p.heard = clock.now();
-    if (early.empty()) continue;
-    p.piece = std::make_unique<char[]>(early.size());
-    std::memcpy(p.piece.get(), early.data(), early.size());
-    p.end = early.size();
-    p.looked = codec_ ? 0 : p.end;
+    p.lastReceived = clock.now();
+    if (prefetched.empty()) continue;
+    p.piece = std::make_unique<char[]>(prefetched.size());
+    std::memcpy(p.piece.get(), prefetched.data(), prefetched.size());
+    p.end = prefetched.size();
+    p.decodedEnd = codec_ ? 0 : p.end;
   }
-  pipe(Side::host).own = std::move(parts.greeting);
+  pipe(Side::host).injected = std::move(parts.initialDataForClient);
 }
 
 Relay::~Relay() {
-  for (Pipe& p : pipes_) release(p);
+  for (Pipe& p : pipes_) releasePiece(p);
 }
 
 void Relay::start() {
-  // Danger: what it finds may end it at once, while whoever starts it has not written it down yet.
+  // Deferred, because the relay may end at once, before its owner has stored it.
   asio::post(client_.get_executor(), [this, self = shared_from_this()] {
     if (over_) return;
     watch(Side::client);
@@ -70,57 +71,58 @@
   });
 }
 
-// A reset shows at once, also while nothing is read or written of that side: behind a FIN, or while the other
-// side is slow. What came ahead of it is still passed on.
+// Detects a reset immediately, even if the side is not being read or written: after its FIN, or while the
+// other side is slow. Bytes received before the reset are still forwarded.
 void Relay::watch(Side side) {
   socket(side).async_wait(tcp::socket::wait_error, [this, side, self = shared_from_this()](error_code error) {
     if (over_ || error) return;
-    if (!isBroken(socket(side))) return;  // an end in order, of both directions
+    if (!isBroken(socket(side))) return;  // orderly close of both directions
     Pipe& p = pipe(side);
     p.broken = true;
-    if (p.ended || p.writing) return broken(side);
+    if (p.ended || p.writing) return onBroken(side);
     pump(side);
   });
 }
 
-void Relay::hold(Pipe& p) {
+void Relay::acquirePiece(Pipe& p) {
   if (p.piece) return;
   p.grant = budget_.take();
-  p.piece.reset(new char[p.grant.size]);  // not cleared: it is read into
-  p.begin = p.looked = p.end = 0;
+  p.piece.reset(new char[p.grant.size]);  // left uninitialized; filled by reads
+  p.begin = p.decodedEnd = p.end = 0;
 }
 
-void Relay::release(Pipe& p) {
+void Relay::releasePiece(Pipe& p) {
   if (!std::exchange(p.piece, nullptr)) return;
-  p.begin = p.looked = p.end = 0;
-  if (p.grant.size > 0) budget_.giveBack(std::exchange(p.grant, {}));
+  p.begin = p.decodedEnd = p.end = 0;
+  if (p.grant.size > 0) budget_.returnPiece(std::exchange(p.grant, {}));
 }
 
-bool Relay::mayPutOwn(Side from) const {
+bool Relay::canWriteInjected(Side from) const {
   const Pipe& p = pipe(from);
-  return !p.own.empty() && (p.ownAt > 0 || (p.begin == p.looked && (!codec_ || codec_->atBoundary(from))));
+  return !p.injected.empty() &&
+         (p.injectedOffset > 0 || (p.begin == p.decodedEnd && (!codec_ || codec_->atBoundary(from))));
 }
 
-// Does what can be done now in one direction, and waits for the rest.
+// Makes all progress possible in one direction without blocking, then waits for the socket.
 void Relay::pump(Side from) {
   Pipe& p = pipe(from);
   for (int turn = 0; !over_;) {
     if (p.writing) return;
-    if (mayPutOwn(from) || p.begin < p.looked) {
+    if (canWriteInjected(from) || p.begin < p.decodedEnd) {
       if (!writeSome(from)) return;
-    } else if (p.looked < p.end && !p.hungry) {
-      lookOn(from);
+    } else if (p.decodedEnd < p.end && !p.needsMoreInput) {
+      decodeBuffered(from);
     } else if (p.ended) {
-      release(p);
+      releasePiece(p);
       if (!flow_.onDelivered(from)) return;
       error_code ignored;
       socket(other(from)).shutdown(tcp::socket::shutdown_send, ignored);
-      if (const auto ending = flow_.over()) return finish(leaving_ ? *leaving_ : *ending);
+      if (const auto ending = flow_.over()) return finish(closingEnding_ ? *closingEnding_ : *ending);
       return setDue();
     } else {
       if (p.reading) return;
-      if (++turn > kTurns) {
-        release(p);
+      if (++turn > kMaxReadsPerPump) {
+        releasePiece(p);
         asio::post(client_.get_executor(), [this, from, self = shared_from_this()] {
           if (!over_) pump(from);
         });
@@ -131,110 +133,115 @@
   }
 }
 
-// False: it waits, or is over.
+// Returns false if it must wait or the relay is over.
 bool Relay::writeSome(Side from) {
   Pipe& p = pipe(from);
   const Side to = other(from);
-  const bool own = mayPutOwn(from);
+  const bool injected = canWriteInjected(from);
   error_code error;
   const std::size_t n =
-      own ? socket(to).write_some(asio::buffer(p.own.data() + p.ownAt, p.own.size() - p.ownAt), error)
-          : socket(to).write_some(asio::buffer(p.piece.get() + p.begin, p.looked - p.begin), error);
-  if (again(error)) {
+      injected ? socket(to).write_some(
+                     asio::buffer(p.injected.data() + p.injectedOffset, p.injected.size() - p.injectedOffset),
+                     error)
+               : socket(to).write_some(asio::buffer(p.piece.get() + p.begin, p.decodedEnd - p.begin), error);
+  if (wouldBlock(error)) {
     flow_.onBlocked(to, clock_.now());
     waitToWrite(from);
     setDue();
     return false;
   }
   if (error) {
-    broken(to);
+    onBroken(to);
     return false;
   }
-  flow_.onMoved(clock_.now());
+  flow_.onActivity(clock_.now());
   flow_.onUnblocked(to);
-  if (!own) {
+  if (!injected) {
     p.begin += n;
     p.passed += n;
     return true;
   }
-  p.ownAt += n;
-  if (p.ownAt < p.own.size()) return true;
-  p.own.clear();
-  p.ownAt = 0;
-  if (leaving_) {
-    p.muted = p.said = p.told = true;
-    checkLeaving();
+  p.injectedOffset += n;
+  if (p.injectedOffset < p.injected.size()) return true;
+  p.injected.clear();
+  p.injectedOffset = 0;
+  if (closingEnding_) {
+    p.discardsInput = p.closeDone = p.closeForwarded = true;
+    checkCloseHandshake();
   }
   return !over_;
 }
 
 bool Relay::readSome(Side from) {
   Pipe& p = pipe(from);
-  // The beginning of a header stays where it is until the rest has come.
-  const std::size_t rest = p.end - p.looked;
+  // An incomplete unit stays in the buffer until the rest has arrived.
+  const std::size_t rest = p.end - p.decodedEnd;
   if (rest > 0 && p.grant.size > 0) {
-    std::memmove(p.piece.get(), p.piece.get() + p.looked, rest);
+    std::memmove(p.piece.get(), p.piece.get() + p.decodedEnd, rest);
   } else {
-    const std::string early(rest > 0 ? p.piece.get() + p.looked : "", rest);
-    if (p.grant.size == 0) release(p);  // what came with the handshake
-    hold(p);
-    std::memcpy(p.piece.get(), early.data(), rest);
+    const std::string prefetched(rest > 0 ? p.piece.get() + p.decodedEnd : "", rest);
+    if (p.grant.size == 0) releasePiece(p);  // the piece of bytes read with the handshake
+    acquirePiece(p);
+    std::memcpy(p.piece.get(), prefetched.data(), rest);
   }
-  p.begin = p.looked = 0;
+  p.begin = p.decodedEnd = 0;
   p.end = rest;
   error_code error;
   const std::size_t n =
       socket(from).read_some(asio::buffer(p.piece.get() + rest, p.grant.size - rest), error);
-  if (again(error)) {
-    if (rest == 0) release(p);
+  if (wouldBlock(error)) {
+    if (rest == 0) releasePiece(p);
     waitToRead(from);
     return false;
   }
   if (error == asio::error::eof && !p.broken) {
     p.ended = true;
     flow_.onEnd(from);
-    // In a protocol with words for it a bare end is a break: its other side can't tell whether that was all.
-    if (codec_ && !codec_->saidEnd(from)) {
-      broken(from);
+    // A FIN without a close message is a failure: the other side could not detect truncation.
+    if (codec_ && !codec_->closeReceived(from)) {
+      onBroken(from);
       return false;
     }
-    if (leaving_) checkLeaving();
+    if (closingEnding_) checkCloseHandshake();
     return !over_;
   }
   if (error) {
-    broken(from);
+    onBroken(from);
     return false;
   }
   p.end = rest + n;
-  p.looked = codec_ ? 0 : p.end;
-  p.hungry = false;
+  p.decodedEnd = codec_ ? 0 : p.end;
+  p.needsMoreInput = false;
   const Time now = clock_.now();
-  flow_.onMoved(now);
-  p.heard = now;
-  if (std::exchange(p.pinged, false)) setDue();  // else it would be asked again only when this answer was due
+  flow_.onActivity(now);
+  p.lastReceived = now;
+  if (std::exchange(p.pingOutstanding, false))
+    setDue();  // otherwise the next ping would wait for the deadline of this pong
   return true;
 }
 
-void Relay::lookOn(Side from) {
+void Relay::decodeBuffered(Side from) {
   Pipe& p = pipe(from);
-  if (codec_->saidEnd(from)) {  // nothing follows that; what does is dropped
-    p.begin = p.looked = p.end;
+  if (codec_->closeReceived(from)) {  // no data may follow a close message; discard it
+    p.begin = p.decodedEnd = p.end;
     return;
   }
-  const bool stop = !p.own.empty() && !p.muted;
-  const Codec::Look look = codec_->look(from, p.piece.get() + p.looked, p.end - p.looked, stop);
-  p.looked += look.pass;
-  p.hungry = p.looked < p.end && !(stop && look.pass > 0);
-  if (p.muted) p.begin = p.looked;
-  if (look.fault) return faulty(from, *look.fault);
-  if (!codec_->saidEnd(from)) return;
-  if (!p.muted) p.told = true;
-  if (!firstSaid_) firstSaid_ = from;
-  if (leaving_) return checkLeaving();
-  if (!codec_->saidEnd(other(from))) return;
-  // The side that has the server's part closes the connection (RFC 6455, 7.1.1); for a while it may.
-  leaving_ = Ending{*firstSaid_ == Side::client ? Ender::client : Ender::host, Why::finished, true};
-  leaveBy_ = clock_.now() + kFarewell;
+  const bool stop = !p.injected.empty() && !p.discardsInput;
+  const Codec::DecodeResult decoded =
+      codec_->decode(from, p.piece.get() + p.decodedEnd, p.end - p.decodedEnd, stop);
+  p.decodedEnd += decoded.pass;
+  p.needsMoreInput = p.decodedEnd < p.end && !(stop && decoded.pass > 0);
+  if (p.discardsInput) p.begin = p.decodedEnd;
+  if (decoded.fault) return onProtocolFault(from, *decoded.fault);
+  if (!codec_->closeReceived(from)) return;
+  if (!p.discardsInput) p.closeForwarded = true;
+  if (!firstCloser_) firstCloser_ = from;
+  if (closingEnding_) return checkCloseHandshake();
+  if (!codec_->closeReceived(other(from))) return;
+  // The server closes the TCP connection first (RFC 6455, 7.1.1); allow it some time.
+  closingEnding_ =
+      Ending{*firstCloser_ == Side::client ? EndedBy::client : EndedBy::host, EndReason::finished, true};
+  closeDeadline_ = clock_.now() + kCloseHandshakeTimeout;
   setDue();
 }
 
@@ -257,90 +264,90 @@
       });
 }
 
-// A side is gone, with or without notice.
-void Relay::broken(Side side) {
+// A side reset its connection, or it was lost.
+void Relay::onBroken(Side side) {
   if (over_) return;
   pipe(side).broken = true;
-  if (leaving_) return finish(*leaving_);
-  const Ending ending{side == Side::client ? Ender::client : Ender::host, Why::reset, false};
-  if (codec_) leave(ending, side == Side::host, side == Side::client);
+  if (closingEnding_) return finish(*closingEnding_);
+  const Ending ending{side == Side::client ? EndedBy::client : EndedBy::host, EndReason::reset, false};
+  if (codec_) beginClose(ending, side == Side::host, side == Side::client);
   else finish(ending);
 }
 
-void Relay::faulty(Side side, Why why) {
+void Relay::onProtocolFault(Side side, EndReason why) {
   Pipe& p = pipe(side);
-  p.end = p.looked;
-  p.muted = true;
-  if (leaving_) {
-    p.broken = true;  // it is not listened to any more
-    return checkLeaving();
+  p.end = p.decodedEnd;
+  p.discardsInput = true;
+  if (closingEnding_) {
+    p.broken = true;  // its input is ignored from now on
+    return checkCloseHandshake();
   }
-  leave({side == Side::client ? Ender::client : Ender::host, why, false}, true, true);
+  beginClose({side == Side::client ? EndedBy::client : EndedBy::host, why, false}, true, true);
 }
 
-void Relay::close(Why why) {
-  if (over_ || leaving_) return;
-  if (codec_) return leave({Ender::gateway, why, true}, true, true);
-  finish({Ender::gateway, why, false});
+void Relay::close(EndReason why) {
+  if (over_ || closingEnding_) return;
+  if (codec_) return beginClose({EndedBy::gateway, why, true}, true, true);
+  finish({EndedBy::gateway, why, false});
 }
 
-// Danger: words of ours in the midst of a unit would be read as a part of it. Where the side that sends is
-// gone, or at fault, its unit is never finished, and the other can be told by a reset only.
-void Relay::leave(const Ending& ending, bool clientHears, bool hostHears) {
-  leaving_ = ending;
-  leaveBy_ = clock_.now() + kFarewell;
-  const bool hears[] = {clientHears, hostHears};
+// Starts the close handshake. A close message inserted within a unit would be read as part of it. If the
+// sender of that unit is lost or at fault, the unit is never completed, and the receiver can only be notified
+// by a reset.
+void Relay::beginClose(const Ending& ending, bool notifyClient, bool notifyHost) {
+  closingEnding_ = ending;
+  closeDeadline_ = clock_.now() + kCloseHandshakeTimeout;
+  const bool notify[] = {notifyClient, notifyHost};
   for (const Side to : {Side::client, Side::host}) {
     Pipe& p = pipe(other(to));
-    const bool canEnd = codec_->atBoundary(other(to)) || (!p.ended && !p.broken && !p.muted);
-    if (!hears[static_cast<std::size_t>(to)] || p.told || !canEnd) {
-      p.said = p.muted = true;  // nothing to be said, or no way to
+    const bool canEnd = codec_->atBoundary(other(to)) || (!p.ended && !p.broken && !p.discardsInput);
+    if (!notify[static_cast<std::size_t>(to)] || p.closeForwarded || !canEnd) {
+      p.closeDone = p.discardsInput = true;  // no close message needed or possible
       continue;
     }
-    p.own += codec_->farewell(to, ending);
-    p.said = p.own.empty();
+    p.injected += codec_->closeMessage(to, ending);
+    p.closeDone = p.injected.empty();
   }
   setDue();
   const auto self = shared_from_this();
   for (const Side from : {Side::client, Side::host})
     if (!over_) pump(from);
-  if (!over_) checkLeaving();
+  if (!over_) checkCloseHandshake();
 }
 
-// Over when each side has been told, and has said so itself or gone.
-void Relay::checkLeaving() {
-  if (over_ || !leaving_) return;
+// Finishes when each side has got its close message and has answered it or disconnected.
+void Relay::checkCloseHandshake() {
+  if (over_ || !closingEnding_) return;
   for (const Side s : {Side::client, Side::host}) {
     const Pipe& p = pipe(s);
-    if (!pipe(other(s)).said) return;
-    if (pipe(other(s)).told && !p.ended && !p.broken && !codec_->saidEnd(s)) return;
+    if (!pipe(other(s)).closeDone) return;
+    if (pipe(other(s)).closeForwarded && !p.ended && !p.broken && !codec_->closeReceived(s)) return;
   }
-  finish(*leaving_);
+  finish(*closingEnding_);
 }
 
 // --- Time
-// -------------------------------------------------------------------------------------------------
 
 void Relay::setDue() {
-  Time due = leaving_ ? leaveBy_ : flow_.due();
-  if (codec_ && !leaving_ && codec_->pingAfter() > Duration{})
+  Time due = closingEnding_ ? closeDeadline_ : flow_.due();
+  if (codec_ && !closingEnding_ && codec_->pingAfter() > Duration{})
     for (const Pipe& p : pipes_)
       if (!p.ended)
-        due = std::min(
-            due, std::max(clock_.now() + kPingAgain,
-                          p.heard + codec_->pingAfter() + (p.pinged ? codec_->pingAnswer() : Duration{})));
+        due = std::min(due, std::max(clock_.now() + kPingRetryInterval,
+                                     p.lastReceived + codec_->pingAfter() +
+                                         (p.pingOutstanding ? codec_->pingAnswer() : Duration{})));
   if (due != Time::max()) events_.onRelayDue(id_, due);
 }
 
 void Relay::check(Time now) {
   if (over_) return;
   const auto self = shared_from_this();
-  if (leaving_) {
-    if (now >= leaveBy_) return finish(*leaving_);
+  if (closingEnding_) {
+    if (now >= closeDeadline_) return finish(*closingEnding_);
   } else if (const auto ending = flow_.overdue(now)) {
     if (!codec_) return finish(*ending);
-    // Who takes nothing does not take our word either.
-    leave(*ending, !(ending->who == Ender::client), !(ending->who == Ender::host));
+    // A side that accepts no bytes cannot receive a close message either.
+    beginClose(*ending, !(ending->who == EndedBy::client), !(ending->who == EndedBy::host));
   } else if (codec_) {
     checkPings(now);
   }
@@ -352,28 +359,29 @@
   if (after == Duration{}) return;
   for (const Side side : {Side::client, Side::host}) {
     Pipe& p = pipe(side);
-    if (p.ended || now < p.heard + after) continue;
-    if (!p.pinged) {
+    if (p.ended || now < p.lastReceived + after) continue;
+    if (!p.pingOutstanding) {
       Pipe& to = pipe(other(side));
-      if (!to.own.empty() || to.muted || to.ended) continue;
-      to.own = codec_->ping(side);
+      if (!to.injected.empty() || to.discardsInput || to.ended) continue;
+      to.injected = codec_->ping(side);
       pump(other(side));
       if (over_) return;
-      if (to.ownAt == 0 && !to.own.empty()) to.own.clear();
-      else p.pinged = true;
-    } else if (now >= p.heard + after + codec_->pingAnswer()) {
+      if (to.injectedOffset == 0 && !to.injected.empty()) to.injected.clear();
+      else p.pingOutstanding = true;
+    } else if (now >= p.lastReceived + after + codec_->pingAnswer()) {
       const bool client = side == Side::client;
-      return leave({client ? Ender::client : Ender::host, Why::silent, false}, !client, client);
+      return beginClose({client ? EndedBy::client : EndedBy::host, EndReason::silent, false}, !client,
+                        client);
     }
   }
 }
 
-// --- The end
-// -------------------------------------------------------------------------------------------------
+// --- Termination
 
 void Relay::abandon() {
   over_ = true;
-  for (Pipe& p : pipes_) release(p);  // danger: handlers may keep this one beyond the budget
+  for (Pipe& p : pipes_)
+    releasePiece(p);  // pending handlers may keep this object alive longer than the budget
   error_code ignored;
   client_.close(ignored);
   host_.close(ignored);
@@ -382,12 +390,12 @@
 void Relay::finish(const Ending& ending) {
   if (std::exchange(over_, true)) return;
   const auto self = shared_from_this();
-  for (Pipe& p : pipes_) release(p);
+  for (Pipe& p : pipes_) releasePiece(p);
   for (const Side s : {Side::client, Side::host}) {
     error_code ignored;
-    // Danger: an end in order would tell this side that what it has is all there is. Where it was told in the
-    // protocol's words, it knows.
-    if (!ending.orderly && !(pipe(other(s)).told && !pipe(s).broken)) resetAtClose(socket(s));
+    // An orderly close would make this side take the bytes it has for the complete stream, unless it got a
+    // close message.
+    if (!ending.orderly && !(pipe(other(s)).closeForwarded && !pipe(s).broken)) resetAtClose(socket(s));
     socket(s).close(ignored);
   }
   events_.onRelayOver(id_, ending);
--- a/src/stream/relay.hpp
+++ b/src/stream/relay.hpp
@@ -1,5 +1,5 @@
-// One stream that has begun: two sockets, and the bytes between them. It passes on what comes as it comes,
-// each direction for itself, holds no memory while nothing goes on, and tells once how it ended.
+// Relay of one established stream between two sockets. Forwards bytes as they arrive, each direction
+// independently, holds no buffer while idle, and reports its ending exactly once.
 #pragma once
 
 #include <array>
@@ -22,18 +22,19 @@
 
 struct RelayParts {
   tcp::socket client, host;
-  std::string fromClient, fromHost;  // read from them already
-  std::string greeting;              // of ours, to the client, ahead of all
+  std::string fromClient, fromHost;  // bytes read before the relay was created
+  std::string initialDataForClient;  // sent to the client ahead of all other bytes
   FlowLimits limits;
-  std::unique_ptr<Codec> codec;  // null: the bytes are opaque
+  std::unique_ptr<Codec> codec;  // null: opaque bytes
 };
 
 class RelayEvents {
  public:
   virtual ~RelayEvents() = default;
-  // Once, with both sockets closed. Never from within `start`, but it may come from within the other calls.
+  // Called once, after both sockets are closed. Never called from within `start`, but possibly from within
+  // the other functions.
   virtual void onRelayOver(StreamId id, const Ending& ending) = 0;
-  // To be looked at by `check` at `due` at the latest.
+  // `check` must be called at `due` at the latest.
   virtual void onRelayDue(StreamId id, Time due) = 0;
 };
 
@@ -43,32 +44,33 @@
   ~Relay();
 
   void start();
-  // The gateway ends it: with the protocol's own words and some time for them where it has such, else at
-  // once.
-  void close(Why why);
+  // Ends the stream on behalf of the gateway: with a close handshake if the protocol has one, otherwise
+  // immediately.
+  void close(EndReason why);
   void check(Time now);
-  // As if its sockets had gone with the process; tells nobody.
+  // Closes both sockets without reporting an ending, for destruction of the owner.
   void abandon();
   std::uint64_t passed(Side from) const { return pipe(from).passed; }
 
  private:
-  struct Pipe {  // one direction, by the side that sends
+  struct Pipe {  // One direction, indexed by its sender.
     std::unique_ptr<char[]> piece;
     BufferBudget::Grant grant;
-    // [begin, looked) is to be written, [looked, end) to be looked at first.
-    std::size_t begin = 0, looked = 0, end = 0;
-    bool hungry = false;  // what is to be looked at is the beginning of something; more has to come
-    std::string own;      // of ours, at the next boundary; being written from `ownAt` on
-    std::size_t ownAt = 0;
-    bool reading = false, writing = false;  // a wait is out
-    bool ended = false;                     // its side sends no more
-    bool broken = false;                    // nor is there any more: what the kernel still has is read
-    bool muted = false;                     // what comes is read, and goes nowhere
-    bool said = false;                      // our farewell went in, or none can
-    bool told = false;                      // the side that takes knows the end in the protocol's words
+    // [begin, decodedEnd) is ready to be written; [decodedEnd, end) is to be decoded first.
+    std::size_t begin = 0, decodedEnd = 0, end = 0;
+    bool needsMoreInput = false;  // the bytes to be decoded are an incomplete unit; read more before decoding
+    std::string injected;  // messages of the gateway to insert at the next unit boundary; `injectedOffset` is
+                           // the number of bytes written
+    std::size_t injectedOffset = 0;
+    bool reading = false, writing = false;  // an asynchronous wait is pending
+    bool ended = false;                     // the sender has sent its FIN
+    bool broken = false;          // the connection is reset or lost; bytes in the kernel are still read
+    bool discardsInput = false;   // input is read and discarded
+    bool closeDone = false;       // the close message was written, or none can be sent
+    bool closeForwarded = false;  // the receiver got a close message
     std::uint64_t passed = 0;
-    Time heard{};  // from its side; only where pings go
-    bool pinged = false;
+    Time lastReceived{};  // last bytes received from the sender; used for pings only
+    bool pingOutstanding = false;
   };
 
   Pipe& pipe(Side from) { return pipes_[static_cast<std::size_t>(from)]; }
@@ -78,17 +80,17 @@
   void pump(Side from);
   bool writeSome(Side from);
   bool readSome(Side from);
-  void lookOn(Side from);
-  bool mayPutOwn(Side from) const;
+  void decodeBuffered(Side from);
+  bool canWriteInjected(Side from) const;
   void waitToRead(Side from);
   void waitToWrite(Side from);
   void watch(Side side);
-  void hold(Pipe& p);
-  void release(Pipe& p);
-  void broken(Side side);
-  void faulty(Side side, Why why);
-  void leave(const Ending& ending, bool clientHears, bool hostHears);
-  void checkLeaving();
+  void acquirePiece(Pipe& p);
+  void releasePiece(Pipe& p);
+  void onBroken(Side side);
+  void onProtocolFault(Side side, EndReason why);
+  void beginClose(const Ending& ending, bool notifyClient, bool notifyHost);
+  void checkCloseHandshake();
   void checkPings(Time now);
   void setDue();
   void finish(const Ending& ending);
@@ -101,9 +103,9 @@
   std::unique_ptr<Codec> codec_;
   Flow flow_;
   std::array<Pipe, 2> pipes_;
-  std::optional<Side> firstSaid_;  // the end, in the protocol's words
-  std::optional<Ending> leaving_;  // it ends so, once the farewells are said or their time is up
-  Time leaveBy_ = Time::max();
+  std::optional<Side> firstCloser_;      // side that sent the first close message
+  std::optional<Ending> closingEnding_;  // ending to report when the close handshake is complete or timed out
+  Time closeDeadline_ = Time::max();
   bool over_ = false;
 };
 
--- a/src/stream/settings.cpp
+++ b/src/stream/settings.cpp
@@ -13,8 +13,8 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr std::size_t kListenMost = 16;
-constexpr std::size_t kDescriptorsOver = 16;
+constexpr std::size_t kMaxListeners = 16;
+constexpr std::size_t kSpareDescriptors = 16;
 
 void readListen(SettingReader& r, ListenSettings& l) {
   r.require("name", "a name for figures and the log");
@@ -56,7 +56,7 @@
       r.error("buffer_bytes", "must be " + std::to_string(minBufferBytes(out.most)) + " at least for " +
                                   std::to_string(out.most) + " streams");
     if (more) more(r);
-    r.tables("listen", kListenMost, [&](SettingReader& l) { readListen(l, out.listen.emplace_back()); });
+    r.tables("listen", kMaxListeners, [&](SettingReader& l) { readListen(l, out.listen.emplace_back()); });
     for (std::size_t i = 0; i < out.listen.size(); ++i)
       for (std::size_t k = 0; k < i; ++k)
         if (out.listen[i].name == out.listen[k].name || (out.listen[i].at == out.listen[k].at))
@@ -66,7 +66,7 @@
 
 std::size_t maxStreamsFor(const StreamSettings& s, std::size_t descriptors) {
   const auto part = static_cast<std::size_t>(static_cast<double>(descriptors) * s.descriptorShare);
-  const std::size_t over = std::min(kDescriptorsOver, part / 2);
+  const std::size_t over = std::min(kSpareDescriptors, part / 2);
   return std::max<std::size_t>(1, std::min(s.most, (part - over) / 2));
 }
 
--- a/src/stream/settings.hpp
+++ b/src/stream/settings.hpp
@@ -1,4 +1,4 @@
-// The part of the operator's file that is about streams: [streams].
+// Operator settings of streams: table [streams].
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,36 +12,40 @@
 namespace finchstile::stream {
 
 struct ListenSettings {
-  std::string name;  // in figures and the log
+  std::string name;  // label in metrics and log
   boost::asio::ip::tcp::endpoint at;
-  std::string className;                              // of the platform's settings
-  Duration connect = std::chrono::milliseconds(500);  // for a stream to begin, over all its attempts
+  std::string className;                              // a class of the platform settings
+  Duration connect = std::chrono::milliseconds(500);  // limit for establishing a stream, over all attempts
   FlowLimits flow{std::chrono::minutes(10), std::chrono::minutes(1), std::chrono::seconds(30)};
-  bool proxyIn = false;   // each connection begins with a PROXY header, or is turned down
-  bool proxyOut = false;  // hosts are sent one
+  bool proxyIn = false;   // require a PROXY header on each accepted connection
+  bool proxyOut = false;  // send a PROXY header to hosts
 };
 
 enum class LogEnds { all, failed, none };
 
 struct StreamSettings {
   bool enabled = false;
-  double descriptorShare = 0.2;  // of the process's; the two others have the rest, in their proportion
-  std::size_t most = 1000;       // held by this gateway; less where the descriptors are too few
-  std::size_t bufferBytes = std::size_t{16} * 1024 * 1024;  // between the two sides of all streams together
-  std::size_t hostStreams = 0;                              // held by one host, by all gateways; 0: no bound
-  double hostRate = 0;  // that begin at one host a second, by all gateways; 0: no bound
-  Duration returnWithin = std::chrono::seconds(10);  // who is refused is told to come back within
-  Duration drainWithin = std::chrono::seconds(10);   // over which those of a draining host are closed
-  double drainRate = 100;                            // so many a second at the most; 0: no bound
+  double descriptorShare = 0.2;  // share of the process descriptors; client and host connections divide the
+                                 // rest in their usual proportion
+  std::size_t most = 1000;       // concurrent streams of this gateway; less if there are too few descriptors
+  std::size_t bufferBytes = std::size_t{16} * 1024 * 1024;  // total relay buffer of all streams
+  std::size_t hostStreams = 0;  // concurrent streams of one host over all gateways; 0: no bound
+  double hostRate = 0;          // new streams per second of one host over all gateways; 0: no bound
+  Duration returnWithin =
+      std::chrono::seconds(10);  // refused clients are given a retry time within this interval
+  Duration drainWithin =
+      std::chrono::seconds(10);  // interval over which streams of a draining host are closed
+  double drainRate = 100;        // closes per second, at most; 0: no bound
   LogEnds log = LogEnds::all;
   std::vector<ListenSettings> listen;
 };
 
-// `more` reads what others have in the same table.
+// `more` reads the keys of other modules in the same table.
 void readStreamSettings(SettingReader& root, StreamSettings& out,
                         const std::function<void(SettingReader&)>& more = {});
 
-// How many streams there may be, each with two descriptors, and some over for listeners and those to come.
+// Number of streams the descriptors allow. Each stream takes two; some are reserved for listeners and streams
+// being established.
 std::size_t maxStreamsFor(const StreamSettings& settings, std::size_t descriptors);
 
 }  // namespace finchstile::stream
--- a/src/stream/sockets.hpp
+++ b/src/stream/sockets.hpp
@@ -1,4 +1,4 @@
-// Small things that the relay and the fronts do with sockets alike.
+// Socket helpers shared by the relay and the stream handlers.
 #pragma once
 
 #include <poll.h>
@@ -8,21 +8,21 @@
 
 namespace finchstile::stream {
 
-// "10.0.0.4:9000" or "[::1]:9000".
+// Formats as "10.0.0.4:9000" or "[::1]:9000".
 inline std::string textOf(const boost::asio::ip::tcp::endpoint& e) {
   const std::string address = e.address().to_string();
   return (e.address().is_v6() ? "[" + address + "]:" : address + ":") + std::to_string(e.port());
 }
 
-// The other side has reset it, or it is lost. Unlike SO_ERROR this takes nothing away: what came ahead of the
-// reset can still be read, and the reset behind it.
+// The connection is reset or lost. Unlike reading SO_ERROR, this does not clear the error: bytes received
+// before the reset can still be read, and then the reset.
 inline bool isBroken(boost::asio::ip::tcp::socket& socket) {
-  pollfd look{socket.native_handle(), 0, 0};
-  return ::poll(&look, 1, 0) > 0 && (look.revents & POLLERR) != 0;
+  pollfd query{socket.native_handle(), 0, 0};
+  return ::poll(&query, 1, 0) > 0 && (query.revents & POLLERR) != 0;
 }
 
-// The other side is to see a reset at the close. Danger: ended in order, what it has would look like all
-// there is, and a stream that never was like one that had nothing to say.
+// Makes close() send a reset. After an orderly close the peer would take the bytes it has for the complete
+// stream, and a stream that was never established for one without data.
 inline void resetAtClose(boost::asio::ip::tcp::socket& socket) {
   boost::system::error_code ignored;
   socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
--- a/src/stream/table.hpp
+++ b/src/stream/table.hpp
@@ -1,5 +1,5 @@
-// The streams that are held: their relays, when each is looked at, and how those of a draining host are
-// brought to an end. Bounded by the module's bound on streams; one timer for all.
+// Table of established streams: their relays, deadlines and drain schedule. Bounded by the stream limit of
+// the decision module; one timer serves all streams.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,26 +21,27 @@
 
 namespace finchstile::stream {
 
-struct Begun {  // a stream as it begins
+struct StreamInfo {  // Identity of a stream: its request, attempt, host and client address.
   load_balancing::RequestId request = 0;
   std::uint32_t attempt = 0;
   load_balancing::HostId host = load_balancing::kNone;
   std::string name, hostName, from;
-  Time since{};  // when it was taken
+  Time since{};  // time of acceptance
 };
 
 class StreamTable : RelayEvents {
  public:
-  using Say = std::function<void(std::string_view line)>;
+  using LogSink = std::function<void(std::string_view line)>;
   StreamTable(boost::asio::io_context& io, const Clock& clock, const StreamSettings& settings,
-              std::size_t most, std::uint64_t seed, ProtocolHandlerCallbacks& gateway, Say say);
+              std::size_t most, std::uint64_t seed, ProtocolHandlerCallbacks& gateway, LogSink say);
   ~StreamTable() override;
 
-  // Tells the module that it has begun. Counted as taken before.
-  void take(const Begun& begun, RelayParts&& parts);
-  // One that did not begin.
-  void ended(const Begun& begun, const Ending& how);
-  void onHost(load_balancing::HostId host, load_balancing::HostPhase phase);
+  // Starts relaying and reports the attempt as established. The stream must have been counted with
+  // StreamAccount::onAccepted.
+  void take(const StreamInfo& info, RelayParts&& parts);
+  // Records the ending of a stream that was not established.
+  void onNotEstablished(const StreamInfo& info, const Ending& how);
+  void onHostPhaseChanged(load_balancing::HostId host, load_balancing::HostPhase phase);
   void onDrain(Time until);
 
   bool idle() const { return streams_.empty(); }
@@ -53,10 +54,10 @@
   std::string exposition() const { return account_.exposition(budget_.held()); }
 
  private:
-  struct Held {
-    Begun begun;
+  struct Entry {
+    StreamInfo info;
     std::shared_ptr<Relay> relay;
-    Time at{};
+    Time establishedAt{};
   };
   void onRelayOver(StreamId id, const Ending& ending) override;
   void onRelayDue(StreamId id, Time due) override;
@@ -67,16 +68,16 @@
   const StreamSettings settings_;
   const std::size_t most_;
   ProtocolHandlerCallbacks& gateway_;
-  const Say say_;
+  const LogSink logSink_;
   BufferBudget budget_;
   StreamAccount account_;
   Deadlines deadlines_;
   DrainPlan plan_;
   boost::asio::steady_timer timer_;
-  Time armed_ = Time::max();
-  std::unordered_map<StreamId, Held> streams_;
+  Time timerExpiry_ = Time::max();
+  std::unordered_map<StreamId, Entry> streams_;
   std::unordered_map<load_balancing::HostId, std::unordered_set<StreamId>> byHost_;
-  StreamId last_ = 0;
+  StreamId lastId_ = 0;
   bool draining_ = false;
 };
 
--- a/src/stream/tcp_proxy_handler.cpp
+++ b/src/stream/tcp_proxy_handler.cpp
@@ -17,7 +17,8 @@
 using load_balancing::Outcome;
 using load_balancing::RequestId;
 
-constexpr Duration kAcceptPause = std::chrono::milliseconds(20);  // after a failed accept
+constexpr Duration kAcceptRetryDelay =
+    std::chrono::milliseconds(20);  // before the next accept after a failure
 
 }  // namespace
 
@@ -30,18 +31,18 @@
   asio::steady_timer pause;
 };
 
-struct TcpProxyHandler::Comer {
-  Comer(Listener& l, tcp::socket s, asio::io_context& io)
+struct TcpProxyHandler::PendingStream {
+  PendingStream(Listener& l, tcp::socket s, asio::io_context& io)
       : listener(l), client(std::move(s)), host(io), timer(io) {}
   Listener& listener;
   tcp::socket client, host;
-  asio::steady_timer timer;  // for the header, then for each dial
+  asio::steady_timer timer;  // limit of the PROXY header, then of each connect
   RequestId request = 0;
-  Begun begun;
-  std::string read;  // of the client, while a header is awaited
+  StreamInfo info;
+  std::string read;  // client bytes read while waiting for the PROXY header
   ProxyHeader ends;
-  bool asked = false;                    // the module; and it has not had its last word
-  std::optional<std::uint32_t> attempt;  // out, and owed its end
+  bool submitted = false;                // the decision module has the request and has not finished it
+  std::optional<std::uint32_t> attempt;  // attempt in progress whose end must be reported
   Time sent{};
   bool over = false;
 };
@@ -72,7 +73,7 @@
 }
 
 TcpProxyHandler::~TcpProxyHandler() {
-  for (auto& [id, comer] : comers_) comer->over = true;
+  for (auto& [id, pending] : pendingStreams_) pending->over = true;
 }
 
 tcp::endpoint TcpProxyHandler::endpoint(std::size_t listener) const {
@@ -87,194 +88,198 @@
   l.acceptor.async_accept([this, &l](error_code error, tcp::socket socket) {
     if (error == asio::error::operation_aborted || !l.acceptor.is_open()) return;
     if (!error) {
-      take(l, std::move(socket));
+      startPending(l, std::move(socket));
       return accept(l);
     }
-    // Danger: out of descriptors, accept fails at once and for ever; a loop over it would eat the core.
-    l.pause.expires_after(kAcceptPause);
+    // Out of descriptors, accept fails immediately and repeatedly; the delay avoids a busy loop.
+    l.pause.expires_after(kAcceptRetryDelay);
     l.pause.async_wait([this, &l](error_code stopped) {
       if (!stopped && l.acceptor.is_open()) accept(l);
     });
   });
 }
 
-void TcpProxyHandler::take(Listener& l, tcp::socket socket) {
+void TcpProxyHandler::startPending(Listener& l, tcp::socket socket) {
   error_code error;
   const tcp::endpoint from = socket.remote_endpoint(error);
   const tcp::endpoint to = error ? tcp::endpoint{} : socket.local_endpoint(error);
-  if (error) return;  // gone again
-  const auto comer = std::make_shared<Comer>(l, std::move(socket), io_);
-  comer->request = gateway_.newRequest();
-  comer->begun.request = comer->request;
-  comer->begun.name = l.settings.name;
-  comer->begun.from = textOf(from);
-  comer->begun.since = clock_.now();
-  comer->ends.ends = ProxyHeader::Ends{from, to};
-  table_.account().onTaken(l.settings.name);
-  comers_.emplace(comer->request, comer);
-  // Danger: those that say nothing would fill the table before the module is asked.
-  if (comers_.size() + table_.size() > table_.most())
-    return drop(comer, {Ender::gateway, Why::turnedAway, false});
-  comer->client.non_blocking(true, error);
-  watch(comer);
-  if (comer->over) return;
-  if (!l.settings.proxyIn) return ask(comer);
-  comer->timer.expires_after(l.settings.connect);
-  comer->timer.async_wait([this, comer](error_code stopped) {
-    if (!stopped && !comer->over && !comer->asked) drop(comer, {Ender::client, Why::header, false});
+  if (error) return;  // already disconnected
+  const auto pending = std::make_shared<PendingStream>(l, std::move(socket), io_);
+  pending->request = gateway_.newRequest();
+  pending->info.request = pending->request;
+  pending->info.name = l.settings.name;
+  pending->info.from = textOf(from);
+  pending->info.since = clock_.now();
+  pending->ends.ends = ProxyHeader::Ends{from, to};
+  table_.account().onAccepted(l.settings.name);
+  pendingStreams_.emplace(pending->request, pending);
+  // Pending streams count as well: connections that never send a PROXY header must not exceed the limit
+  // before the decision module sees them.
+  if (pendingStreams_.size() + table_.size() > table_.most())
+    return dropPending(pending, {EndedBy::gateway, EndReason::turnedAway, false});
+  pending->client.non_blocking(true, error);
+  watchForReset(pending);
+  if (pending->over) return;
+  if (!l.settings.proxyIn) return submit(pending);
+  pending->timer.expires_after(l.settings.connect);
+  pending->timer.async_wait([this, pending](error_code stopped) {
+    if (!stopped && !pending->over && !pending->submitted)
+      dropPending(pending, {EndedBy::client, EndReason::header, false});
   });
-  readHeader(comer);
+  readHeader(pending);
 }
 
-// Who resets before its stream has begun is gone; who has sent its FIN waits for an answer.
-void TcpProxyHandler::watch(const std::shared_ptr<Comer>& comer) {
-  comer->client.async_wait(tcp::socket::wait_error, [this, comer](error_code error) {
-    if (error || comer->over) return;
-    if (isBroken(comer->client)) drop(comer, {Ender::client, Why::left, false});
+// A client that resets before its stream is established has left; one that has sent its FIN still waits for a
+// response.
+void TcpProxyHandler::watchForReset(const std::shared_ptr<PendingStream>& pending) {
+  pending->client.async_wait(tcp::socket::wait_error, [this, pending](error_code error) {
+    if (error || pending->over) return;
+    if (isBroken(pending->client)) dropPending(pending, {EndedBy::client, EndReason::left, false});
   });
 }
 
-void TcpProxyHandler::readHeader(const std::shared_ptr<Comer>& comer) {
-  comer->client.async_wait(tcp::socket::wait_read, [this, comer](error_code error) {
-    if (comer->over) return;
-    char bytes[kProxyHeaderMost];
-    // Danger: one byte more than the header is the stream's own; it is kept for the host.
-    const std::size_t n = error ? 0 : comer->client.read_some(asio::buffer(bytes), error);
-    if (error == asio::error::would_block) return readHeader(comer);
-    if (error) return drop(comer, {Ender::client, Why::header, false});
-    comer->read.append(bytes, n);
-    const ProxyRead r = readProxyHeader(comer->read);
-    if (r.verdict == ProxyRead::Verdict::more) return readHeader(comer);
-    if (r.verdict == ProxyRead::Verdict::bad) return drop(comer, {Ender::client, Why::header, false});
-    comer->read.erase(0, r.used);
+void TcpProxyHandler::readHeader(const std::shared_ptr<PendingStream>& pending) {
+  pending->client.async_wait(tcp::socket::wait_read, [this, pending](error_code error) {
+    if (pending->over) return;
+    char bytes[kMaxProxyHeaderBytes];
+    // Bytes after the header belong to the stream and are kept for the host.
+    const std::size_t n = error ? 0 : pending->client.read_some(asio::buffer(bytes), error);
+    if (error == asio::error::would_block) return readHeader(pending);
+    if (error) return dropPending(pending, {EndedBy::client, EndReason::header, false});
+    pending->read.append(bytes, n);
+    const ProxyRead r = readProxyHeader(pending->read);
+    if (r.verdict == ProxyRead::Verdict::more) return readHeader(pending);
+    if (r.verdict == ProxyRead::Verdict::bad)
+      return dropPending(pending, {EndedBy::client, EndReason::header, false});
+    pending->read.erase(0, r.used);
     if (r.header.ends) {
-      comer->ends = r.header;
-      comer->begun.from = textOf(r.header.ends->from);
+      pending->ends = r.header;
+      pending->info.from = textOf(r.header.ends->from);
     }
-    ask(comer);
+    submit(pending);
   });
 }
 
-void TcpProxyHandler::ask(const std::shared_ptr<Comer>& comer) {
-  comer->timer.cancel();
-  comer->asked = true;
+void TcpProxyHandler::submit(const std::shared_ptr<PendingStream>& pending) {
+  pending->timer.cancel();
+  pending->submitted = true;
   load_balancing::Request q;
-  q.id = comer->request;
-  q.classIndex = comer->listener.classIndex;
-  q.timeLeft = comer->listener.settings.connect;
+  q.id = pending->request;
+  q.classIndex = pending->listener.classIndex;
+  q.timeLeft = pending->listener.settings.connect;
   q.isStream = true;
   gateway_.submitRequest(*this, q);
 }
 
-std::shared_ptr<TcpProxyHandler::Comer> TcpProxyHandler::find(RequestId request) const {
-  const auto it = comers_.find(request);
-  return it == comers_.end() ? nullptr : it->second;
+std::shared_ptr<TcpProxyHandler::PendingStream> TcpProxyHandler::find(RequestId request) const {
+  const auto it = pendingStreams_.find(request);
+  return it == pendingStreams_.end() ? nullptr : it->second;
 }
 
-// --- What the module has decided
-// -----------------------------------------------------------------------------
+// --- Decisions of the module
 
 void TcpProxyHandler::onSendAttempt(RequestId request, std::uint32_t attempt, const AttemptTarget& to,
                                     Duration limit) {
-  const auto comer = find(request);
-  if (!comer) return;
-  comer->attempt = attempt;
-  comer->sent = clock_.now();
-  comer->begun.attempt = attempt;
-  comer->begun.host = to.host;
-  comer->begun.hostName = std::string(to.name);
-  comer->host = tcp::socket(io_);
-  comer->timer.expires_after(limit);
-  comer->timer.async_wait([this, comer, attempt](error_code stopped) {
-    if (!stopped) dialled(comer, attempt, false);
+  const auto pending = find(request);
+  if (!pending) return;
+  pending->attempt = attempt;
+  pending->sent = clock_.now();
+  pending->info.attempt = attempt;
+  pending->info.host = to.host;
+  pending->info.hostName = std::string(to.name);
+  pending->host = tcp::socket(io_);
+  pending->timer.expires_after(limit);
+  pending->timer.async_wait([this, pending, attempt](error_code stopped) {
+    if (!stopped) onConnectFinished(pending, attempt, false);
   });
-  comer->host.async_connect(to.endpoint, [this, comer, attempt](error_code error) {
-    if (error != asio::error::operation_aborted) dialled(comer, attempt, !error);
+  pending->host.async_connect(to.endpoint, [this, pending, attempt](error_code error) {
+    if (error != asio::error::operation_aborted) onConnectFinished(pending, attempt, !error);
   });
 }
 
-void TcpProxyHandler::dialled(const std::shared_ptr<Comer>& comer, std::uint32_t attempt, bool good) {
-  if (comer->over || comer->attempt != attempt) return;
-  comer->timer.cancel();
-  // The last look before the first byte: its host may have begun to drain meanwhile.
-  if (!good || gateway_.hostPhase(comer->begun.host) != HostPhase::active)
-    return giveUp(*comer, Outcome::connectFailed);
+void TcpProxyHandler::onConnectFinished(const std::shared_ptr<PendingStream>& pending, std::uint32_t attempt,
+                                        bool good) {
+  if (pending->over || pending->attempt != attempt) return;
+  pending->timer.cancel();
+  // The host may have started draining during the connect; check before the first byte is sent.
+  if (!good || gateway_.hostPhase(pending->info.host) != HostPhase::active)
+    return endAttempt(*pending, Outcome::connectFailed);
   error_code error;
-  if (comer->listener.settings.proxyOut) {
-    // It fits into the empty buffer of a new connection.
-    const std::string header = writeProxyHeader(comer->ends);
-    comer->host.non_blocking(true, error);
-    const std::size_t n = comer->host.write_some(asio::buffer(header), error);
-    if (error || n < header.size()) return giveUp(*comer, Outcome::connectFailed);
+  if (pending->listener.settings.proxyOut) {
+    // Fits into the empty send buffer of a new connection.
+    const std::string header = writeProxyHeader(pending->ends);
+    pending->host.non_blocking(true, error);
+    const std::size_t n = pending->host.write_some(asio::buffer(header), error);
+    if (error || n < header.size()) return endAttempt(*pending, Outcome::connectFailed);
   }
-  comer->over = true;
-  comers_.erase(comer->request);
-  comer->client.cancel(error);
-  RelayParts parts{std::move(comer->client),
-                   std::move(comer->host),
-                   std::move(comer->read),
+  pending->over = true;
+  pendingStreams_.erase(pending->request);
+  pending->client.cancel(error);
+  RelayParts parts{std::move(pending->client),
+                   std::move(pending->host),
+                   std::move(pending->read),
                    {},
                    {},
-                   comer->listener.settings.flow,
+                   pending->listener.settings.flow,
                    nullptr};
-  table_.take(comer->begun, std::move(parts));
+  table_.take(pending->info, std::move(parts));
 }
 
-// Nothing of it went out. What comes next, the module tells.
-void TcpProxyHandler::giveUp(Comer& comer, Outcome outcome) {
-  if (!comer.attempt) return;
-  const std::uint32_t attempt = *std::exchange(comer.attempt, std::nullopt);
+// Ends an attempt of which nothing was sent. The decision module chooses the next step.
+void TcpProxyHandler::endAttempt(PendingStream& pending, Outcome outcome) {
+  if (!pending.attempt) return;
+  const std::uint32_t attempt = *std::exchange(pending.attempt, std::nullopt);
   error_code ignored;
-  comer.timer.cancel();
-  comer.host.close(ignored);
-  gateway_.attemptEnded(comer.request, attempt, comer.begun.host, outcome, clock_.now() - comer.sent, false);
+  pending.timer.cancel();
+  pending.host.close(ignored);
+  gateway_.attemptEnded(pending.request, attempt, pending.info.host, outcome, clock_.now() - pending.sent,
+                        false);
 }
 
 void TcpProxyHandler::onCancelAttempt(RequestId request, std::uint32_t attempt) {
-  const auto comer = find(request);
-  if (comer && comer->attempt == attempt) giveUp(*comer, Outcome::notSent);
+  const auto pending = find(request);
+  if (pending && pending->attempt == attempt) endAttempt(*pending, Outcome::notSent);
 }
 
 void TcpProxyHandler::onRequestRejected(RequestId request, Duration) {
-  const auto comer = find(request);
-  if (!comer) return;
-  comer->asked = false;
-  drop(comer, {Ender::gateway, Why::turnedAway, false});
+  const auto pending = find(request);
+  if (!pending) return;
+  pending->submitted = false;
+  dropPending(pending, {EndedBy::gateway, EndReason::turnedAway, false});
 }
 
 void TcpProxyHandler::onRequestFailed(RequestId request) {
-  const auto comer = find(request);
-  if (!comer) return;
-  comer->asked = false;
-  drop(comer, {Ender::host, Why::unreached, false});
+  const auto pending = find(request);
+  if (!pending) return;
+  pending->submitted = false;
+  dropPending(pending, {EndedBy::host, EndReason::unreached, false});
 }
 
-void TcpProxyHandler::drop(const std::shared_ptr<Comer>& comer, const Ending& how) {
-  if (std::exchange(comer->over, true)) return;
-  comer->timer.cancel();
+void TcpProxyHandler::dropPending(const std::shared_ptr<PendingStream>& pending, const Ending& how) {
+  if (std::exchange(pending->over, true)) return;
+  pending->timer.cancel();
   error_code ignored;
-  resetAtClose(comer->client);
-  comer->client.close(ignored);
-  comers_.erase(comer->request);
-  table_.ended(comer->begun, how);
-  if (std::exchange(comer->asked, false)) gateway_.clientDisconnected(comer->request);
-  giveUp(*comer, Outcome::notSent);
+  resetAtClose(pending->client);
+  pending->client.close(ignored);
+  pendingStreams_.erase(pending->request);
+  table_.onNotEstablished(pending->info, how);
+  if (std::exchange(pending->submitted, false)) gateway_.clientDisconnected(pending->request);
+  endAttempt(*pending, Outcome::notSent);
 }
 
 // --- Drains
-// ------------------------------------------------------------------------------------------------
 
 void TcpProxyHandler::onHostPhaseChanged(HostId host, HostPhase phase) {
   if (phase != HostPhase::active) {
-    std::vector<std::shared_ptr<Comer>> there;
-    for (const auto& [id, comer] : comers_)
-      if (comer->attempt && comer->begun.host == host) there.push_back(comer);
-    for (const auto& comer : there) giveUp(*comer, Outcome::connectFailed);
+    std::vector<std::shared_ptr<PendingStream>> there;
+    for (const auto& [id, pending] : pendingStreams_)
+      if (pending->attempt && pending->info.host == host) there.push_back(pending);
+    for (const auto& pending : there) endAttempt(*pending, Outcome::connectFailed);
   }
-  table_.onHost(host, phase);
+  table_.onHostPhaseChanged(host, phase);
 }
 
-// What the kernel has taken in for us is turned away at once by the close, as it would be by the end.
+// Closing the listeners resets connections in the accept queue now instead of at exit.
 void TcpProxyHandler::onDrain(Time until) {
   for (const auto& l : listeners_) {
     error_code ignored;
--- a/src/stream/tcp_proxy_handler.hpp
+++ b/src/stream/tcp_proxy_handler.hpp
@@ -1,6 +1,6 @@
-// Opaque streams over TCP: listeners of their own, a class for each. A client's connection is taken in, the
-// module asked, a host dialled on a connection of its own, and both are handed to the table. What comes of
-// the client before that waits in the kernel.
+// Opaque TCP streams on separate listeners, one class per listener. Accepts a client connection, submits a
+// request to the decision module, connects to the chosen host on a new connection and passes both sockets to
+// the stream table. Until then, client bytes stay in the kernel buffer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,8 +21,8 @@
 
 class TcpProxyHandler : public ProtocolHandler {
  public:
-  // Throws std::runtime_error that names the listener whose address can't be bound or whose class is none of
-  // the platform's. The table must outlive it.
+  // Throws std::runtime_error naming the listener if its address cannot be bound or its class is not in the
+  // platform settings. `table` must outlive this object.
   TcpProxyHandler(boost::asio::io_context& io, const Clock& clock, const StreamSettings& settings,
                   const load_balancing::Settings& platform, ProtocolHandlerCallbacks& gateway,
                   StreamTable& table);
@@ -38,28 +38,28 @@
   void onRequestFailed(load_balancing::RequestId request) override;
   void onHostPhaseChanged(load_balancing::HostId host, load_balancing::HostPhase phase) override;
   void onDrain(Time until) override;
-  bool isIdle() const override { return comers_.empty() && table_.idle(); }
+  bool isIdle() const override { return pendingStreams_.empty() && table_.idle(); }
 
  private:
   struct Listener;
-  struct Comer;  // a client whose stream has not begun
+  struct PendingStream;  // client connection whose stream is not established yet
 
   void accept(Listener& listener);
-  void take(Listener& listener, tcp::socket socket);
-  void readHeader(const std::shared_ptr<Comer>& comer);
-  void ask(const std::shared_ptr<Comer>& comer);
-  void watch(const std::shared_ptr<Comer>& comer);
-  void dialled(const std::shared_ptr<Comer>& comer, std::uint32_t attempt, bool good);
-  void giveUp(Comer& comer, load_balancing::Outcome outcome);
-  void drop(const std::shared_ptr<Comer>& comer, const Ending& how);
-  std::shared_ptr<Comer> find(load_balancing::RequestId request) const;
+  void startPending(Listener& listener, tcp::socket socket);
+  void readHeader(const std::shared_ptr<PendingStream>& pending);
+  void submit(const std::shared_ptr<PendingStream>& pending);
+  void watchForReset(const std::shared_ptr<PendingStream>& pending);
+  void onConnectFinished(const std::shared_ptr<PendingStream>& pending, std::uint32_t attempt, bool good);
+  void endAttempt(PendingStream& pending, load_balancing::Outcome outcome);
+  void dropPending(const std::shared_ptr<PendingStream>& pending, const Ending& how);
+  std::shared_ptr<PendingStream> find(load_balancing::RequestId request) const;
 
   boost::asio::io_context& io_;
   const Clock& clock_;
   ProtocolHandlerCallbacks& gateway_;
   StreamTable& table_;
   std::vector<std::unique_ptr<Listener>> listeners_;
-  std::unordered_map<load_balancing::RequestId, std::shared_ptr<Comer>> comers_;
+  std::unordered_map<load_balancing::RequestId, std::shared_ptr<PendingStream>> pendingStreams_;
 };
 
 }  // namespace finchstile::stream
--- a/src/websocket/codec.hpp
+++ b/src/websocket/codec.hpp
@@ -1,5 +1,4 @@
-// WebSocket on a stream: frames in both directions, its own words for the end, pings. No I/O; chance is
-// passed in.
+// Codec of WebSocket: frames in both directions, close frames, pings. No I/O; random numbers are passed in.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +17,13 @@
 
 class WebSocketCodec : public stream::Codec {
  public:
-  // `draw` gives the masks of our own frames towards the host (RFC 6455, 5.3): not to be guessed.
+  // `draw` returns unpredictable masking keys for frames the gateway sends to the host (RFC 6455, 5.3).
   WebSocketCodec(const CodecRules& rules, std::function<std::uint32_t()> draw);
 
-  Look look(stream::Side from, const char* bytes, std::size_t n, bool stop) override;
+  DecodeResult decode(stream::Side from, const char* bytes, std::size_t n, bool stop) override;
   bool atBoundary(stream::Side from) const override { return reader(from).atBoundary(); }
-  bool saidEnd(stream::Side from) const override { return reader(from).closed(); }
-  std::string farewell(stream::Side to, const stream::Ending& ending) override;
+  bool closeReceived(stream::Side from) const override { return reader(from).closed(); }
+  std::string closeMessage(stream::Side to, const stream::Ending& ending) override;
   std::string ping(stream::Side to) override { return frame(to, 9, {}); }
   Duration pingAfter() const override { return rules_.pingAfter; }
   Duration pingAnswer() const override { return rules_.pingAnswer; }
@@ -37,10 +36,10 @@
   const CodecRules rules_;
   const std::function<std::uint32_t()> draw_;
   FrameReader client_, host_;
-  CloseCode fault_ = CloseCode::protocolError;  // of the side that broke the rules
+  CloseCode fault_ = CloseCode::protocolError;  // close code for the side that violated the protocol
 };
 
-// What each side is told of an ending. `fault`: the code of the side at fault.
+// Close code sent to `to` for an ending. `fault`: the code for the side at fault.
 CloseCode closeCodeFor(stream::Side to, const stream::Ending& ending, CloseCode fault);
 
 }  // namespace finchstile::websocket
--- a/src/websocket/frames.cpp
+++ b/src/websocket/frames.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr unsigned kContinuation = 0, kText = 1, kBinary = 2, kClose = 8, kPing = 9, kPong = 10;
-constexpr std::size_t kControlMost = 125;  // 5.5
-constexpr unsigned kDeflated = 4;          // the first of the three reserved bits
+constexpr std::size_t kMaxControlPayload = 125;  // 5.5
+constexpr unsigned kRsv1 = 4;                    // RSV1: compressed message (RFC 7692)
 
 bool isControl(unsigned opcode) { return opcode >= 8; }
 
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-bool mayBeSent(std::uint16_t code) {
+bool isSendableCloseCode(std::uint16_t code) {
   if (code >= 3000 && code <= 4999) return true;
   return (code >= 1000 && code <= 1003) || (code >= 1007 && code <= 1014);
 }
@@ -34,7 +34,7 @@
   if (more > 0) {
     h.length = 0;
     for (std::size_t i = 0; i < more; ++i) h.length = h.length << 8 | byteAt(b, at + i);
-    h.shortest = more == 2 ? h.length > 125 : h.length > 0xffff;
+    h.minimalLength = more == 2 ? h.length > 125 : h.length > 0xffff;
     at += more;
   }
   if (h.masked) {
@@ -45,69 +45,70 @@
   return h;
 }
 
-const char* FrameReader::judgeKind(const Header& h) const {
+const char* FrameReader::checkOpcodeAndFlags(const Header& h) const {
   if (h.masked != rules_.masked)
-    return rules_.masked ? "a client's frame without a mask" : "a server's frame with a mask";
+    return rules_.masked ? "client frame is not masked" : "server frame is masked";
   const bool control = isControl(h.opcode);
   const bool first = h.opcode == kText || h.opcode == kBinary;
-  // RFC 7692, 6: set on the first frame of a message only.
-  if (h.reserved != 0 && !(h.reserved == kDeflated && rules_.deflate && first)) return "a reserved bit";
+  // RFC 7692, 6: RSV1 is set on the first frame of a message only.
+  if (h.reserved != 0 && !(h.reserved == kRsv1 && rules_.deflate && first)) return "reserved bit is set";
   if (!first && h.opcode != kContinuation && h.opcode != kClose && h.opcode != kPing && h.opcode != kPong)
-    return "an opcode that is none";
-  if (control && !h.fin) return "a control frame in fragments";
-  if (control && h.length > kControlMost) return "a control frame of more than 125 bytes";
-  if (h.opcode == kContinuation && !open_) return "a continuation of nothing";
-  if (first && open_) return "a message within another";
+    return "reserved opcode";
+  if (control && !h.fin) return "fragmented control frame";
+  if (control && h.length > kMaxControlPayload) return "control frame payload exceeds 125 bytes";
+  if (h.opcode == kContinuation && !inMessage_) return "continuation frame outside a message";
+  if (first && inMessage_) return "new message before the end of a fragmented one";
   return nullptr;
 }
 
-const char* FrameReader::judgeLength(const Header& h, CloseCode& code) const {
+const char* FrameReader::checkLength(const Header& h, CloseCode& code) const {
   code = CloseCode::protocolError;
-  if (!h.shortest) return "a length in more bytes than it needs";
-  if (h.length >> 63) return "a length of 2^63 or more";
+  if (!h.minimalLength) return "payload length is not in its shortest encoding";
+  if (h.length >> 63) return "payload length is 2^63 or more";
   if (isControl(h.opcode)) return nullptr;
   code = CloseCode::tooBig;
-  if (h.length > rules_.frameMost) return "a frame beyond the limit";
-  if (h.length > rules_.messageMost - (h.opcode == kContinuation ? message_ : 0))
-    return "a message beyond the limit";
+  if (h.length > rules_.frameMost) return "frame exceeds the frame limit";
+  if (h.length > rules_.messageMost - (h.opcode == kContinuation ? messageBytes_ : 0))
+    return "message exceeds the message limit";
   return nullptr;
 }
 
-// 5.5.1 and 7.4. The whole frame is here.
-const char* FrameReader::judgeClose(const Header& h, const char* payload, CloseCode& code) {
+// 5.5.1 and 7.4. Requires the complete frame.
+const char* FrameReader::checkCloseFrame(const Header& h, const char* payload, CloseCode& code) {
   code = CloseCode::protocolError;
   closeCode_ = 0;
   if (h.length == 0) return nullptr;
-  if (h.length == 1) return "a close code of one byte";
+  if (h.length == 1) return "close payload of one byte";
   const auto plain = [&](std::size_t i) {
     return static_cast<unsigned char>(byteAt(payload, i) ^ (h.masked ? h.key[i & 3] : 0));
   };
-  const auto told = static_cast<std::uint16_t>(plain(0) << 8 | plain(1));
-  if (!mayBeSent(told)) return "a close code that may not be sent";
+  const auto receivedCode = static_cast<std::uint16_t>(plain(0) << 8 | plain(1));
+  if (!isSendableCloseCode(receivedCode)) return "close code is not allowed on the wire";
   Utf8 reason;
   code = CloseCode::invalidData;
   for (std::size_t i = 2; i < h.length; ++i)
-    if (!reason.take(plain(i))) return "a reason that is no UTF-8";
-  if (!reason.whole()) return "a reason that is no UTF-8";
-  closeCode_ = told;
+    if (!reason.take(plain(i))) return "close reason is not valid UTF-8";
+  if (!reason.isComplete()) return "close reason is not valid UTF-8";
+  closeCode_ = receivedCode;
   return nullptr;
 }
 
 void FrameReader::beginData(const Header& h) {
   if (h.opcode != kContinuation) {
-    openText_ = h.opcode == kText && h.reserved == 0;  // deflated, it is no text yet
-    message_ = 0;
+    messageIsText_ =
+        h.opcode == kText && h.reserved == 0;  // compressed payload is not UTF-8 before decompression
+    messageBytes_ = 0;
     utf8_.restart();
   }
-  message_ += h.length;
-  open_ = !h.fin;
-  last_ = h.fin;
-  text_ = openText_;
+  messageBytes_ += h.length;
+  inMessage_ = !h.fin;
+  finalFrame_ = h.fin;
+  validatesText_ = messageIsText_;
 }
 
-bool FrameReader::lookAtText(const char* bytes, std::size_t n, std::size_t& good) {
+bool FrameReader::validateText(const char* bytes, std::size_t n, std::size_t& good) {
   for (good = 0; good < n; ++good) {
-    const unsigned char mask = isMasked_ ? key_[(keyAt_ + good) & 3] : 0;
+    const unsigned char mask = isMasked_ ? key_[(maskOffset_ + good) & 3] : 0;
     if (!utf8_.take(static_cast<unsigned char>(byteAt(bytes, good) ^ mask))) return false;
   }
   return true;
@@ -122,53 +123,53 @@
   };
   while (s.pass < n) {
     const char* const at = bytes + s.pass;
-    const std::size_t here = n - s.pass;
-    if (left_ > 0) {
-      const auto part = static_cast<std::size_t>(std::min<std::uint64_t>(left_, here));
+    const std::size_t available = n - s.pass;
+    if (payloadLeft_ > 0) {
+      const auto part = static_cast<std::size_t>(std::min<std::uint64_t>(payloadLeft_, available));
       std::size_t good = part;
-      const bool text = !text_ || lookAtText(at, part, good);
+      const bool text = !validatesText_ || validateText(at, part, good);
       s.pass += good;
-      left_ -= good;
-      keyAt_ += good;
-      if (!text || (left_ == 0 && text_ && last_ && !utf8_.whole()))
-        return fault(CloseCode::invalidData, "text that is no UTF-8");
-      if (left_ == 0 && stop) return s;
+      payloadLeft_ -= good;
+      maskOffset_ += good;
+      if (!text || (payloadLeft_ == 0 && validatesText_ && finalFrame_ && !utf8_.isComplete()))
+        return fault(CloseCode::invalidData, "text is not valid UTF-8");
+      if (payloadLeft_ == 0 && stop) return s;
       continue;
     }
     if (closed_) return s;
-    const Header h = readHeader(at, here);
+    const Header h = readHeader(at, available);
     CloseCode code{};
-    if (here < 2) return s;
+    if (available < 2) return s;
     if (rules_.checked)
-      if (const char* why = judgeKind(h)) return fault(CloseCode::protocolError, why);
+      if (const char* why = checkOpcodeAndFlags(h)) return fault(CloseCode::protocolError, why);
     if (h.size == 0) return s;
     if (rules_.checked)
-      if (const char* why = judgeLength(h, code)) return fault(code, why);
+      if (const char* why = checkLength(h, code)) return fault(code, why);
     const bool control = isControl(h.opcode);
-    if (control && h.length <= kControlMost) {
-      const std::size_t whole = h.size + static_cast<std::size_t>(h.length);
-      if (here < whole) return s;  // in one piece or not at all
+    if (control && h.length <= kMaxControlPayload) {
+      const std::size_t frameSize = h.size + static_cast<std::size_t>(h.length);
+      if (available < frameSize) return s;  // control frames are forwarded complete only
       if (h.opcode == kClose) {
         if (rules_.checked)
-          if (const char* why = judgeClose(h, at + h.size, code)) return fault(code, why);
+          if (const char* why = checkCloseFrame(h, at + h.size, code)) return fault(code, why);
         closed_ = true;
       }
-      s.pass += whole;
+      s.pass += frameSize;
       if (stop || closed_) return s;
       continue;
     }
     s.pass += h.size;
-    left_ = h.length;
+    payloadLeft_ = h.length;
     isMasked_ = h.masked;
     key_ = h.key;
-    keyAt_ = 0;
-    text_ = false;
+    maskOffset_ = 0;
+    validatesText_ = false;
     if (rules_.checked) {
       beginData(h);
-      if (left_ == 0 && text_ && last_ && !utf8_.whole())
-        return fault(CloseCode::invalidData, "text that is no UTF-8");
+      if (payloadLeft_ == 0 && validatesText_ && finalFrame_ && !utf8_.isComplete())
+        return fault(CloseCode::invalidData, "text is not valid UTF-8");
     }
-    if (left_ == 0 && stop) return s;
+    if (payloadLeft_ == 0 && stop) return s;
   }
   return s;
 }
@@ -199,7 +200,7 @@
 std::string closePayload(CloseCode code, std::string_view reason) {
   const auto number = static_cast<std::uint16_t>(code);
   std::string out{static_cast<char>(number >> 8), static_cast<char>(number & 0xff)};
-  return out.append(reason.substr(0, kControlMost - 2));
+  return out.append(reason.substr(0, kMaxControlPayload - 2));
 }
 
 }  // namespace finchstile::websocket
--- a/src/websocket/frames.hpp
+++ b/src/websocket/frames.hpp
@@ -1,5 +1,5 @@
-// Frames of RFC 6455, section 5, in one direction, as they come: where each ends, and what may not be. Looks
-// at bytes and keeps none but the header at hand. No I/O.
+// Incremental reader of WebSocket frames (RFC 6455, section 5) of one direction: finds frame boundaries and
+// protocol violations. Buffers no payload; only the state of the frame being read is kept. No I/O.
 #pragma once
 
 #include <array>
@@ -13,7 +13,7 @@
 
 namespace finchstile::websocket {
 
-// Section 7.4.1, and the registry that it opens.
+// Close codes of section 7.4.1 and its IANA registry.
 enum class CloseCode : std::uint16_t {
   normal = 1000,
   goingAway = 1001,
@@ -24,10 +24,10 @@
 };
 
 struct FrameRules {
-  bool checked = true;   // else only the lengths are followed, whatever they belong to
-  bool masked = false;   // what a client sends is, what a server sends is not (5.1)
-  bool deflate = false;  // permessage-deflate was agreed on (RFC 7692): the first bit of three may be set
-  std::uint64_t frameMost = 1 << 20, messageMost = 16 << 20;  // bytes of payload, as they are sent
+  bool checked = true;   // false: only frame lengths are followed, with no validation
+  bool masked = false;   // frames of a client are masked, frames of a server are not (5.1)
+  bool deflate = false;  // permessage-deflate was negotiated (RFC 7692): RSV1 may be set
+  std::uint64_t frameMost = 1 << 20, messageMost = 16 << 20;  // payload bytes as transmitted
 };
 
 class FrameReader {
@@ -35,57 +35,61 @@
   explicit FrameReader(const FrameRules& rules) : rules_(rules) {}
 
   struct Step {
-    // Bytes that may go on. Fewer than given: it stopped at a boundary, or what is left is the beginning of a
-    // header, or of a control frame, and is to be given again with more behind it.
+    // Bytes to forward. If fewer than given, the reader stopped at a frame boundary, or the rest is an
+    // incomplete header or control frame and must be passed in again with more bytes appended.
     std::size_t pass = 0;
-    std::optional<CloseCode> fault;  // what comes behind `pass` breaks the rules
+    std::optional<CloseCode> fault;  // the bytes after `pass` violate the protocol
     const char* why = "";
   };
-  // With `stop` it stops behind the frame that the bytes begin in or with.
+  // Reads the next bytes. With `stop` it stops after the frame in progress, or after the first one if none
+  // is.
   Step feed(const char* bytes, std::size_t n, bool stop);
 
-  bool atBoundary() const { return left_ == 0; }          // what has passed ends with a frame
-  bool closed() const { return closed_; }                 // a Close has passed: no more may follow
-  std::uint16_t closeCode() const { return closeCode_; }  // of it; 0: it gave none
+  bool atBoundary() const { return payloadLeft_ == 0; }   // the bytes forwarded end with a complete frame
+  bool closed() const { return closed_; }                 // a Close frame was forwarded; no frames may follow
+  std::uint16_t closeCode() const { return closeCode_; }  // code of the Close frame; 0: it had none
 
  private:
   struct Header {
-    std::size_t size = 0;  // bytes of it; 0: not all of it is there
+    std::size_t size = 0;  // bytes of the header; 0: incomplete
     bool fin = false, masked = false;
     unsigned reserved = 0, opcode = 0;
     std::uint64_t length = 0;
-    bool shortest = true;  // the length is told in as few bytes as it could be
+    bool minimalLength = true;  // the length uses the shortest encoding
     std::array<unsigned char, 4> key{};
   };
   static Header readHeader(const char* bytes, std::size_t n);
-  // What is wrong with it, null if nothing is: with its first two bytes, and with all of it.
-  const char* judgeKind(const Header& h) const;
-  const char* judgeLength(const Header& h, CloseCode& code) const;
-  const char* judgeClose(const Header& h, const char* payload, CloseCode& code);
+  // Error text, or null if valid: checkOpcodeAndFlags needs the first two bytes of the header, checkLength
+  // all of it.
+  const char* checkOpcodeAndFlags(const Header& h) const;
+  const char* checkLength(const Header& h, CloseCode& code) const;
+  const char* checkCloseFrame(const Header& h, const char* payload, CloseCode& code);
   void beginData(const Header& h);
-  // Text up to the first byte that is none; true if all is.
-  bool lookAtText(const char* bytes, std::size_t n, std::size_t& good);
+  // Validates UTF-8 of the payload; `good` is the number of bytes before the first invalid one. True if all
+  // are valid.
+  bool validateText(const char* bytes, std::size_t n, std::size_t& good);
 
   const FrameRules rules_;
-  std::uint64_t left_ = 0;  // of the payload under way
+  std::uint64_t payloadLeft_ = 0;  // payload bytes of the current frame not yet read
   std::array<unsigned char, 4> key_{};
-  std::size_t keyAt_ = 0;
-  bool isMasked_ = false, last_ = false;  // of the frame under way: its key counts; the last of its message
-  bool text_ = false;                     // it is text that is looked at
-  bool open_ = false;                     // a message has begun, and more of it is to come,
-  bool openText_ = false;                 // of text
-  std::uint64_t message_ = 0;             // bytes of it
+  std::size_t maskOffset_ = 0;
+  bool isMasked_ = false,
+       finalFrame_ = false;  // whether the current frame is masked, and whether it is the last of its message
+  bool validatesText_ = false;      // the current payload is validated as UTF-8
+  bool inMessage_ = false;          // a fragmented message is in progress
+  bool messageIsText_ = false;      // its payload is text that can be validated
+  std::uint64_t messageBytes_ = 0;  // payload bytes of the message so far
   Utf8 utf8_;
   bool closed_ = false;
   std::uint16_t closeCode_ = 0;
 };
 
-// One whole frame without a mask (a server's), or with `key` (a client's).
+// Serializes an unfragmented frame, unmasked (server) or masked with `key` (client).
 std::string writeFrame(unsigned opcode, std::string_view payload,
                        std::optional<std::array<unsigned char, 4>> key = {});
 std::string closePayload(CloseCode code, std::string_view reason);
 
-// Whether an endpoint may send it in a Close (7.4.2).
-bool mayBeSent(std::uint16_t code);
+// Whether an endpoint may send this code in a Close frame (7.4.2).
+bool isSendableCloseCode(std::uint16_t code);
 
 }  // namespace finchstile::websocket
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -15,13 +15,13 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-constexpr const char* kMagic = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11";  // 1.3
+constexpr const char* kAcceptGuid = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11";  // GUID of RFC 6455, 1.3
 constexpr const char* kDeflate = "permessage-deflate";
-constexpr std::size_t kListMost = 32;  // of subprotocols or extensions that are looked at
+constexpr std::size_t kMaxListItems = 32;  // subprotocols or extensions considered per message
 
-std::string_view plain(beast::string_view s) { return {s.data(), s.size()}; }
+std::string_view toView(beast::string_view s) { return {s.data(), s.size()}; }
 
-// All values of a header that may be repeated, as one list (RFC 9110, 5.3).
+// All values of a repeatable header as one list (RFC 9110, 5.3).
 std::string joined(const Fields& f, http::field name) {
   std::string out;
   const auto range = f.equal_range(name);
@@ -30,7 +30,7 @@
   return out;
 }
 
-bool names(const Fields& f, http::field header, beast::string_view token) {
+bool hasToken(const Fields& f, http::field header, beast::string_view token) {
   return http::token_list{joined(f, header)}.exists(token);
 }
 
@@ -38,7 +38,7 @@
   std::vector<std::string> out;
   for (const auto& token : http::token_list{list}) {
     out.emplace_back(token.data(), token.size());
-    if (out.size() > kListMost) break;
+    if (out.size() > kMaxListItems) break;
   }
   return out;
 }
@@ -47,7 +47,7 @@
   std::string name, whole;
 };
 
-// Each with its parameters as they stand, cut at commas that are in no quotes.
+// Splits at commas outside quotes; each extension keeps its parameters unchanged.
 std::vector<Extension> extensions(const std::string& list) {
   std::vector<Extension> out;
   std::string one;
@@ -67,11 +67,12 @@
     else one += c;
   }
   finish();
-  if (out.size() > kListMost) out.resize(kListMost);
+  if (out.size() > kMaxListItems) out.resize(kMaxListItems);
   return out;
 }
 
-// 4.1, 7: sixteen bytes in base64. Strictly: other forms of the same bytes would give another sum.
+// Sixteen bytes in canonical base64 (4.1, item 7). Another encoding of the same bytes would produce a
+// different accept value.
 bool isKey(std::string_view key) {
   if (key.size() != 24 || key.substr(22) != "==") return false;
   static constexpr std::string_view kLetters =
@@ -79,17 +80,17 @@
   if (!std::all_of(key.begin(), key.begin() + 22,
                    [](char c) { return kLetters.find(c) != std::string_view::npos; }))
     return false;
-  return kLetters.find(key[21]) % 16 == 0;  // the bits beyond the last byte
+  return kLetters.find(key[21]) % 16 == 0;  // the unused bits of the last character are 0
 }
 
-bool wanted(const std::vector<std::string>& of, const std::string& one) {
+bool isAllowed(const std::vector<std::string>& of, const std::string& one) {
   return of.empty() || std::find(of.begin(), of.end(), one) != of.end();
 }
 
 std::string protocolsFor(const RequestHead& head, const HandshakeRules& rules) {
   std::string out;
   for (const std::string& p : tokens(joined(head, http::field::sec_websocket_protocol)))
-    if (wanted(rules.protocols, p)) out.append(out.empty() ? "" : ", ").append(p);
+    if (isAllowed(rules.protocols, p)) out.append(out.empty() ? "" : ", ").append(p);
   return out;
 }
 
@@ -106,7 +107,7 @@
 }  // namespace
 
 std::string acceptOf(std::string_view key) {
-  const std::string text = std::string(key) + kMagic;
+  const std::string text = std::string(key) + kAcceptGuid;
   unsigned char sum[EVP_MAX_MD_SIZE];
   unsigned size = 0;
   if (EVP_Digest(text.data(), text.size(), sum, &size, EVP_sha1(), nullptr) != 1)
@@ -116,30 +117,30 @@
   return {reinterpret_cast<const char*>(out), static_cast<std::size_t>(n)};
 }
 
-bool requestsWebSocket(const RequestHead& head) { return names(head, http::field::upgrade, "websocket"); }
+bool requestsWebSocket(const RequestHead& head) { return hasToken(head, http::field::upgrade, "websocket"); }
 
 HandshakeVerdict checkRequest(const RequestHead& head, const HandshakeRules& rules) {
-  if (head.method() != http::verb::get || head.version() != 11) return {400, "not a GET of HTTP/1.1"};
-  if (head.count(http::field::host) != 1) return {400, "not one Host"};
-  if (!names(head, http::field::connection, "upgrade")) return {400, "Connection does not name Upgrade"};
+  if (head.method() != http::verb::get || head.version() != 11) return {400, "handshake must be an HTTP/1.1 GET request"};
+  if (head.count(http::field::host) != 1) return {400, "request must have exactly one Host header"};
+  if (!hasToken(head, http::field::connection, "upgrade")) return {400, "Connection does not name Upgrade"};
   if (head.count(http::field::content_length) + head.count(http::field::transfer_encoding) > 0)
-    return {400, "a body"};
+    return {400, "handshake must not have a body"};
   if (head.count(http::field::sec_websocket_version) != 1 || head[http::field::sec_websocket_version] != "13")
-    return {426, "not version 13"};
-  if (head.count(http::field::sec_websocket_key) != 1 || !isKey(plain(head[http::field::sec_websocket_key])))
-    return {400, "not one key of sixteen bytes"};
-  if (head.count(http::field::sec_websocket_accept) > 0) return {400, "an answer's header in a request"};
+    return {426, "Sec-WebSocket-Version must be 13"};
+  if (head.count(http::field::sec_websocket_key) != 1 || !isKey(toView(head[http::field::sec_websocket_key])))
+    return {400, "request must have exactly one Sec-WebSocket-Key of 16 bytes in base64"};
+  if (head.count(http::field::sec_websocket_accept) > 0) return {400, "request must not have a Sec-WebSocket-Accept header"};
   const auto offered = tokens(joined(head, http::field::sec_websocket_protocol));
-  if (head.count(http::field::sec_websocket_protocol) > 0 && offered.empty()) return {400, "no subprotocol"};
-  if (offered.size() > kListMost) return {400, "too many subprotocols"};
+  if (head.count(http::field::sec_websocket_protocol) > 0 && offered.empty()) return {400, "Sec-WebSocket-Protocol names no subprotocol"};
+  if (offered.size() > kMaxListItems) return {400, "Sec-WebSocket-Protocol names more than 32 subprotocols"};
   for (std::size_t i = 0; i < offered.size(); ++i)
     if (std::find(offered.begin(), offered.begin() + static_cast<std::ptrdiff_t>(i), offered[i]) !=
         offered.begin() + static_cast<std::ptrdiff_t>(i))
-      return {400, "a subprotocol twice"};
+      return {400, "Sec-WebSocket-Protocol names a subprotocol more than once"};
   if (!rules.origins.empty()) {
-    if (head.count(http::field::origin) != 1) return {403, "not one Origin"};
-    if (!wanted(rules.origins, std::string(plain(head[http::field::origin]))))
-      return {403, "an Origin that may not ask"};
+    if (head.count(http::field::origin) != 1) return {403, "request must have exactly one Origin header"};
+    if (!isAllowed(rules.origins, std::string(toView(head[http::field::origin]))))
+      return {403, "Origin is not allowed"};
   }
   return {};
 }
@@ -149,42 +150,42 @@
       {"Connection", "Upgrade"},
       {"Upgrade", "websocket"},
       {"Sec-WebSocket-Version", "13"},
-      {"Sec-WebSocket-Key", std::string(plain(head[http::field::sec_websocket_key]))}};
+      {"Sec-WebSocket-Key", std::string(toView(head[http::field::sec_websocket_key]))}};
   if (std::string p = protocolsFor(head, rules); !p.empty())
     out.push_back({"Sec-WebSocket-Protocol", std::move(p)});
   if (std::string e = extensionsFor(head, rules); !e.empty())
     out.push_back({"Sec-WebSocket-Extensions", std::move(e)});
   if (const auto origin = head[http::field::origin]; !origin.empty())
-    out.push_back({"Origin", std::string(plain(origin))});
+    out.push_back({"Origin", std::string(toView(origin))});
   if (const auto cookie = head[http::field::cookie]; !cookie.empty())
-    out.push_back({"Cookie", std::string(plain(cookie))});
+    out.push_back({"Cookie", std::string(toView(cookie))});
   return out;
 }
 
-AcceptVerdict checkAccept(const RequestHead& asked, const Fields& answer, const HandshakeRules& rules) {
-  if (!names(answer, http::field::upgrade, "websocket")) return bad("Upgrade does not name websocket");
-  if (!names(answer, http::field::connection, "upgrade")) return bad("Connection does not name Upgrade");
-  const std::string accept = acceptOf(plain(asked[http::field::sec_websocket_key]));
+AcceptVerdict checkAccept(const RequestHead& request, const Fields& answer, const HandshakeRules& rules) {
+  if (!hasToken(answer, http::field::upgrade, "websocket")) return bad("Upgrade does not name websocket");
+  if (!hasToken(answer, http::field::connection, "upgrade")) return bad("Connection does not name Upgrade");
+  const std::string accept = acceptOf(toView(request[http::field::sec_websocket_key]));
   if (answer.count(http::field::sec_websocket_accept) != 1 ||
-      plain(answer[http::field::sec_websocket_accept]) != accept)
-    return bad("the wrong Sec-WebSocket-Accept");
+      toView(answer[http::field::sec_websocket_accept]) != accept)
+    return bad("Sec-WebSocket-Accept does not match the key");
   AcceptVerdict v;
   v.toClient = {{"Connection", "Upgrade"}, {"Upgrade", "websocket"}, {"Sec-WebSocket-Accept", accept}};
   const auto chosen = tokens(joined(answer, http::field::sec_websocket_protocol));
-  if (chosen.size() > 1) return bad("two subprotocols");
+  if (chosen.size() > 1) return bad("response names more than one subprotocol");
   if (answer.count(http::field::sec_websocket_protocol) > 0) {
-    const auto offered = tokens(protocolsFor(asked, rules));
+    const auto offered = tokens(protocolsFor(request, rules));
     if (chosen.empty() || std::find(offered.begin(), offered.end(), chosen[0]) == offered.end())
-      return bad("a subprotocol that was not offered");
+      return bad("response names a subprotocol that was not offered");
     v.toClient.push_back({"Sec-WebSocket-Protocol", chosen[0]});
   }
-  const std::string told = joined(answer, http::field::sec_websocket_extensions);
-  for (const Extension& e : extensions(told)) {
-    if (!beast::iequals(e.name, kDeflate) || v.deflate || extensionsFor(asked, rules).empty())
-      return bad("an extension that was not offered");
+  const std::string agreedExtensions = joined(answer, http::field::sec_websocket_extensions);
+  for (const Extension& e : extensions(agreedExtensions)) {
+    if (!beast::iequals(e.name, kDeflate) || v.deflate || extensionsFor(request, rules).empty())
+      return bad("response names an extension that was not offered, or names it twice");
     v.deflate = true;
   }
-  if (v.deflate) v.toClient.push_back({"Sec-WebSocket-Extensions", told});
+  if (v.deflate) v.toClient.push_back({"Sec-WebSocket-Extensions", agreedExtensions});
   v.good = true;
   return v;
 }
--- a/src/websocket/handshake.hpp
+++ b/src/websocket/handshake.hpp
@@ -1,5 +1,5 @@
-// The opening handshake of RFC 6455, sections 4.1 and 4.2, as a gateway between both sides has to hold it:
-// what a client may ask, what goes on to the host, what its answer has to be. No I/O.
+// Opening handshake (RFC 6455, sections 4.1 and 4.2) as validated by a gateway: which requests of clients are
+// valid, which headers are sent to the host, and which responses are accepted. No I/O.
 #pragma once
 
 #include <boost/beast/http/fields.hpp>
@@ -17,32 +17,32 @@
 using RequestHead = boost::beast::http::header<true, Fields>;
 
 struct HandshakeRules {
-  std::vector<std::string> origins;    // that may ask, as browsers name them; empty: any, and none at all
-  std::vector<std::string> protocols;  // that are passed on; empty: all
-  bool deflate = true;                 // permessage-deflate may be agreed on; other extensions never
+  std::vector<std::string> origins;    // allowed values of Origin; empty: any, also none
+  std::vector<std::string> protocols;  // subprotocols that are forwarded; empty: all
+  bool deflate = true;  // permessage-deflate may be negotiated; other extensions are never forwarded
 };
 
-// The request speaks of WebSocket: its Upgrade names it, whatever else is wrong.
+// Whether Upgrade names websocket, even if the request is invalid otherwise.
 bool requestsWebSocket(const RequestHead& head);
 
 struct HandshakeVerdict {
-  unsigned status = 0;  // 0: good; else 400, 403 or 426
+  unsigned status = 0;  // 0: valid; otherwise 400, 403 or 426
   const char* why = "";
 };
 HandshakeVerdict checkRequest(const RequestHead& head, const HandshakeRules& rules);
 
-// What an attempt says beside what every request says to a host.
+// Headers of an attempt in addition to those of every request to a host.
 std::vector<HeaderLine> headersForHost(const RequestHead& head, const HandshakeRules& rules);
 
 struct AcceptVerdict {
   bool good = false;
   const char* why = "";
-  bool deflate = false;              // was agreed on
-  std::vector<HeaderLine> toClient;  // the head of the 101 for it
+  bool deflate = false;              // permessage-deflate was negotiated
+  std::vector<HeaderLine> toClient;  // headers of the 101 response to the client
 };
-// Of a host's 101, to a request that was good.
-AcceptVerdict checkAccept(const RequestHead& asked, const Fields& answer, const HandshakeRules& rules);
+// Validates the 101 response of a host to a valid request.
+AcceptVerdict checkAccept(const RequestHead& request, const Fields& answer, const HandshakeRules& rules);
 
-std::string acceptOf(std::string_view key);  // 4.2.2, 5.4
+std::string acceptOf(std::string_view key);  // Sec-WebSocket-Accept for a key (4.2.2, step 5.4)
 
 }  // namespace finchstile::websocket
--- a/src/websocket/settings.hpp
+++ b/src/websocket/settings.hpp
@@ -1,4 +1,4 @@
-// The part of the operator's file that is about WebSocket: [streams.websocket].
+// Operator settings of WebSocket: table [streams.websocket].
 #pragma once
 
 #include <string>
@@ -13,8 +13,8 @@
 
 struct WebSocketSettings {
   bool enabled = false;
-  bool inspect = true;  // else bytes are passed on by the lengths of their frames, unchecked
-  Duration handshake = std::chrono::seconds(2);  // from the request to the host's 101, over all attempts
+  bool inspect = true;                           // false: frames are forwarded by length, without validation
+  Duration handshake = std::chrono::seconds(2);  // from the request to the 101 of the host, over all attempts
   stream::FlowLimits flow{std::chrono::hours(1), std::chrono::minutes(1), std::chrono::seconds(30)};
   Duration pingAfter = std::chrono::seconds(30), pingAnswer = std::chrono::seconds(10);
   std::size_t frameMost = 1 << 20, messageMost = 16 << 20;
--- a/src/websocket/web_socket_handler.cpp
+++ b/src/websocket/web_socket_handler.cpp
@@ -9,19 +9,20 @@
 namespace {
 
 namespace http = boost::beast::http;
-using stream::Ender;
+using stream::EndedBy;
 using stream::Ending;
+using stream::EndReason;
 using stream::textOf;
-using stream::Why;
 
 constexpr const char* kName = "websocket";
 
 Ending endingOf(RequestResult how) {
   switch (how) {
     case RequestResult::rejected:
-    case RequestResult::rejectedByFilter: return {Ender::gateway, Why::turnedAway, false};
-    case RequestResult::clientDisconnected: return {Ender::client, Why::left, false};
-    default: return {Ender::host, Why::unreached, false};  // also by an answer that is no 101
+    case RequestResult::rejectedByFilter: return {EndedBy::gateway, EndReason::turnedAway, false};
+    case RequestResult::clientDisconnected: return {EndedBy::client, EndReason::left, false};
+    default:
+      return {EndedBy::host, EndReason::unreached, false};  // also when the response is not a valid 101
   }
 }
 
@@ -53,11 +54,11 @@
     }
     return a;
   }
-  // Browsers can't set headers of a handshake.
+  // Browsers cannot set custom headers on a handshake, so missing ones get defaults.
   if (message.find("X-Correlation-Id") == message.end()) {
     char id[64];
     std::snprintf(id, sizeof id, "ws-%08x%08x-%llu", draw_(), draw_(),
-                  static_cast<unsigned long long>(++last_));
+                  static_cast<unsigned long long>(++lastGeneratedId_));
     message.set("X-Correlation-Id", gateway_ + "-" + id);
   }
   if (message.find("X-Time-Left-Ms") == message.end())
@@ -74,20 +75,20 @@
     const ClientRequest& message, const http::fields& answer) const {
   AcceptVerdict v = checkAccept(message, answer, settings_.rules);
   if (!v.good) {
-    std::fprintf(stderr, "websocket: a host's 101 is turned down: %s\n", v.why);
+    std::fprintf(stderr, "websocket: 101 response of a host rejected, attempt failed: %s\n", v.why);
     return std::nullopt;
   }
   return AcceptedUpgrade{std::move(v.toClient), v.deflate};
 }
 
-void WebSocketHandler::onUpgradeRequested() { table_.account().onTaken(kName); }
+void WebSocketHandler::onUpgradeRequested() { table_.account().onAccepted(kName); }
 
 void WebSocketHandler::onUpgradeNotEstablished(const PendingUpgrade& pendingUpgrade, RequestResult how) {
-  stream::Begun b;
+  stream::StreamInfo b;
   b.name = kName;
   b.from = textOf(pendingUpgrade.from);
   b.since = pendingUpgrade.since;
-  table_.ended(b, endingOf(how));
+  table_.onNotEstablished(b, endingOf(how));
 }
 
 void WebSocketHandler::takeOverConnection(UpgradedConnection&& u) {
--- a/src/websocket/web_socket_handler.hpp
+++ b/src/websocket/web_socket_handler.hpp
@@ -1,4 +1,5 @@
-// WebSocket in the gateway: the handshake as a request of it, and the stream that it becomes.
+// WebSocket support of the gateway: the handshake as a request, then the established stream in the stream
+// table.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,8 @@
 
 class WebSocketHandler : public UpgradeHandler {
  public:
-  // `draw`: chance for masks and ids, not to be guessed. The table must outlive it.
+  // `draw` returns unpredictable numbers for masking keys and correlation ids. `table` must outlive this
+  // object.
   WebSocketHandler(const Clock& clock, const WebSocketSettings& settings, std::string gateway,
                    std::function<std::uint32_t()> draw, stream::StreamTable& table);
 
@@ -33,7 +35,7 @@
   const std::string gateway_;
   const std::function<std::uint32_t()> draw_;
   stream::StreamTable& table_;
-  std::uint64_t last_ = 0;
+  std::uint64_t lastGeneratedId_ = 0;
 };
 
 }  // namespace finchstile::websocket
--- a/tests/stream/decisions_test.cpp
+++ b/tests/stream/decisions_test.cpp
@@ -1,5 +1,5 @@
-// What is decided about streams, without sockets: how directions end, how long they may rest, what memory
-// they get, when those of a draining host are closed, what is said of the end.
+// Stream logic without sockets: half-close, timeouts, buffer budget, drain schedule, endings and their log
+// lines.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,54 +23,54 @@
 
 constexpr FlowLimits kLimits{seconds(600), seconds(60), seconds(30)};
 
-TEST(Flow, ADirectionIsShownAsEndedOnceAllOfItIsWritten) {
+TEST(Flow, ForwardsFinOnceAfterAllBytesOfTheDirectionAreWritten) {
   Flow f(kLimits, seconds(100));
-  EXPECT_FALSE(f.onDelivered(Side::client));  // it has not ended
+  EXPECT_FALSE(f.onDelivered(Side::client));  // no FIN yet
   f.onEnd(Side::client);
   EXPECT_TRUE(f.onDelivered(Side::client));
-  EXPECT_FALSE(f.onDelivered(Side::client));  // once
-  EXPECT_FALSE(f.over());                     // the other direction goes on
+  EXPECT_FALSE(f.onDelivered(Side::client));  // only once
+  EXPECT_FALSE(f.over());                     // the other direction stays open
   f.onEnd(Side::host);
   EXPECT_FALSE(f.over());
   EXPECT_TRUE(f.onDelivered(Side::host));
-  EXPECT_EQ(f.over(), (Ending{Ender::client, Why::finished, true}));
+  EXPECT_EQ(f.over(), (Ending{EndedBy::client, EndReason::finished, true}));
 }
 
-TEST(Flow, WhoEndedFirstHasEndedIt) {
+TEST(Flow, ReportsTheSideWithTheFirstFinAsTheOneThatEnded) {
   Flow f(kLimits, seconds(100));
   f.onEnd(Side::host);
   f.onEnd(Side::client);
   f.onDelivered(Side::client);
   f.onDelivered(Side::host);
-  EXPECT_EQ(f.over(), (Ending{Ender::host, Why::finished, true}));
+  EXPECT_EQ(f.over(), (Ending{EndedBy::host, EndReason::finished, true}));
 }
 
-TEST(Flow, AtRestItEndsInOrderAndHalfEndedSooner) {
+TEST(Flow, IdleStreamEndsInOrderAndHalfClosedStreamTimesOutSooner) {
   Flow f(kLimits, seconds(100));
   EXPECT_EQ(f.due(), seconds(700));
   EXPECT_FALSE(f.overdue(seconds(699)));
-  EXPECT_EQ(f.overdue(seconds(700)), (Ending{Ender::gateway, Why::idle, true}));
-  f.onMoved(seconds(300));
+  EXPECT_EQ(f.overdue(seconds(700)), (Ending{EndedBy::gateway, EndReason::idle, true}));
+  f.onActivity(seconds(300));
   EXPECT_FALSE(f.overdue(seconds(700)));
   f.onEnd(Side::client);
   EXPECT_EQ(f.due(), seconds(360));
-  EXPECT_EQ(f.overdue(seconds(360)), (Ending{Ender::gateway, Why::halfIdle, false}));
+  EXPECT_EQ(f.overdue(seconds(360)), (Ending{EndedBy::gateway, EndReason::halfIdle, false}));
 }
 
-TEST(Flow, ASideThatTakesNothingStallsUnlessTheOtherDirectionMoves) {
+TEST(Flow, BlockedSideStallsUnlessTheOtherDirectionMakesProgress) {
   Flow f(kLimits, seconds(100));
   f.onBlocked(Side::client, seconds(110));
-  f.onBlocked(Side::client, seconds(120));  // since the first
+  f.onBlocked(Side::client, seconds(120));  // counts from the first
   EXPECT_EQ(f.due(), seconds(140));
-  EXPECT_EQ(f.overdue(seconds(140)), (Ending{Ender::client, Why::stalled, false}));
-  f.onMoved(seconds(130));
+  EXPECT_EQ(f.overdue(seconds(140)), (Ending{EndedBy::client, EndReason::stalled, false}));
+  f.onActivity(seconds(130));
   EXPECT_FALSE(f.overdue(seconds(159)));
   EXPECT_TRUE(f.overdue(seconds(160)));
   f.onUnblocked(Side::client);
   EXPECT_FALSE(f.overdue(seconds(160)));
 }
 
-TEST(Flow, WithoutLimitsItLastsForEver) {
+TEST(Flow, WithoutLimitsTheStreamNeverTimesOut) {
   Flow f(FlowLimits{}, seconds(100));
   f.onBlocked(Side::host, seconds(100));
   EXPECT_EQ(f.due(), Time::max());
@@ -79,25 +79,25 @@
 
 // --- Memory
 
-TEST(Buffers, NoDirectionOfAnyStreamWaitsForMemoryAndTheBoundHolds) {
+TEST(Buffers, EveryDirectionGetsAPieceAndTheBudgetIsNotExceeded) {
   for (const std::size_t streams : {1u, 7u, 100u, 1000u})
     for (const std::size_t bytes :
          {minBufferBytes(streams), 4 * minBufferBytes(streams), std::size_t{1} << 24}) {
       if (bytes < minBufferBytes(streams)) continue;
       BufferBudget b(bytes, streams);
       std::vector<BufferBudget::Grant> held;
-      for (std::size_t i = 0; i < 2 * streams; ++i) {  // every direction of every stream holds one
+      for (std::size_t i = 0; i < 2 * streams; ++i) {  // every direction of every stream holds a piece
         held.push_back(b.take());
-        EXPECT_GE(held.back().size, kPieceLeast);
+        EXPECT_GE(held.back().size, kMinPieceBytes);
         EXPECT_LE(b.held(), bytes);
       }
-      for (const auto& g : held) b.giveBack(g);
+      for (const auto& g : held) b.returnPiece(g);
       EXPECT_EQ(b.held(), 0u);
     }
 }
 
-// Slow readers hold what they hold; those that come later have smaller pieces, and theirs all the same.
-TEST(Buffers, LargePiecesAreForWhoComesWhileThereIsPlenty) {
+// Slow readers keep their pieces; later streams get smaller ones, but always some.
+TEST(Buffers, GrantsLargePiecesUntilTheirHalfIsUsedThenSmallOnes) {
   BufferBudget b(1 << 20, 100);
   std::vector<BufferBudget::Grant> held;
   while (held.size() < 32) held.push_back(b.take());
@@ -105,38 +105,38 @@
   const auto small = b.take();
   EXPECT_FALSE(small.large);
   EXPECT_EQ(small.size, (1u << 19) / 200);
-  EXPECT_EQ(b.scarce(), 1u);
-  b.giveBack(held.back());
+  EXPECT_EQ(b.smallPieces(), 1u);
+  b.returnPiece(held.back());
   EXPECT_TRUE(b.take().large);
 }
 
-TEST(Buffers, RandomTakingAndGivingBackEndsWithNothingHeld) {
-  std::mt19937 dice(5);
+TEST(Buffers, RandomTakesAndReturnsLeaveNothingHeld) {
+  std::mt19937 random(5);
   BufferBudget b(minBufferBytes(50) + 40'000, 50);
   std::vector<BufferBudget::Grant> held;
   for (int i = 0; i < 20'000; ++i) {
-    if (held.size() < 100 && dice() % 2) {
+    if (held.size() < 100 && random() % 2) {
       held.push_back(b.take());
     } else if (!held.empty()) {
-      const std::size_t at = dice() % held.size();
-      b.giveBack(held[at]);
+      const std::size_t at = random() % held.size();
+      b.returnPiece(held[at]);
       held.erase(held.begin() + static_cast<std::ptrdiff_t>(at));
     }
     ASSERT_LE(b.held(), minBufferBytes(50) + 40'000);
   }
-  for (const auto& g : held) b.giveBack(g);
+  for (const auto& g : held) b.returnPiece(g);
   EXPECT_EQ(b.held(), 0u);
 }
 
 // --- Deadlines
 
-TEST(Deadlines, EachIsGivenOnceInOrder) {
+TEST(Deadlines, PopsEachDueStreamOnceInOrderOfDeadlines) {
   Deadlines d;
   d.set(1, seconds(5));
   d.set(2, seconds(3));
   d.set(3, seconds(4));
-  d.atLatest(3, seconds(9));  // only brings forward
-  d.atLatest(1, seconds(2));
+  d.setNoLaterThan(3, seconds(9));  // later deadline: no effect
+  d.setNoLaterThan(1, seconds(2));
   d.erase(2);
   EXPECT_EQ(d.next(), seconds(2));
   EXPECT_EQ(d.pop(seconds(1)), 0u);
@@ -155,7 +155,7 @@
   return all;
 }
 
-// How many go in each tenth of `within`, looked at every 5 ms.
+// Number of closes in each tenth of `within`, polled every 5 ms.
 std::vector<std::size_t> tenths(DrainPlan& plan, Time from, Duration within) {
   std::vector<std::size_t> out(40);
   for (Time now = from; plan.size() > 0 && now < from + 4 * within; now += milliseconds(5))
@@ -164,7 +164,7 @@
   return out;
 }
 
-TEST(DrainPlan, AllGoEvenlyOverTheTime) {
+TEST(DrainPlan, ClosesStreamsEvenlyOverTheInterval) {
   DrainPlan plan(0, 3);
   plan.add(ids(2000), seconds(100), seconds(10));
   EXPECT_TRUE(plan.planned(7));
@@ -173,7 +173,7 @@
   EXPECT_EQ(plan.size(), 0u);
 }
 
-TEST(DrainPlan, TheRateHoldsOverSeveralHostsAndPutsSomeOff) {
+TEST(DrainPlan, RateBoundHoldsOverSeveralHostsAndDelaysCloses) {
   DrainPlan plan(100, 3);
   plan.add(ids(500), seconds(100), seconds(1));
   std::vector<std::uint64_t> more;
@@ -186,19 +186,19 @@
     if (now < seconds(101)) second += n;
   }
   EXPECT_EQ(all, 1000u);
-  EXPECT_LE(second, 112u);  // one second of it, and a tenth at once
-  EXPECT_GE(plan.latest(), seconds(8));
+  EXPECT_LE(second, 112u);  // 100 in one second, plus a tenth of a second at once
+  EXPECT_GE(plan.maxDelay(), seconds(8));
 }
 
-// A loop that was late makes good some of what it missed, not all of it at once.
-TEST(DrainPlan, APauseOfTheLoopIsNoBurst) {
+// A late event loop catches up on part of the missed closes, not on all at once.
+TEST(DrainPlan, LateEventLoopCausesNoBurstOfCloses) {
   DrainPlan plan(100, 3);
   plan.add(ids(1000), seconds(100), seconds(1));
   for (Time now = seconds(100); now < seconds(101); now += milliseconds(5)) plan.due(now);
   EXPECT_LE(plan.due(seconds(105)).size(), 12u);
 }
 
-TEST(DrainPlan, TheGatewaysOwnEndComesBeforeTheRate) {
+TEST(DrainPlan, GatewayStopOverridesTheRateBound) {
   DrainPlan plan(10, 3);
   plan.add(ids(1000), seconds(100), seconds(30));
   plan.endsAt(seconds(102));
@@ -210,11 +210,11 @@
     if (now < seconds(101)) first += n;
   }
   EXPECT_EQ(all, 1000u);
-  EXPECT_GT(first, 300u);  // and not all at the end
+  EXPECT_GT(first, 300u);  // not all in the last second
   EXPECT_LT(first, 700u);
 }
 
-TEST(DrainPlan, OneThatEndedOrWasPutBackIsNotClosed) {
+TEST(DrainPlan, ErasedStreamsAreNotReturnedAsDue) {
   DrainPlan plan(0, 3);
   plan.add(ids(3), seconds(100), seconds(1));
   plan.erase(2);
@@ -225,7 +225,7 @@
   EXPECT_EQ(plan.next(seconds(200)), Time::max());
 }
 
-TEST(DrainPlan, TheEarlierPlaceIsKept) {
+TEST(DrainPlan, StreamAddedTwiceKeepsItsEarlierTime) {
   DrainPlan plan(0, 3);
   plan.add({1}, seconds(100), seconds(1));
   plan.add({1}, seconds(100), seconds(100));
@@ -235,44 +235,44 @@
 
 // --- Endings
 
-TEST(Ending, WhatBecameOfItAndWhatCountsAgainstTheHost) {
+TEST(Ending, MapsEachEndingToResultAndHostOutcome) {
   struct Row {
     Ending how;
-    Became became;
+    StreamResult became;
     Outcome host;
   };
   const Row rows[] = {
-      {{Ender::client, Why::finished, true}, Became::served, Outcome::served},
-      {{Ender::host, Why::finished, true}, Became::served, Outcome::served},
-      {{Ender::client, Why::reset, false}, Became::failed, Outcome::served},
-      {{Ender::host, Why::reset, false}, Became::failed, Outcome::reset},
-      {{Ender::gateway, Why::turnedAway, false}, Became::refused, Outcome::served},
-      {{Ender::host, Why::unreached, false}, Became::failed, Outcome::served},
-      {{Ender::client, Why::left, false}, Became::failed, Outcome::served},
-      {{Ender::gateway, Why::drain, true}, Became::served, Outcome::served},
-      {{Ender::gateway, Why::drain, false}, Became::failed, Outcome::served},
-      {{Ender::gateway, Why::idle, true}, Became::served, Outcome::served},
-      {{Ender::gateway, Why::halfIdle, false}, Became::failed, Outcome::served},
-      {{Ender::client, Why::stalled, false}, Became::failed, Outcome::served},
-      {{Ender::host, Why::stalled, false}, Became::failed, Outcome::timeout},
-      {{Ender::host, Why::silent, false}, Became::failed, Outcome::timeout},
-      {{Ender::client, Why::protocol, false}, Became::failed, Outcome::served},
-      {{Ender::host, Why::protocol, false}, Became::failed, Outcome::reset},
-      {{Ender::host, Why::tooBig, false}, Became::failed, Outcome::reset},
-      {{Ender::client, Why::header, false}, Became::failed, Outcome::served},
+      {{EndedBy::client, EndReason::finished, true}, StreamResult::served, Outcome::served},
+      {{EndedBy::host, EndReason::finished, true}, StreamResult::served, Outcome::served},
+      {{EndedBy::client, EndReason::reset, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::host, EndReason::reset, false}, StreamResult::failed, Outcome::reset},
+      {{EndedBy::gateway, EndReason::turnedAway, false}, StreamResult::refused, Outcome::served},
+      {{EndedBy::host, EndReason::unreached, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::client, EndReason::left, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::gateway, EndReason::drain, true}, StreamResult::served, Outcome::served},
+      {{EndedBy::gateway, EndReason::drain, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::gateway, EndReason::idle, true}, StreamResult::served, Outcome::served},
+      {{EndedBy::gateway, EndReason::halfIdle, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::client, EndReason::stalled, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::host, EndReason::stalled, false}, StreamResult::failed, Outcome::timeout},
+      {{EndedBy::host, EndReason::silent, false}, StreamResult::failed, Outcome::timeout},
+      {{EndedBy::client, EndReason::protocol, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::host, EndReason::protocol, false}, StreamResult::failed, Outcome::reset},
+      {{EndedBy::host, EndReason::tooBig, false}, StreamResult::failed, Outcome::reset},
+      {{EndedBy::client, EndReason::header, false}, StreamResult::failed, Outcome::served},
   };
   for (const Row& r : rows) {
-    EXPECT_EQ(becameOf(r.how), r.became) << nameOf(r.how.who) << " " << nameOf(r.how.why);
+    EXPECT_EQ(resultOf(r.how), r.became) << nameOf(r.how.who) << " " << nameOf(r.how.why);
     EXPECT_EQ(outcomeOf(r.how), r.host) << nameOf(r.how.who) << " " << nameOf(r.how.why);
   }
 }
 
-TEST(Account, ALineSaysWhoEndedItAndAStormDoesNotFillTheLog) {
+TEST(Account, LogsPartyAndReasonAndLimitsTheRateOfLines) {
   StreamAccount a(LogEnds::all);
-  a.onTaken("scan");
+  a.onAccepted("scan");
   a.onBegun("scan");
-  const Ended one{"scan", "s-1", "10.0.0.9:1", {Ender::host, Why::reset, false}, milliseconds(1500),
-                  10,     2000};
+  const EndedStream one{
+      "scan", "s-1", "10.0.0.9:1", {EndedBy::host, EndReason::reset, false}, milliseconds(1500), 10, 2000};
   EXPECT_EQ(a.onEnded("scan", one, true, seconds(100)),
             "stream scan failed by=host why=reset from=10.0.0.9:1 host=s-1 lasted=1.500s in=10 out=2000");
   std::size_t lines = 0;
@@ -283,19 +283,21 @@
   EXPECT_EQ(lines, 49u);
   a.onBegun("scan");
   EXPECT_NE(a.onEnded("scan", one, true, seconds(101)).find(" unsaid=951"), std::string::npos);
-  EXPECT_EQ(a.ended(Became::failed), 1002u);
-  EXPECT_EQ(a.ended(Ender::host, Why::reset), 1002u);
+  EXPECT_EQ(a.ended(StreamResult::failed), 1002u);
+  EXPECT_EQ(a.ended(EndedBy::host, EndReason::reset), 1002u);
   EXPECT_NE(a.exposition(7).find("lb_streams_ended_total{name=\"scan\",by=\"host\",why=\"reset\"} 1002\n"),
             std::string::npos);
   EXPECT_NE(a.exposition(7).find("lb_streams_held{name=\"scan\"} 0\n"), std::string::npos);
 }
 
-TEST(Account, OnlyFailuresWhereThatIsAskedFor) {
+TEST(Account, LogsOnlyFailedStreamsWhenConfiguredSo) {
   StreamAccount a(LogEnds::failed);
-  EXPECT_EQ(a.onEnded("x", {"x", "", "c", {Ender::client, Why::finished, true}, {}, 0, 0}, false, seconds(1)),
-            "");
-  EXPECT_NE(a.onEnded("x", {"x", "", "c", {Ender::client, Why::left, false}, {}, 0, 0}, false, seconds(1)),
+  EXPECT_EQ(a.onEnded("x", {"x", "", "c", {EndedBy::client, EndReason::finished, true}, {}, 0, 0}, false,
+                      seconds(1)),
             "");
+  EXPECT_NE(
+      a.onEnded("x", {"x", "", "c", {EndedBy::client, EndReason::left, false}, {}, 0, 0}, false, seconds(1)),
+      "");
 }
 
 }  // namespace
--- a/tests/stream/proxy_protocol_test.cpp
+++ b/tests/stream/proxy_protocol_test.cpp
@@ -1,5 +1,4 @@
-// The PROXY protocol, version 2: what is written is read back, and what two readers could take differently is
-// turned down.
+// PROXY protocol version 2: round trip, and rejection of headers that implementations could read differently.
 #include "stream/proxy_protocol.hpp"
 
 #include <gtest/gtest.h>
@@ -33,7 +32,7 @@
   return h;
 }
 
-TEST(ProxyProtocol, WhatIsWrittenIsReadBack) {
+TEST(ProxyProtocol, WrittenHeaderIsReadBack) {
   EXPECT_EQ(writeProxyHeader(ends("10.0.0.9", "10.0.0.1")), header(0x21, 0x11, kEnds));
   for (const auto& h : {ends("10.0.0.9", "10.0.0.1"), ends("2001:db8::9", "2001:db8::1")}) {
     const std::string bytes = writeProxyHeader(h) + "first bytes";
@@ -46,13 +45,13 @@
   }
 }
 
-TEST(ProxyProtocol, EachPartOfOneAsksForMore) {
+TEST(ProxyProtocol, IncompleteHeaderNeedsMoreBytes) {
   const std::string whole = writeProxyHeader(ends("2001:db8::9", "2001:db8::1"));
   for (std::size_t n = 0; n < whole.size(); ++n)
     EXPECT_EQ(readProxyHeader(whole.substr(0, n)).verdict, Verdict::more) << n;
 }
 
-TEST(ProxyProtocol, MixedFamiliesSayLocal) {
+TEST(ProxyProtocol, MixedAddressFamiliesAreWrittenAsLocal) {
   const std::string bytes = writeProxyHeader(ends("10.0.0.9", "2001:db8::1"));
   const ProxyRead r = readProxyHeader(bytes);
   EXPECT_EQ(r.verdict, Verdict::good);
@@ -60,7 +59,7 @@
   EXPECT_EQ(bytes, header(0x20, 0x00, ""));
 }
 
-TEST(ProxyProtocol, LocalIsTakenWithWhateverFollows) {
+TEST(ProxyProtocol, LocalHeaderIsAcceptedWithArbitraryPayload) {
   const ProxyRead r = readProxyHeader(header(0x20, 0x00, "anything at all") + "x");
   ASSERT_EQ(r.verdict, Verdict::good);
   EXPECT_FALSE(r.header.ends);
@@ -68,49 +67,51 @@
   EXPECT_EQ(readProxyHeader(header(0x20, 0x11, kEnds)).verdict, Verdict::good);
 }
 
-TEST(ProxyProtocol, OtherThingsAreBadAsSoonAsThatIsSeen) {
+TEST(ProxyProtocol, InvalidHeaderIsRejectedAtTheFirstInvalidByte) {
   EXPECT_EQ(readProxyHeader("G").verdict, Verdict::bad);
   EXPECT_EQ(readProxyHeader("PROXY TCP4 10.0.0.9 10.0.0.1 1 2\r\n").verdict, Verdict::bad);  // version 1
   EXPECT_EQ(readProxyHeader(header(0x31, 0x11, kEnds)).verdict, Verdict::bad);               // version 3
-  EXPECT_EQ(readProxyHeader(header(0x22, 0x11, kEnds)).verdict, Verdict::bad);  // no such command
+  EXPECT_EQ(readProxyHeader(header(0x22, 0x11, kEnds)).verdict, Verdict::bad);  // unknown command
   EXPECT_EQ(readProxyHeader(header(0x21, 0x12, kEnds)).verdict, Verdict::bad);  // UDP
   EXPECT_EQ(readProxyHeader(header(0x21, 0x31, std::string(216, 'a'))).verdict, Verdict::bad);  // Unix
-  EXPECT_EQ(readProxyHeader(header(0x21, 0x00, kEnds)).verdict, Verdict::bad);  // PROXY of nothing known
+  EXPECT_EQ(readProxyHeader(header(0x21, 0x00, kEnds)).verdict,
+            Verdict::bad);  // PROXY with an unspecified family
   EXPECT_EQ(readProxyHeader(header(0x21, 0x11, kEnds.substr(1))).verdict, Verdict::bad);
-  EXPECT_EQ(readProxyHeader(header(0x21, 0x21, kEnds)).verdict, Verdict::bad);  // IPv4 said to be IPv6
+  EXPECT_EQ(readProxyHeader(header(0x21, 0x21, kEnds)).verdict,
+            Verdict::bad);  // IPv4 addresses labelled as IPv6
   EXPECT_EQ(readProxyHeader(header(0x21, 0x11, std::string(513, 'a')).substr(0, 16)).verdict, Verdict::bad);
 }
 
-TEST(ProxyProtocol, FurtherFieldsHaveToFit) {
+TEST(ProxyProtocol, TlvsMustFitIntoTheHeader) {
   const auto with = [](const std::string& fields) {
     return readProxyHeader(header(0x21, 0x11, kEnds + fields));
   };
   EXPECT_EQ(with(std::string("\x05\x00\x02id", 5)).verdict, Verdict::good);
-  EXPECT_EQ(with(std::string("\x04\x00\x00", 3)).verdict, Verdict::good);   // a field of no bytes
-  EXPECT_EQ(with(std::string("\x05\x00", 2)).verdict, Verdict::bad);        // cut off
-  EXPECT_EQ(with(std::string("\x05\x00\x03id", 5)).verdict, Verdict::bad);  // beyond the end
+  EXPECT_EQ(with(std::string("\x04\x00\x00", 3)).verdict, Verdict::good);   // empty value
+  EXPECT_EQ(with(std::string("\x05\x00", 2)).verdict, Verdict::bad);        // truncated
+  EXPECT_EQ(with(std::string("\x05\x00\x03id", 5)).verdict, Verdict::bad);  // exceeds the header
 }
 
-// The check value of CRC-32C (RFC 3720, B.4) over a header made by hand.
-TEST(ProxyProtocol, ASumIsChecked) {
-  const std::string none = header(0x21, 0x11, kEnds + std::string("\x03\x00\x04\0\0\0\0", 7));
-  EXPECT_EQ(readProxyHeader(none).verdict, Verdict::bad);
-  // Bit by bit, as the definition has it.
+// Checksum of a hand-made header, computed independently of the implementation.
+TEST(ProxyProtocol, Crc32cMismatchIsRejected) {
+  const std::string withoutChecksum = header(0x21, 0x11, kEnds + std::string("\x03\x00\x04\0\0\0\0", 7));
+  EXPECT_EQ(readProxyHeader(withoutChecksum).verdict, Verdict::bad);
+  // Bitwise CRC-32C (RFC 3720, B.4).
   std::uint32_t crc = 0xFFFFFFFF;
-  for (const char c : none) {
+  for (const char c : withoutChecksum) {
     crc ^= static_cast<unsigned char>(c);
     for (int k = 0; k < 8; ++k) crc = crc >> 1 ^ (crc & 1 ? 0x82F63B78u : 0u);
   }
   crc = ~crc;
-  std::string summed = none;
+  std::string withChecksum = withoutChecksum;
   for (std::size_t i = 0; i < 4; ++i)
-    summed[none.size() - 4 + i] = static_cast<char>(crc >> (24 - 8 * i) & 0xff);
-  EXPECT_EQ(readProxyHeader(summed).verdict, Verdict::good) << readProxyHeader(summed).why;
-  for (std::size_t at = 16; at < summed.size(); ++at) {  // any bit of addresses or fields
-    std::string spoilt = summed;
-    spoilt[at] = static_cast<char>(spoilt[at] ^ 1);
-    // A sum under another type is just a field.
-    if (at != 28) EXPECT_EQ(readProxyHeader(spoilt).verdict, Verdict::bad) << at;
+    withChecksum[withoutChecksum.size() - 4 + i] = static_cast<char>(crc >> (24 - 8 * i) & 0xff);
+  EXPECT_EQ(readProxyHeader(withChecksum).verdict, Verdict::good) << readProxyHeader(withChecksum).why;
+  for (std::size_t at = 16; at < withChecksum.size(); ++at) {  // a flipped bit in addresses or TLVs
+    std::string corrupted = withChecksum;
+    corrupted[at] = static_cast<char>(corrupted[at] ^ 1);
+    // With its type changed, the checksum is an ordinary TLV and not checked.
+    if (at != 28) EXPECT_EQ(readProxyHeader(corrupted).verdict, Verdict::bad) << at;
   }
 }
 
--- a/tests/stream/settings_test.cpp
+++ b/tests/stream/settings_test.cpp
@@ -1,4 +1,4 @@
-// What an operator may set of streams, and what is said of what he may not.
+// Operator settings of streams, and the errors of invalid ones.
 #include "stream/settings.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   return lines;
 }
 
-TEST(StreamSettings, AllOfThemAreRead) {
+TEST(StreamSettings, ReadsEveryKey) {
   StreamSettings s;
   const auto problems = read(R"([streams]
 enabled = true
@@ -58,13 +58,13 @@
   EXPECT_EQ(s.listen[0].flow.idle, std::chrono::hours(1));
 }
 
-TEST(StreamSettings, NoneIsOff) {
+TEST(StreamSettings, MissingTableDisablesStreams) {
   StreamSettings s;
   EXPECT_EQ(read("", s), std::vector<std::string>{});
   EXPECT_FALSE(s.enabled);
 }
 
-TEST(StreamSettings, WhatIsWrongIsNamed) {
+TEST(StreamSettings, ReportsEachInvalidSetting) {
   StreamSettings s;
   const auto problems = read(R"([streams]
 most = 50000
@@ -83,13 +83,13 @@
   EXPECT_NE(all.find("did you mean"), std::string::npos) << all;
 }
 
-TEST(StreamSettings, TwoListenersOfOneNameOrAddressAreAnError) {
+TEST(StreamSettings, DuplicateListenerNameOrAddressIsAnError) {
   StreamSettings s;
   const std::string one = "[[streams.listen]]\nname = \"a\"\naddress = \"127.0.0.1:9\"\nclass = \"x\"\n";
   EXPECT_EQ(read(one + one, s).size(), 1u);
 }
 
-TEST(StreamSettings, StreamsAreAsManyAsTheDescriptorsAllow) {
+TEST(StreamSettings, StreamLimitFollowsTheDescriptorShare) {
   StreamSettings s;
   s.most = 1000;
   s.descriptorShare = 0.5;
--- a/tests/websocket/conformance.hpp
+++ b/tests/websocket/conformance.hpp
@@ -1,5 +1,5 @@
-// The cases of RFC 6455, section by section, that a reader of frames has to get right: what a side sends, and
-// the verdict. Written down once, for the test and for the table in docs/.
+// Conformance cases of RFC 6455 by section: the bytes a side sends, and the expected verdict of the frame
+// reader. Shared by the test and the table in docs/.
 #pragma once
 
 #include <array>
@@ -15,29 +15,29 @@
 
 struct Case {
   std::string section, what;
-  bool client = false;  // it sends, and masks; else the host does
+  bool client = false;  // sent by the client, masked; otherwise by the host
   std::string bytes;
-  std::optional<CloseCode> fault{};  // none: all of it passes
+  std::optional<CloseCode> fault{};  // empty: all bytes are valid
   bool deflate = false;
-  bool ends = false;  // it passes a Close
+  bool ends = false;  // contains a valid Close frame
 };
 
-// A frame with any bits that one likes.
+// A frame with arbitrary header bits, valid or not.
 struct Frame {
   unsigned opcode = 1;
   std::string payload;
   bool fin = true;
   unsigned reserved = 0;
-  std::optional<bool> masked{};         // else as its side should
-  int lengthBytes = -1;                 // 0, 2 or 8 in place of the fewest
-  std::optional<std::uint64_t> told{};  // in place of the payload's length
+  std::optional<bool> masked{};                 // default: masked if sent by the client
+  int lengthBytes = -1;                         // size of the extended length: 0, 2 or 8; -1: shortest
+  std::optional<std::uint64_t> statedLength{};  // length in the header; default: size of the payload
 };
 
 inline std::string bytesOf(bool client, const Frame& f) {
   std::string out;
   out += static_cast<char>((f.fin ? 0x80 : 0) | f.reserved << 4 | f.opcode);
   const bool masked = f.masked.value_or(client);
-  const std::uint64_t length = f.told.value_or(f.payload.size());
+  const std::uint64_t length = f.statedLength.value_or(f.payload.size());
   const int more = f.lengthBytes >= 0 ? f.lengthBytes : length <= 125 ? 0 : length <= 0xffff ? 2 : 8;
   out += static_cast<char>((masked ? 0x80 : 0) | (more == 0 ? length : more == 2 ? 126 : 127));
   for (int i = more - 1; i >= 0; --i) out += static_cast<char>(length >> (8 * i) & 0xff);
--- a/tests/websocket/frames_test.cpp
+++ b/tests/websocket/frames_test.cpp
@@ -1,4 +1,5 @@
-// The reader of frames against the list of conformance, whole and in every cutting; codes and our own frames.
+// Frame reader against the conformance cases, as a whole and split at arbitrary points; close codes and
+// written frames.
 #include "websocket/frames.hpp"
 
 #include <gtest/gtest.h>
@@ -23,16 +24,16 @@
 
 FrameRules rules(const Case& c) { return {true, c.client, c.deflate, 1 << 20, 4 << 20}; }
 
-struct Played {
+struct ReadResult {
   std::string passed;
   std::optional<CloseCode> fault;
   bool closed = false, boundary = false;
 };
 
-// As a relay gives it: what was not passed is given again with more behind it.
-Played play(const Case& c, const std::vector<std::size_t>& cuts) {
+// Feeds bytes like a relay: bytes that were not passed are fed again together with the next ones.
+ReadResult readInPieces(const Case& c, const std::vector<std::size_t>& cuts) {
   FrameReader r(rules(c));
-  Played p;
+  ReadResult p;
   std::string held;
   std::size_t from = 0;
   for (std::size_t i = 0; i <= cuts.size() && !p.fault; ++i) {
@@ -51,11 +52,11 @@
 
 std::string name(const Case& c) { return c.section + " " + c.what + (c.client ? " (client)" : " (host)"); }
 
-TEST(Conformance, EachCaseHasItsVerdict) {
+TEST(Conformance, EachCaseHasItsExpectedVerdict) {
   const auto all = conformance();
   EXPECT_GE(all.size(), 150u);
   for (const Case& c : all) {
-    const Played p = play(c, {});
+    const ReadResult p = readInPieces(c, {});
     EXPECT_EQ(p.fault, c.fault) << name(c);
     EXPECT_EQ(p.closed, c.ends) << name(c);
     if (!c.fault && !c.ends) EXPECT_TRUE(p.passed == c.bytes && p.boundary) << name(c);
@@ -63,11 +64,11 @@
   }
 }
 
-// Hard case: one byte at a time, and cut at any two points.
-TEST(Conformance, TheVerdictIsTheSameInWhateverPiecesItComes) {
-  std::mt19937 dice(3);
+// One byte at a time, and cut at any two points.
+TEST(Conformance, VerdictIsIndependentOfHowBytesAreSplit) {
+  std::mt19937 random(3);
   for (const Case& c : conformance()) {
-    const Played whole = play(c, {});
+    const ReadResult whole = readInPieces(c, {});
     std::vector<std::vector<std::size_t>> cuttings;
     if (c.bytes.size() < 400) {
       std::vector<std::size_t> each;
@@ -78,11 +79,11 @@
       cuttings.push_back(each);
     }
     for (int i = 0; i < 5 && c.bytes.size() > 2; ++i) {
-      std::size_t a = dice() % c.bytes.size(), b = dice() % c.bytes.size();
+      std::size_t a = random() % c.bytes.size(), b = random() % c.bytes.size();
       cuttings.push_back({std::min(a, b), std::max(a, b)});
     }
     for (const auto& cuts : cuttings) {
-      const Played p = play(c, cuts);
+      const ReadResult p = readInPieces(c, cuts);
       EXPECT_EQ(p.fault, whole.fault) << name(c);
       EXPECT_EQ(p.closed, whole.closed) << name(c);
       EXPECT_TRUE(p.passed == whole.passed)
@@ -91,8 +92,8 @@
   }
 }
 
-// The table in docs/ is this list. FINCHSTILE_TABLE=FILE writes it.
-TEST(Conformance, TheTableInTheDocumentsIsThisList) {
+// The table in docs/ must match the cases. FINCHSTILE_TABLE=FILE writes it.
+TEST(Conformance, DocumentedTableMatchesTheCases) {
   std::string table =
       "# WebSocket: the list of conformance\n\nWritten by `websocket_test` "
       "(`FINCHSTILE_TABLE=docs/design/websocket_conformance.md`), which checks "
@@ -114,18 +115,18 @@
         "| " + row.first + " | " + row.second + " | " + verdicts[row][0] + " | " + verdicts[row][1] + " |\n";
   if (const char* path = std::getenv("FINCHSTILE_TABLE")) std::ofstream(path) << table;
   std::ifstream file(FINCHSTILE_CONFORMANCE);
-  const std::string there{std::istreambuf_iterator<char>(file), {}};
-  EXPECT_TRUE(there == table) << "docs/design/websocket_conformance.md is another list";
+  const std::string documented{std::istreambuf_iterator<char>(file), {}};
+  EXPECT_TRUE(documented == table) << "docs/design/websocket_conformance.md is another list";
 }
 
-TEST(Frames, NothingOfAFaultyHeaderPasses) {
+TEST(Frames, ForwardsNothingOfAnInvalidHeader) {
   Case c{"", "", true, bytesOf(true, {1, "good"}) + bytesOf(true, {3, "bad"})};
-  const Played p = play(c, {});
+  const ReadResult p = readInPieces(c, {});
   EXPECT_EQ(p.passed, bytesOf(true, {1, "good"}));
-  EXPECT_TRUE(p.boundary);  // so that words of ours may follow
+  EXPECT_TRUE(p.boundary);  // the gateway may insert a close frame here
 }
 
-TEST(Frames, AStopIsBehindTheFrameAtHand) {
+TEST(Frames, StopEndsAfterTheFrameInProgress) {
   const std::string bytes = bytesOf(false, {1, "one"}) + bytesOf(false, {1, "two"});
   FrameReader r(FrameRules{});
   const auto s = r.feed(bytes.data(), 3, true);
@@ -136,7 +137,7 @@
   EXPECT_TRUE(r.atBoundary());
 }
 
-TEST(Frames, UncheckedOnlyTheirLengthsAreFollowed) {
+TEST(Frames, UncheckedReaderFollowsLengthsOnly) {
   FrameRules blind;
   blind.checked = false;
   FrameReader r(blind);
@@ -146,7 +147,7 @@
   EXPECT_TRUE(r.closed());
 }
 
-TEST(Frames, OurOwnAreTakenByTheReader) {
+TEST(Frames, ReaderAcceptsWrittenFrames) {
   for (const bool client : {true, false})
     for (const std::size_t n : {0u, 5u, 125u, 126u, 65535u, 65536u}) {
       const std::string bytes =
@@ -159,32 +160,33 @@
     }
 }
 
-TEST(Codec, BothSidesAreToldInTheirOwnWords) {
-  using stream::Ender;
+TEST(Codec, ChoosesCloseCodeByReceiverAndEnding) {
+  using stream::EndedBy;
+  using stream::EndReason;
   using stream::Side;
-  using stream::Why;
-  const auto told = [](Side to, Ender who, Why why) {
+  const auto codeFor = [](Side to, EndedBy who, EndReason why) {
     return static_cast<unsigned>(closeCodeFor(to, {who, why, false}, CloseCode::invalidData));
   };
   for (const Side to : {Side::client, Side::host})
-    for (const Why why : {Why::drain, Why::idle}) EXPECT_EQ(told(to, Ender::gateway, why), 1001u);
-  EXPECT_EQ(told(Side::client, Ender::client, Why::protocol), 1007u);
-  EXPECT_EQ(told(Side::host, Ender::client, Why::protocol), 1001u);
-  EXPECT_EQ(told(Side::host, Ender::host, Why::tooBig), 1007u);
-  EXPECT_EQ(told(Side::client, Ender::host, Why::protocol), 1014u);
-  EXPECT_EQ(told(Side::client, Ender::host, Why::reset), 1014u);
-  EXPECT_EQ(told(Side::client, Ender::host, Why::silent), 1014u);
-  EXPECT_EQ(told(Side::host, Ender::client, Why::reset), 1001u);
+    for (const EndReason why : {EndReason::drain, EndReason::idle})
+      EXPECT_EQ(codeFor(to, EndedBy::gateway, why), 1001u);
+  EXPECT_EQ(codeFor(Side::client, EndedBy::client, EndReason::protocol), 1007u);
+  EXPECT_EQ(codeFor(Side::host, EndedBy::client, EndReason::protocol), 1001u);
+  EXPECT_EQ(codeFor(Side::host, EndedBy::host, EndReason::tooBig), 1007u);
+  EXPECT_EQ(codeFor(Side::client, EndedBy::host, EndReason::protocol), 1014u);
+  EXPECT_EQ(codeFor(Side::client, EndedBy::host, EndReason::reset), 1014u);
+  EXPECT_EQ(codeFor(Side::client, EndedBy::host, EndReason::silent), 1014u);
+  EXPECT_EQ(codeFor(Side::host, EndedBy::client, EndReason::reset), 1001u);
 }
 
-TEST(Codec, WhatGoesToTheHostIsMaskedWithWhatWasDrawn) {
+TEST(Codec, MasksFramesToTheHostWithDrawnKeys) {
   std::uint32_t next = 0x01020304;
   WebSocketCodec codec(CodecRules{}, [&] { return next++; });
   EXPECT_EQ(codec.ping(stream::Side::client), std::string("\x89\x00", 2));
   EXPECT_EQ(codec.ping(stream::Side::host), std::string("\x89\x80\x01\x02\x03\x04", 6));
   EXPECT_EQ(codec.ping(stream::Side::host), std::string("\x89\x80\x01\x02\x03\x05", 6));
   const std::string bye =
-      codec.farewell(stream::Side::host, {stream::Ender::gateway, stream::Why::drain, true});
+      codec.closeMessage(stream::Side::host, {stream::EndedBy::gateway, stream::EndReason::drain, true});
   FrameReader r(FrameRules{true, true, false, 1000, 1000});
   EXPECT_EQ(r.feed(bye.data(), bye.size(), false).pass, bye.size());
   EXPECT_EQ(r.closeCode(), 1001u);
--- a/tests/websocket/handshake_test.cpp
+++ b/tests/websocket/handshake_test.cpp
@@ -1,4 +1,4 @@
-// The opening handshake: what may be asked, what goes on, what is an answer to it.
+// Opening handshake: validation of requests, headers sent to the host, validation of responses.
 #include "websocket/handshake.hpp"
 
 #include <gtest/gtest.h>
@@ -35,13 +35,13 @@
   return "-";
 }
 
-TEST(Handshake, TheExampleOfTheStandardIsAccepted) {
+TEST(Handshake, AcceptsTheExampleOfRfc6455) {
   EXPECT_EQ(acceptOf(kKey), "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=");
   EXPECT_EQ(status(good()), 0u);
   EXPECT_TRUE(requestsWebSocket(good()));
 }
 
-TEST(Handshake, TokensComeInAnyCaseAndList) {
+TEST(Handshake, AcceptsTokensInAnyCaseAndInLists) {
   RequestHead h = good();
   h.set("Connection", "keep-alive, UPGRADE");
   h.set("Upgrade", "h2c, WebSocket");
@@ -53,7 +53,7 @@
   EXPECT_EQ(status(h), 0u);
 }
 
-TEST(Handshake, WhatMayNotBeAskedIsNamed) {
+TEST(Handshake, RejectsInvalidRequestsWithTheirStatus) {
   struct Row {
     const char* what;
     std::function<void(RequestHead&)> change;
@@ -87,7 +87,7 @@
   }
 }
 
-TEST(Handshake, OnlyOriginsOfTheListMayAsk) {
+TEST(Handshake, RejectsOriginsThatAreNotListed) {
   HandshakeRules rules;
   rules.origins = {"https://yard.example.org"};
   RequestHead h = good();
@@ -100,7 +100,7 @@
   EXPECT_EQ(status(h, {}), 0u);
 }
 
-TEST(Handshake, WhatGoesOnToTheHost) {
+TEST(Handshake, ForwardsAllowedHandshakeHeadersToTheHost) {
   RequestHead h = good();
   h.set("Sec-WebSocket-Protocol", "chat, stock.v2");
   h.set("Sec-WebSocket-Extensions", "permessage-deflate; client_max_window_bits, x-secret; a=\"b,c\"");
@@ -125,7 +125,7 @@
   return f;
 }
 
-TEST(Handshake, TheHostsAnswerHasToBeTheOneToThisRequest) {
+TEST(Handshake, AcceptsOnlyResponsesThatMatchTheRequest) {
   RequestHead h = good();
   h.set("Sec-WebSocket-Protocol", "a, b");
   h.set("Sec-WebSocket-Extensions", "permessage-deflate");
@@ -163,7 +163,7 @@
   EXPECT_TRUE(checkAccept(h, f, {}).deflate);
   HandshakeRules refuse;
   refuse.deflate = false;
-  EXPECT_FALSE(checkAccept(h, f, refuse).good);  // it was never offered
+  EXPECT_FALSE(checkAccept(h, f, refuse).good);  // deflate was not offered
   EXPECT_FALSE(checkAccept(h, answer(), refuse).deflate);
 }
 
--- a/tests/websocket/library_client.py
+++ b/tests/websocket/library_client.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""A client and a server of a library that others wrote (python3-websockets), with the gateway between.
+"""Interoperability test: client and server of python3-websockets, with the gateway in between.
 
     library_client.py PROGRAM
 
@@ -26,13 +26,13 @@
         return s.getsockname()[1]
 
 
-def config(listen, discovery, worker):
+def config(listen, discovery, host):
     grade = {"name": "live", "effect": "retryable", "group": "all", "points": 1, "aimNs": 3000000000,
              "giveUpNs": 3000000000, "stream": False, "lateShare": 0.0, "windowNs": 2000000000}
     return {"name": "n0", "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}", "seed": "1",
             "limits": {"sockets": 1024},
             "known": {"index": 1, "snapshot": True, "endpoints": [
-                {"name": "w-0", "address": f"127.0.0.1:{worker}", "zone": "a", "type": "std", "group": 0,
+                {"name": "w-0", "address": f"127.0.0.1:{host}", "zone": "a", "type": "std", "group": 0,
                  "status": "active", "weight": 1.0, "since_ms": 0}]},
             "settings": {"ceilings": {"cancel": True, "connectTimeoutNs": 500000000, "idleCloseNs": 60000000000,
                                       "maxAttempts": 3, "maxRetryAfterNs": 1000000000, "retryAfter": False,
@@ -44,7 +44,7 @@
                          "stepNs": 5000000, "tenants": [], "zone": "a"}}
 
 
-async def answer(ws, *_):
+async def echo(ws, *_):
     async for message in ws:
         if message == "bye":
             await ws.close(4001, "as asked")
@@ -66,7 +66,7 @@
     return chosen
 
 
-async def told(url):
+async def received_close(url):
     async with websockets.connect(url) as ws:
         await ws.send("bye")
         try:
@@ -77,16 +77,16 @@
 
 
 async def main(program):
-    silent = await asyncio.start_server(lambda r, w: r.read(), "127.0.0.1", 0)  # discovery says nothing more
+    silent = await asyncio.start_server(lambda r, w: r.read(), "127.0.0.1", 0)  # discovery accepts the poll and never responds
     discovery = silent.sockets[0].getsockname()[1]
-    async with websockets.serve(answer, "127.0.0.1", 0, subprotocols=["stock.v2"]) as server:
-        worker = list(server.sockets)[0].getsockname()[1]
+    async with websockets.serve(echo, "127.0.0.1", 0, subprotocols=["stock.v2"]) as server:
+        host = list(server.sockets)[0].getsockname()[1]
         listen = free_port()
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "config.json")
             operator = os.path.join(folder, "o.toml")
             with open(path, "w") as f:
-                json.dump(config(listen, discovery, worker), f)
+                json.dump(config(listen, discovery, host), f)
             with open(operator, "w") as f:
                 f.write("[streams]\nenabled = true\n[streams.websocket]\nenabled = true\n")
             gateway = subprocess.Popen([program, "run", "--operator", operator], env={**os.environ, "LB_CONFIG": path})
@@ -101,12 +101,12 @@
                         await asyncio.sleep(0.05)
                 assert await exchange(url) is None
                 assert await exchange(url, compression=None, subprotocols=["other", "stock.v2"]) == "stock.v2"
-                assert await told(url) == (4001, "as asked")
+                assert await received_close(url) == (4001, "as asked")
                 await asyncio.gather(*(exchange(url) for _ in range(5)))
             finally:
                 gateway.terminate()
                 gateway.wait(30)
-    print("8 connections of the library: every message came back")
+    print("8 connections of python3-websockets: every message was echoed")
 
 
 asyncio.run(asyncio.wait_for(main(sys.argv[1]), 60))
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -1,4 +1,4 @@
-// WebSocket through a gateway on loopback: the handshake as a request of it, frames, closes, drains, storms.
+// WebSocket through a gateway on loopback: handshake, frames, close handshakes, drains, reconnect surges.
 #include "websocket/web_socket_handler.hpp"
 
 #include <charconv>
@@ -21,7 +21,7 @@
 
 const std::string kClientKey = "dGhlIHNhbXBsZSBub25jZQ==";
 
-// What a worker answers to a handshake; `then` goes out with it in one write.
+// 101 response of a host to the handshake `head`; `then` is sent in the same write.
 std::string accepted(const std::string& head, const std::string& then = "") {
   const std::string name = "Sec-WebSocket-Key: ";
   const std::size_t at = head.find(name);
@@ -32,8 +32,8 @@
 }
 
 struct WebSocketTest : GatewayTest {
-  std::vector<std::unique_ptr<TcpServer>> workers;
-  std::vector<std::string> heads;  // of handshakes, as workers had them
+  std::vector<std::unique_ptr<TcpServer>> hostServers;
+  std::vector<std::string> heads;  // handshake requests received by hosts
   std::unique_ptr<StreamTable> table;
   std::unique_ptr<TcpProxyHandler> tcp;
   std::unique_ptr<WebSocketHandler> front;
@@ -48,27 +48,26 @@
   }
   ~WebSocketTest() override { gateway.reset(); }
 
-  // `answer` gives what a worker writes to a handshake; what comes after it stays in `receivedBytes`.
-  TcpServer& worker(std::function<std::string(const std::string& head)> answer = [](const std::string& head) {
-    return accepted(head);
-  }) {
-    return *workers.emplace_back(std::make_unique<TcpServer>(io, [this, answer](const auto& w) {
-      w->onBytes = [this, answer](TcpConnection& wire) {
-        const std::size_t end = wire.receivedBytes.find("\r\n\r\n");
+  // `answer` returns the response to a handshake; bytes received after the handshake stay in `receivedBytes`.
+  TcpServer& addHost(std::function<std::string(const std::string& head)> answer =
+                         [](const std::string& head) { return accepted(head); }) {
+    return *hostServers.emplace_back(std::make_unique<TcpServer>(io, [this, answer](const auto& w) {
+      w->onBytes = [this, answer](TcpConnection& connectClient) {
+        const std::size_t end = connectClient.receivedBytes.find("\r\n\r\n");
         if (end == std::string::npos) return;
-        wire.onBytes = {};
-        heads.push_back(wire.receivedBytes.substr(0, end + 2));
-        wire.receivedBytes.erase(0, end + 4);
-        wire.write(answer(heads.back()));
+        connectClient.onBytes = {};
+        heads.push_back(connectClient.receivedBytes.substr(0, end + 2));
+        connectClient.receivedBytes.erase(0, end + 4);
+        connectClient.write(answer(heads.back()));
       };
     }));
   }
   json entry(std::size_t i, const std::string& status = "active") const {
-    return hostJson("w-" + std::to_string(i), workers[i]->endpoint(), status);
+    return hostJson("w-" + std::to_string(i), hostServers[i]->endpoint(), status);
   }
-  void begin(const std::function<void(json&)>& change = [](json&) {}) {
+  void startGateway(const std::function<void(json&)>& change = [](json&) {}) {
     json list = json::array();
-    for (std::size_t i = 0; i < workers.size(); ++i) list.push_back(entry(i));
+    for (std::size_t i = 0; i < hostServers.size(); ++i) list.push_back(entry(i));
     json config = configJson(discovery.endpoint(), list);
     config["limits"]["sockets"] = 1024;
     change(config);
@@ -90,10 +89,10 @@
     gateway->start();
     ASSERT_TRUE(until([&] { return !polls.empty(); }));
   }
-  void tell(const json& list) {
-    const auto call = polls.back();
+  void publishHosts(const json& list) {
+    const auto poll = polls.back();
     polls.clear();
-    call->reply(200, listJson(++listIndex, false, list).dump());
+    poll->reply(200, listJson(++listIndex, false, list).dump());
     ASSERT_TRUE(until([&] { return !polls.empty(); }));
   }
   static std::string sendRequest(const std::string& more = "", const std::string& path = "/read/live") {
@@ -102,10 +101,10 @@
            "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " +
            kClientKey + "\r\n" + more + "\r\n";
   }
-  std::shared_ptr<TcpConnection> wire() { return TcpConnection::connect(io, gateway->endpoint()); }
-  // A stream that has begun; its head is taken off.
+  std::shared_ptr<TcpConnection> connectClient() { return TcpConnection::connect(io, gateway->endpoint()); }
+  // Opens an established stream and removes the 101 response from `receivedBytes`.
   std::shared_ptr<TcpConnection> open() {
-    const auto c = wire();
+    const auto c = connectClient();
     c->write(sendRequest());
     EXPECT_TRUE(until([&] { return c->receivedBytes.find("\r\n\r\n") != std::string::npos || c->over(); }));
     EXPECT_EQ(statusOf(*c), 101);
@@ -122,27 +121,28 @@
     return until([&] { return w->receivedBytes.size() >= bytes.size() || w->over(); }) &&
            w->receivedBytes == bytes;
   }
-  const std::shared_ptr<TcpConnection>& last(std::size_t worker = 0) {
-    return workers[worker]->connections.back();
+  const std::shared_ptr<TcpConnection>& last(std::size_t addHost = 0) {
+    return hostServers[addHost]->connections.back();
   }
   bool hasLine(const std::string& part) const {
-    return std::any_of(lines.begin(), lines.end(),
+    return std::any_of(lines.startGateway(), lines.end(),
                        [&](const std::string& l) { return l.find(part) != std::string::npos; });
   }
-  std::size_t count(Became b) const { return table->account().ended(b); }
+  std::size_t count(StreamResult b) const { return table->account().ended(b); }
 };
 
-std::string closed(bool client, unsigned number, const std::string& reason) {
+std::string closeFrame(bool client, unsigned number, const std::string& reason) {
   return bytesOf(client, {8, code(number, reason)});
 }
 
-TEST_F(WebSocketTest, FramesPassUnchangedAndTheEndInOrder) {
-  worker();
-  begin();
+TEST_F(WebSocketTest, ForwardsFramesUnchangedAndClosesInOrder) {
+  addHost();
+  startGateway();
   const auto c = open();
   ASSERT_EQ(heads.size(), 1u);
   EXPECT_NE(heads[0].find("GET /read/live HTTP/1.1\r\n"), std::string::npos);
-  EXPECT_NE(heads[0].find("X-Correlation-Id: n0-ws-"), std::string::npos);  // browsers can't send one
+  EXPECT_NE(heads[0].find("X-Correlation-Id: n0-ws-"),
+            std::string::npos);  // generated by the gateway, since browsers cannot set it
   EXPECT_NE(heads[0].find("X-Time-Left-Ms: "), std::string::npos);
   const std::string up = bytesOf(true, {1, "hello"}) + bytesOf(true, {2, std::string(70'000, 'u')});
   const std::string down =
@@ -153,25 +153,25 @@
   EXPECT_TRUE(receivedBytes(c, down));
   EXPECT_EQ(table->size(), 1u);
   c->receivedBytes.clear(), last()->receivedBytes.clear();
-  c->write(closed(true, 1000, "bye"));
-  EXPECT_TRUE(receivedBytes(last(), closed(true, 1000, "bye")));
-  last()->write(closed(false, 1000, ""));
+  c->write(closeFrame(true, 1000, "bye"));
+  EXPECT_TRUE(receivedBytes(last(), closeFrame(true, 1000, "bye")));
+  last()->write(closeFrame(false, 1000, ""));
   last()->shutdownSend();
-  EXPECT_TRUE(receivedBytes(c, closed(false, 1000, "")));
+  EXPECT_TRUE(receivedBytes(c, closeFrame(false, 1000, "")));
   ASSERT_TRUE(until([&] { return c->ended; }));
   c->shutdownSend();
   ASSERT_TRUE(until([&] { return table->idle(); }));
-  EXPECT_EQ(count(Became::served), 1u);
+  EXPECT_EQ(count(StreamResult::served), 1u);
   EXPECT_TRUE(hasLine("stream websocket served by=client why=finished"));
   EXPECT_EQ(gateway->metrics().classes[0].succeeded, 1u);
 }
 
-// Hard case: bytes of frames in the same read as the handshake, from either side.
-TEST_F(WebSocketTest, FramesThatComeWithTheHandshakeAreNotLost) {
+// Frame bytes arrive in the same read as the handshake, from either side.
+TEST_F(WebSocketTest, ForwardsFramesReceivedTogetherWithTheHandshake) {
   const std::string early = bytesOf(false, {1, "first"}), ahead = bytesOf(true, {1, "ahead"});
-  worker([&](const std::string& head) { return accepted(head, early + early.substr(0, 3)); });
-  begin();
-  const auto c = wire();
+  addHost([&](const std::string& head) { return accepted(head, early + early.substr(0, 3)); });
+  startGateway();
+  const auto c = connectClient();
   c->write(sendRequest() + ahead + ahead.substr(0, 1));
   ASSERT_TRUE(until([&] {
     return c->receivedBytes.size() > early.size() && c->receivedBytes.find(early) != std::string::npos;
@@ -186,11 +186,11 @@
   ASSERT_TRUE(until([&] { return c->receivedBytes.find(early + early) != std::string::npos; }));
 }
 
-// Hard case: a client that sends its handshake one byte at a time, and its frames.
-TEST_F(WebSocketTest, OneByteAtATime) {
-  worker();
-  begin();
-  const auto c = wire();
+// The client sends its handshake and frames one byte at a time.
+TEST_F(WebSocketTest, AcceptsHandshakeAndFramesOneByteAtATime) {
+  addHost();
+  startGateway();
+  const auto c = connectClient();
   const std::string bytes = sendRequest() + bytesOf(true, {1, "slow"});
   for (const char one : bytes) {
     c->write(std::string(1, one));
@@ -201,34 +201,33 @@
   }));
 }
 
-TEST_F(WebSocketTest, WhatMayNotBeAskedIsAnsweredWithoutAHost) {
+TEST_F(WebSocketTest, RejectsInvalidHandshakesWithoutContactingAHost) {
   settings.rules.origins = {"https://yard"};
-  worker();
-  begin();
+  addHost();
+  startGateway();
   const auto status = [&](std::string request) {
-    const auto c = wire();
+    const auto c = connectClient();
     c->write(request);
     EXPECT_TRUE(until([&] { return c->ended; }));
     if (statusOf(*c) == 426)
       EXPECT_NE(c->receivedBytes.find("Sec-WebSocket-Version: 13\r\n"), std::string::npos);
     return statusOf(*c);
   };
-  std::string old = sendRequest("Origin: https://yard\r\n");
-  old.replace(old.find("Version: 13"), 11, "Version: 8");
+  std::string previous = sendRequest("Origin: https://yard\r\n");
+  previous.replace(previous.find("Version: 13"), 11, "Version: 8");
   EXPECT_EQ(status(sendRequest()), 403);
   EXPECT_EQ(status(sendRequest("Origin: https://elsewhere\r\n")), 403);
-  EXPECT_EQ(status(old), 426);
+  EXPECT_EQ(status(previous), 426);
   EXPECT_EQ(status(sendRequest("Origin: https://yard\r\nContent-Length: 3\r\n") + "abc"), 400);
   EXPECT_EQ(status(sendRequest("Origin: https://yard\r\n", "/nothing")), 404);
   EXPECT_EQ(status(sendRequest("Origin: https://yard\r\n", "/book/1")),
-            405);  // a class that may not run twice
+            405);  // a class that is not retryable
   EXPECT_TRUE(heads.empty());
 }
 
-// What comes before a request comes before a handshake: here a rule that turns one path away, and sees the
-// 101.
-TEST_F(WebSocketTest, AHandshakePassesThroughTheStages) {
-  struct Rule : RequestFilter {
+// Request filters apply to handshakes: one rejects a path and sees the headers of the 101.
+TEST_F(WebSocketTest, HandshakePassesThroughRequestFilters) {
+  struct RecordingFilter : RequestFilter {
     std::uint8_t phases() const override {
       return phaseBit(RequestPhase::received) | phaseBit(RequestPhase::responseHeaders) |
              phaseBit(RequestPhase::completed);
@@ -245,78 +244,79 @@
     void onRequestCompleted(RequestContext&, RequestResult how) override { ends.push_back(how); }
     unsigned status = 0;
     std::vector<RequestResult> ends;
-  } rule;
-  worker();
-  begin();
-  gateway->attach(rule);
-  const auto c = wire();
+  } filter;
+  addHost();
+  startGateway();
+  gateway->attach(filter);
+  const auto c = connectClient();
   c->write(sendRequest("", "/read/closed"));
   ASSERT_TRUE(until([&] { return statusOf(*c) != 0; }));
   EXPECT_EQ(statusOf(*c), 403);
   EXPECT_TRUE(heads.empty());
-  EXPECT_EQ(count(Became::refused), 1u);
-  const auto d = wire();
+  EXPECT_EQ(count(StreamResult::refused), 1u);
+  const auto d = connectClient();
   d->write(sendRequest());
   ASSERT_TRUE(until([&] { return statusOf(*d) == 101; }));
-  EXPECT_EQ(rule.status, 101u);
+  EXPECT_EQ(filter.status, 101u);
   EXPECT_NE(d->receivedBytes.find("X-Tag: seen\r\n"), std::string::npos);
-  EXPECT_EQ(rule.ends, (std::vector<RequestResult>{RequestResult::rejectedByFilter, RequestResult::served}));
-  gateway.reset();  // before the rule
+  EXPECT_EQ(filter.ends,
+            (std::vector<RequestResult>{RequestResult::rejectedByFilter, RequestResult::served}));
+  gateway.reset();  // the gateway must be destroyed before `filter`
 }
 
-// Hard case: a 101 with a wrong accept value. It is no answer to this request, and another host is asked.
-TEST_F(WebSocketTest, AWrongAcceptIsNoAnswer) {
-  worker([](const std::string&) {
+// A 101 with a wrong accept value is not a response to this request; the attempt goes to another host.
+TEST_F(WebSocketTest, WrongAcceptValueIsRetriedOnAnotherHost) {
+  addHost([](const std::string&) {
     return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
            "Sec-WebSocket-Accept: AAAAAAAAAAAAAAAAAAAAAAAAAAA=\r\n\r\n";
   });
-  worker();
-  begin();
+  addHost();
+  startGateway();
   for (int i = 0; i < 6; ++i) {
     const auto c = open();
-    EXPECT_EQ(workers[1]->connections.size(), static_cast<std::size_t>(i + 1));
+    EXPECT_EQ(hostServers[1]->connections.size(), static_cast<std::size_t>(i + 1));
   }
-  EXPECT_GT(workers[0]->connections.size(), 0u);
+  EXPECT_GT(hostServers[0]->connections.size(), 0u);
   EXPECT_EQ(table->size(), 6u);
 }
 
-TEST_F(WebSocketTest, WhereAllAnswerWronglyItIsRefused) {
-  worker([](const std::string&) {
+TEST_F(WebSocketTest, RefusesWith503IfAllHostsSendInvalid101) {
+  addHost([](const std::string&) {
     return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n\r\n";
   });
-  begin();
-  const auto c = wire();
+  startGateway();
+  const auto c = connectClient();
   c->write(sendRequest());
   ASSERT_TRUE(until([&] { return c->receivedBytes.find("\r\n\r\n") != std::string::npos; }));
   EXPECT_EQ(statusOf(*c), 503);
   EXPECT_NE(c->receivedBytes.find("Retry-After: "), std::string::npos);
-  EXPECT_EQ(count(Became::refused), 1u);
+  EXPECT_EQ(count(StreamResult::refused), 1u);
 }
 
-TEST_F(WebSocketTest, A4xxOfTheWorkerIsPassedOnAndA5xxIsNot) {
-  worker([](const std::string&) { return "HTTP/1.1 403 X\r\nContent-Length: 0\r\n\r\n"; });
-  begin();
-  const auto c = wire();
+TEST_F(WebSocketTest, Forwards4xxOfAHostButNot5xx) {
+  addHost([](const std::string&) { return "HTTP/1.1 403 X\r\nContent-Length: 0\r\n\r\n"; });
+  startGateway();
+  const auto c = connectClient();
   c->write(sendRequest());
   ASSERT_TRUE(until([&] { return statusOf(*c) != 0; }));
   EXPECT_EQ(statusOf(*c), 403);
-  EXPECT_EQ(count(Became::failed), 1u);
-  worker();
+  EXPECT_EQ(count(StreamResult::failed), 1u);
+  addHost();
   json list = json::array({entry(0, "leaving"), entry(1)});
-  tell(list);
-  workers[1]->onConnection = [](const auto& w) {
+  publishHosts(list);
+  hostServers[1]->onConnection = [](const auto& w) {
     w->onBytes = [](TcpConnection& x) { x.write("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"); };
   };
-  const auto d = wire();
+  const auto d = connectClient();
   d->write(sendRequest());
   ASSERT_TRUE(until([&] { return statusOf(*d) != 0; }));
   EXPECT_EQ(statusOf(*d), 503);
 }
 
-// A 101 that nobody asked for is the end of that connection, and no answer.
-TEST_F(WebSocketTest, A101ToAPlainRequestIsNoAnswer) {
-  worker([](const std::string& head) { return accepted(head); });
-  begin();
+// An unexpected 101 fails the attempt and closes the connection to the host.
+TEST_F(WebSocketTest, Rejects101ResponseToAPlainRequest) {
+  addHost([](const std::string& head) { return accepted(head); });
+  startGateway();
   const auto c = client();
   c->sendRequest("GET", "/read", 2500);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
@@ -324,55 +324,57 @@
   EXPECT_NE(c->answers[0].result_int(), 200u);
 }
 
-// Hard case: a worker that answers 101 and then garbage. Both are told; no garbage passes.
-TEST_F(WebSocketTest, GarbageBehindThe101IsTurnedDown) {
-  worker([](const std::string& head) { return accepted(head, "\xff\xff garbage"); });
-  begin();
-  const auto c = wire();
+// The host sends 101 and then garbage: both sides get a close frame, and no garbage is forwarded.
+TEST_F(WebSocketTest, GarbageAfterThe101ClosesBothSidesAndIsNotForwarded) {
+  addHost([](const std::string& head) { return accepted(head, "\xff\xff garbage"); });
+  startGateway();
+  const auto c = connectClient();
   c->write(sendRequest());
   ASSERT_TRUE(until([&] { return c->ended || c->reset; }));
   const std::string frames = c->receivedBytes.substr(c->receivedBytes.find("\r\n\r\n") + 4);
-  EXPECT_EQ(frames, closed(false, 1014, "protocol"));
+  EXPECT_EQ(frames, closeFrame(false, 1014, "protocol"));
   EXPECT_TRUE(hasLine("failed by=host why=protocol"));
   ASSERT_TRUE(until([&] { return last()->over(); }));
-  EXPECT_EQ(last()->receivedBytes.substr(0, 2), std::string("\x88\x8a", 2));  // a masked close of ten bytes
+  EXPECT_EQ(last()->receivedBytes.substr(0, 2),
+            std::string("\x88\x8a", 2));  // a masked Close frame with 10 payload bytes
 }
 
-TEST_F(WebSocketTest, AClientThatBreaksTheRulesIsToldAndSoIsItsHost) {
-  worker();
-  begin();
+TEST_F(WebSocketTest, ProtocolViolationOfClientSendsCloseToBothSides) {
+  addHost();
+  startGateway();
   const auto c = open();
   c->write(bytesOf(true, {1, "fine"}) + bytesOf(true, {1, "\xff"}));
   ASSERT_TRUE(until([&] { return c->receivedBytes.size() > 0; }));
-  EXPECT_EQ(c->receivedBytes, closed(false, 1007, "protocol"));
+  EXPECT_EQ(c->receivedBytes, closeFrame(false, 1007, "protocol"));
   EXPECT_TRUE(until([&] { return table->idle(); }));
   EXPECT_TRUE(hasLine("failed by=client why=protocol"));
 
   const auto d = open();
   d->write(bytesOf(true, {1, "fine"}) + bytesOf(true, {5, "x"}));
-  ASSERT_TRUE(receivedBytes(d, closed(false, 1002, "protocol")));
-  // The host had whole frames only, and then its own word.
+  ASSERT_TRUE(receivedBytes(d, closeFrame(false, 1002, "protocol")));
+  // The host received complete frames only, and then the close frame of the gateway.
   ASSERT_TRUE(until([&] { return last()->receivedBytes.size() >= bytesOf(true, {1, "fine"}).size() + 16; }));
-  EXPECT_EQ(last()->receivedBytes, bytesOf(true, {1, "fine"}) + closed(true, 1001, "protocol"));
+  EXPECT_EQ(last()->receivedBytes, bytesOf(true, {1, "fine"}) + closeFrame(true, 1001, "protocol"));
 }
 
-// Hard case: a frame of 2^63 bytes.
-TEST_F(WebSocketTest, AFrameBeyondAllLimits) {
-  worker();
-  begin();
+// Frames with lengths of 2^63 and 2^63 - 1 bytes.
+TEST_F(WebSocketTest, OversizedFrameLengthIsRejected) {
+  addHost();
+  startGateway();
   const auto c = open();
   c->write(bytesOf(true, {2, "", true, 0, {}, 8, std::uint64_t{1} << 63}));
-  EXPECT_TRUE(receivedBytes(c, closed(false, 1002, "protocol")));
+  EXPECT_TRUE(receivedBytes(c, closeFrame(false, 1002, "protocol")));
   const auto d = open();
   d->write(bytesOf(true, {2, "", true, 0, {}, 8, (std::uint64_t{1} << 63) - 1}));
-  EXPECT_TRUE(receivedBytes(d, closed(false, 1009, "too_big")));
+  EXPECT_TRUE(receivedBytes(d, closeFrame(false, 1009, "too_big")));
   EXPECT_TRUE(last()->receivedBytes.empty() || last()->receivedBytes[0] == '\x88');
 }
 
-// Hard case: a worker dies mid-frame. Words of ours would be read as part of the frame: a reset it is.
-TEST_F(WebSocketTest, AWorkerThatDiesMidFrameIsAReset) {
-  worker();
-  begin();
+// The host resets within a frame. A close message would be read as part of that frame, so the client gets a
+// reset.
+TEST_F(WebSocketTest, HostResetWithinAFrameResetsTheClient) {
+  addHost();
+  startGateway();
   const auto c = open();
   last()->write(bytesOf(false, {1, std::string(100, 'x')}).substr(0, 50));
   ASSERT_TRUE(until([&] { return c->receivedBytes.size() == 50; }));
@@ -383,104 +385,107 @@
   EXPECT_TRUE(hasLine("failed by=host why=reset"));
 }
 
-TEST_F(WebSocketTest, AWorkerThatDiesBetweenFramesIsACloseWithItsCode) {
-  worker();
-  begin();
+TEST_F(WebSocketTest, HostLostBetweenFramesSendsClose1014ToTheClient) {
+  addHost();
+  startGateway();
   for (const bool abort : {true, false}) {
     const auto c = open();
     if (abort) last()->abort();
     else last()->close();
-    ASSERT_TRUE(receivedBytes(c, closed(false, 1014, "reset"))) << abort;
-    c->write(closed(true, 1014, ""));
+    ASSERT_TRUE(receivedBytes(c, closeFrame(false, 1014, "reset"))) << abort;
+    c->write(closeFrame(true, 1014, ""));
     ASSERT_TRUE(until([&] { return c->over() && table->idle(); }));
   }
-  EXPECT_EQ(table->account().ended(Ender::host, Why::reset), 2u);
+  EXPECT_EQ(table->account().ended(EndedBy::host, EndReason::reset), 2u);
 }
 
-TEST_F(WebSocketTest, AClientThatIsGoneIsTold) {
-  worker();
-  begin();
+TEST_F(WebSocketTest, ClientResetSendsClose1001ToTheHost) {
+  addHost();
+  startGateway();
   const auto c = open();
   c->abort();
-  ASSERT_TRUE(receivedBytes(last(), closed(true, 1001, "reset")));
+  ASSERT_TRUE(receivedBytes(last(), closeFrame(true, 1001, "reset")));
   ASSERT_TRUE(until([&] { return table->idle(); }));
   EXPECT_TRUE(hasLine("failed by=client why=reset"));
 }
 
-// Close frames that cross: both pass, and it ends once.
-TEST_F(WebSocketTest, ClosesFromBothSidesAtOnce) {
-  worker();
-  begin();
+// Close frames cross: both are forwarded, and the stream ends once.
+TEST_F(WebSocketTest, ForwardsSimultaneousClosesAndEndsOnce) {
+  addHost();
+  startGateway();
   const auto c = open();
-  c->write(closed(true, 1000, ""));
-  last()->write(closed(false, 1001, ""));
-  EXPECT_TRUE(receivedBytes(c, closed(false, 1001, "")));
-  EXPECT_TRUE(receivedBytes(last(), closed(true, 1000, "")));
+  c->write(closeFrame(true, 1000, ""));
+  last()->write(closeFrame(false, 1001, ""));
+  EXPECT_TRUE(receivedBytes(c, closeFrame(false, 1001, "")));
+  EXPECT_TRUE(receivedBytes(last(), closeFrame(true, 1000, "")));
   last()->shutdownSend(), c->shutdownSend();
   ASSERT_TRUE(until([&] { return table->idle(); }));
-  EXPECT_EQ(count(Became::served), 1u);
+  EXPECT_EQ(count(StreamResult::served), 1u);
   EXPECT_EQ(lines.size(), 1u);
 }
 
-// Both have said that they end, and neither closes its connection: the gateway does.
-TEST_F(WebSocketTest, AfterBothClosesTheConnectionsAreNotKept) {
-  worker();
-  begin();
+// Both sides sent a Close frame but neither closes its connection: the gateway does.
+TEST_F(WebSocketTest, ClosesConnectionsAfterBothCloseFrames) {
+  addHost();
+  startGateway();
   const auto c = open();
-  c->write(closed(true, 1000, ""));
-  ASSERT_TRUE(receivedBytes(last(), closed(true, 1000, "")));
-  last()->write(closed(false, 1000, ""));
+  c->write(closeFrame(true, 1000, ""));
+  ASSERT_TRUE(receivedBytes(last(), closeFrame(true, 1000, "")));
+  last()->write(closeFrame(false, 1000, ""));
   ASSERT_TRUE(until([&] { return c->ended && last()->ended && table->idle(); }));
-  EXPECT_EQ(count(Became::served), 1u);
+  EXPECT_EQ(count(StreamResult::served), 1u);
 }
 
 // --- Drains
 
-TEST_F(WebSocketTest, ADrainingWorkersStreamsEndWith1001) {
+TEST_F(WebSocketTest, HostDrainSendsClose1001ToItsStreams) {
   streams.drainWithin = milliseconds(200);
-  worker(), worker();
-  begin();
+  addHost(), addHost();
+  startGateway();
   std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 20; ++i) clients.push_back(open());
-  const std::size_t there = workers[0]->connections.size();
+  const std::size_t there = hostServers[0]->connections.size();
   ASSERT_GT(there, 4u);
-  tell(json::array({entry(0, "leaving")}));
-  const std::string bye = closed(false, 1001, "drain");
+  publishHosts(json::array({entry(0, "leaving")}));
+  const std::string bye = closeFrame(false, 1001, "drain");
   ASSERT_TRUE(until([&] {
     std::size_t told = 0;
     for (const auto& c : clients) {
-      if (c->receivedBytes == bye && !c->over()) c->receivedBytes += ' ', c->write(closed(true, 1001, ""));
+      if (c->receivedBytes == bye && !c->over())
+        c->receivedBytes += ' ', c->write(closeFrame(true, 1001, ""));
       told += c->receivedBytes.substr(0, bye.size()) == bye;
     }
-    return told == there && workers[0]->open() == 0;
+    return told == there && hostServers[0]->open() == 0;
   }));
-  for (const auto& w : workers[0]->connections) EXPECT_EQ(w->receivedBytes, closed(true, 1001, "drain"));
-  EXPECT_EQ(count(Became::served), there);
+  for (const auto& w : hostServers[0]->connections)
+    EXPECT_EQ(w->receivedBytes, closeFrame(true, 1001, "drain"));
+  EXPECT_EQ(count(StreamResult::served), there);
   EXPECT_EQ(table->size(), 20 - there);
   EXPECT_TRUE(hasLine("served by=gateway why=drain"));
 }
 
-// In the midst of a frame the close waits for its end.
-TEST_F(WebSocketTest, ADrainDoesNotCutAFrame) {
+// A close frame is inserted only after the frame in progress.
+TEST_F(WebSocketTest, DrainWaitsForTheEndOfAFrame) {
   streams.drainWithin = milliseconds(0);
-  worker();
-  begin();
+  addHost();
+  startGateway();
   const auto c = open();
   const std::string frame = bytesOf(false, {1, std::string(1000, 'x')}), next = bytesOf(false, {1, "next"});
   last()->write(frame.substr(0, 500));
   ASSERT_TRUE(until([&] { return c->receivedBytes.size() == 500; }));
-  tell(json::array({entry(0, "leaving")}));
-  ASSERT_TRUE(
-      until([&] { return last()->receivedBytes == closed(true, 1001, "drain"); }));  // that way is free
+  publishHosts(json::array({entry(0, "leaving")}));
+  ASSERT_TRUE(until([&] {
+    return last()->receivedBytes == closeFrame(true, 1001, "drain");
+  }));  // no frame in progress in this direction
   EXPECT_EQ(c->receivedBytes.size(), 500u);
   last()->write(frame.substr(500) + next);
-  EXPECT_TRUE(receivedBytes(c, frame + closed(false, 1001, "drain")));
+  EXPECT_TRUE(receivedBytes(c, frame + closeFrame(false, 1001, "drain")));
 }
 
-TEST_F(WebSocketTest, ADrainedGatewayTellsAllOfThem) {
-  worker();
+TEST_F(WebSocketTest, GatewayDrainSendsCloseToAllClients) {
+  addHost();
   streams.drainWithin = milliseconds(300);
-  begin();
+  startGateway();
   std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 20; ++i) clients.push_back(open());
   bool done = false;
@@ -488,43 +493,43 @@
   ASSERT_TRUE(until([&] { return done; }));
   for (const auto& c : clients) {
     ASSERT_TRUE(until([&] { return c->over(); }));
-    EXPECT_EQ(c->receivedBytes, closed(false, 1001, "drain"));
+    EXPECT_EQ(c->receivedBytes, closeFrame(false, 1001, "drain"));
   }
   EXPECT_TRUE(table->idle());
 }
 
 // --- Silence
 
-TEST_F(WebSocketTest, ASilentSideIsAskedAndFound) {
+TEST_F(WebSocketTest, SilentHostIsPingedAndThenDisconnected) {
   settings.pingAfter = milliseconds(200);
   settings.pingAnswer = milliseconds(200);
-  worker();
-  begin();
+  addHost();
+  startGateway();
   const auto c = open();
   const std::string ping = bytesOf(false, {9, ""});
-  // The client answers its pings; the worker says nothing.
+  // The client answers pings; the host does not.
   ASSERT_TRUE(until([&] {
     if (c->receivedBytes == ping) c->receivedBytes.clear(), c->write(bytesOf(true, {10, ""}));
-    return table->account().ended(Ender::host, Why::silent) == 1 || c->over();
+    return table->account().ended(EndedBy::host, EndReason::silent) == 1 || c->over();
   }));
-  EXPECT_EQ(c->receivedBytes.substr(0, 2), closed(false, 1014, "silent").substr(0, 2));
+  EXPECT_EQ(c->receivedBytes.substr(0, 2), closeFrame(false, 1014, "silent").substr(0, 2));
   EXPECT_NE(last()->receivedBytes.find(bytesOf(true, {9, ""})), std::string::npos);
   EXPECT_TRUE(hasLine("failed by=host why=silent"));
 }
 
-TEST_F(WebSocketTest, OneThatAnswersItsPingsIsKept) {
+TEST_F(WebSocketTest, StreamWithAnsweredPingsIsKept) {
   settings.pingAfter = milliseconds(100);
   settings.pingAnswer = milliseconds(2000);
-  worker();
-  begin();
+  addHost();
+  startGateway();
   const auto c = open();
   std::size_t pings = 0;
   const auto end = Steady::now() + milliseconds(1500);
   ASSERT_TRUE(until([&] {
     for (; c->receivedBytes.size() >= 2;
-         c->receivedBytes.erase(0, 2))  // the gateway's pings, and pongs of the worker
+         c->receivedBytes.erase(0, 2))  // pings of the gateway, and pongs of the host
       if (c->receivedBytes[0] == '\x89') ++pings, c->write(bytesOf(true, {10, ""}));
-    // What comes at the worker is the client's pongs and the gateway's pings.
+    // The host receives pongs of the client and pings of the gateway.
     if (last()->receivedBytes.find(bytesOf(true, {9, ""})) != std::string::npos)
       last()->receivedBytes.clear(), last()->write(bytesOf(false, {10, ""}));
     return Steady::now() >= end;
@@ -533,31 +538,32 @@
   EXPECT_GE(pings, 3u);
 }
 
-// --- Storms
+// --- Reconnect surges
 
-// Upgrades beyond the rate are refused, each with a time of its own to come back; requests are served.
-TEST_F(WebSocketTest, AStormOfReconnectsIsRefusedWithTimesToComeBack) {
+// Upgrades over the rate are refused, each with its own retry time; plain requests are served.
+TEST_F(WebSocketTest, UpgradesOverTheRateAreRefusedWithSpreadRetryTimes) {
   streams.hostRate = 20;
   streams.returnWithin = seconds(10);
-  worker([](const std::string& head) {
+  addHost([](const std::string& head) {
     return head.find("Upgrade") == std::string::npos
                ? std::string("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
                : accepted(head);
   });
-  begin();
+  startGateway();
   std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 200; ++i) {
-    clients.push_back(wire());
+    clients.push_back(connectClient());
     clients.back()->write(sendRequest());
   }
   ASSERT_TRUE(until([&] {
-    return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return statusOf(*c) != 0; });
+    return std::all_of(clients.startGateway(), clients.end(),
+                       [](const auto& c) { return statusOf(*c) != 0; });
   }));
-  std::size_t begun = 0;
+  std::size_t info = 0;
   double least = 100, most = 0;
   for (const auto& c : clients) {
     if (statusOf(*c) == 101) {
-      ++begun;
+      ++info;
       continue;
     }
     EXPECT_EQ(statusOf(*c), 503);
@@ -567,9 +573,9 @@
     least = std::min(least, after);
     most = std::max(most, after);
   }
-  EXPECT_GE(begun, 1u);
-  EXPECT_LE(begun, 60u);
-  EXPECT_EQ(table->size(), begun);
+  EXPECT_GE(info, 1u);
+  EXPECT_LE(info, 60u);
+  EXPECT_EQ(table->size(), info);
   EXPECT_LT(least, 3);
   EXPECT_GT(most, 7);
   const auto c = client();
@@ -578,23 +584,23 @@
   EXPECT_EQ(c->answers[0].result_int(), 200u);
 }
 
-// Without inspection the bytes go by their lengths, and the end is said all the same.
-TEST_F(WebSocketTest, UncheckedFramesPassAndADrainIsStillSaid) {
+// Without inspection, frames are forwarded by length, and a drain still sends close frames.
+TEST_F(WebSocketTest, WithoutInspectionFramesPassAndDrainStillSendsClose) {
   settings.inspect = false;
   streams.drainWithin = milliseconds(0);
-  worker();
-  begin();
+  addHost();
+  startGateway();
   const auto c = open();
   const std::string odd = bytesOf(true, {5, "\xff", false, 7});
   c->write(odd);
   EXPECT_TRUE(receivedBytes(last(), odd));
-  tell(json::array({entry(0, "leaving")}));
-  EXPECT_TRUE(receivedBytes(c, closed(false, 1001, "drain")));
+  publishHosts(json::array({entry(0, "leaving")}));
+  EXPECT_TRUE(receivedBytes(c, closeFrame(false, 1001, "drain")));
 }
 
-// Switched off, it is a request like any other, as before.
+// Without an upgrade handler, an upgrade request is handled as a plain request.
 using PlainTest = GatewayTest;
-TEST_F(PlainTest, WithoutTheFrontAnUpgradeIsAPlainRequest) {
+TEST_F(PlainTest, WithoutUpgradeHandlerAnUpgradeIsAPlainRequest) {
   host(serveOk);
   start();
   const auto c = client();
