--- a/src/stream/table.cpp
+++ b/src/stream/table.cpp
@@ -88,7 +88,7 @@
 
 // Reacts to a phase change of a host. A host that becomes active again before its streams were closed keeps
 // the remaining ones.
-void StreamTable::onHostPhaseChanged(HostId host, HostPhase phase) {
+void StreamTable::updateHostPhase(HostId host, HostPhase phase) {
   const auto it = byHost_.find(host);
   if (it == byHost_.end()) return;
   if (phase == HostPhase::active && draining_) return;
--- a/src/stream/table.hpp
+++ b/src/stream/table.hpp
@@ -41,7 +41,7 @@
   void take(const StreamInfo& info, RelayParts&& parts);
   // Records the ending of a stream that was not established.
   void onNotEstablished(const StreamInfo& info, const Ending& how);
-  void onHostPhaseChanged(load_balancing::HostId host, load_balancing::HostPhase phase);
+  void updateHostPhase(load_balancing::HostId host, load_balancing::HostPhase phase);
   void onDrain(Time until);
 
   bool idle() const { return streams_.empty(); }
--- a/src/stream/tcp_proxy_handler.cpp
+++ b/src/stream/tcp_proxy_handler.cpp
@@ -276,7 +276,7 @@
       if (pending->attempt && pending->info.host == host) there.push_back(pending);
     for (const auto& pending : there) endAttempt(*pending, Outcome::connectFailed);
   }
-  table_.onHostPhaseChanged(host, phase);
+  table_.updateHostPhase(host, phase);
 }
 
 // Closing the listeners resets connections in the accept queue now instead of at exit.
--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -70,9 +70,9 @@
   }
   void publishHosts(const json& list, bool whole = false) {
     ASSERT_TRUE(until([&] { return !polls.empty(); }));
-    const auto poll = polls.back();
+    const auto pendingPoll = polls.back();
     polls.clear();
-    poll->reply(200, listJson(++listIndex, whole, list).dump());
+    pendingPoll->reply(200, listJson(++listIndex, whole, list).dump());
     ASSERT_TRUE(until([&] { return !polls.empty(); }));  // the next poll shows that the list was applied
   }
   std::shared_ptr<TcpConnection> open() { return TcpConnection::connect(io, front->endpoint(0)); }
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -90,9 +90,9 @@
     ASSERT_TRUE(until([&] { return !polls.empty(); }));
   }
   void publishHosts(const json& list) {
-    const auto poll = polls.back();
+    const auto pendingPoll = polls.back();
     polls.clear();
-    poll->reply(200, listJson(++listIndex, false, list).dump());
+    pendingPoll->reply(200, listJson(++listIndex, false, list).dump());
     ASSERT_TRUE(until([&] { return !polls.empty(); }));
   }
   static std::string sendRequest(const std::string& more = "", const std::string& path = "/read/live") {
