--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -26,8 +26,8 @@
   SettingNode to;
   to.line = static_cast<int>(from.source().begin.line);
   if (depth > kDocumentDepthMost) {
-    problems.push_back({to.line, "tables and lists are nested more than " +
-                                     std::to_string(kDocumentDepthMost) + " deep"});
+    problems.push_back(
+        {to.line, "tables and lists are nested more than " + std::to_string(kDocumentDepthMost) + " deep"});
     to.value = SettingNode::Other{"too deep"};
     return to;
   }
--- a/src/stream/account.hpp
+++ b/src/stream/account.hpp
@@ -13,7 +13,7 @@
 
 namespace finchstile::stream {
 
-struct EndedStream {  // input of the log line and counters of an ended stream
+struct EndedStream {            // input of the log line and counters of an ended stream
   std::string_view name, host;  // host: empty if no host was reached
   std::string from;             // client address
   Ending how;
--- a/src/stream/proxy_protocol.cpp
+++ b/src/stream/proxy_protocol.cpp
@@ -31,8 +31,9 @@
           tcp::endpoint(Address(to), static_cast<std::uint16_t>(wordAt(b, ports + 2)))};
 }
 
-std::uint32_t crcWithZeroedChecksum(std::string_view header,
-                         std::size_t at) {  // CRC-32C with the four checksum bytes at `at` taken as 0
+std::uint32_t crcWithZeroedChecksum(
+    std::string_view header,
+    std::size_t at) {  // CRC-32C with the four checksum bytes at `at` taken as 0
   boost::crc_optimal<32, 0x1EDC6F41, 0xFFFFFFFF, 0xFFFFFFFF, true, true> crc;
   static constexpr char kNone[4] = {};
   crc.process_bytes(header.data(), at);
@@ -51,7 +52,8 @@
     if (byteAt(header, at) == kCrc32cType) {
       if (length != 4 || std::exchange(hasChecksum, true)) return "CRC-32C must occur once with 4 bytes";
       const std::size_t v = at + 3;
-      const std::uint32_t storedCrc = static_cast<std::uint32_t>(wordAt(header, v) << 16 | wordAt(header, v + 2));
+      const std::uint32_t storedCrc =
+          static_cast<std::uint32_t>(wordAt(header, v) << 16 | wordAt(header, v + 2));
       if (storedCrc != crcWithZeroedChecksum(header, v)) return "CRC-32C mismatch";
     }
     at += 3 + length;
@@ -84,7 +86,8 @@
   if (b.substr(0, known) != kSignature.substr(0, known)) return bad("no PROXY protocol version 2 signature");
   if (b.size() < kFixedHeaderBytes) return {};
   const unsigned char command = byteAt(b, 12), family = byteAt(b, 13);
-  if (command != kLocal && command != kProxy) return bad("version and command are neither LOCAL nor PROXY of version 2");
+  if (command != kLocal && command != kProxy)
+    return bad("version and command are neither LOCAL nor PROXY of version 2");
   const std::size_t length = wordAt(b, 14);
   if (kFixedHeaderBytes + length > kMaxProxyHeaderBytes) return bad("header exceeds 528 bytes");
   const std::size_t ends = family == kTcp4 ? kIpv4AddressBytes : family == kTcp6 ? kIpv6AddressBytes : 0;
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -120,7 +120,8 @@
 bool requestsWebSocket(const RequestHead& head) { return hasToken(head, http::field::upgrade, "websocket"); }
 
 HandshakeVerdict checkRequest(const RequestHead& head, const HandshakeRules& rules) {
-  if (head.method() != http::verb::get || head.version() != 11) return {400, "handshake must be an HTTP/1.1 GET request"};
+  if (head.method() != http::verb::get || head.version() != 11)
+    return {400, "handshake must be an HTTP/1.1 GET request"};
   if (head.count(http::field::host) != 1) return {400, "request must have exactly one Host header"};
   if (!hasToken(head, http::field::connection, "upgrade")) return {400, "Connection does not name Upgrade"};
   if (head.count(http::field::content_length) + head.count(http::field::transfer_encoding) > 0)
@@ -129,9 +130,11 @@
     return {426, "Sec-WebSocket-Version must be 13"};
   if (head.count(http::field::sec_websocket_key) != 1 || !isKey(toView(head[http::field::sec_websocket_key])))
     return {400, "request must have exactly one Sec-WebSocket-Key of 16 bytes in base64"};
-  if (head.count(http::field::sec_websocket_accept) > 0) return {400, "request must not have a Sec-WebSocket-Accept header"};
+  if (head.count(http::field::sec_websocket_accept) > 0)
+    return {400, "request must not have a Sec-WebSocket-Accept header"};
   const auto offered = tokens(joined(head, http::field::sec_websocket_protocol));
-  if (head.count(http::field::sec_websocket_protocol) > 0 && offered.empty()) return {400, "Sec-WebSocket-Protocol names no subprotocol"};
+  if (head.count(http::field::sec_websocket_protocol) > 0 && offered.empty())
+    return {400, "Sec-WebSocket-Protocol names no subprotocol"};
   if (offered.size() > kMaxListItems) return {400, "Sec-WebSocket-Protocol names more than 32 subprotocols"};
   for (std::size_t i = 0; i < offered.size(); ++i)
     if (std::find(offered.begin(), offered.begin() + static_cast<std::ptrdiff_t>(i), offered[i]) !=
--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -384,23 +384,23 @@
   std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 60; ++i) clients.push_back(open());
   ASSERT_TRUE(until([&] { return connections() == 60; }));
-  const std::size_t there = hostServers[0]->connections.size();
-  ASSERT_GT(there, 20u);
+  const std::size_t drainedCount = hostServers[0]->connections.size();
+  ASSERT_GT(drainedCount, 20u);
   const auto from = Steady::now();
   publishHosts(json::array({entry(0, "leaving")}));
   std::vector<double> times;
   ASSERT_TRUE(until([&] {
-    while (times.size() < there - hostServers[0]->open())
+    while (times.size() < drainedCount - hostServers[0]->open())
       times.push_back(std::chrono::duration<double>(Steady::now() - from).count());
     return hostServers[0]->open() == 0;
   }));
   // Closes are spread: neither all at the start nor all at the end.
-  EXPECT_GT(times[there * 3 / 4] - times[there / 4], 0.25);
-  EXPECT_EQ(table->account().ended(EndedBy::gateway, EndReason::drain), there);
-  EXPECT_EQ(hostServers[1]->open(), 60 - there);  // streams of the other host stay
+  EXPECT_GT(times[drainedCount * 3 / 4] - times[drainedCount / 4], 0.25);
+  EXPECT_EQ(table->account().ended(EndedBy::gateway, EndReason::drain), drainedCount);
+  EXPECT_EQ(hostServers[1]->open(), 60 - drainedCount);  // streams of the other host stay
   for (int i = 0; i < 20; ++i) clients.push_back(open());
   ASSERT_TRUE(until([&] { return connections() == 80; }));
-  EXPECT_EQ(hostServers[0]->connections.size(), there);
+  EXPECT_EQ(hostServers[0]->connections.size(), drainedCount);
 }
 
 TEST_F(StreamTest, ReactivatedHostKeepsItsRemainingStreams) {
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -444,23 +444,23 @@
   startGateway();
   std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 20; ++i) clients.push_back(open());
-  const std::size_t there = hostServers[0]->connections.size();
-  ASSERT_GT(there, 4u);
+  const std::size_t drainedCount = hostServers[0]->connections.size();
+  ASSERT_GT(drainedCount, 4u);
   publishHosts(json::array({entry(0, "leaving")}));
   const std::string bye = closeFrame(false, 1001, "drain");
   ASSERT_TRUE(until([&] {
-    std::size_t told = 0;
+    std::size_t closedCount = 0;
     for (const auto& c : clients) {
       if (c->receivedBytes == bye && !c->over())
         c->receivedBytes += ' ', c->write(closeFrame(true, 1001, ""));
-      told += c->receivedBytes.substr(0, bye.size()) == bye;
+      closedCount += c->receivedBytes.substr(0, bye.size()) == bye;
     }
-    return told == there && hostServers[0]->open() == 0;
+    return closedCount == drainedCount && hostServers[0]->open() == 0;
   }));
   for (const auto& w : hostServers[0]->connections)
     EXPECT_EQ(w->receivedBytes, closeFrame(true, 1001, "drain"));
-  EXPECT_EQ(count(StreamResult::served), there);
-  EXPECT_EQ(table->size(), 20 - there);
+  EXPECT_EQ(count(StreamResult::served), drainedCount);
+  EXPECT_EQ(table->size(), 20 - drainedCount);
   EXPECT_TRUE(hasLine("served by=gateway why=drain"));
 }
 
