--- a/src/stream/settings.hpp
+++ b/src/stream/settings.hpp
@@ -29,9 +29,9 @@
                                  // rest in their usual proportion
   std::size_t most = 1000;       // concurrent streams of this gateway; less if there are too few descriptors
   std::size_t bufferBytes = std::size_t{16} * 1024 * 1024;  // total relay buffer of all streams
-  std::size_t hostStreams = 0;  // concurrent streams of one host over all gateways; 0: no bound
-  double hostRate = 0;          // new streams per second of one host over all gateways; 0: no bound
-  Duration returnWithin =
+  std::size_t hostStreamLimit = 0;  // concurrent streams of one host over all gateways; 0: no bound
+  double hostStreamRateLimit = 0;   // new streams per second of one host over all gateways; 0: no bound
+  Duration retryInterval =
       std::chrono::seconds(10);  // refused clients are given a retry time within this interval
   Duration drainWithin =
       std::chrono::seconds(10);  // interval over which streams of a draining host are closed
