--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -25,9 +25,9 @@
 SettingNode convert(const toml::node& from, int depth, std::vector<SettingProblem>& problems) {
   SettingNode to;
   to.line = static_cast<int>(from.source().begin.line);
-  if (depth > kDocumentDepthMost) {
+  if (depth > kMaxDocumentDepth) {
     problems.push_back(
-        {to.line, "tables and lists are nested more than " + std::to_string(kDocumentDepthMost) + " deep"});
+        {to.line, "tables and lists are nested more than " + std::to_string(kMaxDocumentDepth) + " deep"});
     to.value = SettingNode::Other{"too deep"};
     return to;
   }
@@ -72,9 +72,9 @@
 SettingNode parseToml(std::string_view text, std::vector<SettingProblem>& problems) {
   SettingNode empty;
   empty.value = SettingNode::Table{};
-  if (text.size() > kDocumentMost) {
+  if (text.size() > kMaxDocumentBytes) {
     problems.push_back({0, "the file has " + std::to_string(text.size()) + " bytes; at most " +
-                               std::to_string(kDocumentMost) + " are read"});
+                               std::to_string(kMaxDocumentBytes) + " are read"});
     return empty;
   }
   const toml::parse_result result = toml::parse(text);
--- a/src/operator/document.hpp
+++ b/src/operator/document.hpp
@@ -30,8 +30,8 @@
 };
 
 // Limits that bound the memory and stack used for a document of any size.
-inline constexpr std::size_t kDocumentMost = std::size_t{1024} * 1024;  // bytes
-inline constexpr int kDocumentDepthMost = 16;                           // nesting of tables and lists
+inline constexpr std::size_t kMaxDocumentBytes = std::size_t{1024} * 1024;  // bytes
+inline constexpr int kMaxDocumentDepth = 16;                                // nesting of tables and lists
 
 // On an error, adds it to `problems` and returns an empty table. A TOML parser stops at the first syntax
 // error, so at most one is added for syntax.
--- a/src/stream/codec.hpp
+++ b/src/stream/codec.hpp
@@ -31,8 +31,8 @@
   virtual std::string closeMessage(Side to, const Ending& ending) = 0;
   // A ping for `to`; empty if the protocol has none.
   virtual std::string ping(Side to) = 0;
-  virtual Duration pingAfter() const = 0;   // silence of a side before a ping is sent; 0: no pings
-  virtual Duration pingAnswer() const = 0;  // time the side has to send anything after a ping
+  virtual Duration pingInterval() const = 0;  // silence of a side before a ping is sent; 0: no pings
+  virtual Duration pingTimeout() const = 0;   // time the side has to send anything after a ping
 };
 
 }  // namespace finchstile::stream
--- a/src/stream/relay.cpp
+++ b/src/stream/relay.cpp
@@ -330,12 +330,12 @@
 
 void Relay::setDue() {
   Time due = closingEnding_ ? closeDeadline_ : flow_.due();
-  if (codec_ && !closingEnding_ && codec_->pingAfter() > Duration{})
+  if (codec_ && !closingEnding_ && codec_->pingInterval() > Duration{})
     for (const Pipe& p : pipes_)
       if (!p.ended)
         due = std::min(due, std::max(clock_.now() + kPingRetryInterval,
-                                     p.lastReceived + codec_->pingAfter() +
-                                         (p.pingOutstanding ? codec_->pingAnswer() : Duration{})));
+                                     p.lastReceived + codec_->pingInterval() +
+                                         (p.pingOutstanding ? codec_->pingTimeout() : Duration{})));
   if (due != Time::max()) events_.onRelayDue(id_, due);
 }
 
@@ -355,7 +355,7 @@
 }
 
 void Relay::checkPings(Time now) {
-  const Duration after = codec_->pingAfter();
+  const Duration after = codec_->pingInterval();
   if (after == Duration{}) return;
   for (const Side side : {Side::client, Side::host}) {
     Pipe& p = pipe(side);
@@ -368,7 +368,7 @@
       if (over_) return;
       if (to.injectedOffset == 0 && !to.injected.empty()) to.injected.clear();
       else p.pingOutstanding = true;
-    } else if (now >= p.lastReceived + after + codec_->pingAnswer()) {
+    } else if (now >= p.lastReceived + after + codec_->pingTimeout()) {
       const bool client = side == Side::client;
       return beginClose({client ? EndedBy::client : EndedBy::host, EndReason::silent, false}, !client,
                         client);
--- a/src/stream/settings.cpp
+++ b/src/stream/settings.cpp
@@ -47,8 +47,8 @@
     r.size("host_streams", out.hostStreamLimit, 0, 1'000'000);
     r.number("host_rate", out.hostStreamRateLimit, 0, 100'000);
     r.duration("return_within", out.retryInterval, milliseconds(100), hours(1));
-    r.duration("drain_within", out.drainWithin, milliseconds(0), hours(1));
-    r.number("drain_rate", out.drainRate, 0, 100'000);
+    r.duration("drain_within", out.drainInterval, milliseconds(0), hours(1));
+    r.number("drain_rate", out.maxDrainRate, 0, 100'000);
     std::string log = "all";
     if (r.choice("log", log, {"all", "failed", "none"}))
       out.log = log == "all" ? LogEnds::all : log == "failed" ? LogEnds::failed : LogEnds::none;
--- a/src/stream/settings.hpp
+++ b/src/stream/settings.hpp
@@ -33,9 +33,9 @@
   double hostStreamRateLimit = 0;   // new streams per second of one host over all gateways; 0: no bound
   Duration retryInterval =
       std::chrono::seconds(10);  // refused clients are given a retry time within this interval
-  Duration drainWithin =
+  Duration drainInterval =
       std::chrono::seconds(10);  // interval over which streams of a draining host are closed
-  double drainRate = 100;        // closes per second, at most; 0: no bound
+  double maxDrainRate = 100;     // closes per second, at most; 0: no bound
   LogEnds log = LogEnds::all;
   std::vector<ListenSettings> listen;
 };
--- a/src/stream/table.cpp
+++ b/src/stream/table.cpp
@@ -27,7 +27,7 @@
       logSink_(std::move(say)),
       budget_(std::max(settings.bufferBytes, minBufferBytes(most)), most),
       account_(settings.log),
-      plan_(settings.drainRate, seed),
+      plan_(settings.maxDrainRate, seed),
       timer_(io) {}
 
 StreamTable::~StreamTable() {
@@ -48,7 +48,7 @@
   gateway_.attemptEstablished(info.request, info.attempt);
   // The host or the gateway may have started draining while the stream was established.
   if (draining_ || gateway_.hostPhase(info.host) != HostPhase::active)
-    plan_.add({id}, now, settings_.drainWithin);
+    plan_.add({id}, now, settings_.drainInterval);
   arm();
 }
 
@@ -97,7 +97,7 @@
             all.end());  // independent of hash order, so that a seed always gives the same schedule
   if (phase == HostPhase::active)
     for (const StreamId id : all) plan_.erase(id);
-  else plan_.add(all, clock_.now(), settings_.drainWithin);
+  else plan_.add(all, clock_.now(), settings_.drainInterval);
   arm();
 }
 
@@ -109,7 +109,7 @@
   for (const auto& [id, entry] : streams_) all.push_back(id);
   std::sort(all.begin(), all.end());
   plan_.endsAt(last);
-  plan_.add(all, now, std::min(settings_.drainWithin, last - now));
+  plan_.add(all, now, std::min(settings_.drainInterval, last - now));
   arm();
 }
 
--- a/src/websocket/codec.cpp
+++ b/src/websocket/codec.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 FrameRules rulesOf(const CodecRules& r, bool masked) {
-  return {r.checked, masked, r.deflate, r.frameMost, r.messageMost};
+  return {r.checked, masked, r.deflate, r.maxFrameBytes, r.maxMessageBytes};
 }
 
 }  // namespace
--- a/src/websocket/codec.hpp
+++ b/src/websocket/codec.hpp
@@ -11,8 +11,8 @@
 
 struct CodecRules {
   bool checked = true, deflate = false;
-  std::uint64_t frameMost = 1 << 20, messageMost = 16 << 20;
-  Duration pingAfter{}, pingAnswer{};
+  std::uint64_t maxFrameBytes = 1 << 20, maxMessageBytes = 16 << 20;
+  Duration pingInterval{}, pingTimeout{};
 };
 
 class WebSocketCodec : public stream::Codec {
@@ -25,8 +25,8 @@
   bool closeReceived(stream::Side from) const override { return reader(from).closed(); }
   std::string closeMessage(stream::Side to, const stream::Ending& ending) override;
   std::string ping(stream::Side to) override { return frame(to, 9, {}); }
-  Duration pingAfter() const override { return rules_.pingAfter; }
-  Duration pingAnswer() const override { return rules_.pingAnswer; }
+  Duration pingInterval() const override { return rules_.pingInterval; }
+  Duration pingTimeout() const override { return rules_.pingTimeout; }
 
  private:
   FrameReader& reader(stream::Side s) { return s == stream::Side::client ? client_ : host_; }
--- a/src/websocket/frames.cpp
+++ b/src/websocket/frames.cpp
@@ -67,8 +67,8 @@
   if (h.length >> 63) return "payload length is 2^63 or more";
   if (isControl(h.opcode)) return nullptr;
   code = CloseCode::tooBig;
-  if (h.length > rules_.frameMost) return "frame exceeds the frame limit";
-  if (h.length > rules_.messageMost - (h.opcode == kContinuation ? messageBytes_ : 0))
+  if (h.length > rules_.maxFrameBytes) return "frame exceeds the frame limit";
+  if (h.length > rules_.maxMessageBytes - (h.opcode == kContinuation ? messageBytes_ : 0))
     return "message exceeds the message limit";
   return nullptr;
 }
--- a/src/websocket/frames.hpp
+++ b/src/websocket/frames.hpp
@@ -27,7 +27,7 @@
   bool checked = true;   // false: only frame lengths are followed, with no validation
   bool masked = false;   // frames of a client are masked, frames of a server are not (5.1)
   bool deflate = false;  // permessage-deflate was negotiated (RFC 7692): RSV1 may be set
-  std::uint64_t frameMost = 1 << 20, messageMost = 16 << 20;  // payload bytes as transmitted
+  std::uint64_t maxFrameBytes = 1 << 20, maxMessageBytes = 16 << 20;  // payload bytes as transmitted
 };
 
 class FrameReader {
--- a/src/websocket/settings.cpp
+++ b/src/websocket/settings.cpp
@@ -14,12 +14,12 @@
     r.duration("handshake", out.handshake, milliseconds(10), minutes(1));
     r.duration("idle", out.flow.idle, milliseconds(100), hours(24 * 7));
     r.duration("stalled", out.flow.stalled, milliseconds(100), hours(1));
-    r.duration("ping_after", out.pingAfter, milliseconds(0), hours(1));
-    r.duration("ping_answer", out.pingAnswer, milliseconds(50), minutes(10));
+    r.duration("ping_after", out.pingInterval, milliseconds(0), hours(1));
+    r.duration("ping_answer", out.pingTimeout, milliseconds(50), minutes(10));
     constexpr std::size_t kMost = std::size_t{1} << 40;
-    r.size("frame_most", out.frameMost, 125, kMost);
-    r.size("message_most", out.messageMost, 125, kMost);
-    if (out.messageMost < out.frameMost) r.error("message_most", "must not be below frame_most");
+    r.size("frame_most", out.maxFrameBytes, 125, kMost);
+    r.size("message_most", out.maxMessageBytes, 125, kMost);
+    if (out.maxMessageBytes < out.maxFrameBytes) r.error("message_most", "must not be below frame_most");
     std::string deflate = "pass";
     if (r.choice("deflate", deflate, {"pass", "refuse"})) out.rules.deflate = deflate == "pass";
     r.texts("origins", out.rules.origins, 256, 256);
--- a/src/websocket/settings.hpp
+++ b/src/websocket/settings.hpp
@@ -16,8 +16,8 @@
   bool inspect = true;                           // false: frames are forwarded by length, without validation
   Duration handshake = std::chrono::seconds(2);  // from the request to the 101 of the host, over all attempts
   stream::FlowLimits flow{std::chrono::hours(1), std::chrono::minutes(1), std::chrono::seconds(30)};
-  Duration pingAfter = std::chrono::seconds(30), pingAnswer = std::chrono::seconds(10);
-  std::size_t frameMost = 1 << 20, messageMost = 16 << 20;
+  Duration pingInterval = std::chrono::seconds(30), pingTimeout = std::chrono::seconds(10);
+  std::size_t maxFrameBytes = 1 << 20, maxMessageBytes = 16 << 20;
   HandshakeRules rules;
 };
 
--- a/src/websocket/web_socket_handler.cpp
+++ b/src/websocket/web_socket_handler.cpp
@@ -95,10 +95,10 @@
   CodecRules rules;
   rules.checked = settings_.inspect;
   rules.deflate = u.extensionNegotiated;
-  rules.frameMost = settings_.frameMost;
-  rules.messageMost = settings_.messageMost;
-  rules.pingAfter = settings_.pingAfter;
-  rules.pingAnswer = settings_.pingAnswer;
+  rules.maxFrameBytes = settings_.maxFrameBytes;
+  rules.maxMessageBytes = settings_.maxMessageBytes;
+  rules.pingInterval = settings_.pingInterval;
+  rules.pingTimeout = settings_.pingTimeout;
   stream::RelayParts parts{std::move(u.client),
                            std::move(u.upstream),
                            std::move(u.fromClient),
--- a/tests/operator/document_test.cpp
+++ b/tests/operator/document_test.cpp
@@ -28,7 +28,7 @@
 
 TEST(Document, BoundsSizeAndDepth) {
   std::vector<SettingProblem> problems;
-  parseToml(std::string(kDocumentMost + 1, '\n'), problems);
+  parseToml(std::string(kMaxDocumentBytes + 1, '\n'), problems);
   EXPECT_EQ(problems.size(), 1u);
   std::string deep = "a = ";
   for (int i = 0; i < 40; ++i) deep += "[";
--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -377,8 +377,8 @@
 // --- Drains
 
 TEST_F(StreamTest, DrainingHostGetsNoNewStreamsAndItsStreamsCloseOverTheInterval) {
-  settings.drainWithin = milliseconds(1000);
-  settings.drainRate = 0;
+  settings.drainInterval = milliseconds(1000);
+  settings.maxDrainRate = 0;
   addHost(), addHost();
   startGateway();
   std::vector<std::shared_ptr<TcpConnection>> clients;
@@ -404,8 +404,8 @@
 }
 
 TEST_F(StreamTest, ReactivatedHostKeepsItsRemainingStreams) {
-  settings.drainWithin = seconds(600);
-  settings.drainRate = 0;
+  settings.drainInterval = seconds(600);
+  settings.maxDrainRate = 0;
   addHost();
   startGateway();
   const auto c = open();
@@ -419,7 +419,7 @@
 
 // A new host at the address of a removed one: only streams of the removed host are drained.
 TEST_F(StreamTest, ReplacementAtTheSameAddressKeepsItsStreamsWhenTheOldHostDrains) {
-  settings.drainWithin = milliseconds(100);
+  settings.drainInterval = milliseconds(100);
   addHost(echo);
   startGateway();
   const auto previous = open();
@@ -438,7 +438,7 @@
 // The gateway drains with open streams: all are closed before the drain completes.
 TEST_F(StreamTest, GatewayDrainClosesAllStreamsBeforeItCompletes) {
   addHost();
-  settings.drainWithin = milliseconds(500);
+  settings.drainInterval = milliseconds(500);
   startGateway();
   std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 40; ++i) clients.push_back(open());
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -439,7 +439,7 @@
 // --- Drains
 
 TEST_F(WebSocketTest, HostDrainSendsClose1001ToItsStreams) {
-  streams.drainWithin = milliseconds(200);
+  streams.drainInterval = milliseconds(200);
   addHost(), addHost();
   startGateway();
   std::vector<std::shared_ptr<TcpConnection>> clients;
@@ -466,7 +466,7 @@
 
 // A close frame is inserted only after the frame in progress.
 TEST_F(WebSocketTest, DrainWaitsForTheEndOfAFrame) {
-  streams.drainWithin = milliseconds(0);
+  streams.drainInterval = milliseconds(0);
   addHost();
   startGateway();
   const auto c = open();
@@ -484,7 +484,7 @@
 
 TEST_F(WebSocketTest, GatewayDrainSendsCloseToAllClients) {
   addHost();
-  streams.drainWithin = milliseconds(300);
+  streams.drainInterval = milliseconds(300);
   startGateway();
   std::vector<std::shared_ptr<TcpConnection>> clients;
   for (int i = 0; i < 20; ++i) clients.push_back(open());
@@ -501,8 +501,8 @@
 // --- Silence
 
 TEST_F(WebSocketTest, SilentHostIsPingedAndThenDisconnected) {
-  settings.pingAfter = milliseconds(200);
-  settings.pingAnswer = milliseconds(200);
+  settings.pingInterval = milliseconds(200);
+  settings.pingTimeout = milliseconds(200);
   addHost();
   startGateway();
   const auto c = open();
@@ -518,8 +518,8 @@
 }
 
 TEST_F(WebSocketTest, StreamWithAnsweredPingsIsKept) {
-  settings.pingAfter = milliseconds(100);
-  settings.pingAnswer = milliseconds(2000);
+  settings.pingInterval = milliseconds(100);
+  settings.pingTimeout = milliseconds(2000);
   addHost();
   startGateway();
   const auto c = open();
@@ -587,7 +587,7 @@
 // Without inspection, frames are forwarded by length, and a drain still sends close frames.
 TEST_F(WebSocketTest, WithoutInspectionFramesPassAndDrainStillSendsClose) {
   settings.inspect = false;
-  streams.drainWithin = milliseconds(0);
+  streams.drainInterval = milliseconds(0);
   addHost();
   startGateway();
   const auto c = open();
