--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -83,7 +83,7 @@
     return n;
   }
   bool hasLine(const std::string& part) const {
-    return std::any_of(lines.startGateway(), lines.end(),
+    return std::any_of(lines.begin(), lines.end(),
                        [&](const std::string& l) { return l.find(part) != std::string::npos; });
   }
   void runFor(Duration time) {
@@ -450,9 +450,8 @@
   EXPECT_TRUE(late->reset);  // no new connections
   ASSERT_TRUE(until([&] { return done; }));
   EXPECT_TRUE(table->idle());
-  ASSERT_TRUE(until([&] {
-    return std::all_of(clients.startGateway(), clients.end(), [](const auto& c) { return c->over(); });
-  }));
+  ASSERT_TRUE(until(
+      [&] { return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->over(); }); }));
   EXPECT_EQ(table->account().ended(EndedBy::gateway, EndReason::drain), 40u);
 }
 
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -125,7 +125,7 @@
     return hostServers[addHost]->connections.back();
   }
   bool hasLine(const std::string& part) const {
-    return std::any_of(lines.startGateway(), lines.end(),
+    return std::any_of(lines.begin(), lines.end(),
                        [&](const std::string& l) { return l.find(part) != std::string::npos; });
   }
   std::size_t count(StreamResult b) const { return table->account().ended(b); }
@@ -556,8 +556,7 @@
     clients.back()->write(sendRequest());
   }
   ASSERT_TRUE(until([&] {
-    return std::all_of(clients.startGateway(), clients.end(),
-                       [](const auto& c) { return statusOf(*c) != 0; });
+    return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return statusOf(*c) != 0; });
   }));
   std::size_t info = 0;
   double least = 100, most = 0;
