--- a/src/stream/proxy_protocol.cpp
+++ b/src/stream/proxy_protocol.cpp
@@ -85,7 +85,7 @@
   const unsigned char command = byteAt(b, 12), family = byteAt(b, 13);
   if (command != kLocal && command != kProxy) return bad("neither LOCAL nor PROXY of version 2");
   const std::size_t length = wordAt(b, 14);
-  if (kFixed + length > kProxyHeaderMost) return bad("longer than is taken");
+  if (kFixed + length > kMaxProxyHeaderBytes) return bad("longer than is taken");
   const std::size_t ends = family == kTcp4 ? kEnds4 : family == kTcp6 ? kEnds6 : 0;
   if (family != kTcp4 && family != kTcp6 && (family != kUnspec || command != kLocal))
     return bad("not TCP over IPv4 or IPv6");
--- a/src/stream/proxy_protocol.hpp
+++ b/src/stream/proxy_protocol.hpp
@@ -21,7 +21,7 @@
   std::optional<Ends> ends;
 };
 
-inline constexpr std::size_t kProxyHeaderMost = 16 + 512;  // addresses and further fields (TLVs)
+inline constexpr std::size_t kMaxProxyHeaderBytes = 16 + 512;  // addresses and further fields (TLVs)
 
 struct ProxyRead {
   enum class Verdict { more, good, bad } verdict = Verdict::more;
--- a/src/stream/tcp_proxy_handler.cpp
+++ b/src/stream/tcp_proxy_handler.cpp
@@ -137,7 +137,7 @@
 void TcpProxyHandler::readHeader(const std::shared_ptr<Comer>& comer) {
   comer->client.async_wait(tcp::socket::wait_read, [this, comer](error_code error) {
     if (comer->over) return;
-    char bytes[kProxyHeaderMost];
+    char bytes[kMaxProxyHeaderBytes];
     // Danger: one byte more than the header is the stream's own; it is kept for the host.
     const std::size_t n = error ? 0 : comer->client.read_some(asio::buffer(bytes), error);
     if (error == asio::error::would_block) return readHeader(comer);
--- a/tests/fuzz/proxy_header.cpp
+++ b/tests/fuzz/proxy_header.cpp
@@ -11,7 +11,7 @@
   const ProxyRead r = readProxyHeader(bytes);
   if (r.verdict == ProxyRead::Verdict::bad && !*r.why) std::abort();
   if (r.verdict != ProxyRead::Verdict::good) return 0;
-  if (r.used > bytes.size() || r.used < 16 || r.used > kProxyHeaderMost) std::abort();
+  if (r.used > bytes.size() || r.used < 16 || r.used > kMaxProxyHeaderBytes) std::abort();
   const ProxyRead longer = readProxyHeader(bytes + "more");
   const ProxyRead cut = readProxyHeader(std::string_view(bytes).substr(0, r.used - 1));
   if (longer.verdict != ProxyRead::Verdict::good || longer.used != r.used) std::abort();
