--- a/tests/fuzz/websocket_handshake.cpp
+++ b/tests/fuzz/websocket_handshake.cpp
@@ -27,7 +27,7 @@
                acceptOf({head["Sec-WebSocket-Key"].data(), head["Sec-WebSocket-Key"].size()}));
   if (!checkAccept(head, response, rules).good) std::abort();
   // Whatever other lines the request has, those forwarded to the host are not empty and have no line breaks.
-  for (const auto& line : linesForHost(head, rules))
+  for (const auto& line : headersForHost(head, rules))
     if (line.value.empty() || line.value.find_first_of("\r\n") != std::string::npos) std::abort();
   return 0;
 }
