--- a/src/operator/reader.cpp
+++ b/src/operator/reader.cpp
@@ -133,8 +133,8 @@
   return it == table_.end() ? nullptr : &it->second;
 }
 
-void SettingReader::addTypeError(const char* key, const SettingNode& at, const std::string& wanted) {
-  problems_.push_back({at.line, name(key) + " must be " + wanted + ", and is " + std::string(at.kind())});
+void SettingReader::addTypeError(const char* key, const SettingNode& at, const std::string& expected) {
+  problems_.push_back({at.line, name(key) + " must be " + expected + ", and is " + std::string(at.kind())});
 }
 
 void SettingReader::error(const char* key, const std::string& what) {
@@ -175,13 +175,13 @@
 bool SettingReader::number(const char* key, double& out, double least, double most) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  const std::string wanted = "from " + formatNumber(least) + " to " + formatNumber(most);
+  const std::string expected = "from " + formatNumber(least) + " to " + formatNumber(most);
   double value = 0;
   if (const auto* d = std::get_if<double>(&node->value)) value = *d;
   else if (const auto* i = std::get_if<std::int64_t>(&node->value)) value = static_cast<double>(*i);
-  else return addTypeError(key, *node, "a number " + wanted), false;
+  else return addTypeError(key, *node, "a number " + expected), false;
   if (!(value >= least && value <= most))  // also rejects NaN
-    return error(key, "must be " + wanted + ", and is " + formatNumber(value)), false;
+    return error(key, "must be " + expected + ", and is " + formatNumber(value)), false;
   out = value;
   return true;
 }
@@ -189,13 +189,13 @@
 bool SettingReader::duration(const char* key, Duration& out, Duration least, Duration most) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  const std::string wanted =
+  const std::string expected =
       "a time from " + formatDuration(least) + " to " + formatDuration(most) + ", as in \"250ms\"";
   const auto* text = std::get_if<std::string>(&node->value);
-  if (!text) return addTypeError(key, *node, wanted), false;
+  if (!text) return addTypeError(key, *node, expected), false;
   const auto value = parseDuration(*text);
   if (!value || *value < least || *value > most)
-    return error(key, "must be " + wanted + ", and is \"" + text->substr(0, 40) + "\""), false;
+    return error(key, "must be " + expected + ", and is \"" + text->substr(0, 40) + "\""), false;
   out = *value;
   return true;
 }
@@ -203,11 +203,11 @@
 bool SettingReader::text(const char* key, std::string& out, std::size_t longest) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  const std::string wanted = "text of 1 to " + std::to_string(longest) + " bytes";
+  const std::string expected = "text of 1 to " + std::to_string(longest) + " bytes";
   const auto* value = std::get_if<std::string>(&node->value);
-  if (!value) return addTypeError(key, *node, wanted), false;
+  if (!value) return addTypeError(key, *node, expected), false;
   if (value->empty() || value->size() > longest)
-    return error(key, "must be " + wanted + ", and has " + std::to_string(value->size())), false;
+    return error(key, "must be " + expected + ", and has " + std::to_string(value->size())), false;
   out = *value;
   return true;
 }
@@ -215,12 +215,12 @@
 bool SettingReader::choice(const char* key, std::string& out, const std::vector<std::string>& of) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  std::string wanted = "one of";
-  for (const std::string& o : of) wanted += " \"" + o + "\"";
+  std::string expected = "one of";
+  for (const std::string& o : of) expected += " \"" + o + "\"";
   const auto* value = std::get_if<std::string>(&node->value);
-  if (!value) return addTypeError(key, *node, wanted), false;
+  if (!value) return addTypeError(key, *node, expected), false;
   if (std::find(of.begin(), of.end(), *value) == of.end()) {
-    std::string what = "must be " + wanted + ", and is \"" + value->substr(0, 40) + "\"";
+    std::string what = "must be " + expected + ", and is \"" + value->substr(0, 40) + "\"";
     if (const auto near = nearestOf(*value, of); !near.empty())
       what += "; did you mean \"" + std::string(near) + "\"?";
     return error(key, what), false;
@@ -233,17 +233,17 @@
                           std::size_t longest) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  const std::string wanted =
+  const std::string expected =
       "a list of at most " + std::to_string(most) + " texts of 1 to " + std::to_string(longest) + " bytes";
   const auto* list = std::get_if<SettingNode::Array>(&node->value);
-  if (!list) return addTypeError(key, *node, wanted), false;
+  if (!list) return addTypeError(key, *node, expected), false;
   if (list->size() > most)
-    return error(key, "must be " + wanted + ", and has " + std::to_string(list->size())), false;
+    return error(key, "must be " + expected + ", and has " + std::to_string(list->size())), false;
   std::vector<std::string> read;
   for (const SettingNode& item : *list) {
     const auto* value = std::get_if<std::string>(&item.value);
     if (!value || value->empty() || value->size() > longest) {
-      problems_.push_back({item.line, name(key) + " must be " + wanted + ", and item " +
+      problems_.push_back({item.line, name(key) + " must be " + expected + ", and item " +
                                           std::to_string(read.size() + 1) + " is not such a text"});
       return false;
     }
@@ -267,11 +267,11 @@
                            const std::function<void(SettingReader&)>& read) {
   const SettingNode* node = find(key);
   if (!node) return false;
-  const std::string wanted = "a list of at most " + std::to_string(most) + " tables";
+  const std::string expected = "a list of at most " + std::to_string(most) + " tables";
   const auto* list = std::get_if<SettingNode::Array>(&node->value);
-  if (!list) return addTypeError(key, *node, wanted), false;
+  if (!list) return addTypeError(key, *node, expected), false;
   if (list->size() > most)
-    return error(key, "must be " + wanted + ", and has " + std::to_string(list->size())), false;
+    return error(key, "must be " + expected + ", and has " + std::to_string(list->size())), false;
   std::size_t number = 0;
   for (const SettingNode& item : *list) {
     const std::string path = name(key) + "[" + std::to_string(++number) + "]";
--- a/src/operator/reader.hpp
+++ b/src/operator/reader.hpp
@@ -60,7 +60,7 @@
   const SettingNode* find(const char* key);
   int lineOf(const char* key) const;
   std::string name(std::string_view key) const;
-  void addTypeError(const char* key, const SettingNode& at, const std::string& wanted);
+  void addTypeError(const char* key, const SettingNode& at, const std::string& expected);
 
   const SettingNode& node_;
   const SettingNode::Table& table_;
--- a/src/stream/proxy_protocol.cpp
+++ b/src/stream/proxy_protocol.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kIpv4AddressBytes = 12, kIpv6AddressBytes = 36;
 
 unsigned char byteAt(std::string_view b, std::size_t i) { return static_cast<unsigned char>(b[i]); }
-std::size_t wordAt(std::string_view b, std::size_t i) { return byteAt(b, i) * 256u + byteAt(b, i + 1); }
+std::size_t uint16At(std::string_view b, std::size_t i) { return byteAt(b, i) * 256u + byteAt(b, i + 1); }
 
 template <class Bytes, class Address>
 ProxyHeader::Ends readEnds(std::string_view b) {
@@ -27,8 +27,8 @@
   std::memcpy(from.data(), b.data(), from.size());
   std::memcpy(to.data(), b.data() + from.size(), to.size());
   const std::size_t ports = 2 * from.size();
-  return {tcp::endpoint(Address(from), static_cast<std::uint16_t>(wordAt(b, ports))),
-          tcp::endpoint(Address(to), static_cast<std::uint16_t>(wordAt(b, ports + 2)))};
+  return {tcp::endpoint(Address(from), static_cast<std::uint16_t>(uint16At(b, ports))),
+          tcp::endpoint(Address(to), static_cast<std::uint16_t>(uint16At(b, ports + 2)))};
 }
 
 std::uint32_t crcWithZeroedChecksum(
@@ -47,13 +47,13 @@
   bool hasChecksum = false;
   while (at < header.size()) {
     if (header.size() - at < 3) return "TLV header is truncated";
-    const std::size_t length = wordAt(header, at + 1);
+    const std::size_t length = uint16At(header, at + 1);
     if (header.size() - at - 3 < length) return "TLV exceeds the header";
     if (byteAt(header, at) == kCrc32cType) {
       if (length != 4 || std::exchange(hasChecksum, true)) return "CRC-32C must occur once with 4 bytes";
       const std::size_t v = at + 3;
       const std::uint32_t storedCrc =
-          static_cast<std::uint32_t>(wordAt(header, v) << 16 | wordAt(header, v + 2));
+          static_cast<std::uint32_t>(uint16At(header, v) << 16 | uint16At(header, v + 2));
       if (storedCrc != crcWithZeroedChecksum(header, v)) return "CRC-32C mismatch";
     }
     at += 3 + length;
@@ -74,7 +74,7 @@
   out.append(reinterpret_cast<const char*>(to.data()), to.size());
 }
 
-void appendWord(std::string& out, std::size_t word) {
+void appendUint16(std::string& out, std::size_t word) {
   out += static_cast<char>(word >> 8 & 0xff);
   out += static_cast<char>(word & 0xff);
 }
@@ -88,7 +88,7 @@
   const unsigned char command = byteAt(b, 12), family = byteAt(b, 13);
   if (command != kLocal && command != kProxy)
     return bad("version and command are neither LOCAL nor PROXY of version 2");
-  const std::size_t length = wordAt(b, 14);
+  const std::size_t length = uint16At(b, 14);
   if (kFixedHeaderBytes + length > kMaxProxyHeaderBytes) return bad("header exceeds 528 bytes");
   const std::size_t ends = family == kTcp4 ? kIpv4AddressBytes : family == kTcp6 ? kIpv6AddressBytes : 0;
   if (family != kTcp4 && family != kTcp6 && (family != kUnspec || command != kLocal))
@@ -112,21 +112,21 @@
 
 std::string writeProxyHeader(const ProxyHeader& h) {
   std::string out(kSignature);
-  const bool four = h.ends && h.ends->from.address().is_v4() && h.ends->to.address().is_v4();
-  const bool six = h.ends && h.ends->from.address().is_v6() && h.ends->to.address().is_v6();
-  if (!four && !six) {
+  const bool isIpv4 = h.ends && h.ends->from.address().is_v4() && h.ends->to.address().is_v4();
+  const bool isIpv6 = h.ends && h.ends->from.address().is_v6() && h.ends->to.address().is_v6();
+  if (!isIpv4 && !isIpv6) {
     out += static_cast<char>(kLocal);
     out += static_cast<char>(kUnspec);
-    appendWord(out, 0);
+    appendUint16(out, 0);
     return out;
   }
   out += static_cast<char>(kProxy);
-  out += static_cast<char>(four ? kTcp4 : kTcp6);
-  appendWord(out, four ? kIpv4AddressBytes : kIpv6AddressBytes);
-  if (four) append(out, h.ends->from.address().to_v4().to_bytes(), h.ends->to.address().to_v4().to_bytes());
+  out += static_cast<char>(isIpv4 ? kTcp4 : kTcp6);
+  appendUint16(out, isIpv4 ? kIpv4AddressBytes : kIpv6AddressBytes);
+  if (isIpv4) append(out, h.ends->from.address().to_v4().to_bytes(), h.ends->to.address().to_v4().to_bytes());
   else append(out, h.ends->from.address().to_v6().to_bytes(), h.ends->to.address().to_v6().to_bytes());
-  appendWord(out, h.ends->from.port());
-  appendWord(out, h.ends->to.port());
+  appendUint16(out, h.ends->from.port());
+  appendUint16(out, h.ends->to.port());
   return out;
 }
 
--- a/src/stream/settings.cpp
+++ b/src/stream/settings.cpp
@@ -65,9 +65,10 @@
 }
 
 std::size_t maxStreamsFor(const StreamSettings& s, std::size_t descriptors) {
-  const auto part = static_cast<std::size_t>(static_cast<double>(descriptors) * s.descriptorShare);
-  const std::size_t over = std::min(kSpareDescriptors, part / 2);
-  return std::max<std::size_t>(1, std::min(s.most, (part - over) / 2));
+  const auto descriptorsForStreams =
+      static_cast<std::size_t>(static_cast<double>(descriptors) * s.descriptorShare);
+  const std::size_t spare = std::min(kSpareDescriptors, descriptorsForStreams / 2);
+  return std::max<std::size_t>(1, std::min(s.most, (descriptorsForStreams - spare) / 2));
 }
 
 }  // namespace finchstile::stream
--- a/src/stream/table.cpp
+++ b/src/stream/table.cpp
@@ -34,7 +34,7 @@
   for (auto& [id, entry] : streams_) entry.relay->abandon();
 }
 
-void StreamTable::take(const StreamInfo& info, RelayParts&& parts) {
+void StreamTable::addEstablished(const StreamInfo& info, RelayParts&& parts) {
   const StreamId id = ++lastId_;
   const Time now = clock_.now();
   Entry& entry = streams_[id];
@@ -49,7 +49,7 @@
   // The host or the gateway may have started draining while the stream was established.
   if (draining_ || gateway_.hostPhase(info.host) != HostPhase::active)
     plan_.add({id}, now, settings_.drainInterval);
-  arm();
+  armTimer();
 }
 
 void StreamTable::onNotEstablished(const StreamInfo& info, const Ending& how) {
@@ -83,7 +83,7 @@
 
 void StreamTable::onRelayDue(StreamId id, Time due) {
   deadlines_.setNoLaterThan(id, due);
-  arm();
+  armTimer();
 }
 
 // Reacts to a phase change of a host. A host that becomes active again before its streams were closed keeps
@@ -98,7 +98,7 @@
   if (phase == HostPhase::active)
     for (const StreamId id : all) plan_.erase(id);
   else plan_.add(all, clock_.now(), settings_.drainInterval);
-  arm();
+  armTimer();
 }
 
 void StreamTable::onDrain(Time until) {
@@ -110,10 +110,10 @@
   std::sort(all.begin(), all.end());
   plan_.endsAt(last);
   plan_.add(all, now, std::min(settings_.drainInterval, last - now));
-  arm();
+  armTimer();
 }
 
-void StreamTable::arm() {
+void StreamTable::armTimer() {
   const Time now = clock_.now();
   const Time wakeAt = std::max(std::min(deadlines_.next(), plan_.next(now)), now + kMinTimerInterval);
   if (wakeAt >= timerExpiry_) return;  // the pending expiry rearms the timer
@@ -140,7 +140,7 @@
       const std::shared_ptr<Relay> relay = it->second.relay;
       relay->check(now);
     }
-  arm();
+  armTimer();
 }
 
 }  // namespace finchstile::stream
--- a/src/stream/table.hpp
+++ b/src/stream/table.hpp
@@ -38,7 +38,7 @@
 
   // Starts relaying and reports the attempt as established. The stream must have been counted with
   // StreamAccount::onAccepted.
-  void take(const StreamInfo& info, RelayParts&& parts);
+  void addEstablished(const StreamInfo& info, RelayParts&& parts);
   // Records the ending of a stream that was not established.
   void onNotEstablished(const StreamInfo& info, const Ending& how);
   void updateHostPhase(load_balancing::HostId host, load_balancing::HostPhase phase);
@@ -61,7 +61,7 @@
   };
   void onRelayOver(StreamId id, const Ending& ending) override;
   void onRelayDue(StreamId id, Time due) override;
-  void arm();
+  void armTimer();
   void onTimer();
 
   const Clock& clock_;
--- a/src/stream/tcp_proxy_handler.cpp
+++ b/src/stream/tcp_proxy_handler.cpp
@@ -39,7 +39,7 @@
   asio::steady_timer timer;  // limit of the PROXY header, then of each connect
   RequestId request = 0;
   StreamInfo info;
-  std::string read;  // client bytes read while waiting for the PROXY header
+  std::string clientBytes;  // client bytes read while waiting for the PROXY header
   ProxyHeader ends;
   bool submitted = false;                // the decision module has the request and has not finished it
   std::optional<std::uint32_t> attempt;  // attempt in progress whose end must be reported
@@ -146,12 +146,12 @@
     const std::size_t n = error ? 0 : pending->client.read_some(asio::buffer(bytes), error);
     if (error == asio::error::would_block) return readHeader(pending);
     if (error) return dropPending(pending, {EndedBy::client, EndReason::header, false});
-    pending->read.append(bytes, n);
-    const ProxyRead r = readProxyHeader(pending->read);
+    pending->clientBytes.append(bytes, n);
+    const ProxyRead r = readProxyHeader(pending->clientBytes);
     if (r.verdict == ProxyRead::Verdict::more) return readHeader(pending);
     if (r.verdict == ProxyRead::Verdict::bad)
       return dropPending(pending, {EndedBy::client, EndReason::header, false});
-    pending->read.erase(0, r.used);
+    pending->clientBytes.erase(0, r.used);
     if (r.header.ends) {
       pending->ends = r.header;
       pending->info.from = textOf(r.header.ends->from);
@@ -217,12 +217,12 @@
   pending->client.cancel(error);
   RelayParts parts{std::move(pending->client),
                    std::move(pending->host),
-                   std::move(pending->read),
+                   std::move(pending->clientBytes),
                    {},
                    {},
                    pending->listener.settings.flow,
                    nullptr};
-  table_.take(pending->info, std::move(parts));
+  table_.addEstablished(pending->info, std::move(parts));
 }
 
 // Ends an attempt of which nothing was sent. The decision module chooses the next step.
--- a/src/websocket/frames.cpp
+++ b/src/websocket/frames.cpp
@@ -87,7 +87,7 @@
   Utf8 reason;
   code = CloseCode::invalidData;
   for (std::size_t i = 2; i < h.length; ++i)
-    if (!reason.take(plain(i))) return "close reason is not valid UTF-8";
+    if (!reason.accept(plain(i))) return "close reason is not valid UTF-8";
   if (!reason.isComplete()) return "close reason is not valid UTF-8";
   closeCode_ = receivedCode;
   return nullptr;
@@ -109,7 +109,7 @@
 bool FrameReader::validateText(const char* bytes, std::size_t n, std::size_t& good) {
   for (good = 0; good < n; ++good) {
     const unsigned char mask = isMasked_ ? key_[(maskOffset_ + good) & 3] : 0;
-    if (!utf8_.take(static_cast<unsigned char>(byteAt(bytes, good) ^ mask))) return false;
+    if (!utf8_.accept(static_cast<unsigned char>(byteAt(bytes, good) ^ mask))) return false;
   }
   return true;
 }
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -44,7 +44,7 @@
 }
 
 struct Extension {
-  std::string name, whole;
+  std::string name, definition;
 };
 
 // Splits at commas outside quotes; each extension keeps its parameters unchanged.
@@ -55,9 +55,9 @@
   const auto finish = [&] {
     const std::size_t from = one.find_first_not_of(" \t"), to = one.find_last_not_of(" \t");
     if (from != std::string::npos) {
-      const std::string whole = one.substr(from, to - from + 1);
-      const std::string name = whole.substr(0, whole.find_first_of("; \t"));
-      out.push_back({name, whole});
+      const std::string definition = one.substr(from, to - from + 1);
+      const std::string name = definition.substr(0, definition.find_first_of("; \t"));
+      out.push_back({name, definition});
     }
     one.clear();
   };
@@ -98,7 +98,7 @@
   std::string out;
   if (!rules.deflate) return out;
   for (const Extension& e : extensions(joined(head, http::field::sec_websocket_extensions)))
-    if (beast::iequals(e.name, kDeflate)) out.append(out.empty() ? "" : ", ").append(e.whole);
+    if (beast::iequals(e.name, kDeflate)) out.append(out.empty() ? "" : ", ").append(e.definition);
   return out;
 }
 
--- a/src/websocket/utf8.hpp
+++ b/src/websocket/utf8.hpp
@@ -8,7 +8,7 @@
 class Utf8 {
  public:
   // False if this byte makes the text invalid.
-  bool take(unsigned char c) {
+  bool accept(unsigned char c) {
     if (continuationsLeft_ == 0) {
       if (c < 0x80) return true;
       low_ = 0x80;
--- a/src/websocket/web_socket_handler.cpp
+++ b/src/websocket/web_socket_handler.cpp
@@ -106,9 +106,9 @@
                            std::move(u.head),
                            settings_.flow,
                            std::make_unique<WebSocketCodec>(rules, draw_)};
-  table_.take({u.request, u.attempt, u.host, kName, std::move(u.hostName), textOf(u.pendingUpgrade.from),
-               u.pendingUpgrade.since},
-              std::move(parts));
+  table_.addEstablished({u.request, u.attempt, u.host, kName, std::move(u.hostName),
+                         textOf(u.pendingUpgrade.from), u.pendingUpgrade.since},
+                        std::move(parts));
 }
 
 }  // namespace finchstile::websocket
--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -17,7 +17,7 @@
 struct StreamTest : GatewayTest {
   std::vector<std::unique_ptr<TcpServer>> hostServers;
   std::unique_ptr<StreamTable> table;
-  std::unique_ptr<TcpProxyHandler> front;
+  std::unique_ptr<TcpProxyHandler> handler;
   StreamSettings settings;
   std::vector<std::string> lines;
   std::vector<std::string> names;  // host names in the discovery list; default w-0, w-1, ...
@@ -61,10 +61,10 @@
     table = std::make_unique<StreamTable>(io, clock, settings, read.settings.maxStreams, 5,
                                           gateway->protocolHandlerCallbacks(),
                                           [this](std::string_view line) { lines.emplace_back(line); });
-    front = std::make_unique<TcpProxyHandler>(io, clock, settings, read.settings,
-                                              gateway->protocolHandlerCallbacks(), *table);
-    gateway->attach(*front);
-    front->start();
+    handler = std::make_unique<TcpProxyHandler>(io, clock, settings, read.settings,
+                                                gateway->protocolHandlerCallbacks(), *table);
+    gateway->attach(*handler);
+    handler->start();
     gateway->start();
     ASSERT_TRUE(until([&] { return !polls.empty(); }));
   }
@@ -75,7 +75,7 @@
     pendingPoll->reply(200, listJson(++listIndex, whole, list).dump());
     ASSERT_TRUE(until([&] { return !polls.empty(); }));  // the next poll shows that the list was applied
   }
-  std::shared_ptr<TcpConnection> open() { return TcpConnection::connect(io, front->endpoint(0)); }
+  std::shared_ptr<TcpConnection> open() { return TcpConnection::connect(io, handler->endpoint(0)); }
   std::size_t count(StreamResult b) const { return table->account().ended(b); }
   std::size_t connections() const {
     std::size_t n = 0;
@@ -228,7 +228,7 @@
   EXPECT_TRUE(c->reset);
   EXPECT_EQ(count(StreamResult::refused), 1u);
   EXPECT_TRUE(hasLine("refused by=gateway why=turned_away"));
-  EXPECT_TRUE(front->isIdle());
+  EXPECT_TRUE(handler->isIdle());
 }
 
 // A host whose accept queue is full: connects get no response.
@@ -258,7 +258,7 @@
   startGateway([&](json& config) { config["known"]["endpoints"] = list; });
   const auto c = open();
   c->write("x");
-  ASSERT_TRUE(until([&] { return !front->isIdle(); }));
+  ASSERT_TRUE(until([&] { return !handler->isIdle(); }));
   runFor(milliseconds(50));
   EXPECT_FALSE(c->over());
   list[0]["status"] = "leaving";
@@ -276,9 +276,9 @@
   startGateway([&](json& config) { config["known"]["endpoints"] = list; });
   const auto c = open();
   c->write("x");
-  ASSERT_TRUE(until([&] { return !front->isIdle(); }));
+  ASSERT_TRUE(until([&] { return !handler->isIdle(); }));
   c->abort();
-  ASSERT_TRUE(until([&] { return front->isIdle(); }));
+  ASSERT_TRUE(until([&] { return handler->isIdle(); }));
   EXPECT_TRUE(hasLine("failed by=client why=left"));
   EXPECT_EQ(count(StreamResult::failed), 1u);
 }
@@ -296,7 +296,7 @@
   EXPECT_TRUE(c->reset);
   EXPECT_LT(Steady::now() - from, seconds(5));
   EXPECT_EQ(count(StreamResult::refused), 1u);
-  ASSERT_TRUE(until([&] { return front->isIdle(); }));
+  ASSERT_TRUE(until([&] { return handler->isIdle(); }));
 }
 
 // --- Time
@@ -345,7 +345,7 @@
   startGateway();
   std::vector<std::shared_ptr<TcpConnection>> slow;
   for (int i = 0; i < 10; ++i) {
-    slow.push_back(TcpConnection::connect(io, front->endpoint(0)));
+    slow.push_back(TcpConnection::connect(io, handler->endpoint(0)));
     slow.back()->paused = true;
     slow.back()->write("flood");
   }
@@ -367,7 +367,7 @@
   settings.listen[0].flow.stalled = milliseconds(500);
   addHost([](const auto& w) { w->write(std::string(16'000'000, 'x')); });
   startGateway();
-  const auto c = TcpConnection::connect(io, front->endpoint(0));
+  const auto c = TcpConnection::connect(io, handler->endpoint(0));
   c->paused = true;
   ASSERT_TRUE(until([&] { return table->account().ended(EndedBy::client, EndReason::stalled) == 1; }));
   EXPECT_EQ(table->buffers().held(), 0u);
@@ -444,7 +444,7 @@
   for (int i = 0; i < 40; ++i) clients.push_back(open());
   ASSERT_TRUE(until([&] { return connections() == 40; }));
   bool done = false;
-  const tcp::endpoint at = front->endpoint(0);
+  const tcp::endpoint at = handler->endpoint(0);
   gateway->drain([&] { done = true; });
   const auto late = TcpConnection::connect(io, at);
   EXPECT_TRUE(late->reset);  // no new connections
@@ -504,7 +504,7 @@
     io.poll();
   }
   ASSERT_TRUE(until([&] {
-    return front->endpoint(0).port() && table->account().taken() == 2000 &&
+    return handler->endpoint(0).port() && table->account().taken() == 2000 &&
            table->size() + count(StreamResult::refused) == 2000;
   }));
   const double took = std::chrono::duration<double>(Steady::now() - from).count();
@@ -559,7 +559,7 @@
   EXPECT_TRUE(wrong->reset);
   EXPECT_EQ(connections(), 0u);
   EXPECT_EQ(table->account().ended(EndedBy::client, EndReason::header), 2u);
-  EXPECT_TRUE(front->isIdle());
+  EXPECT_TRUE(handler->isIdle());
 }
 
 TEST_F(StreamTest, UnknownClassIsAnError) {
--- a/tests/websocket/frames_test.cpp
+++ b/tests/websocket/frames_test.cpp
@@ -138,9 +138,9 @@
 }
 
 TEST(Frames, UncheckedReaderFollowsLengthsOnly) {
-  FrameRules blind;
-  blind.checked = false;
-  FrameReader r(blind);
+  FrameRules unchecked;
+  unchecked.checked = false;
+  FrameReader r(unchecked);
   const std::string bytes =
       bytesOf(true, {3, "what", false, 7}) + bytesOf(false, {1, "\xff"}) + bytesOf(false, {8, code(0)});
   EXPECT_EQ(r.feed(bytes.data(), bytes.size(), false).pass, bytes.size());
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -36,7 +36,7 @@
   std::vector<std::string> heads;  // handshake requests received by hosts
   std::unique_ptr<StreamTable> table;
   std::unique_ptr<TcpProxyHandler> tcp;
-  std::unique_ptr<WebSocketHandler> front;
+  std::unique_ptr<WebSocketHandler> handler;
   StreamSettings streams;
   WebSocketSettings settings;
   std::vector<std::string> lines;
@@ -82,10 +82,10 @@
                                           [this](std::string_view line) { lines.emplace_back(line); });
     tcp = std::make_unique<TcpProxyHandler>(io, clock, streams, read.settings,
                                             gateway->protocolHandlerCallbacks(), *table);
-    front = std::make_unique<WebSocketHandler>(
+    handler = std::make_unique<WebSocketHandler>(
         clock, settings, "n0", [] { return 0x37fa213du; }, *table);
     gateway->attach(*tcp);
-    gateway->setUpgradeHandler(*front);
+    gateway->setUpgradeHandler(*handler);
     gateway->start();
     ASSERT_TRUE(until([&] { return !polls.empty(); }));
   }
