--- a/tests/fuzz/websocket_handshake.cpp
+++ b/tests/fuzz/websocket_handshake.cpp
@@ -18,7 +18,7 @@
   if (!request.is_header_done()) return 0;
   const RequestHead& head = request.get().base();
   HandshakeRules rules;
-  asksForWebSocket(head);
+  requestsWebSocket(head);
   if (checkRequest(head, rules).status != 0) return 0;
   Fields response;
   response.set("Connection", "Upgrade");
