--- a/src/cross_zone/cross_zone_account.cpp
+++ b/src/cross_zone/cross_zone_account.cpp
@@ -34,7 +34,7 @@
 
 CrossZoneCounts& CrossZoneAccount::countsOf(std::uint32_t classIndex, std::string_view zone) {
   auto found = zones_.find(zone);
-  // Endpoint lists name the zones. Lists with ever new names must not fill the memory.
+  // Zone names come from the endpoint list. The cap bounds memory if the list keeps introducing new names.
   if (found == zones_.end() && zones_.size() >= kMaxZones) found = zones_.find(kOtherZones);
   if (found == zones_.end()) {
     const bool last = zones_.size() + 1 >= kMaxZones;
--- a/src/cross_zone/cross_zone_account.hpp
+++ b/src/cross_zone/cross_zone_account.hpp
@@ -13,7 +13,7 @@
 
 struct CrossZoneCounts {
   std::uint64_t attempts = 0;            // sent to another zone
-  std::uint64_t attemptsOverBudget = 0;  // part of them: the local zone could not serve the request
+  std::uint64_t attemptsOverBudget = 0;  // of `attempts`: the local zone could not serve the request
   std::uint64_t requestBytes = 0;
   std::uint64_t responseBytes = 0;
 
@@ -24,7 +24,7 @@
  public:
   static constexpr std::size_t kMaxZones = 64;
 
-  // `classes`: the names of the request classes. Arguments `classIndex` are indexes of it.
+  // `classes`: the names of the request classes. Every `classIndex` below is an index into it.
   explicit CrossZoneAccount(std::vector<std::string> classes)
       : classes_(std::move(classes)), localAttempts_(classes_.size()) {}
 
@@ -37,11 +37,11 @@
   std::uint64_t localAttempts() const;
 
   // Log lines: one for each class and zone with attempts, and one with the totals.
-  // docs/operators/cross_zone.md promises their form:
+  // docs/operators/cross_zone.md specifies the format, which operators may parse:
   //   crossing class=log-in zone=cluj attempts=12 forced=0 out=2400 in=960
   std::vector<std::string> report() const;
 
-  // The counts in the exposition format of metrics:
+  // The counts in the Prometheus text exposition format:
   //   lb_crossing_bytes_total{group="log-in",zone="cluj",way="out"} 2400
   std::string exposition() const;
 
--- a/src/cross_zone/cross_zone_budget.cpp
+++ b/src/cross_zone/cross_zone_budget.cpp
@@ -18,7 +18,7 @@
       refilledAt_(now) {}
 
 void CrossZoneBudget::refill(Time now) {
-  if (now <= refilledAt_) return;  // a clock that steps back must not remove bytes
+  if (now <= refilledAt_) return;  // a clock that steps back must not drain the bucket
   balanceBytes_ = std::min(capacityBytes_, balanceBytes_ + bytesPerSecond_ * toSeconds(now - refilledAt_));
   refilledAt_ = now;
 }
--- a/src/cross_zone/cross_zone_filter.cpp
+++ b/src/cross_zone/cross_zone_filter.cpp
@@ -7,7 +7,8 @@
 namespace finchstile::cross_zone {
 namespace {
 
-// Header sections are not measured. Beside the target they are about equally long for all messages.
+// Estimate of a header section without the target, whose size is not measured: it varies little between
+// messages.
 constexpr std::uint64_t kEstimatedHeaderBytes = 256;
 
 std::vector<std::string> classNames(const load_balancing::Settings& settings) {
--- a/src/cross_zone/cross_zone_filter.hpp
+++ b/src/cross_zone/cross_zone_filter.hpp
@@ -1,6 +1,6 @@
-// Applies the budget for traffic between zones in the phases of a request, and accounts for that traffic. The
-// filter marks requests that are to stay in the local zone; the load balancer chooses the host, and uses
-// other zones all the same where the local zone cannot serve a request.
+// Request filter that applies the budget for traffic between zones, and counts that traffic. The filter marks
+// requests that should stay in the local zone. The load balancer chooses the host, and still uses another
+// zone if the local zone cannot serve a marked request.
 #pragma once
 
 #include "cross_zone/cross_zone_account.hpp"
@@ -12,12 +12,12 @@
 
 class CrossZoneFilter : public RequestFilter {
  public:
-  // `gatewaySettings`: for the local zone and the request classes. `clock` must outlive the filter.
+  // `gatewaySettings` supplies the local zone and the request classes. `clock` must outlive the filter.
   CrossZoneFilter(const Clock& clock, const CrossZoneSettings& settings,
                   const load_balancing::Settings& gatewaySettings);
 
   const CrossZoneAccount& account() const { return account_; }
-  // Lines for the log: the account's, with the budget's balance on the last.
+  // Log lines: those of CrossZoneAccount::report(), with the budget's balance appended to the last.
   std::vector<std::string> summary();
 
   std::uint8_t phases() const override {
--- a/src/hook/bytecode.cpp
+++ b/src/hook/bytecode.cpp
@@ -13,11 +13,11 @@
 constexpr std::size_t kChecksumBytes = sizeof(std::uint32_t);
 constexpr std::size_t kHeadBytes = kBytecodeMagic.size() + sizeof(kBytecodeVersion);
 
-// The smallest size of an item in the file.
+// The smallest encoded size of an item.
 constexpr std::size_t kMinTextBytes = 4;
 constexpr std::size_t kIntegerBytes = 8;
 constexpr std::size_t kTypeBytes = 1;
-constexpr std::size_t kInstructionBytes = 8;  // with its source line
+constexpr std::size_t kInstructionBytes = 8;  // the instruction and its source line
 
 class ByteWriter {
  public:
@@ -51,8 +51,8 @@
     return getLittleEndian<Integer>(take(sizeof(Integer)));
   }
 
-  // A number of items that follow. It has to fit into the bytes that are left, so that a damaged count
-  // allocates no more memory than the file has bytes.
+  // Reads the number of the items that follow. They must fit into the remaining bytes, so that a corrupt
+  // count cannot cause a large allocation.
   std::size_t count(std::size_t maxItems, std::size_t minItemBytes, const char* what) {
     const std::size_t items = number<std::uint32_t>();
     if (items > maxItems)
--- a/src/hook/bytecode.hpp
+++ b/src/hook/bytecode.hpp
@@ -1,4 +1,4 @@
-// The form of a program in a file, which docs/design/hooks.md defines.
+// The file format of a compiled hook, as docs/design/hooks.md specifies it.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
   invalidValue
 };
 
-// Why bytes are no program. The text completes the sentence "the bytecode is ...".
+// Why the bytes cannot be decoded. The text completes the sentence "the bytecode is ...".
 class BytecodeError : public std::runtime_error {
  public:
   BytecodeError(BytecodeErrorCode code, const std::string& message)
@@ -33,7 +33,7 @@
   BytecodeErrorCode code_;
 };
 
-// `ignored` is for tests that damage what the checksum covers.
+// `ignored` is for tests that corrupt the bytes under the checksum.
 enum class ChecksumCheck { required, ignored };
 
 std::string encode(const Program& program);
--- a/src/hook/compiler.cpp
+++ b/src/hook/compiler.cpp
@@ -15,11 +15,11 @@
   std::string name;
   std::uint32_t slot;
   Type type;
-  bool isLoopCounter;  // which the source cannot assign to
+  bool isLoopCounter;  // the source cannot assign to it
 };
 
-// Emits the handlers of a unit. It goes on after a problem. An expression in error has no type, and what uses
-// it reports nothing, so that one mistake is reported once.
+// Emits the handlers of a unit. Continues after a problem. An expression with an error has no type, and the
+// expressions that use it report nothing, so that one mistake is reported once.
 class Emitter {
  public:
   Emitter(const Unit& unit, Program& program, std::vector<Problem>& problems)
@@ -64,13 +64,13 @@
     p_.lines.push_back(at.line);
     return here() - 1;
   }
-  // Makes a jump that was emitted earlier lead to the next instruction.
+  // Sets the target of an emitted jump to the next instruction.
   void patchJump(std::uint32_t jump) {
     if (full_) return;
     p_.code[jump] = instruction(static_cast<Op>(opByte(p_.code[jump])), here());
   }
 
-  // Returns the index of `value` in the pool, to which it is added if needed.
+  // Returns the index of `value` in the pool; adds it if it is absent.
   template <class T>
   std::uint32_t intern(std::vector<T>& pool, const T& value, std::size_t maxItems, const char* what,
                        Position at) {
@@ -83,7 +83,8 @@
     pool.push_back(value);
     return static_cast<std::uint32_t>(pool.size() - 1);
   }
-  // The pools of literals grow with the source. A linear search for each would take quadratic time.
+  // Texts and integers have maps, since their pools grow with the source: a linear search per literal would
+  // take quadratic time.
   std::uint32_t internText(const std::string& text, Position at) {
     const auto [it, fresh] = textAt_.emplace(text, static_cast<std::uint32_t>(p_.texts.size()));
     if (!fresh) return it->second;
@@ -107,7 +108,7 @@
       if (it->name == name) return &*it;
     return nullptr;
   }
-  // Returns the slot of a new variable. No slot is used twice: a local has one type in the whole handler.
+  // Returns the slot of a new variable. Slots are not reused: a slot has one type in the whole handler.
   std::uint32_t declare(const std::string& name, Type type, bool isLoopCounter, Position at) {
     if (code_.locals.size() >= kMaxLocals) {
       problem(at, "more than " + std::to_string(kMaxLocals) + " variables in one handler");
@@ -214,7 +215,7 @@
     for (const std::uint32_t e : ends) patchJump(e);
   }
 
-  // for i in a .. b: from a up to b, excluding b. Both bounds are evaluated once.
+  // `for i in a .. b` runs for a <= i < b. Both bounds are evaluated once.
   void forLoop(const Statement& s) {
     value(*s.values[0], Type::integer);
     if (local(s.name) || taken(s.name)) problem(s.at, "'" + s.name + "' is the name of something else");
@@ -383,7 +384,7 @@
     const Expression& left = *e.parts[0];
     const Expression& right = *e.parts[1];
     if (e.name == "and" || e.name == "or") {
-      // The right side is not evaluated if the left one determines the result.
+      // Short circuit: the right side is not evaluated if the left one determines the result.
       value(left, Type::boolean);
       const bool both = e.name == "and";
       const std::uint32_t shortCircuit = emit(both ? Op::jumpIfFalse : Op::jumpIfTrue, 0, e.at);
@@ -479,8 +480,8 @@
   Handler handler_{};
   HandlerCode code_;
   std::vector<Local> locals_;
-  std::vector<std::vector<std::uint32_t>> loops_;  // of each open loop the jumps of `break`
-  Position at_;
+  std::vector<std::vector<std::uint32_t>> loops_;  // the `break` jumps of each enclosing loop
+  Position at_;                                    // of the latest instruction
   bool full_ = false;
 };
 
--- a/src/hook/compiler.hpp
+++ b/src/hook/compiler.hpp
@@ -1,5 +1,5 @@
 // Compiles a hook's source to bytecode: parses it, checks names and types, and emits instructions. The result
-// is verified like any other program; if that fails, the compiler is at fault.
+// is verified like any other program; a failure there is a fault of the compiler.
 #pragma once
 
 #include <optional>
--- a/src/hook/disassembler.hpp
+++ b/src/hook/disassembler.hpp
@@ -1,4 +1,4 @@
-// Shows a program as text, for `finchstile hook show`.
+// Formats a program as text for `finchstile hook show`.
 #pragma once
 
 #include <string>
--- a/src/hook/executable.cpp
+++ b/src/hook/executable.cpp
@@ -38,7 +38,7 @@
                     "instruction " + std::to_string(error->instruction) + " " + error->message);
   if (tables.size() != program.tables.size())
     throw LinkError(LinkErrorCode::tableMissing, "a table is missing");
-  // The constructor is private.
+  // The constructor is private, so std::make_shared cannot be used.
   const std::shared_ptr<Executable> executable(new Executable);
   for (const std::string& pattern : program.patterns)
     executable->patterns_.push_back(compilePattern(pattern));
--- a/src/hook/executable.hpp
+++ b/src/hook/executable.hpp
@@ -1,4 +1,4 @@
-// A verified program together with the tables and compiled patterns that it needs.
+// A verified program with its tables and compiled patterns.
 #pragma once
 
 #include <cstddef>
@@ -17,10 +17,10 @@
 
 namespace finchstile::hook {
 
-// Memory that one pattern may take, its automata included.
+// Limit of the memory of one pattern, including its automata.
 inline constexpr std::size_t kMaxPatternMemoryBytes = std::size_t{256} * 1024;
 
-// Immutable. Only linkProgram() makes one, so that every executable has passed the verifier.
+// Immutable. Only linkProgram() creates one, so every executable has passed the verifier.
 class Executable {
  public:
   ~Executable();
@@ -51,7 +51,7 @@
 enum class LinkErrorCode {
   programNotVerified,
   tableMissing,
-  patternInvalid  // not RE2's syntax, or larger than kMaxPatternMemoryBytes
+  patternInvalid  // not in RE2 syntax, or larger than kMaxPatternMemoryBytes
 };
 
 class LinkError : public std::runtime_error {
@@ -63,8 +63,8 @@
   LinkErrorCode code_;
 };
 
-// Verifies the program and makes it ready to run. `tables` are in the order of Program::tables. Throws
-// LinkError.
+// Verifies the program, compiles its patterns and binds its tables, which are in the order of
+// Program::tables. Throws LinkError.
 std::shared_ptr<const Executable> linkProgram(Program program,
                                               std::vector<std::shared_ptr<const Table>> tables);
 
--- a/src/hook/expectations.cpp
+++ b/src/hook/expectations.cpp
@@ -8,7 +8,7 @@
 namespace finchstile::hook {
 namespace {
 
-// What the handlers of one block asked for, in the order of their runs.
+// The combined results of the handlers that one block runs, in the order of the runs.
 struct Effects {
   std::vector<Expectation::Pair> headers;
   std::vector<Tag> tags;
@@ -30,7 +30,7 @@
   effects.faultLine = result.faultLine;
 }
 
-// Runs the handlers that the block gives input for, until one rejects or faults.
+// Runs the handlers for which the block has input, until one rejects or faults.
 Effects runHandlers(const Executable& executable, const Expectation& expectation, const RunBudget& budget) {
   const ExpectationHeaders requestHeaders(expectation.headers);
   const ExpectationHeaders responseHeaders(expectation.responseHeaders);
@@ -57,7 +57,7 @@
   return effects;
 }
 
-// Compares one block with its effects and collects what does not hold.
+// Compares the expectations of one block with the effects, and collects the mismatches.
 class ExpectationCheck {
  public:
   ExpectationCheck(const Expectation& expectation, const Effects& effects, std::vector<Problem>& problems)
@@ -91,7 +91,7 @@
     fail("it rejects with " + std::to_string(effects_.rejectStatus));
   }
 
-  // The latest value of a name counts.
+  // A later value of a name replaces an earlier one.
   template <class Pair>
   void checkPair(const std::vector<Pair>& pairs, const Expectation::Pair& expected, const std::string& what) {
     const auto actual = std::find_if(pairs.rbegin(), pairs.rend(),
--- a/src/hook/expectations.hpp
+++ b/src/hook/expectations.hpp
@@ -1,4 +1,4 @@
-// Runs the `expect` blocks of a hook: tests that are part of its source.
+// Runs the `expect` blocks of a hook, which are tests in its source.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace finchstile::hook {
 
-// The header lines that a block lists. `lines` must outlive it.
+// The header lines of an `expect` block. `lines` must outlive the object.
 class ExpectationHeaders : public HeaderSource {
  public:
   explicit ExpectationHeaders(const std::vector<Expectation::Pair>& lines) : lines_(lines) {}
@@ -22,10 +22,10 @@
   const std::vector<Expectation::Pair>& lines_;
 };
 
-// What a block says of the request, without its headers. The views point into `expectation`.
+// The input that a block specifies, without header lines. The views point into `expectation`.
 RunInput inputOf(const Expectation& expectation);
 
-// Returns what does not hold, with the position of its block; empty if all does.
+// Returns a problem for each expectation that fails, at the position of its block; empty if all pass.
 std::vector<Problem> runExpectations(const Executable& executable,
                                      const std::vector<Expectation>& expectations, const RunBudget& budget);
 
--- a/src/hook/handler_run.hpp
+++ b/src/hook/handler_run.hpp
@@ -1,4 +1,4 @@
-// What one run of a hook's handler is given and what it leaves: input, budget, result and fault. No I/O.
+// The input, budget, result and fault of one run of a hook's handler. No I/O.
 #pragma once
 
 #include <array>
@@ -15,7 +15,7 @@
 class HeaderSource {
  public:
   virtual ~HeaderSource() = default;
-  // The value of the first line of that name, compared without case; none if there is none.
+  // The value of the first line with that name, compared case-insensitively; none if there is none.
   virtual std::optional<std::string_view> header(std::string_view name) const = 0;
 };
 
@@ -24,7 +24,7 @@
   std::string value;
 };
 
-// What the handler may read. Views and pointers must stay valid until the run ends.
+// The data that the handler may read. Views and pointers must stay valid until the run ends.
 struct RunInput {
   std::string_view className;
   std::string_view method;
@@ -35,9 +35,9 @@
   std::int64_t bodyLength = 0;                    // of the complete body, bytes
   std::int64_t timeLeftNs = 0;                    // until the client's deadline
   std::int64_t attempt = 0;                       // from 1
-  std::int64_t responseStatus = 0;                // handler `answer` only, like the next
-  bool responseFromHost = false;                  // false: the gateway made the response
-  bool mayReject = true;                          // false from the first attempt that may have run
+  std::int64_t responseStatus = 0;                // handler `answer` only, as is responseFromHost
+  bool responseFromHost = false;                  // false: the gateway generated the response
+  bool mayReject = true;                          // false once an attempt may have run on a host
   const HeaderSource* requestHeaders = nullptr;   // null: none
   const HeaderSource* responseHeaders = nullptr;  // null: none
   const std::vector<Tag>* tags = nullptr;         // of earlier hooks and handlers; null: none
@@ -52,25 +52,25 @@
 // Why a run ended early.
 enum class Fault : std::uint8_t {
   none,
-  instructions,  // the budget of instructions is spent, mostly by a loop that does not end
-  bytes,         // the budget of bytes is spent
-  arena,         // the texts that it made do not fit into the arena
+  instructions,  // the instruction budget is exhausted, usually by an endless loop
+  bytes,         // the byte budget is exhausted
+  arena,         // the texts that the run created do not fit into the arena
   overflow,      // a number does not fit into 64 bits
   divideByZero,
   headerName,      // not a token, or too long
-  headerValue,     // has a byte that could end the line, or is too long
-  headerReserved,  // a header that only the gateway sets
+  headerValue,     // contains a byte that could end the line, or is too long
+  headerReserved,  // only the gateway sets this header
   rejectStatus,    // not 400 to 499 or 503
-  rejectTooLate,   // an attempt may have run: a client that retries could make it run twice
-  results          // more headers, tags, counts or lines than one run may leave
+  rejectTooLate,   // an attempt may have run: a retry by the client could run the request twice
+  results          // more headers, tags, counts or log lines than RunResult holds
 };
 inline constexpr std::size_t kFaults = static_cast<std::size_t>(Fault::results) + 1;
 
 // The fault as a phrase, for messages.
 std::string_view describe(Fault fault);
 
-// What a run asks for. Views point into the program, the input and the interpreter's arena, and are valid
-// until the next run of the same interpreter. A run that faults asks for nothing.
+// The effects and costs of a run. Views point into the program, the input and the interpreter's arena, and
+// are valid until the next run of the same interpreter. A run that faults has no effects.
 struct RunResult {
   struct Pair {
     std::string_view name;
@@ -98,7 +98,7 @@
   std::uint64_t bytes = 0;         // spent
 };
 
-// Whether two runs ask for the same. Counts, log lines and costs are not compared.
+// Whether two runs have the same effects on the request. Counts, log lines and costs are not compared.
 bool sameEffect(const RunResult& a, const RunResult& b);
 
 }  // namespace finchstile::hook
--- a/src/hook/hook_chain.cpp
+++ b/src/hook/hook_chain.cpp
@@ -6,8 +6,8 @@
 namespace finchstile::hook {
 namespace {
 
-// Prices that turn the client's time into a budget without a clock in the interpreter. They are several times
-// the usual cost, which bench/hooks.cpp measures.
+// Cost estimates that convert the client's remaining time to a budget, since the interpreter has no clock.
+// They are several times the usual cost, which bench/hooks.cpp measures.
 constexpr std::int64_t kInstructionPriceNs = 20;
 constexpr std::int64_t kBytePriceNs = 1;
 
@@ -27,7 +27,7 @@
   });
 }
 
-// Text of clients for a log line, without bytes that could end the line or control a terminal.
+// Sanitizes text from clients for a log line: replaces bytes that could end the line or control a terminal.
 std::string printable(std::string_view text, std::size_t maxBytes) {
   std::string shown(text.substr(0, maxBytes));
   for (char& c : shown)
@@ -35,7 +35,7 @@
   return shown;
 }
 
-// The part of a hook's budget that the request's allowance still pays for.
+// The hook's budget, limited to the request's remaining allowance.
 RunBudget affordable(const RunBudget& budget, std::int64_t allowanceNs) {
   const auto allowance = static_cast<std::uint64_t>(std::max<std::int64_t>(0, allowanceNs));
   return {std::min(budget.instructions, allowance / kInstructionPriceNs),
@@ -47,7 +47,7 @@
          static_cast<std::int64_t>(result.bytes) * kBytePriceNs;
 }
 
-// Whether the client's time ended the run, rather than the hook's own budget.
+// Whether the run ended because of the client's deadline, rather than the hook's own budget.
 bool isOutOfTime(const RunResult& result, const RunBudget& own, const RunBudget& affordable) {
   return (result.fault == Fault::instructions && affordable.instructions < own.instructions) ||
          (result.fault == Fault::bytes && affordable.bytes < own.bytes);
@@ -72,7 +72,7 @@
   if (shadow.fault != Fault::none)
     return "faults on its line " + std::to_string(shadow.faultLine) + ": " +
            std::string(describe(shadow.fault));
-  if (shadow.rejectStatus == result.rejectStatus) return "asks for something else";
+  if (shadow.rejectStatus == result.rejectStatus) return "has different effects";
   return shadow.rejectStatus != 0 ? "rejects with " + std::to_string(shadow.rejectStatus) : "passes";
 }
 
@@ -98,7 +98,7 @@
     state->executable = spec.executable;
     states[spec.executable.get()] = std::move(state);
   }
-  // Open requests still use older versions. Their states stay as long as somebody else holds the executable.
+  // Open requests may still use older versions. A state is kept while its executable has another owner.
   for (auto& [executable, known] : states_)
     if (known && known->executable.use_count() > 1) states.emplace(executable, std::move(known));
   states_ = std::move(states);
@@ -117,7 +117,7 @@
   const auto omitted = state.lines.admit(now);
   if (!omitted) return;
   if (*omitted == 0) return report_(line);
-  report_(line + " (" + std::to_string(*omitted) + " lines before it left out)");
+  report_(line + " (" + std::to_string(*omitted) + " earlier lines omitted)");
 }
 
 // Null if the hook is suspended or faults.
@@ -125,7 +125,7 @@
   switch (state.health.admitRun(call.now, spec.faultPolicy)) {
     case HookHealth::Admission::suspended: ++state.counts.skipped; return nullptr;
     case HookHealth::Admission::trialBegins:
-      report(call.now, state, hookName(spec) + " is tried again");
+      report(call.now, state, hookName(spec) + " runs on trial after its suspension");
       break;
     case HookHealth::Admission::active: break;
   }
@@ -141,7 +141,8 @@
   state.counts.instructions += result.instructions;
   call.request.allowanceNs -= costNs(result);
   if (result.fault == Fault::none) return &result;
-  // If this counted as a fault, clients with little time could have the hook suspended for all others.
+  // Not a fault of the hook: otherwise clients with short deadlines could cause its suspension for all
+  // clients.
   if (isOutOfTime(result, spec.budget, budget)) ++state.counts.outOfTime;
   else recordFault(call, spec, state, result);
   return nullptr;
@@ -167,11 +168,11 @@
   const std::string cause = suspension.onTrial ? std::string("a fault on trial")
                                                : std::to_string(policy.maxFaults) + " faults within " +
                                                      formatMilliseconds(policy.window);
-  const char* const consequence =
-      spec.failClosed ? "; what it covers is refused meanwhile" : "; what it covers passes meanwhile";
+  const char* const consequence = spec.failClosed ? "; requests in its scope are rejected meanwhile"
+                                                  : "; requests in its scope pass without it meanwhile";
   state.lines.guaranteeNext();
   report(now, state,
-         hookName(spec) + " is set aside for " + formatMilliseconds(suspension.duration) + " after " + cause +
+         hookName(spec) + " is suspended for " + formatMilliseconds(suspension.duration) + " after " + cause +
              consequence);
 }
 
@@ -203,7 +204,7 @@
     report(
         call.now, state,
         hookName(spec) + ": " + printable(result.logs[i], kMaxShownLogBytes) + "; " + requestName(call.id));
-  // The result's views may point into the request's tags, so all are copied before a tag changes.
+  // The result's views may point into the request's tags, so they are copied before any tag changes.
   std::vector<Tag> tags;
   for (std::size_t i = 0; i < result.tagCount; ++i)
     tags.push_back({std::string(result.tags[i].name), std::string(result.tags[i].value)});
@@ -221,7 +222,7 @@
     const RunResult* const result = runIfActive(call, spec, state);
     if (result == nullptr) {
       if (!spec.failClosed) continue;
-      // No attempt was sent, so a rejection is safe.
+      // No attempt has been sent, so the request cannot have run and a rejection is safe.
       ++state.counts.rejectedFailClosed;
       decision.rejectStatus = kServiceUnavailable;
       decision.reason = "a rule that this request needs is out of order";
@@ -239,8 +240,8 @@
   return decision;
 }
 
-// Handlers of attempts and responses. A hook that faults has no effect, even if it fails closed: the load
-// balancer and the host determine the one answer of a request that has been sent.
+// Runs the handlers of attempts and responses. A hook that faults has no effect here, even if it fails
+// closed: once a request has been sent, the load balancer and the host determine its response.
 void HookChain::runAfterRequest(const Call& call) {
   if (!call.request.set) return;
   call.input.mayReject = false;
--- a/src/hook/hook_filter.cpp
+++ b/src/hook/hook_filter.cpp
@@ -9,7 +9,7 @@
 
 namespace http = boost::beast::http;
 
-// The header lines of a message of the gateway.
+// The header lines of an HTTP message.
 class MessageHeaders : public HeaderSource {
  public:
   explicit MessageHeaders(const http::fields& fields) : fields_(fields) {}
@@ -28,7 +28,7 @@
   return view((*context.message)["X-Correlation-Id"]);
 }
 
-// The value of the header in which hosts receive the tags.
+// The value of the header that carries the tags to hosts.
 std::string formatTags(const std::vector<Tag>& tags) {
   std::string value;
   for (const Tag& tag : tags) value += (value.empty() ? "" : ", ") + tag.name + "=" + tag.value;
--- a/src/hook/hook_filter.hpp
+++ b/src/hook/hook_filter.hpp
@@ -1,4 +1,4 @@
-// Runs the chain of hooks in the phases of a request.
+// Request filter that runs the chain of hooks.
 #pragma once
 
 #include "hook/hook_chain.hpp"
@@ -9,8 +9,8 @@
 
 class HookFilter : public RequestFilter {
  public:
-  // `maxRetryAfter`: the longest Retry-After of a rejection; 0 where the settings allow none. `clock` must
-  // outlive the filter.
+  // `maxRetryAfter`: upper limit of the Retry-After of a rejection; 0: no Retry-After. `clock` must outlive
+  // the filter.
   HookFilter(const Clock& clock, Duration maxRetryAfter, HookChain::Report report)
       : clock_(clock), maxRetryAfter_(maxRetryAfter), chain_(std::move(report)) {}
 
@@ -30,7 +30,7 @@
     HookedRequest request;
   };
 
-  // Null for a request that arrived before there were hooks.
+  // Null for a request that arrived before any hooks were installed.
   HookedRequest* hookedRequest(RequestContext& context);
   RunInput inputOf(const RequestContext& context, Time now) const;
 
--- a/src/hook/hook_loader.cpp
+++ b/src/hook/hook_loader.cpp
@@ -10,7 +10,7 @@
 namespace finchstile::hook {
 namespace {
 
-// What loadHook() returns none for. The lines that describe it are collected beside.
+// Thrown after the errors were added to the problems; loadHook() then returns none.
 struct LoadFailed {};
 
 std::string folderOf(const std::string& path) {
@@ -19,7 +19,7 @@
   return slash == 0 ? "/" : path.substr(0, slash);
 }
 
-// Loads one hook. Errors are added to `problems` and end the load with LoadFailed.
+// Loads one hook. Errors are added to `problems`, and load() throws LoadFailed.
 class HookLoader {
  public:
   HookLoader(const std::string& path, std::vector<std::string>& problems)
@@ -39,7 +39,8 @@
   }
 
  private:
-  // A damaged line feed behind it is an error of the bytecode, not of a source.
+  // The magic without its line feed: a file whose line feed is damaged is reported as invalid bytecode rather
+  // than as source.
   static constexpr std::string_view kBytecodePrefix = kBytecodeMagic.substr(0, 5);
 
   [[noreturn]] void fail(const std::string& reason) {
@@ -77,7 +78,7 @@
     return std::move(compiled->program);
   }
 
-  // Loads all tables before it fails, so that the errors of all are reported at once.
+  // Tries all tables before it fails, so that all errors are reported at once.
   std::vector<std::shared_ptr<const Table>> loadTables(const std::vector<std::string>& names) {
     std::vector<std::shared_ptr<const Table>> tables;
     bool failed = false;
@@ -106,7 +107,7 @@
   LoadedHook hook_;
 };
 
-// Returns null if the hook cannot be loaded. Expectations that do not hold are added to `problems`.
+// Returns null if the hook cannot be loaded. Expectations that fail are added to `problems`.
 std::shared_ptr<const Executable> loadAndTry(const std::string& path, const RunBudget& budget,
                                              std::vector<std::string>& problems) {
   const auto hook = loadHook(path, problems);
--- a/src/hook/hook_loader.hpp
+++ b/src/hook/hook_loader.hpp
@@ -1,5 +1,5 @@
-// Loads hooks and their tables from files. A hook is compiled or decoded, verified and tried on its own
-// expectations before it takes effect.
+// Loads hooks and their tables from files. A hook is compiled or decoded, verified and tested with its own
+// expectations before it is installed.
 #pragma once
 
 #include <memory>
@@ -19,8 +19,8 @@
   std::vector<Expectation> expectations;  // bytecode has none
 };
 
-// Loads the hook in `path`, source or bytecode, with its tables from the same folder. Does not run its
-// expectations. On errors returns none and adds a line for each, with file, line and reason.
+// Loads the hook from `path`, which is source or bytecode, and its tables from the same folder. Does not run
+// its expectations. On errors returns none and adds a line for each, with file, line and reason.
 std::optional<LoadedHook> loadHook(const std::string& path, std::vector<std::string>& problems);
 
 // Loads all hooks of the settings and runs their expectations. On errors returns null and adds a line for
--- a/src/hook/interpreter.cpp
+++ b/src/hook/interpreter.cpp
@@ -10,14 +10,14 @@
 namespace finchstile::hook {
 namespace {
 
-// Prices in bytes of operations that look something up, beside the bytes of their texts.
+// Costs in bytes of lookups and matches, in addition to the bytes of their texts.
 constexpr std::size_t kHeaderLookupBytes = 64;
 constexpr std::size_t kTableLookupBytes = 16;
 constexpr std::size_t kTagLookupBytes = 16;
 constexpr std::size_t kMatchBytes = 64;
 
-constexpr std::size_t kMaxIntegerDigits = 32;  // that toInteger is charged for
-constexpr std::size_t kIntegerTextBytes = 20;  // hold any 64-bit number
+constexpr std::size_t kMaxIntegerDigits = 32;  // upper limit of the charge of toInteger
+constexpr std::size_t kIntegerTextBytes = 20;  // sufficient for any 64-bit number
 constexpr std::int64_t kNanosecondsPerMillisecond = 1'000'000;
 constexpr std::int64_t kMinRejectStatus = 400;
 constexpr std::int64_t kMaxRejectStatus = 499;
@@ -76,15 +76,15 @@
 
 }  // namespace
 
-// Numbers, durations and booleans are `number`. The verifier has proved which one a value is.
+// Integers, durations and booleans use `number`. The verifier has proved the type of each value.
 union Interpreter::Value {
   std::int64_t number;
   TextValue text;
 };
 
-// One run of a handler. Each operation is a function that takes the top of the stack, one above the topmost
-// value, and returns the new top. An operation that faults sets `fault_`; what it leaves on the stack is then
-// of no account.
+// One run of a handler. Each operation is a function that takes the top of the stack, which is one past the
+// topmost value, and returns the new top. An operation that faults sets `fault_`; the stack is then not used
+// any more.
 class Interpreter::Run {
  public:
   Run(Interpreter& interpreter, const Executable& executable, const RunInput& input, const RunBudget& budget)
@@ -142,8 +142,8 @@
     return {text.data, text.size};
   }
 
-  // Charges for bytes before they are touched, so that no operation costs more than the budget. Returns
-  // false, with a fault, if the budget is spent.
+  // Charges for bytes before they are accessed, so that no operation exceeds the budget. Returns false and
+  // sets `fault_` if the budget is exhausted.
   bool charge(std::size_t bytes) {
     if (bytes <= bytesLeft_) {
       bytesLeft_ -= bytes;
@@ -154,7 +154,8 @@
     return false;
   }
 
-  // Memory for a text, valid until the next run. Null, with a fault, if it does not fit.
+  // Allocates memory for a text in the arena, valid until the next run. Returns null and sets `fault_` if it
+  // does not fit.
   char* allocate(std::size_t bytes) {
     if (bytes > kArenaBytes - arenaUsed_) {
       fault_ = Fault::arena;
@@ -230,12 +231,12 @@
     return text.size() >= suffix.size() && text.substr(text.size() - suffix.size()) == suffix;
   }
 
-  // Pushes the result of `search` in the text for the needle.
+  // Pops a needle and a text, and pushes the result of `search(text, needle)`.
   template <class Search>
   Value* searchText(Value* top, Search search) {
     const std::string_view needle = textAt(top, 1);
     const std::string_view text = textAt(top, 2);
-    // The library's search may compare the needle at every position of the text.
+    // The standard library's search may compare the needle at every position of the text.
     const std::size_t comparisons =
         needle.size() > 1 ? text.size() * std::min<std::size_t>(needle.size(), 64) / 8 : 0;
     if (!charge(text.size() + comparisons)) return top;
@@ -346,7 +347,7 @@
     return pushText(top - 2, part);
   }
 
-  // The latest value of the tag counts, and this run's own tags are later than the input's.
+  // The latest value of the tag applies. Tags of this run are later than those of the input.
   Value* tagValue(Value* top) {
     const std::string_view name = textAt(top, 1);
     std::string_view value;
@@ -362,7 +363,7 @@
   // --- patterns, tables and sets
   Value* matches(Value* top, std::uint32_t pattern) {
     const std::string_view text = textAt(top, 1);
-    // RE2 takes time in proportion to the text, with a few steps for each byte.
+    // RE2 takes linear time, with a few steps for each byte.
     if (!charge(kMatchBytes + 4 * text.size())) return top;
     return pushNumber(top - 1, executable_.patternMatches(pattern, text));
   }
@@ -408,7 +409,7 @@
     return top - 2;
   }
 
-  // A tag may be sent to hosts in a header line, so that the rules of header lines hold.
+  // Tags may be sent to hosts in a header line, so names and values follow the rules of header lines.
   Value* tag(Value* top) {
     const std::string_view value = textAt(top, 1);
     const std::string_view name = textAt(top, 2);
@@ -447,8 +448,8 @@
   Fault fault_ = Fault::none;
 };
 
-// The loop's state is in local variables, which stay in registers. Operations that cannot fault go on with
-// `continue`.
+// The loop's state is in local variables, which stay in registers. Operations that cannot fault end with
+// `continue`, which skips the fault check.
 void Interpreter::Run::interpret(const HandlerCode& handler) {
   const Instruction* const code = program_.code.data();
   const Instruction* next = code + handler.entry;
@@ -523,8 +524,7 @@
   finish(static_cast<std::size_t>(next - code), instructionsLeft);
 }
 
-// `lastInstruction`: the one that faulted, or that would have run next when the budget of instructions was
-// spent.
+// `lastInstruction`: the one that faulted, or the next one when the instruction budget was exhausted.
 void Interpreter::Run::finish(std::size_t lastInstruction, std::uint64_t instructionsLeft) {
   result_.instructions = budget_.instructions - instructionsLeft;
   result_.bytes = budget_.bytes - bytesLeft_;
--- a/src/hook/interpreter.hpp
+++ b/src/hook/interpreter.hpp
@@ -1,6 +1,6 @@
-// Runs verified bytecode: no I/O, no clock, no randomness, so that equal inputs give equal results. Every run
-// is limited by its budget of instructions and bytes, and the texts that it makes by an arena of fixed size.
-// Runs allocate no memory, but for RE2, which may when it meets a text for the first time.
+// Runs verified bytecode. It uses no I/O, clock or randomness, so equal inputs give equal results. A run is
+// limited by its budget of instructions and bytes; the texts that it creates are limited by an arena of fixed
+// size. Runs allocate no heap memory, except in RE2, which builds its automata on demand.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
   Interpreter();
   ~Interpreter();
 
-  // Runs a handler that `executable` must have. The result is valid until the next run.
+  // `executable` must have the handler. The result is valid until the next run.
   const RunResult& run(const Executable& executable, Handler handler, const RunInput& input,
                        const RunBudget& budget);
 
--- a/src/hook/lexer.cpp
+++ b/src/hook/lexer.cpp
@@ -5,7 +5,7 @@
 namespace finchstile::hook {
 namespace {
 
-// The functions of <cctype> depend on the locale.
+// Used instead of the functions of <cctype>, which depend on the locale.
 bool isDigit(char c) { return c >= '0' && c <= '9'; }
 bool isLetter(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
 bool isSpace(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
@@ -58,7 +58,7 @@
     return static_cast<char>(high * 16 + hexDigit(take()));
   }
 
-  // Skips blanks and comments. Returns whether there is more.
+  // Skips blanks and comments. Returns false at the end of the source.
   bool skipBlanks() {
     while (i_ < source_.size()) {
       if (isSpace(peek())) {
@@ -72,7 +72,7 @@
     return false;
   }
 
-  // Each of these reads one token and returns whether it is valid.
+  // The functions below read one token each and return whether it is valid.
   bool readToken(Token& t) {
     const char c = peek();
     if (c == '"') return readText(t, false);
--- a/src/hook/lexer.hpp
+++ b/src/hook/lexer.hpp
@@ -18,7 +18,7 @@
   std::int64_t number = 0;  // of an integer; nanoseconds of a duration
 };
 
-// The last token is `end`. Bytes that form no token are added to `problems` and skipped.
+// The last token is `end`. Bytes that form no token are skipped and reported in `problems`.
 std::vector<Token> lex(std::string_view source, std::vector<Problem>& problems);
 
 }  // namespace finchstile::hook
--- a/src/hook/line_limiter.hpp
+++ b/src/hook/line_limiter.hpp
@@ -1,5 +1,5 @@
-// Limits the log lines of one hook to a burst and a steady rate, and counts the omitted lines. A token
-// bucket. No I/O; the time is passed in.
+// Token bucket that limits the log lines of one hook to a burst and a steady rate, and counts the omitted
+// lines. No I/O; the time is passed in.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
   static constexpr double kMaxBurstLines = 5;
   static constexpr double kLinesPerSecond = 1;
 
-  // Whether a line may be written now: the number of lines that were omitted before it. None if it may not;
-  // it is then counted as omitted.
+  // If a line may be written now, returns the number of lines omitted since the previous one. Otherwise
+  // counts this line as omitted and returns none.
   std::optional<std::uint64_t> admit(load_balancing::Time now);
 
-  // Lets the next line through, whatever was written before.
+  // Makes the next admit() succeed, regardless of the rate.
   void guaranteeNext();
 
  private:
--- a/src/hook/parser.cpp
+++ b/src/hook/parser.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxTreeDepth = 4 * kMaxDepth;
 
 // Thrown after a syntax error was added to the problems. Caught by the enclosing list of statements or
-// declarations, which goes on behind the error.
+// declarations, which resumes after the error.
 struct SyntaxErrorFound {};
 
 class Parser {
@@ -82,7 +82,7 @@
     if (!at(Token::Kind::integer)) failExpected(what + " as a number");
     return take().number;
   }
-  // Skips to behind the next ';' or the end of a block; with `top` to the start of the next declaration.
+  // Error recovery: skips past the next ';' or the end of a block; with `top`, to the next declaration.
   void skipTo(bool top) {
     while (!at(Token::Kind::end)) {
       if (top && (isWord("on") || isWord("table") || isWord("const") || isWord("expect")) &&
@@ -108,7 +108,7 @@
     }
   }
 
-  // Counts the nesting of blocks and brackets while it exists. The parser recurses with it.
+  // Counts one level of nested blocks and brackets during its lifetime, which bounds the parser's recursion.
   struct NestingGuard {
     explicit NestingGuard(Parser& p) : parser(p) {
       if (++parser.depth_ <= kMaxDepth) return;
@@ -354,7 +354,7 @@
   }
   void add(Expression& to, ExpressionPtr part) {
     to.depth = std::max(to.depth, part->depth + 1);
-    // A chain "a + a + a ..." makes a tree as deep as it is long, without any bracket.
+    // A chain "a + a + a ..." produces a tree as deep as the chain is long, without nested brackets.
     if (to.depth > kMaxTreeDepth) {
       problems_.push_back({to.at, "the expression is too long; use variables"});
       throw SyntaxErrorFound{};
@@ -435,7 +435,7 @@
     auto e = node(Kind::unary, now().at, "-");
     take();
     ExpressionPtr of = unary();
-    // Folded, since a constant has to be a literal.
+    // Folded, because a constant must be a literal.
     if (of->kind == Kind::integer || of->kind == Kind::duration) {
       of->number = -of->number;
       return of;
@@ -484,7 +484,7 @@
 Unit parse(std::string_view source, std::vector<Problem>& problems) {
   const std::size_t before = problems.size();
   std::vector<Token> tokens = lex(source, problems);
-  // After an invalid token the parser would report errors that are none.
+  // After an invalid token the parser would report spurious errors.
   if (problems.size() > before) return {};
   return Parser(std::move(tokens), problems).run();
 }
--- a/src/hook/program.hpp
+++ b/src/hook/program.hpp
@@ -1,5 +1,5 @@
-// A hook as bytecode: its operations, fields, limits and parts. bytecode.hpp has its form in a file. A
-// program is not trusted, wherever it comes from, until verify() of verifier.hpp has passed it.
+// A hook as bytecode: operations, fields, limits and parts. bytecode.hpp has the file format. A program from
+// any source is untrusted until verify() of verifier.hpp has accepted it.
 #pragma once
 
 #include <array>
@@ -26,10 +26,10 @@
   store,         // operand: a local             value ->
   drop,          //                              value ->
   add,
-  subtract,  // num num -> num; out of 64 bits is a fault
+  subtract,  // num num -> num; a result outside 64 bits is a fault
   multiply,
-  divide,  // num integer -> num; by 0 is a fault
-  modulo,  // integer integer -> integer; by 0 is a fault
+  divide,  // num integer -> num; division by 0 is a fault
+  modulo,  // integer integer -> integer; division by 0 is a fault
   negate,  // num -> num
   equal,
   notEqual,  // num num, boolean boolean -> boolean
@@ -70,7 +70,7 @@
   log,    // text ->
 };
 inline constexpr std::uint8_t kOps = static_cast<std::uint8_t>(Op::log) + 1;
-std::string_view nameOf(Op op);  // as the disassembler shows it
+std::string_view nameOf(Op op);  // in the disassembler's output
 
 enum class Field : std::uint8_t {
   className,
@@ -99,8 +99,8 @@
 
 // Limits of a program, in a file and in memory.
 inline constexpr std::size_t kMaxProgramBytes = std::size_t{4} * 1024 * 1024;
-inline constexpr std::size_t kMaxInstructions = 32768;  // instructions
-inline constexpr std::size_t kMaxConstants = 16384;     // of each pool
+inline constexpr std::size_t kMaxInstructions = 32768;
+inline constexpr std::size_t kMaxConstants = 16384;  // of each pool
 inline constexpr std::size_t kMaxPatterns = 256;
 inline constexpr std::size_t kMaxPatternBytes = 1024;
 inline constexpr std::size_t kMaxTables = 64;
@@ -110,7 +110,7 @@
 inline constexpr std::size_t kMaxNameBytes = 64;  // of a hook, a counter
 
 struct HandlerCode {
-  std::uint32_t entry = 0;  // its instructions are [entry, end)
+  std::uint32_t entry = 0;  // the handler's instructions are [entry, end)
   std::uint32_t end = 0;
   std::vector<Type> locals;  // initially zero, false or empty
 };
@@ -120,8 +120,8 @@
   std::vector<std::int64_t> integers;
   std::vector<std::string> texts;
   std::vector<std::vector<std::string>> sets;
-  std::vector<std::string> patterns;  // RE2's syntax
-  std::vector<std::string> tables;    // the names of their files
+  std::vector<std::string> patterns;  // in RE2 syntax
+  std::vector<std::string> tables;    // file names
   std::vector<std::string> counters;
   std::array<std::optional<HandlerCode>, kHandlers> handlers;
   std::vector<Instruction> code;
@@ -131,7 +131,8 @@
 };
 bool operator==(const HandlerCode& a, const HandlerCode& b);
 
-// Whether `name` names a file beside the hook. A path could name any file of the machine.
+// Whether `name` is a plain file name, of a file in the hook's folder. A path could refer to any file of the
+// machine.
 bool isPlainFileName(std::string_view name);
 
 }  // namespace finchstile::hook
--- a/src/hook/stable_file.cpp
+++ b/src/hook/stable_file.cpp
@@ -22,8 +22,8 @@
 
 [[noreturn]] void throwSystemError() { throw FileError(FileErrorCode::cannotRead, std::strerror(errno)); }
 
-// The time of the inode's change is not compared: it changes when a new file is renamed over this one, which
-// leaves the content as it is.
+// st_ctim is not compared: it changes when another file is renamed over this one, which does not change the
+// content of the open file.
 bool isUnchanged(const struct stat& before, const struct stat& after) {
   return before.st_size == after.st_size && before.st_mtim.tv_sec == after.st_mtim.tv_sec &&
          before.st_mtim.tv_nsec == after.st_mtim.tv_nsec;
@@ -36,7 +36,7 @@
          static_cast<double>(now.tv_nsec - file.st_mtim.tv_nsec) / 1e9;
 }
 
-// Returns false if the file ends before `content` is full.
+// Fills `content`. Returns false if the file is shorter.
 bool readInto(const Descriptor& file, std::string& content) {
   std::size_t size = 0;
   while (size < content.size()) {
@@ -49,9 +49,9 @@
   return true;
 }
 
-// Returns none if the file changed meanwhile.
+// Returns none if the file changed during the read.
 std::optional<std::string> readOnce(const std::string& path, std::size_t maxBytes) {
-  // Without O_NONBLOCK the open of a FIFO would wait for a writer.
+  // Without O_NONBLOCK, opening a FIFO would block until a writer opens it.
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
   struct stat before {};
   if (file.get() < 0 || ::fstat(file.get(), &before) != 0) throwSystemError();
@@ -60,8 +60,8 @@
     throw FileError(FileErrorCode::tooLarge, "has more than " + std::to_string(maxBytes) + " bytes");
   std::string content(static_cast<std::size_t>(before.st_size), '\0');
   if (!readInto(file, content)) return std::nullopt;
-  // The system's times advance in steps of some milliseconds. A write within the step of the read would leave
-  // no trace, so a file that was just written has to stay unchanged for a while.
+  // File times advance in steps of some milliseconds. A write in the same step as the read would not change
+  // st_mtim, so a recently written file must stay unchanged for the settle time.
   if (ageSeconds(before) < kSettleTimeSeconds) ::usleep(kSettleTimeUs);
   struct stat after {};
   if (::fstat(file.get(), &after) != 0 || !isUnchanged(before, after)) return std::nullopt;
--- a/src/hook/stable_file.hpp
+++ b/src/hook/stable_file.hpp
@@ -1,4 +1,4 @@
-// Reads a file that somebody may replace or write meanwhile.
+// Reads a file that another process may replace or write concurrently.
 #pragma once
 
 #include <cstddef>
@@ -18,10 +18,9 @@
   FileErrorCode code_;
 };
 
-// Returns the content that the file had at one moment. A file that is written in place while it is read would
-// be a mixture of two versions, so it is read again, a few times, if its size or time of modification
-// changes. Takes some 50 ms for a file that was just written. Throws FileError, whose text does not name the
-// path.
+// Returns a consistent snapshot of the file. A file that is written in place while it is read could yield a
+// mixture of two versions, so the read is retried a few times if the size or modification time changes. Takes
+// about 50 ms for a file that was just written. Throws FileError, whose text does not contain the path.
 std::string readStableFile(const std::string& path, std::size_t maxBytes);
 
 }  // namespace finchstile::hook
--- a/src/hook/syntax.hpp
+++ b/src/hook/syntax.hpp
@@ -16,7 +16,7 @@
 // The events of a request that a hook handles. The language calls a response `answer`.
 enum class Handler : std::uint8_t { request, attempt, response };
 inline constexpr std::size_t kHandlers = 3;
-std::string_view nameOf(Handler handler);  // as in the language
+std::string_view nameOf(Handler handler);  // in the language
 
 struct Expression {
   enum class Kind : std::uint8_t {
@@ -35,7 +35,7 @@
   std::string name;
   std::int64_t number = 0;
   std::vector<std::unique_ptr<Expression>> parts;
-  std::size_t depth = 1;  // of the tree below it, with itself
+  std::size_t depth = 1;  // of this subtree, including this node
 };
 using ExpressionPtr = std::unique_ptr<Expression>;
 
@@ -66,7 +66,7 @@
   Block body;                         // of loops
 };
 
-// An `expect` block: a request and what the handlers shall do with it.
+// An `expect` block: a request and the expected results of the handlers.
 struct Expectation {
   struct Pair {
     std::string name, value;
@@ -82,10 +82,10 @@
   std::vector<Pair> headers;
   std::vector<Pair> responseHeaders;
   std::int64_t timeLeftNs = 1'000'000'000;
-  std::optional<std::int64_t> attempt;  // if set, the handler of attempts runs too
-  std::optional<std::int64_t> status;   // if set, the handler of responses runs too
+  std::optional<std::int64_t> attempt;  // if set, handler `attempt` runs too
+  std::optional<std::int64_t> status;   // if set, handler `answer` runs too
 
-  // All of it has to come true. A rejection or a fault that is not expected is a failure too.
+  // The expected results, all of which must hold. An unexpected rejection or fault is also a failure.
   std::optional<std::int64_t> reject;
   bool fault = false;
   std::vector<Pair> setHeaders;
@@ -94,7 +94,7 @@
   std::vector<std::string> noHeaders;
 };
 
-// A complete source.
+// The syntax tree of a complete source.
 struct Unit {
   struct Named {
     std::string name;
@@ -112,8 +112,8 @@
   std::vector<Expectation> expectations;
 };
 
-// Adds all errors to `problems`. Goes on after an error where it can, so that one run reports most errors of
-// a file.
+// Adds all errors to `problems`. Continues after an error where possible, so that one run reports most errors
+// of a file.
 Unit parse(std::string_view source, std::vector<Problem>& problems);
 
 }  // namespace finchstile::hook
--- a/src/hook/table.cpp
+++ b/src/hook/table.cpp
@@ -133,7 +133,7 @@
                       std::to_string(table_.entries_) + " were read");
   }
 
-  std::string_view text_;  // that is still to be read
+  std::string_view text_;  // the unread rest
   std::vector<Problem>& problems_;
   Table table_;
   std::optional<std::size_t> declaredEntries_;
--- a/src/hook/table.hpp
+++ b/src/hook/table.hpp
@@ -1,5 +1,5 @@
-// An immutable table of texts with values. A hash table with open addressing over one block of bytes: a
-// look-up allocates no memory.
+// An immutable map from text to text: a hash table with open addressing over one block of bytes. A lookup
+// allocates no memory.
 #pragma once
 
 #include <cstdint>
@@ -21,17 +21,17 @@
   Table() = default;
 
   // Reads a line per entry: `key`, or `key = value`. Blanks around both, empty lines and lines that begin
-  // with `#` are ignored. If the first line is `#entries N`, there must be N entries, so that a truncated
-  // file is an error. Duplicate keys are errors. On errors returns none and adds them to `problems`.
+  // with `#` are ignored. If the first line is `#entries N`, there must be N entries, which detects a
+  // truncated file. Duplicate keys are errors. On errors returns none and adds them to `problems`.
   static std::optional<Table> parse(std::string_view text, std::vector<Problem>& problems);
-  // A table with empty values. Duplicate keys count once.
+  // A table with empty values. Duplicate keys are stored once.
   static Table of(const std::vector<std::string>& keys);
 
   bool contains(std::string_view key) const { return find(key) != nullptr; }
   // The value of the key; empty if there is none.
   std::string_view lookUp(std::string_view key) const;
   std::size_t size() const { return entries_; }
-  // The memory that it takes.
+  // Memory use of the entries.
   std::size_t bytes() const { return bytes_.capacity() + slots_.capacity() * sizeof(Slot); }
 
  private:
@@ -45,7 +45,7 @@
   static std::uint32_t hashOf(std::string_view key);
   const Slot* find(std::string_view key) const;
   void reserve(std::size_t entries);
-  // Returns false if the table has the key already.
+  // Returns false if the key is already present.
   bool add(std::string_view key, std::string_view value);
 
   std::string bytes_;
--- a/src/hook/verifier.cpp
+++ b/src/hook/verifier.cpp
@@ -10,7 +10,7 @@
 
 using Code = VerifyErrorCode;
 
-// What an operand is an index of.
+// The pool of the program that an operand indexes.
 enum class Pool : std::uint8_t { none, integers, texts, booleans, patterns, tables, sets, counters };
 
 // An operation whose types do not depend on the stack or the handler.
@@ -77,7 +77,7 @@
   return kIndex[static_cast<std::size_t>(op)];
 }
 
-// Follows every path through one handler with the types on the stack. Throws VerifyError.
+// Abstract interpretation of one handler: follows every path with the types on the stack. Throws VerifyError.
 class HandlerVerifier {
  public:
   HandlerVerifier(const Program& program, Handler handler, const HandlerCode& code)
@@ -100,7 +100,7 @@
     throw VerifyError{code, instruction_, std::move(message)};
   }
 
-  // The first path to an instruction determines its stack. Every other path must bring an equal one.
+  // The first path to an instruction determines its stack. Every other path must have an equal one.
   void reach(std::size_t target, const Stack& stack) {
     if (target < code_.entry || target >= code_.end) fail(Code::controlFlow, "leads out of its handler");
     std::optional<Stack>& known = stackBefore_[target - code_.entry];
@@ -160,7 +160,7 @@
   void checkAllowed(Op op) const {
     if (op == Op::responseHeader && handler_ != Handler::response)
       fail(Code::notAllowedInHandler, "reads an answer before there is one");
-    // An attempt is sent whatever a hook says: the load balancer decides whether, when and where.
+    // Hooks cannot prevent an attempt: the load balancer decides whether, when and where it is sent.
     if (op == Op::reject && handler_ == Handler::attempt)
       fail(Code::notAllowedInHandler, "rejects in a handler of attempts");
   }
@@ -255,14 +255,14 @@
       checkSize(set, kMaxConstants, "items of a set");
       checkTexts(set, kMaxLiteralBytes, "sets");
     }
-    // Counters become names of metrics and stand in log lines.
+    // Counter names are used in metrics and log lines.
     for (const std::string& counter : program_.counters)
       if (!isHeaderName(counter)) fail("a counter's name is no word");
     if (program_.lines.size() != program_.code.size()) fail("not a line for each instruction");
   }
 
-  // `previousEnd`: of the handler before. Handlers lie apart and in order, so that no instruction is checked
-  // by the rules of two handlers.
+  // `previousEnd`: the end of the preceding handler. Handlers must be in order and disjoint, so that no
+  // instruction is subject to the rules of two handlers.
   void checkHandler(const HandlerCode& handler, std::size_t previousEnd) const {
     const bool apart = handler.entry >= previousEnd;
     const bool inside = handler.entry < handler.end && handler.end <= program_.code.size();
--- a/tests/cross_zone/cross_zone_account_test.cpp
+++ b/tests/cross_zone/cross_zone_account_test.cpp
@@ -37,7 +37,7 @@
             std::string::npos);
 }
 
-// Endpoint lists with ever new names of zones.
+// Endpoint lists may keep introducing new zone names.
 TEST(CrossZoneAccount, CountsZonesBeyondTheMaximumAsOther) {
   CrossZoneAccount account({"x"});
   for (int i = 0; i < 10000; ++i) account.recordAttempt(0, "zone-" + std::to_string(i), 1, false);
--- a/tests/cross_zone/cross_zone_filter_test.cpp
+++ b/tests/cross_zone/cross_zone_filter_test.cpp
@@ -1,4 +1,4 @@
-// Traffic between zones through a gateway: hosts labelled by zone, on loopback.
+// CrossZoneFilter in a gateway over loopback, with hosts in two zones.
 #include "cross_zone/cross_zone_filter.hpp"
 
 #include "support/gateway_fixture.hpp"
@@ -11,7 +11,7 @@
 
 struct CrossZoneFilterTest : GatewayTest {
   std::unique_ptr<CrossZoneFilter> filter;
-  std::size_t home = 0;  // number of hosts of the local zone; the others follow
+  std::size_t home = 0;  // hosts[0] to hosts[home - 1] are in the local zone
 
   void begin(std::size_t own, std::size_t others, double rate, Server::Handler handler = serveOk) {
     home = own;
@@ -72,11 +72,11 @@
   EXPECT_EQ(filter->account().localAttempts(), 60u);
 }
 
-// The budget allows one window's worth at first, and then its rate.
+// The budget allows its capacity at first, and then its rate.
 TEST_F(CrossZoneFilterTest, KeepsToTheBudgetUnderLightLoad) {
   begin(1, 3, 500);  // the full budget is 5,000 bytes
   const auto began = clock.now();
-  sendRequest(120);  // each of some 620 bytes with its response
+  sendRequest(120);  // each about 620 bytes with its response
   const double time = std::chrono::duration<double>(clock.now() - began).count();
   const auto total = filter->account().total();
   EXPECT_GT(total.attempts, 0u);
@@ -84,8 +84,8 @@
   EXPECT_LE(static_cast<double>(total.requestBytes + total.responseBytes), 500 * (time + 10) + 1000);
 }
 
-// The local zone loses all its hosts: only other zones can serve.
-TEST_F(CrossZoneFilterTest, ServesAllRequestsOverBudgetWhenTheLocalZoneIsLost) {
+// All hosts of the local zone are removed, so only other zones can serve requests.
+TEST_F(CrossZoneFilterTest, ServesAllRequestsOverBudgetWhenTheLocalZoneHasNoHosts) {
   begin(2, 2, 0);
   sendRequest(10);
   ASSERT_TRUE(until([&] { return !polls.empty(); }));
@@ -97,7 +97,7 @@
   EXPECT_NE(filter->summary().back().find("forced=20"), std::string::npos);
 }
 
-// The local zone is at its capacity: requests cross before any is rejected.
+// The local zone is at capacity: requests use other zones before any is rejected.
 TEST_F(CrossZoneFilterTest, CrossesZonesBeforeRequestsAreRejected) {
   begin(1, 3, 0, hold);
   std::vector<std::shared_ptr<Client>> clients;
--- a/tests/hook/bytecode_test.cpp
+++ b/tests/hook/bytecode_test.cpp
@@ -1,4 +1,4 @@
-// The file form of programs: its bytes, reading back, and damage.
+// The bytecode file format: exact bytes, round trip, corrupt files.
 #include "hook/bytecode.hpp"
 
 #include "hook/disassembler.hpp"
@@ -37,8 +37,8 @@
   return {BytecodeErrorCode{}, ""};
 }
 
-// Operators keep hooks as bytecode: these bytes are of version 1 of the format.
-TEST(Bytecode, WritesTheBytesOfItsFormat) {
+// Operators store hooks as bytecode, so version 1 of the format must not change.
+TEST(Bytecode, EncodesVersion1AsSpecified) {
   EXPECT_EQ(hexOf(anyBytecode()),
             "46484f4f4b0a0100010000006804000000000000000000000003000000000000000100000000000000930100"
             "000000000001000000020000006e6f0100000002000000010000006101000000620100000001000000780100"
@@ -52,7 +52,7 @@
             "000500000036789086");
 }
 
-TEST(Bytecode, ReadsBackWhatItWrote) {
+TEST(Bytecode, DecodesWhatItEncoded) {
   const std::string bytes = anyBytecode();
   const Program program = decode(bytes);
   EXPECT_EQ(encode(program), bytes);
@@ -60,7 +60,7 @@
   EXPECT_NE(disassemble(program).find("matches 0\t# \"x\""), std::string::npos);
 }
 
-TEST(Bytecode, RefusesDamagedBytes) {
+TEST(Bytecode, RejectsCorruptBytes) {
   const std::string bytes = anyBytecode();
   for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_THROW(decode(bytes.substr(0, n)), BytecodeError) << n;
   for (std::size_t i = 0; i < bytes.size(); ++i) {
@@ -78,9 +78,9 @@
   EXPECT_EQ(errorOf(bytes + "x").code(), BytecodeErrorCode::checksumMismatch);
 }
 
-// Without the checksum every flipped byte reaches the verifier. The program is refused, or it runs within its
-// bounds. The run with sanitizers checks the latter.
-TEST(Bytecode, KeepsProgramsWithAnyDamageWithinTheirBounds) {
+// Without the checksum every flipped byte reaches the verifier. The program must be rejected or run within
+// its bounds. Builds with sanitizers check the latter.
+TEST(Bytecode, RejectsCorruptProgramsOrRunsThemWithinTheirBounds) {
   const std::string bytes = anyBytecode();
   std::uint32_t dice = 12345;
   const auto roll = [&dice] { return dice = dice * 1664525 + 1013904223; };
@@ -113,7 +113,7 @@
     for (const Handler h : {Handler::request, Handler::attempt, Handler::response})
       if (code->handles(h)) m.run(*code, h, in, b);
   }
-  EXPECT_GT(verified, 1000);  // or the test would only cover the decoder
+  EXPECT_GT(verified, 1000);  // otherwise the test covers only the decoder
 }
 
 }  // namespace
--- a/tests/hook/expectations_test.cpp
+++ b/tests/hook/expectations_test.cpp
@@ -11,7 +11,7 @@
 
 using finchstile::testing::TemporaryDirectory;
 
-TEST(Expectations, ReportWhatDoesNotHold) {
+TEST(Expectations, ReportsFailedExpectations) {
   TemporaryDirectory f;
   const std::string path =
       f.write("h.hook",
--- a/tests/hook/hook_chain_test.cpp
+++ b/tests/hook/hook_chain_test.cpp
@@ -1,4 +1,4 @@
-// The chain of hooks: order, scopes, faults, suspension, versions and shadows. The tests set the time.
+// HookChain: order, scopes, faults, suspension, versions and shadows. The tests control the time.
 #include "hook/hook_chain.hpp"
 
 #include "hook/support.hpp"
@@ -33,7 +33,7 @@
     set->hooks = std::move(hooks);
     chain.install(set);
   }
-  // A request that has passed the handlers of its arrival.
+  // A request after its `request` handlers.
   struct Asked {
     HookedRequest q;
     HookDecision decision;
@@ -75,8 +75,8 @@
   EXPECT_EQ(chain.counts("none"), nullptr);
 }
 
-TEST_F(HookChainTest, ReplacesTagsThatOtherResultsStillQuote) {
-  const std::string longText(300, 'v');  // beyond any small buffer
+TEST_F(HookChainTest, ReplacesTagsThatOtherResultsStillReference) {
+  const std::string longText(300, 'v');  // longer than any small-string buffer
   install({spec(named("a", "tag(\"t\", \"" + longText + "\");")),
            spec(named("b", "let old = tag_value(\"t\"); tag(\"t\", \"new\"); tag(\"u\", old);"))});
   const Asked a = ask();
@@ -100,7 +100,7 @@
   EXPECT_EQ(chain.counts("a")->runs, 1u);
 }
 
-// A hook that fails open and faults on one request in a thousand.
+// The hook fails open and faults on one request in a thousand.
 TEST_F(HookChainTest, ReportsRareFaultsAndLetsTheRequestPass) {
   install({spec(named("rare", kFaultsAtBad)), spec(named("next", "count(\"n\");"))});
   for (int i = 0; i < 20000; ++i, now += milliseconds(5)) {
@@ -117,7 +117,7 @@
             "hook rare faulted on line 3 of f.hook (on request): division by zero; request id-1; fault 1");
 }
 
-TEST_F(HookChainTest, SuspendsAFaultyHookWithAGrowingBackoffThatATrialResets) {
+TEST_F(HookChainTest, DoublesTheBackoffOfAFaultyHookUntilATrialResetsIt) {
   HookSpec s = spec(named("h", kFaultsAtBad));
   s.faultPolicy.maxFaults = 3;
   s.faultPolicy.window = seconds(10);
@@ -130,10 +130,10 @@
   ask("/bad");
   EXPECT_TRUE(chain.isSuspended("h", now));
   EXPECT_EQ(ask("/bad").decision.rejectStatus, 0);
-  EXPECT_EQ(chain.counts("h")->runs, 3u);  // it does not run while it is suspended
+  EXPECT_EQ(chain.counts("h")->runs, 3u);  // not run while suspended
   EXPECT_EQ(chain.counts("h")->skipped, 1u);
   now += milliseconds(1001);
-  ask("/bad");  // on trial one fault is enough
+  ask("/bad");  // on trial, one fault suspends the hook
   EXPECT_EQ(chain.counts("h")->suspensions, 2u);
   now += milliseconds(1500);
   EXPECT_TRUE(chain.isSuspended("h", now));  // twice as long
@@ -159,7 +159,7 @@
   EXPECT_EQ(chain.counts("h")->suspensions, 0u);
 }
 
-TEST_F(HookChainTest, FailsClosedBeforeAnAttemptAndNeverAfter) {
+TEST_F(HookChainTest, FailsClosedOnlyBeforeTheFirstAttempt) {
   HookSpec s = spec("hook \"h\";\non request { " + std::string(kFaultsAtBad) +
                     " }\non attempt { let a = 1 / (attempt - attempt); }\non answer { let a = 1 / (attempt - "
                     "attempt); }\n");
@@ -174,7 +174,7 @@
   chain.onResponse(now, good.q, in, "id-2", out);
   EXPECT_TRUE(out.empty());
   EXPECT_EQ(chain.counts("h")->faults, 1u);   // in the handler of attempts
-  EXPECT_EQ(chain.counts("h")->skipped, 1u);  // the handler of responses: it is suspended by then
+  EXPECT_EQ(chain.counts("h")->skipped, 1u);  // in the handler of responses: suspended by then
   const Asked refused = ask("/good");
   EXPECT_EQ(refused.decision.rejectStatus, 503);
   EXPECT_GT(refused.decision.retryAfter, Duration{});
@@ -182,12 +182,12 @@
   EXPECT_EQ(chain.counts("h")->rejectedFailClosed, 1u);
 }
 
-// A client that leaves a hook no time must not have it suspended for all others.
-TEST_F(HookChainTest, CountsRunsThatTheClientsTimeCutsShortAsNoFault) {
+// Clients with short deadlines must not cause the suspension of a hook for all clients.
+TEST_F(HookChainTest, DoesNotCountRunsCutShortByTheClientsDeadlineAsFaults) {
   HookSpec s = spec(named("h", "for i in 0 .. 400 { }"));
   s.faultPolicy.maxFaults = 1;
   install({s});
-  ask("/x", milliseconds(1));  // a tenth of it is 100 us, which does not pay for 400 rounds
+  ask("/x", milliseconds(1));  // a tenth of it is 100 us, too little for 400 iterations
   EXPECT_EQ(chain.counts("h")->runs, 1u);
   for (int i = 0; i < 10; ++i) ask("/x", std::chrono::microseconds(100));
   ask("/x", Duration(-5));
@@ -218,7 +218,7 @@
   EXPECT_GT(spent, 0u);
 }
 
-TEST_F(HookChainTest, KeepsTheVersionThatARequestBeganWith) {
+TEST_F(HookChainTest, KeepsTheVersionThatARequestStartedWith) {
   install(
       {spec("hook \"h\";\non request { tag(\"v\", \"1\"); }\non attempt { set header(\"X-V\", \"1\"); }\n")});
   Asked old = ask();
@@ -240,7 +240,7 @@
   s.faultPolicy.initialBackoff = seconds(60);
   install({s});
   ask("/bad");
-  install({spec(named("h", kFaultsAtBad))});  // compiled anew from the same source
+  install({spec(named("h", kFaultsAtBad))});  // recompiled from the same source
   EXPECT_TRUE(chain.isSuspended("h", now));
   EXPECT_EQ(chain.counts("h")->faults, 1u);
   install({spec(named("h", "count(\"mended\");"))});
@@ -287,7 +287,7 @@
   now += seconds(2);
   ask("/bad");
   ASSERT_EQ(lines.size(), 6u);
-  EXPECT_NE(lines[5].find("(35 lines before it left out)"), std::string::npos) << lines[5];
+  EXPECT_NE(lines[5].find("(35 earlier lines omitted)"), std::string::npos) << lines[5];
 }
 
 TEST_F(HookChainTest, ReplacesControlBytesInLines) {
--- a/tests/hook/hook_filter_test.cpp
+++ b/tests/hook/hook_filter_test.cpp
@@ -1,5 +1,5 @@
-// Hooks in a gateway over loopback: what clients and hosts see of them, and that the rules of the service
-// hold.
+// Hooks in a gateway over loopback: their effects for clients and hosts, and the guarantees that the gateway
+// keeps.
 #include "hook/hook_filter.hpp"
 
 #include "hook/support.hpp"
@@ -42,7 +42,7 @@
     gateway->start();
   }
   std::shared_ptr<Client> client() { return Client::connect(io, gateway->endpoint()); }
-  // Sends a request and returns its answer, or a response of status 0 if there is none.
+  // Sends a request and returns its response, or one of status 0 if there is none.
   http::response<http::string_body> sendRequest(const std::shared_ptr<Client>& c, const std::string& method,
                                                 const std::string& path, const std::string& headers = "",
                                                 int left = 2500) {
@@ -81,7 +81,7 @@
   EXPECT_EQ(host.received[0]["X-Correlation-Id"], c->id);
 }
 
-// A hook loops forever in each handler, and the clients have little time.
+// Every handler of the hook loops forever, and the clients have short deadlines.
 TEST_F(HookFilterTest, AnswersRequestsWhoseHooksLoopForever) {
   HookSpec s = spec(
       "hook \"loop\";\non request { while true { } }\non attempt { while true { } }\n"
@@ -101,7 +101,8 @@
   EXPECT_EQ(host.received.size(), 5u);
 }
 
-// The request has had its effect. The client gets the host's answer, once, and nothing is sent again.
+// The request has had its effect on the host. The client gets the host's response once, and no attempt is
+// repeated.
 TEST_F(HookFilterTest, DoesNotRejectANonIdempotentRequestAfterItsAttempt) {
   install({spec("hook \"late\";\non answer { reject(503, \"again\"); }\n", true)});
   start();
@@ -136,12 +137,12 @@
   EXPECT_EQ(sendRequest(c, "POST", "/book/1").result_int(), 503u);
   const auto answer = sendRequest(c, "POST", "/book/1");
   EXPECT_EQ(answer.result_int(), 503u);
-  EXPECT_EQ(answer["Retry-After"], "1.000");  // the maximum of the settings
+  EXPECT_EQ(answer["Retry-After"], "1.000");  // the configured maximum
   EXPECT_TRUE(host.received.empty());
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-// Some versions do not compile. Each request gets one answer, and all its handlers are of one version.
+// Some versions do not compile. Each request gets one response, and all its handlers are of one version.
 TEST_F(HookFilterTest, InstallsAHundredVersionsUnderLoad) {
   const auto of = [](int v) {
     const std::string n = std::to_string(v);
@@ -156,10 +157,10 @@
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 8; ++i) clients.push_back(client());
   for (int v = 1; v <= 100; ++v) {
-    // The next version is installed while the host has all requests.
+    // The next version is installed while the requests are pending at the host.
     for (const auto& c : clients) c->sendRequest("GET", "/read/1", 2500);
-    // On a slow machine the load balancer may reject a request because of the host's latency; it is answered
-    // then.
+    // On a slow machine the load balancer may reject a request because of the host's latency, so it already
+    // has a response.
     ASSERT_TRUE(runUntil(io, [&] {
       const auto had = std::count_if(clients.begin(), clients.end(),
                                      [&](const auto& c) { return c->answers.size() == std::size_t(v); });
@@ -167,7 +168,8 @@
     }));
     std::vector<Problem> problems;
     if (v % 10 == 0)
-      EXPECT_FALSE(compile("hook \"v\";\non request { oops }\n", problems));  // the previous version stays
+      EXPECT_FALSE(
+          compile("hook \"v\";\non request { oops }\n", problems));  // the previous version stays installed
     else install({of(v)});
     for (const auto& peer : std::exchange(held, {})) peer->reply(200, "ok");
     ASSERT_TRUE(runUntil(io, [&] {
@@ -215,8 +217,8 @@
   EXPECT_EQ(sendRequest(c, "GET", "/read/1")["X-Saw"], "1");
 }
 
-// The limit of what a hook may read of a body does not cut the body that the host receives.
-TEST_F(HookFilterTest, ForwardsCompleteBodiesWhateverAHookReads) {
+// maxBodyBytes limits what a hook may read, not the body that the host receives.
+TEST_F(HookFilterTest, ForwardsCompleteBodiesBeyondTheHooksReadLimit) {
   ChainSettings settings;
   settings.maxBodyBytes = 2;
   install(
--- a/tests/hook/hook_loader_test.cpp
+++ b/tests/hook/hook_loader_test.cpp
@@ -1,4 +1,4 @@
-// Hooks and tables from files that are written, replaced or invalid.
+// Loading of hooks and tables from files that are valid, invalid, or written and replaced concurrently.
 #include "hook/hook_loader.hpp"
 
 #include <gtest/gtest.h>
@@ -71,8 +71,8 @@
   EXPECT_NE(all[5].find("missing.hook: No such file"), std::string::npos) << all[5];
 }
 
-// Bytecode is not trusted more than a source: its tables must be files beside it.
-TEST(HookLoader, RefusesBytecodeThatNamesATableElsewhere) {
+// Bytecode is untrusted, as a source is: its tables must be files in its own folder.
+TEST(HookLoader, RejectsBytecodeWithATableOutsideItsFolder) {
   TemporaryDirectory f;
   std::vector<Problem> found;
   auto compiled = compile("hook \"h\";\ntable t from \"t.txt\";\non request { if path in t { } }\n", found);
@@ -98,7 +98,7 @@
   return {FileErrorCode{}, ""};
 }
 
-// None, with `why`, if the file changes too often.
+// Returns none and sets `why` if the file changes too often.
 std::optional<std::string> readTable(const std::string& path, std::string& why) {
   try {
     return readStableFile(path, kMaxTableBytes);
@@ -109,7 +109,7 @@
   }
 }
 
-TEST(StableFile, RefusesWhatIsNoRegularFileWithoutWaiting) {
+TEST(StableFile, RejectsNonRegularFilesWithoutBlocking) {
   TemporaryDirectory f;
   ASSERT_EQ(mkfifo((f / "fifo").c_str(), 0600), 0);
   EXPECT_EQ(errorOf(f / "fifo").code(), FileErrorCode::notRegularFile);
@@ -120,8 +120,8 @@
   EXPECT_EQ(errorOf(f / "missing").code(), FileErrorCode::cannotRead);
 }
 
-// A table of 100,000 entries is replaced while it is read. What is read is one version, never a mixture.
-TEST(StableFile, ReadsOneVersionOfAFileThatIsReplacedMeanwhile) {
+// A table of 100,000 entries is replaced while it is read. Every read returns one version, never a mixture.
+TEST(StableFile, ReadsOneVersionOfAFileThatIsReplacedDuringTheRead) {
   TemporaryDirectory f;
   const auto version = [](int v) {
     std::string text = "#entries 100000\n";
@@ -168,7 +168,8 @@
   std::string why;
   for (int round = 0; round < 20 && judged < 3; ++round) {
     std::atomic<bool> stop{false}, begun{false};
-    std::atomic<bool> rested{false};  // a writer that pauses midway looks as if it were done
+    std::atomic<bool> rested{
+        false};  // a writer that pauses midway is indistinguishable from one that is done
     std::thread writer([&] {
       const int fd = ::open((f / "t").c_str(), O_WRONLY);
       auto last = std::chrono::steady_clock::now();
@@ -201,7 +202,7 @@
   EXPECT_TRUE(whole(text));
 }
 
-TEST(Table, RefusesATruncatedFileByItsEntryCount) {
+TEST(Table, RejectsATruncatedFileByItsEntryCount) {
   const std::string whole = "#entries 3\na\nb\nc\n";
   std::vector<Problem> problems;
   for (std::size_t n = 11; n < whole.size() - 1; ++n) {
--- a/tests/hook/interpreter_test.cpp
+++ b/tests/hook/interpreter_test.cpp
@@ -1,4 +1,4 @@
-// The interpreter: metering, faults and results. Linking of programs.
+// Interpreter: budgets, faults and results. Linking of programs.
 #include <new>
 
 #include "hook/support.hpp"
@@ -17,7 +17,7 @@
   return b;
 }
 
-TEST(Interpreter, EndsALoopThatSpendsItsInstructions) {
+TEST(Interpreter, FaultsOnALoopThatExhaustsItsInstructions) {
   EXPECT_EQ(ran("while true { }"), "fault: the budget of instructions is spent");
   EXPECT_EQ(ran("let n = 0; while n == 0 { log(\"\"); }"), "fault: more results than one run may leave");
   const auto code = codeOf(onRequest("while true {\n}\n"));
@@ -27,7 +27,7 @@
   EXPECT_EQ(r.faultLine, 4u);  // the line of the loop
 }
 
-TEST(Interpreter, ChargesForEveryByteTouched) {
+TEST(Interpreter, ChargesForEveryByteAccessed) {
   const std::string grow = "let s = path; for i in 0 .. 20 { s = s + s; }";
   EXPECT_EQ(ran(grow, "", bytes(2000)), "fault: the budget of bytes is spent");
   EXPECT_EQ(ran(grow), "fault: the arena is full");
@@ -41,7 +41,7 @@
             "fault: the budget of bytes is spent");
 }
 
-TEST(Interpreter, RefusesHeadersThatCouldInjectALine) {
+TEST(Interpreter, FaultsOnHeadersThatCouldInjectALine) {
   for (const char* bad : {"\"a\\r\\nX-B: 1\"", "\"a\\n\"", "\"\\x00\"", "\"\\x7f\"", "\"a\\r\""})
     EXPECT_EQ(ran(std::string("let v = ") + bad + "; set header(\"X-A\", v);"),
               "fault: a header's value has a byte that can't stand there, or is too long")
@@ -60,7 +60,7 @@
   EXPECT_EQ(ran("let v = \"caf\\xc3\\xa9\\t!\"; set header(\"X-A\", v);"), "X-A: caf\xc3\xa9\t!");
 }
 
-// The client would retry a request that may have run.
+// The client could retry a request that may already have run.
 TEST(Interpreter, FaultsOnARejectionAfterAnAttempt) {
   const auto code =
       codeOf("hook \"h\";\non answer {\n  set header(\"X-A\", \"1\");\n  reject(503, \"late\");\n}\n");
@@ -75,7 +75,7 @@
   EXPECT_EQ(r.headerCount, 0u);  // a fault leaves no result
 }
 
-TEST(Interpreter, FaultsOnOtherStatusesOfRejections) {
+TEST(Interpreter, FaultsOnRejectionsWithOtherStatuses) {
   EXPECT_EQ(ran("let s = 200; reject(s, \"\");"), "fault: a rejection has a status of 400 to 499, or 503");
   EXPECT_EQ(ran("let s = 500; reject(s, \"\");"), "fault: a rejection has a status of 400 to 499, or 503");
   EXPECT_EQ(ran("let s = 499; reject(s, \"\");"), "reject 499 ");
@@ -114,7 +114,7 @@
   b.bytes = 1024 * 1024;
   const auto begin = std::chrono::steady_clock::now();
   EXPECT_EQ(effect(*code, m.run(*code, Handler::request, in, b)), "");
-  // Exponential time would not end at all, so a generous bound tells it from a slow machine.
+  // Exponential time would not end at all, so a generous limit distinguishes it from a slow machine.
   EXPECT_LT(std::chrono::steady_clock::now() - begin, std::chrono::seconds(5));
 }
 
@@ -132,12 +132,12 @@
   return {};
 }
 
-TEST(LinkProgram, RefusesPatternsThatAreInvalidOrTakeTooMuchMemory) {
+TEST(LinkProgram, RejectsPatternsThatAreInvalidOrTakeTooMuchMemory) {
   EXPECT_EQ(linkErrorOf("r\"((a{100}){100}){10}\"", "can't be used"), LinkErrorCode::patternInvalid);
   EXPECT_EQ(linkErrorOf("\"(\"", "missing )"), LinkErrorCode::patternInvalid);
 }
 
-TEST(LinkProgram, RefusesAProgramThatDoesNotVerifyOrLacksATable) {
+TEST(LinkProgram, RejectsAProgramThatDoesNotVerifyOrLacksATable) {
   const auto codeOfError = [](Program program) {
     try {
       linkProgram(std::move(program), {});
--- a/tests/hook/language_test.cpp
+++ b/tests/hook/language_test.cpp
@@ -1,4 +1,4 @@
-// The language: what it means, and what its compiler says of what it does not take.
+// The hook language: semantics, and the compiler's error messages.
 #include "hook/support.hpp"
 
 namespace finchstile::hook::testing {
@@ -13,14 +13,14 @@
   EXPECT_TRUE(got == "yes" || got == "no") << expression << ": " << got;
   return got == "yes";
 }
-// One problem, and it has these words.
+// Expects exactly one problem, whose message contains `words`.
 void expectProblem(const std::string& source, const std::string& words) {
   const auto all = problemsOf(source);
   ASSERT_EQ(all.size(), 1u) << source << ::testing::PrintToString(all);
   EXPECT_NE(all[0].find(words), std::string::npos) << all[0];
 }
 
-TEST(Language, ArithmeticBindsAsUsual) {
+TEST(Language, EvaluatesArithmeticWithStandardPrecedence) {
   EXPECT_EQ(shown("2 + 3 * 4 - 10 / 3 % 2"), "13");
   EXPECT_EQ(shown("-(2 + 3) * -2"), "10");
   EXPECT_EQ(shown("7 % 3 - -1"), "2");
@@ -28,7 +28,7 @@
   EXPECT_EQ(shown("milliseconds(1s + 250ms * 2 - 100ms / 4)"), "1475");
 }
 
-TEST(Language, ComparesEachTypeWithItsOwn) {
+TEST(Language, ComparesValuesOfTheSameType) {
   EXPECT_TRUE(truth("1 < 2 and 2 <= 2 and 3 > 2 and 3 >= 3 and 1 != 2 and 1 == 1"));
   EXPECT_FALSE(truth("2 < 1 or 3 <= 2 or 2 > 3 or 2 >= 3 or 1 == 2 or 1 != 1"));
   EXPECT_TRUE(truth("time_left == 500ms and time_left < 1s and 60s == 1m"));
@@ -36,13 +36,13 @@
   EXPECT_TRUE(truth("not false and not (1 > 2)"));
 }
 
-TEST(Language, AndAndOrStopWhereTheSideIsSettled) {
+TEST(Language, ShortCircuitsAndAndOr) {
   EXPECT_FALSE(truth("false and 1 / 0 == 1"));
   EXPECT_TRUE(truth("true or 1 / 0 == 1"));
   EXPECT_EQ(ran("if true and 1 / 0 == 1 { pass; }"), "fault: division by zero");
 }
 
-TEST(Language, ReadsTheRequest) {
+TEST(Language, ReadsFieldsHeadersAndBodyOfTheRequest) {
   EXPECT_EQ(text("class + \"|\" + method + \"|\" + path + \"|\" + query + \"|\" + tenant"),
             "log-in|POST|/log-in/17|a=1&yard=B%2012+x&empty=|acme");
   EXPECT_EQ(text("header(\"X-Yard\") + header(\"None\")"), "B12");
@@ -53,7 +53,7 @@
   EXPECT_EQ(shown("body_length"), "11");
 }
 
-TEST(Language, WorksOnTexts) {
+TEST(Language, EvaluatesTextFunctions) {
   EXPECT_EQ(
       text("lower(\"Cluj-NAPOCA\") + part(\"abcdef\", 2, 2) + part(\"abc\", 9, 1) + part(\"abc\", -1, 2)"),
       "cluj-napocacd");
@@ -73,7 +73,7 @@
   EXPECT_EQ(ran("if class in known { log(\"in\"); }", "set known = {\"log-in\"};"), "in");
 }
 
-TEST(Language, LoopsAndVariables) {
+TEST(Language, RunsLoopsConditionsAndVariables) {
   EXPECT_EQ(ran("let n = 0; for i in 1 .. 5 { n = n + i; } log(to_text(n));"), "10");
   EXPECT_EQ(ran("for i in 5 .. 1 { log(\"never\"); }"), "");
   EXPECT_EQ(ran("let n = 0; while n < 7 { n = n + 2; if n == 6 { break; } } log(to_text(n));"), "6");
@@ -82,35 +82,35 @@
   EXPECT_EQ(shown("-5 + most", "const most = -7;"), "-12");
 }
 
-TEST(Language, ResultsComeOutInOrder) {
+TEST(Language, ProducesResultsInSourceOrderUntilRejectOrPass) {
   EXPECT_EQ(ran("set header(\"X-A\", \"1\"); tag(\"t\", \"v\"); count(\"c\"); log(tag_value(\"t\")); "
                 "reject(403, \"no \" + path); log(\"not reached\");"),
             "X-A: 1; t=v; count c; v; reject 403 no /log-in/17");
   EXPECT_EQ(ran("if true { pass; } reject(400, \"no\");"), "");
 }
 
-TEST(Language, ProblemsHaveTheirPlace) {
+TEST(Language, ReportsProblemsWithTheirPosition) {
   const auto all = problemsOf("hook \"h\";\non request {\n  let a = 1 +;\n  let b = \"x\" + 1;\n}\n");
-  ASSERT_EQ(all.size(), 1u);  // types are looked at once the source can be read
+  ASSERT_EQ(all.size(), 1u);  // types are checked only if the syntax is valid
   EXPECT_EQ(all[0], "3:14: expected a value, found ';'");
   EXPECT_EQ(
       problemsOf("hook \"h\";\non request {\n  let b = \"x\" + 1;\n  c = 2;\n}\n"),
       (std::vector<std::string>{"3:15: '+' does not take text and integer", "4:3: unknown variable 'c'"}));
 }
 
-TEST(Language, SeveralMistakesAreToldAtOnce) {
+TEST(Language, ReportsSeveralSyntaxErrorsInOneRun) {
   const auto all =
       problemsOf("hook \"h\";\non request {\n  let = 1;\n  if { }\n  bogus();\n}\non nothing { }\n");
   EXPECT_EQ(all.size(), 4u) << ::testing::PrintToString(all);
 }
 
-TEST(Language, NamesWhatWasMeant) {
+TEST(Language, SuggestsTheNearestNameForAnUnknownName) {
   expectProblem(onRequest("log(pth);"), "unknown name 'pth'; did you mean 'path'?");
   expectProblem(onRequest("log(heder(\"a\"));"), "did you mean 'header'?");
   expectProblem(onRequest("if class in yads { }", "table yards from \"y.txt\";"), "did you mean 'yards'?");
 }
 
-TEST(Language, KeepsTypesAndHandlersApart) {
+TEST(Language, RejectsWrongTypesScopesAndHandlers) {
   expectProblem(onRequest("if 1 { }"), "this must be boolean, and is integer");
   expectProblem(onRequest("let a = 1; a = \"x\";"), "'a' is integer, and the value is text");
   expectProblem(onRequest("let a = 1s * 2s;"), "does not take duration and duration");
@@ -125,7 +125,7 @@
   expectProblem("hook \"h\";\non request { }\non request { }\n", "a second handler of the kind");
 }
 
-TEST(Language, LooksAtLiteralsWhereTheyStand) {
+TEST(Language, RejectsInvalidLiterals) {
   expectProblem(onRequest("set header(\"Content-Length\", \"3\");"), "the gateway's own header");
   expectProblem(onRequest("set header(\"idempotency-KEY\", \"3\");"), "the gateway's own header");
   expectProblem(onRequest("set header(\"X A\", \"3\");"), "is a token");
@@ -140,8 +140,8 @@
   expectProblem("hook \"h h\";\n", "the hook's name is a word");
 }
 
-// Hard case: deep nesting and huge literals cost a bounded amount of stack and memory, and are told plainly.
-TEST(Language, DepthAndSizeAreBounded) {
+// Deep nesting and huge literals must take a bounded amount of stack and memory, and must be reported.
+TEST(Language, RejectsSourcesBeyondTheDepthAndSizeLimits) {
   const auto repeated = [](const std::string& s, int n) {
     std::string out;
     for (int i = 0; i < n; ++i) out += s;
@@ -165,11 +165,12 @@
   EXPECT_NE(problemsOf(onRequest("let a = \"x\" matches \"" + std::string(1500, 'x') + "\";"))[0].find(
                 "a pattern has"),
             std::string::npos);
-  EXPECT_FALSE(problemsOf(onRequest(repeated("log(\"x\" + \"y\");", 15000))).empty());  // too much code
+  EXPECT_FALSE(
+      problemsOf(onRequest(repeated("log(\"x\" + \"y\");", 15000))).empty());  // more than kMaxInstructions
   const auto brackets = [&](int n) {
     return problemsOf(onRequest("let a = " + repeated("(", n) + "1" + repeated(")", n) + ";"));
   };
-  const int most = static_cast<int>(kMaxDepth) - 2;  // within the block and the expression
+  const int most = static_cast<int>(kMaxDepth) - 2;  // the block and the expression are two levels
   EXPECT_TRUE(brackets(most).empty());
   EXPECT_EQ(brackets(most + 1).size(), 1u);
   EXPECT_TRUE(
@@ -177,7 +178,7 @@
           .empty());
 }
 
-TEST(Language, ExtremeNumbersFaultRatherThanWrap) {
+TEST(Language, FaultsOnOverflowInsteadOfWrapping) {
   EXPECT_EQ(ran("let a = 9223372036854775807 + length(class);"), "fault: a number does not fit into 64 bits");
   EXPECT_EQ(ran("let a = 0 - 9223372036854775807 - length(class);"),
             "fault: a number does not fit into 64 bits");
--- a/tests/hook/settings_test.cpp
+++ b/tests/hook/settings_test.cpp
@@ -5,7 +5,7 @@
 namespace finchstile::hook {
 namespace {
 
-TEST(HookSettings, AreReadWithAllTheirErrors) {
+TEST(HookSettings, ReadsSettingsAndReportsAllErrors) {
   std::vector<SettingProblem> problems;
   const auto read = [&](const char* text) {
     problems.clear();
--- a/tests/hook/support.hpp
+++ b/tests/hook/support.hpp
@@ -1,4 +1,4 @@
-// Compiles and runs hooks in tests.
+// Test helpers that compile and run hooks.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -54,7 +54,7 @@
   return "hook \"h\";\n" + before + "\non request {\n" + body + "\n}\n";
 }
 
-// What a run asks for as one text: "reject 422 reason", "fault: ...", or its results in order.
+// Formats the result of a run: "fault: ...", or its effects in order, with a rejection last.
 inline std::string effect(const Executable& code, const RunResult& r) {
   if (r.fault != Fault::none) return "fault: " + std::string(describe(r.fault));
   std::string out;
@@ -82,7 +82,7 @@
   return in;
 }
 
-// Runs the statements as `on request` with anInput().
+// Runs the statements as handler `request` with anInput() and returns the formatted result.
 inline std::string ran(const std::string& body, const std::string& before = "",
                        const RunBudget& budget = {}) {
   const auto code = codeOf(onRequest(body, before));
--- a/tests/hook/table_test.cpp
+++ b/tests/hook/table_test.cpp
@@ -27,14 +27,14 @@
   EXPECT_FALSE(t->contains(""));
 }
 
-TEST(Table, EmptyOnesHoldNothing) {
+TEST(Table, ContainsNothingIfEmpty) {
   std::vector<Problem> problems;
   EXPECT_FALSE(Table::parse("", problems)->contains("x"));
   EXPECT_FALSE(Table::of({}).contains(""));
   EXPECT_FALSE(Table().contains("x"));
 }
 
-TEST(Table, NamesTheLineThatIsWrong) {
+TEST(Table, ReportsTheLineOfAnError) {
   EXPECT_EQ(problemsOf("a\nb\na = 2\n"), (std::vector<std::string>{"3: the key 'a' stands twice"}));
   EXPECT_EQ(problemsOf("a\n= x\n" + std::string(1025, 'k') + "\n").size(), 2u);
   EXPECT_EQ(problemsOf("#entries 3\na\nb\n"),
@@ -50,7 +50,7 @@
             kMaxProblems);
 }
 
-TEST(Table, FindsEachOfAHundredThousand) {
+TEST(Table, FindsEachOfAHundredThousandKeys) {
   std::string text = "#entries 100000\n";
   for (int i = 0; i < 100000; ++i) text += "yard-" + std::to_string(i) + " = " + std::to_string(i * 7) + "\n";
   std::vector<Problem> problems;
--- a/tests/hook/verifier_test.cpp
+++ b/tests/hook/verifier_test.cpp
@@ -1,4 +1,4 @@
-// The verifier: it refuses programs that could leave their bounds.
+// The verifier rejects programs that could violate their bounds.
 #include "hook/support.hpp"
 
 namespace finchstile::hook::testing {
@@ -30,10 +30,11 @@
   EXPECT_EQ(refused(handmade({I(Op::pushInteger), I(Op::store), I(Op::load), I(Op::drop), I(Op::halt)},
                              {Type::integer})),
             "");
-  EXPECT_EQ(refused(handmade({I(Op::jump, 0)})), "");  // endless, but within its bounds; the budget ends it
+  EXPECT_EQ(refused(handmade({I(Op::jump, 0)})),
+            "");  // an endless loop within its bounds; the budget ends it
 }
 
-TEST(Verifier, RefusesOperandsAndJumpsOutOfBounds) {
+TEST(Verifier, RejectsOperandsAndJumpsOutOfBounds) {
   const std::vector<std::pair<Program, std::string>> cases = {
       {handmade({I(Op::pushInteger, 1), I(Op::drop), I(Op::halt)}), "0 names no integer"},
       {handmade({I(Op::pushText, 9), I(Op::log), I(Op::halt)}), "0 names no text"},
@@ -46,14 +47,14 @@
       {handmade({I(Op::field, kFields), I(Op::drop), I(Op::halt)}), "0 names no field"},
       {handmade({I(Op::jump, 5)}), "0 leads out"},
       {handmade({I(Op::jump, 0xffffff)}), "0 leads out"},
-      {handmade({I(Op::pushInteger), I(Op::drop)}), "1 leads out"},  // runs off the end
+      {handmade({I(Op::pushInteger), I(Op::drop)}), "1 leads out"},  // runs past the end
       {handmade({0xff}), "0 is no operation"},
       {handmade({I(static_cast<Op>(kOps)), I(Op::halt)}), "0 is no operation"},
   };
   for (const auto& [p, why] : cases) EXPECT_EQ(refused(p).substr(0, why.size()), why);
 }
 
-TEST(Verifier, RefusesMismatchedStacksAndTypes) {
+TEST(Verifier, RejectsMismatchedStacksAndTypes) {
   const std::vector<std::pair<Program, std::string>> cases = {
       {handmade({I(Op::drop), I(Op::halt)}), "0 takes from an empty stack"},
       {handmade({I(Op::pushInteger), I(Op::log), I(Op::halt)}), "1 takes text and finds integer"},
@@ -64,9 +65,9 @@
        "2 compares texts as numbers"},
       {handmade({I(Op::pushInteger), I(Op::store), I(Op::halt)}, {Type::text}),
        "1 takes text and finds integer"},
-      // A loop that pushes: the ways to instruction 0 bring different stacks.
+      // A loop that pushes: the paths to instruction 0 have different stacks.
       {handmade({I(Op::pushInteger), I(Op::jump, 0)}), "1 two ways lead to instruction 0"},
-      // One branch leaves a number, the other a text.
+      // One branch pushes an integer, the other a text.
       {handmade({I(Op::pushBoolean), I(Op::jumpIfFalse, 4), I(Op::pushInteger), I(Op::jump, 5),
                  I(Op::pushText), I(Op::drop), I(Op::halt)}),
        "two ways"},
@@ -77,7 +78,7 @@
   EXPECT_NE(refused(handmade(deep)).find("more stack"), std::string::npos);
 }
 
-TEST(Verifier, RefusesOperationsThatAHandlerDoesNotAllow) {
+TEST(Verifier, RejectsOperationsThatAHandlerDoesNotAllow) {
   const std::vector<Instruction> rejects = {I(Op::pushInteger), I(Op::pushText), I(Op::reject)};
   EXPECT_EQ(refused(handmade(rejects)), "");
   EXPECT_NE(refused(handmade(rejects, {}, Handler::attempt)).find("rejects in a handler of attempts"),
@@ -91,7 +92,7 @@
       std::string::npos);
 }
 
-TEST(Verifier, RefusesHandlersThatOverlapOrLeaveTheCode) {
+TEST(Verifier, RejectsHandlersThatOverlapOrExceedTheCode) {
   Program p = handmade({I(Op::halt), I(Op::halt)});
   p.handlers[1] = HandlerCode{0, 1, {}};
   EXPECT_NE(refused(p).find("lies out of the code or over"), std::string::npos);
@@ -118,7 +119,7 @@
   EXPECT_NE(refused(p).find("more instructions"), std::string::npos);
 }
 
-TEST(Verifier, ReportsTheKindOfAnError) {
+TEST(Verifier, ReportsTheErrorCode) {
   using Code = VerifyErrorCode;
   const auto codeOfError = [](const Program& program) {
     const auto error = verify(program);
