--- a/src/hook/compiler.cpp
+++ b/src/hook/compiler.cpp
@@ -212,7 +212,7 @@
       if (i + 1 < s.branches.size()) ends.push_back(emit(Op::jump, 0, s.at));
       if (condition) patchJump(next);
     }
-    for (const std::uint32_t jump : ends) patchJump(jump);
+    for (const std::uint32_t endJump : ends) patchJump(endJump);
   }
 
   // `for i in a .. b` runs for a <= i < b. Both bounds are evaluated once.
--- a/src/hook/headers.hpp
+++ b/src/hook/headers.hpp
@@ -13,8 +13,8 @@
 bool sameHeaderName(std::string_view a, std::string_view b);
 bool isHeaderName(std::string_view name);
 bool isHeaderValue(std::string_view value);
-// Whether only the gateway may set the header: framing, connection, and the request's identity, deadline and
-// idempotency key.
+// Whether only the gateway may set the header: framing, connection and encoding; the request's identity,
+// deadline and idempotency key; Date, Expect, Retry-After and X-Unprocessed.
 bool isReservedHeader(std::string_view name);
 
 }  // namespace finchstile::hook
--- a/src/hook/hook_chain.cpp
+++ b/src/hook/hook_chain.cpp
@@ -92,15 +92,17 @@
   HookStates states;
   for (const HookSpec& spec : set_->hooks) {
     std::unique_ptr<HookState> state;
-    for (auto& [executable, known] : states_)
-      if (known && known->executable->program() == spec.executable->program()) state = std::move(known);
+    for (auto& [executable, previousState] : states_)
+      if (previousState && previousState->executable->program() == spec.executable->program())
+        state = std::move(previousState);
     if (!state) state = std::make_unique<HookState>();
     state->executable = spec.executable;
     states[spec.executable.get()] = std::move(state);
   }
   // Open requests may still use older versions. A state is kept while its executable has another owner.
-  for (auto& [executable, known] : states_)
-    if (known && known->executable.use_count() > 1) states.emplace(executable, std::move(known));
+  for (auto& [executable, previousState] : states_)
+    if (previousState && previousState->executable.use_count() > 1)
+      states.emplace(executable, std::move(previousState));
   states_ = std::move(states);
 }
 
@@ -121,45 +123,46 @@
 }
 
 // Null if the hook is suspended or faults.
-const RunResult* HookChain::runIfActive(const Call& call, const HookSpec& spec, HookState& state) {
-  switch (state.health.admitRun(call.now, spec.faultPolicy)) {
+const RunResult* HookChain::runIfActive(const HandlerArguments& arguments, const HookSpec& spec,
+                                        HookState& state) {
+  switch (state.health.admitRun(arguments.now, spec.faultPolicy)) {
     case HookHealth::Admission::suspended: ++state.counts.skipped; return nullptr;
     case HookHealth::Admission::trialBegins:
-      report(call.now, state, hookName(spec) + " runs on trial after its suspension");
+      report(arguments.now, state, hookName(spec) + " runs on trial after its suspension");
       break;
     case HookHealth::Admission::active: break;
   }
-  return run(call, spec, state);
+  return run(arguments, spec, state);
 }
 
 // Null if the hook faults.
-const RunResult* HookChain::run(const Call& call, const HookSpec& spec, HookState& state) {
-  const RunBudget budget = affordable(spec.budget, call.request.allowanceNs);
-  call.input.tags = &call.request.tags;
-  const RunResult& result = interpreter_.run(*spec.executable, call.handler, call.input, budget);
+const RunResult* HookChain::run(const HandlerArguments& arguments, const HookSpec& spec, HookState& state) {
+  const RunBudget budget = affordable(spec.budget, arguments.request.allowanceNs);
+  arguments.input.tags = &arguments.request.tags;
+  const RunResult& result = interpreter_.run(*spec.executable, arguments.handler, arguments.input, budget);
   ++state.counts.runs;
   state.counts.instructions += result.instructions;
-  call.request.allowanceNs -= costNs(result);
+  arguments.request.allowanceNs -= costNs(result);
   if (result.fault == Fault::none) return &result;
   // Not a fault of the hook: otherwise clients with short deadlines could cause its suspension for all
   // clients.
   if (isOutOfTime(result, spec.budget, budget)) ++state.counts.outOfTime;
-  else recordFault(call, spec, state, result);
+  else recordFault(arguments, spec, state, result);
   return nullptr;
 }
 
-void HookChain::recordFault(const Call& call, const HookSpec& spec, HookState& state,
+void HookChain::recordFault(const HandlerArguments& arguments, const HookSpec& spec, HookState& state,
                             const RunResult& result) {
   ++state.counts.faults;
   ++state.counts.byFault[static_cast<std::size_t>(result.fault)];
-  report(call.now, state,
+  report(arguments.now, state,
          hookName(spec) + " faulted on line " + std::to_string(result.faultLine) + " of " + spec.file +
-             " (on " + std::string(nameOf(call.handler)) + "): " + std::string(describe(result.fault)) +
-             "; " + requestName(call.id) + "; fault " + std::to_string(state.counts.faults));
-  const auto suspension = state.health.recordFault(call.now, spec.faultPolicy);
+             " (on " + std::string(nameOf(arguments.handler)) + "): " + std::string(describe(result.fault)) +
+             "; " + requestName(arguments.id) + "; fault " + std::to_string(state.counts.faults));
+  const auto suspension = state.health.recordFault(arguments.now, spec.faultPolicy);
   if (!suspension) return;
   ++state.counts.suspensions;
-  reportSuspension(call.now, spec, state, *suspension);
+  reportSuspension(arguments.now, spec, state, *suspension);
 }
 
 void HookChain::reportSuspension(Time now, const HookSpec& spec, HookState& state,
@@ -176,50 +179,52 @@
              consequence);
 }
 
-void HookChain::runShadow(const Call& call, const HookSpec& spec, HookState& state, const RunResult& result) {
-  if (!spec.shadow || call.request.allowanceNs <= 0) return;
+void HookChain::runShadow(const HandlerArguments& arguments, const HookSpec& spec, HookState& state,
+                          const RunResult& result) {
+  if (!spec.shadow || arguments.request.allowanceNs <= 0) return;
   static const RunResult kNoEffect{};
-  const RunBudget budget = affordable(spec.budget, call.request.allowanceNs);
-  const RunResult& shadow = spec.shadow->handles(call.handler)
-                                ? shadowInterpreter_.run(*spec.shadow, call.handler, call.input, budget)
-                                : kNoEffect;
-  call.request.allowanceNs -= costNs(shadow);
+  const RunBudget budget = affordable(spec.budget, arguments.request.allowanceNs);
+  const RunResult& shadow =
+      spec.shadow->handles(arguments.handler)
+          ? shadowInterpreter_.run(*spec.shadow, arguments.handler, arguments.input, budget)
+          : kNoEffect;
+  arguments.request.allowanceNs -= costNs(shadow);
   ++state.counts.shadowRuns;
   if (sameEffect(result, shadow)) return;
   ++state.counts.shadowDifferences;
-  report(call.now, state,
+  report(arguments.now, state,
          hookName(spec) + ": its shadow " + describeDifference(result, shadow) + " (on " +
-             std::string(nameOf(call.handler)) + "); " + requestName(call.id) + "; difference " +
+             std::string(nameOf(arguments.handler)) + "); " + requestName(arguments.id) + "; difference " +
              std::to_string(state.counts.shadowDifferences) + " of " +
              std::to_string(state.counts.shadowRuns));
 }
 
-void HookChain::applyResult(const Call& call, const HookSpec& spec, HookState& state,
+void HookChain::applyResult(const HandlerArguments& arguments, const HookSpec& spec, HookState& state,
                             const RunResult& result) {
   for (std::size_t i = 0; i < result.headerCount; ++i)
-    call.headers.push_back({std::string(result.headers[i].name), std::string(result.headers[i].value)});
+    arguments.headers.push_back({std::string(result.headers[i].name), std::string(result.headers[i].value)});
   for (std::size_t i = 0; i < result.countCount; ++i)
     ++state.counts.counted[spec.executable->program().counters[result.counts[i]]];
   for (std::size_t i = 0; i < result.logCount; ++i)
-    report(
-        call.now, state,
-        hookName(spec) + ": " + printable(result.logs[i], kMaxShownLogBytes) + "; " + requestName(call.id));
+    report(arguments.now, state,
+           hookName(spec) + ": " + printable(result.logs[i], kMaxShownLogBytes) + "; " +
+               requestName(arguments.id));
   // The result's views may point into the request's tags, so they are copied before any tag changes.
   std::vector<Tag> tags;
   for (std::size_t i = 0; i < result.tagCount; ++i)
     tags.push_back({std::string(result.tags[i].name), std::string(result.tags[i].value)});
-  for (Tag& tag : tags) setTag(call.request.tags, std::move(tag));
+  for (Tag& tag : tags) setTag(arguments.request.tags, std::move(tag));
 }
 
 HookDecision HookChain::onRequest(Time now, HookedRequest& request, RunInput& input, std::string_view id,
                                   std::vector<HeaderLine>& headers) {
   HookDecision decision;
   if (!request.set) return decision;
-  const Call call{now, Handler::request, request, input, id, headers};
+  const HandlerArguments arguments{now, Handler::request, request, input, id, headers};
   for (const HookSpec& spec : request.set->hooks) {
     if (!spec.executable->handles(Handler::request) || !isInScope(spec, input)) continue;
     HookState& state = stateOf(spec);
-    const RunResult* const result = runIfActive(call, spec, state);
+    const RunResult* const result = runIfActive(arguments, spec, state);
     if (result == nullptr) {
       if (!spec.failClosed) continue;
       // No attempt has been sent, so the request cannot have run and a rejection is safe.
@@ -229,10 +234,10 @@
       decision.retryAfter = state.health.suspendedFor(now);
       return decision;
     }
-    runShadow(call, spec, state, *result);
+    runShadow(arguments, spec, state, *result);
     decision.rejectStatus = result->rejectStatus;
     decision.reason = std::string(result->rejectReason);
-    applyResult(call, spec, state, *result);
+    applyResult(arguments, spec, state, *result);
     if (decision.rejectStatus == 0) continue;
     ++state.counts.rejected;
     return decision;
@@ -242,16 +247,16 @@
 
 // Runs the handlers of attempts and responses. A hook that faults has no effect here, even if it fails
 // closed: once a request has been sent, the load balancer and the host determine its response.
-void HookChain::runAfterRequest(const Call& call) {
-  if (!call.request.set) return;
-  call.input.mayReject = false;
-  for (const HookSpec& spec : call.request.set->hooks) {
-    if (!spec.executable->handles(call.handler) || !isInScope(spec, call.input)) continue;
+void HookChain::runAfterRequest(const HandlerArguments& arguments) {
+  if (!arguments.request.set) return;
+  arguments.input.mayReject = false;
+  for (const HookSpec& spec : arguments.request.set->hooks) {
+    if (!spec.executable->handles(arguments.handler) || !isInScope(spec, arguments.input)) continue;
     HookState& state = stateOf(spec);
-    const RunResult* const result = runIfActive(call, spec, state);
+    const RunResult* const result = runIfActive(arguments, spec, state);
     if (result == nullptr) continue;
-    runShadow(call, spec, state, *result);
-    applyResult(call, spec, state, *result);
+    runShadow(arguments, spec, state, *result);
+    applyResult(arguments, spec, state, *result);
   }
 }
 
--- a/src/hook/hook_chain.hpp
+++ b/src/hook/hook_chain.hpp
@@ -119,7 +119,7 @@
   using HookStates = std::map<const Executable*, std::unique_ptr<HookState>>;
 
   // The arguments of a handler, shared by all hooks of the chain.
-  struct Call {
+  struct HandlerArguments {
     Time now;
     Handler handler;
     HookedRequest& request;
@@ -128,14 +128,17 @@
     std::vector<HeaderLine>& headers;
   };
 
-  const RunResult* runIfActive(const Call& call, const HookSpec& spec, HookState& state);
-  const RunResult* run(const Call& call, const HookSpec& spec, HookState& state);
-  void recordFault(const Call& call, const HookSpec& spec, HookState& state, const RunResult& result);
+  const RunResult* runIfActive(const HandlerArguments& arguments, const HookSpec& spec, HookState& state);
+  const RunResult* run(const HandlerArguments& arguments, const HookSpec& spec, HookState& state);
+  void recordFault(const HandlerArguments& arguments, const HookSpec& spec, HookState& state,
+                   const RunResult& result);
   void reportSuspension(Time now, const HookSpec& spec, HookState& state,
                         const HookHealth::Suspension& suspension);
-  void runShadow(const Call& call, const HookSpec& spec, HookState& state, const RunResult& result);
-  void applyResult(const Call& call, const HookSpec& spec, HookState& state, const RunResult& result);
-  void runAfterRequest(const Call& call);
+  void runShadow(const HandlerArguments& arguments, const HookSpec& spec, HookState& state,
+                 const RunResult& result);
+  void applyResult(const HandlerArguments& arguments, const HookSpec& spec, HookState& state,
+                   const RunResult& result);
+  void runAfterRequest(const HandlerArguments& arguments);
   void report(Time now, HookState& state, const std::string& line);
   HookState& stateOf(const HookSpec& spec);
   const HookState* findState(std::string_view hook) const;
--- a/src/hook/hook_loader.cpp
+++ b/src/hook/hook_loader.cpp
@@ -108,8 +108,8 @@
 };
 
 // Returns null if the hook cannot be loaded. Expectations that fail are added to `problems`.
-std::shared_ptr<const Executable> loadAndTry(const std::string& path, const RunBudget& budget,
-                                             std::vector<std::string>& problems) {
+std::shared_ptr<const Executable> loadAndTest(const std::string& path, const RunBudget& budget,
+                                              std::vector<std::string>& problems) {
   const auto hook = loadHook(path, problems);
   if (!hook) return nullptr;
   for (const Problem& problem : runExpectations(*hook->executable, hook->expectations, budget))
@@ -135,8 +135,8 @@
   set->settings = settings.chain;
   for (const HookFileSettings& hook : settings.hooks) {
     HookSpec spec = hook.spec;
-    spec.executable = loadAndTry(hook.path, spec.budget, problems);
-    if (!hook.shadow.empty()) spec.shadow = loadAndTry(hook.shadow, spec.budget, problems);
+    spec.executable = loadAndTest(hook.path, spec.budget, problems);
+    if (!hook.shadow.empty()) spec.shadow = loadAndTest(hook.shadow, spec.budget, problems);
     if (!spec.executable) continue;
     const std::string& name = spec.executable->program().name;
     if (std::any_of(set->hooks.begin(), set->hooks.end(),
--- a/src/hook/verifier.cpp
+++ b/src/hook/verifier.cpp
@@ -103,11 +103,11 @@
   // The first path to an instruction determines its stack. Every other path must have an equal one.
   void reach(std::size_t target, const Stack& stack) {
     if (target < code_.entry || target >= code_.end) fail(Code::controlFlow, "leads out of its handler");
-    std::optional<Stack>& known = stackBefore_[target - code_.entry];
-    if (!known) {
-      known = stack;
+    std::optional<Stack>& existing = stackBefore_[target - code_.entry];
+    if (!existing) {
+      existing = stack;
       unvisited_.push_back(target);
-    } else if (*known != stack) {
+    } else if (*existing != stack) {
       fail(Code::controlFlow,
            "two ways lead to instruction " + std::to_string(target) + " with different stacks");
     }
@@ -229,7 +229,7 @@
   const Program& program_;
   const Handler handler_;
   const HandlerCode& code_;
-  std::vector<std::optional<Stack>> stackBefore_;  // of each instruction, once a path to it is known
+  std::vector<std::optional<Stack>> stackBefore_;  // of each instruction, once a path to it is existing
   std::vector<std::size_t> unvisited_;
   std::size_t instruction_ = 0;
   Stack stack_;
@@ -264,9 +264,9 @@
   // `previousEnd`: the end of the preceding handler. Handlers must be in order and disjoint, so that no
   // instruction is subject to the rules of two handlers.
   void checkHandler(const HandlerCode& handler, std::size_t previousEnd) const {
-    const bool apart = handler.entry >= previousEnd;
-    const bool inside = handler.entry < handler.end && handler.end <= program_.code.size();
-    if (!apart || !inside) fail("a handler lies out of the code or over another one");
+    const bool isAfterPrevious = handler.entry >= previousEnd;
+    const bool isInsideCode = handler.entry < handler.end && handler.end <= program_.code.size();
+    if (!isAfterPrevious || !isInsideCode) fail("a handler lies out of the code or over another one");
     checkSize(handler.locals, kMaxLocals, "locals");
   }
 
--- a/tests/hook/hook_filter_test.cpp
+++ b/tests/hook/hook_filter_test.cpp
@@ -101,8 +101,8 @@
   EXPECT_EQ(host.received.size(), 5u);
 }
 
-// The request has had its effect on the host. The client gets the host's response once, and no attempt is
-// repeated.
+// The request has answered its effect on the host. The client gets the host's response once, and no attempt
+// is repeated.
 TEST_F(HookFilterTest, DoesNotRejectANonIdempotentRequestAfterItsAttempt) {
   install({spec("hook \"late\";\non answer { reject(503, \"again\"); }\n", true)});
   start();
@@ -150,8 +150,8 @@
                 "\"); }\non attempt { set header(\"X-Attempt\", \"" + n +
                 "\"); }\non answer { set header(\"X-Answer\", \"" + n + "\"); }\n");
   };
-  std::vector<std::shared_ptr<Peer>> held;
-  host.handler = [&](const std::shared_ptr<Peer>& peer, const Received&) { held.push_back(peer); };
+  std::vector<std::shared_ptr<Peer>> pendingPeers;
+  host.handler = [&](const std::shared_ptr<Peer>& peer, const Received&) { pendingPeers.push_back(peer); };
   install({of(0)});
   start();
   std::vector<std::shared_ptr<Client>> clients;
@@ -162,16 +162,16 @@
     // On a slow machine the load balancer may reject a request because of the host's latency, so it already
     // has a response.
     ASSERT_TRUE(runUntil(io, [&] {
-      const auto had = std::count_if(clients.begin(), clients.end(),
-                                     [&](const auto& c) { return c->answers.size() == std::size_t(v); });
-      return held.size() + static_cast<std::size_t>(had) == clients.size();
+      const auto answered = std::count_if(clients.begin(), clients.end(),
+                                          [&](const auto& c) { return c->answers.size() == std::size_t(v); });
+      return pendingPeers.size() + static_cast<std::size_t>(answered) == clients.size();
     }));
     std::vector<Problem> problems;
     if (v % 10 == 0)
       EXPECT_FALSE(
           compile("hook \"v\";\non request { oops }\n", problems));  // the previous version stays installed
     else install({of(v)});
-    for (const auto& peer : std::exchange(held, {})) peer->reply(200, "ok");
+    for (const auto& peer : std::exchange(pendingPeers, {})) peer->reply(200, "ok");
     ASSERT_TRUE(runUntil(io, [&] {
       return std::all_of(clients.begin(), clients.end(),
                          [&](const auto& c) { return c->answers.size() == std::size_t(v); });
@@ -180,9 +180,10 @@
   ASSERT_GT(host.received.size(), 400u);
   for (const auto& r : host.received) EXPECT_EQ(r["X-Request"], r["X-Attempt"]);
   for (std::size_t v = 0; v < 100; ++v) {
-    const std::size_t began = v % 10 == 0 && v > 0 ? v - 1 : v;
+    const std::size_t startedVersion = v % 10 == 0 && v > 0 ? v - 1 : v;
     for (const auto& c : clients)
-      if (c->answers[v].result_int() == 200) EXPECT_EQ(c->answers[v]["X-Answer"], std::to_string(began)) << v;
+      if (c->answers[v].result_int() == 200)
+        EXPECT_EQ(c->answers[v]["X-Answer"], std::to_string(startedVersion)) << v;
   }
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
@@ -200,17 +201,17 @@
 }
 
 TEST_F(HookFilterTest, IgnoresRequestsThatArrivedBeforeTheHooks) {
-  std::vector<std::shared_ptr<Peer>> held;
-  host.handler = [&](const std::shared_ptr<Peer>& peer, const Received&) { held.push_back(peer); };
+  std::vector<std::shared_ptr<Peer>> pendingPeers;
+  host.handler = [&](const std::shared_ptr<Peer>& peer, const Received&) { pendingPeers.push_back(peer); };
   json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", host.endpoint())}));
   gateway = std::make_unique<Gateway>(io, clock, readConfig(config.dump(), clock));
   gateway->start();
   const auto c = client();
   c->sendRequest("GET", "/read/1", 2500);
-  ASSERT_TRUE(runUntil(io, [&] { return held.size() == 1; }));
+  ASSERT_TRUE(runUntil(io, [&] { return pendingPeers.size() == 1; }));
   install({spec("hook \"a\";\non answer { set header(\"X-Saw\", \"1\"); }\n")});
   gateway->attach(hooks);
-  held[0]->reply(200, "ok");
+  pendingPeers[0]->reply(200, "ok");
   ASSERT_TRUE(runUntil(io, [&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0]["X-Saw"], "");
   host.handler = [](const auto& peer, const Received&) { peer->reply(200, "ok"); };
--- a/tests/hook/hook_loader_test.cpp
+++ b/tests/hook/hook_loader_test.cpp
@@ -203,11 +203,11 @@
 }
 
 TEST(Table, RejectsATruncatedFileByItsEntryCount) {
-  const std::string isOneVersion = "#entries 3\na\nb\nc\n";
+  const std::string completeTable = "#entries 3\na\nb\nc\n";
   std::vector<Problem> problems;
-  for (std::size_t n = 11; n < isOneVersion.size() - 1; ++n) {
+  for (std::size_t n = 11; n < completeTable.size() - 1; ++n) {
     problems.clear();
-    EXPECT_FALSE(Table::parse(isOneVersion.substr(0, n), problems)) << n;
+    EXPECT_FALSE(Table::parse(completeTable.substr(0, n), problems)) << n;
   }
 }
 
