--- a/src/hook/verifier.cpp
+++ b/src/hook/verifier.cpp
@@ -229,7 +229,7 @@
   const Program& program_;
   const Handler handler_;
   const HandlerCode& code_;
-  std::vector<std::optional<Stack>> stackBefore_;  // of each instruction, once a path to it is existing
+  std::vector<std::optional<Stack>> stackBefore_;  // of each instruction, once a path to it is known
   std::vector<std::size_t> unvisited_;
   std::size_t instruction_ = 0;
   Stack stack_;
--- a/tests/hook/hook_filter_test.cpp
+++ b/tests/hook/hook_filter_test.cpp
@@ -101,8 +101,8 @@
   EXPECT_EQ(host.received.size(), 5u);
 }
 
-// The request has answered its effect on the host. The client gets the host's response once, and no attempt
-// is repeated.
+// The request has had its effect on the host. The client gets the host's response once, and no attempt is
+// repeated.
 TEST_F(HookFilterTest, DoesNotRejectANonIdempotentRequestAfterItsAttempt) {
   install({spec("hook \"late\";\non answer { reject(503, \"again\"); }\n", true)});
   start();
