--- a/src/hook/disassembler.cpp
+++ b/src/hook/disassembler.cpp
@@ -17,7 +17,7 @@
   return index < items.size() ? quoted(items[index]) : std::string();
 }
 
-// What the operand of an instruction names; empty if it names nothing.
+// The constant, field, pattern, table or counter that the operand refers to; empty for other operands.
 std::string describeOperand(const Program& program, Instruction instruction) {
   const std::size_t index = operand(instruction);
   switch (static_cast<Op>(opByte(instruction))) {
--- a/tests/hook/hook_filter_test.cpp
+++ b/tests/hook/hook_filter_test.cpp
@@ -1,5 +1,5 @@
-// Hooks in a gateway over loopback: what clients and hosts see of them, and that the rules of the service
-// hold.
+// Hooks in a gateway over loopback: their effects for clients and hosts, and the guarantees that the gateway
+// keeps.
 #include "hook/hook_filter.hpp"
 
 #include "hook/support.hpp"
@@ -42,12 +42,12 @@
     gateway->start();
   }
   std::shared_ptr<Client> client() { return Client::connect(io, gateway->endpoint()); }
-  // Sends a request and returns its answer, or a response of status 0 if there is none.
+  // Sends a request and returns its response, or one of status 0 if there is none.
   http::response<http::string_body> sendRequest(const std::shared_ptr<Client>& c, const std::string& method,
                                                 const std::string& path, const std::string& headers = "",
-                                                int left = 2500) {
+                                                int timeLeftMs = 2500) {
     const std::size_t before = c->answers.size();
-    c->sendRequest(method, path, left, method == "POST" ? "body" : "", headers);
+    c->sendRequest(method, path, timeLeftMs, method == "POST" ? "body" : "", headers);
     if (!runUntil(io, [&] { return c->answers.size() > before || c->ended; }) || c->answers.size() == before)
       return {};
     EXPECT_EQ(c->answers.size(), before + 1);
@@ -66,10 +66,10 @@
       settings);
   start();
   const auto c = client();
-  const auto refused = sendRequest(c, "GET", "/read/1");
-  EXPECT_EQ(refused.result_int(), 422u);
-  EXPECT_EQ(refused.body(), "no yard code");
-  EXPECT_EQ(refused["X-Saw"], "422");
+  const auto rejection = sendRequest(c, "GET", "/read/1");
+  EXPECT_EQ(rejection.result_int(), 422u);
+  EXPECT_EQ(rejection.body(), "no yard code");
+  EXPECT_EQ(rejection["X-Saw"], "422");
   EXPECT_TRUE(host.received.empty());
   const auto served = sendRequest(c, "GET", "/read/1?q=a%20b", "X-Yard: B\r\n");  // on one connection
   EXPECT_EQ(served.result_int(), 200u);
@@ -81,7 +81,7 @@
   EXPECT_EQ(host.received[0]["X-Correlation-Id"], c->id);
 }
 
-// A hook loops forever in each handler, and the clients have little time.
+// Every handler of the hook loops forever, and some clients have short deadlines.
 TEST_F(HookFilterTest, AnswersRequestsWhoseHooksLoopForever) {
   HookSpec s = spec(
       "hook \"loop\";\non request { while true { } }\non attempt { while true { } }\n"
@@ -91,9 +91,9 @@
   install({s});
   start();
   const auto c = client();
-  for (const int left : {20, 50, 100, 500, 2500}) {
+  for (const int timeLeftMs : {20, 50, 100, 500, 2500}) {
     const auto begin = std::chrono::steady_clock::now();
-    EXPECT_EQ(sendRequest(c, "GET", "/read/1", "", left).result_int(), 200u) << left;
+    EXPECT_EQ(sendRequest(c, "GET", "/read/1", "", timeLeftMs).result_int(), 200u) << timeLeftMs;
     EXPECT_LT(std::chrono::steady_clock::now() - begin, milliseconds(2500));
   }
   const HookCounts& n = *hooks.chain().counts("loop");
@@ -101,7 +101,8 @@
   EXPECT_EQ(host.received.size(), 5u);
 }
 
-// The request has had its effect. The client gets the host's answer, once, and nothing is sent again.
+// The request has had its effect on the host. The client gets the host's response once, and no attempt is
+// repeated.
 TEST_F(HookFilterTest, DoesNotRejectANonIdempotentRequestAfterItsAttempt) {
   install({spec("hook \"late\";\non answer { reject(503, \"again\"); }\n", true)});
   start();
@@ -136,12 +137,12 @@
   EXPECT_EQ(sendRequest(c, "POST", "/book/1").result_int(), 503u);
   const auto answer = sendRequest(c, "POST", "/book/1");
   EXPECT_EQ(answer.result_int(), 503u);
-  EXPECT_EQ(answer["Retry-After"], "1.000");  // the maximum of the settings
+  EXPECT_EQ(answer["Retry-After"], "1.000");  // the configured maximum
   EXPECT_TRUE(host.received.empty());
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-// Some versions do not compile. Each request gets one answer, and all its handlers are of one version.
+// Some versions do not compile. Each request gets one response, and all its handlers are of one version.
 TEST_F(HookFilterTest, InstallsAHundredVersionsUnderLoad) {
   const auto of = [](int v) {
     const std::string n = std::to_string(v);
@@ -149,27 +150,28 @@
                 "\"); }\non attempt { set header(\"X-Attempt\", \"" + n +
                 "\"); }\non answer { set header(\"X-Answer\", \"" + n + "\"); }\n");
   };
-  std::vector<std::shared_ptr<Peer>> held;
-  host.handler = [&](const std::shared_ptr<Peer>& peer, const Received&) { held.push_back(peer); };
+  std::vector<std::shared_ptr<Peer>> pendingPeers;
+  host.handler = [&](const std::shared_ptr<Peer>& peer, const Received&) { pendingPeers.push_back(peer); };
   install({of(0)});
   start();
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 8; ++i) clients.push_back(client());
   for (int v = 1; v <= 100; ++v) {
-    // The next version is installed while the host has all requests.
+    // The next version is installed while the requests are pending at the host.
     for (const auto& c : clients) c->sendRequest("GET", "/read/1", 2500);
-    // On a slow machine the load balancer may reject a request because of the host's latency; it is answered
-    // then.
+    // On a slow machine the load balancer may reject a request because of the host's latency, so it already
+    // has a response.
     ASSERT_TRUE(runUntil(io, [&] {
-      const auto had = std::count_if(clients.begin(), clients.end(),
-                                     [&](const auto& c) { return c->answers.size() == std::size_t(v); });
-      return held.size() + static_cast<std::size_t>(had) == clients.size();
+      const auto answered = std::count_if(clients.begin(), clients.end(),
+                                          [&](const auto& c) { return c->answers.size() == std::size_t(v); });
+      return pendingPeers.size() + static_cast<std::size_t>(answered) == clients.size();
     }));
     std::vector<Problem> problems;
     if (v % 10 == 0)
-      EXPECT_FALSE(compile("hook \"v\";\non request { oops }\n", problems));  // the previous version stays
+      EXPECT_FALSE(
+          compile("hook \"v\";\non request { oops }\n", problems));  // the previous version stays installed
     else install({of(v)});
-    for (const auto& peer : std::exchange(held, {})) peer->reply(200, "ok");
+    for (const auto& peer : std::exchange(pendingPeers, {})) peer->reply(200, "ok");
     ASSERT_TRUE(runUntil(io, [&] {
       return std::all_of(clients.begin(), clients.end(),
                          [&](const auto& c) { return c->answers.size() == std::size_t(v); });
@@ -178,9 +180,10 @@
   ASSERT_GT(host.received.size(), 400u);
   for (const auto& r : host.received) EXPECT_EQ(r["X-Request"], r["X-Attempt"]);
   for (std::size_t v = 0; v < 100; ++v) {
-    const std::size_t began = v % 10 == 0 && v > 0 ? v - 1 : v;
+    const std::size_t startedVersion = v % 10 == 0 && v > 0 ? v - 1 : v;
     for (const auto& c : clients)
-      if (c->answers[v].result_int() == 200) EXPECT_EQ(c->answers[v]["X-Answer"], std::to_string(began)) << v;
+      if (c->answers[v].result_int() == 200)
+        EXPECT_EQ(c->answers[v]["X-Answer"], std::to_string(startedVersion)) << v;
   }
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
@@ -198,25 +201,25 @@
 }
 
 TEST_F(HookFilterTest, IgnoresRequestsThatArrivedBeforeTheHooks) {
-  std::vector<std::shared_ptr<Peer>> held;
-  host.handler = [&](const std::shared_ptr<Peer>& peer, const Received&) { held.push_back(peer); };
+  std::vector<std::shared_ptr<Peer>> pendingPeers;
+  host.handler = [&](const std::shared_ptr<Peer>& peer, const Received&) { pendingPeers.push_back(peer); };
   json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", host.endpoint())}));
   gateway = std::make_unique<Gateway>(io, clock, readConfig(config.dump(), clock));
   gateway->start();
   const auto c = client();
   c->sendRequest("GET", "/read/1", 2500);
-  ASSERT_TRUE(runUntil(io, [&] { return held.size() == 1; }));
+  ASSERT_TRUE(runUntil(io, [&] { return pendingPeers.size() == 1; }));
   install({spec("hook \"a\";\non answer { set header(\"X-Saw\", \"1\"); }\n")});
   gateway->attach(hooks);
-  held[0]->reply(200, "ok");
+  pendingPeers[0]->reply(200, "ok");
   ASSERT_TRUE(runUntil(io, [&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0]["X-Saw"], "");
   host.handler = [](const auto& peer, const Received&) { peer->reply(200, "ok"); };
   EXPECT_EQ(sendRequest(c, "GET", "/read/1")["X-Saw"], "1");
 }
 
-// The limit of what a hook may read of a body does not cut the body that the host receives.
-TEST_F(HookFilterTest, ForwardsCompleteBodiesWhateverAHookReads) {
+// maxBodyBytes limits what a hook may read, not the body that the host receives.
+TEST_F(HookFilterTest, ForwardsCompleteBodiesBeyondTheHooksReadLimit) {
   ChainSettings settings;
   settings.maxBodyBytes = 2;
   install(
