--- a/src/hook/hook_chain.cpp
+++ b/src/hook/hook_chain.cpp
@@ -175,7 +175,7 @@
                                                   : "; requests in its scope pass without it meanwhile";
   state.lines.guaranteeNext();
   report(now, state,
-         hookName(spec) + " is suspended for " + formatMilliseconds(suspension.duration) + " after " + cause +
+         hookName(spec) + " is set aside for " + formatMilliseconds(suspension.duration) + " after " + cause +
              consequence);
 }
 
