--- a/tests/tools/doc_paths_test.sh
+++ b/tests/tools/doc_paths_test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Every path of the repository that a page names in backticks exists: src/..., include/..., tests/..., tools/...,
-# bench/..., docs/..., deploy/..., with * for any text.
+# Checks that each repository path in backticks on a page exists: src/..., include/..., tests/..., tools/...,
+# bench/..., docs/..., deploy/..., cmake/...; * matches any text.
 #   doc_paths_test.sh ROOT
 set -u
 cd "$1" || exit 1
--- a/tools/control_log.hpp
+++ b/tools/control_log.hpp
@@ -1,5 +1,5 @@
-// What a stand-in control machine knows: the set of documents, what each revision changed, and which version
-// each gateway has told of. No I/O.
+// State of a fake control machine: the documents, the keys changed by each revision, and the version that
+// each gateway last reported. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -19,17 +19,17 @@
 struct ControlReply {
   unsigned status = 200;
   std::string body;
-  double retryAfter = 0;  // seconds; 0: none
+  double retryAfter = 0;  // in seconds; 0: no Retry-After header
 };
 
 class ControlLog {
  public:
   struct Settings {
     std::uint64_t epoch = 1;
-    std::size_t kept = 1000;         // revisions of which it is known what they changed
-    double wholeBytesPerSecond = 0;  // of wholes that are given out; 0: no bound
+    std::size_t kept = 1000;         // latest revisions whose changes are kept
+    double wholeBytesPerSecond = 0;  // limit for snapshots; 0: no limit
   };
-  // What a gateway has told with its last poll.
+  // State that a gateway reported in its last poll.
   struct Report {
     configuration::Version inForce;
     std::optional<configuration::RejectedVersion> turnedDown;
@@ -38,7 +38,7 @@
   ControlLog() = default;
   explicit ControlLog(const Settings& settings) : settings_(settings), version_{settings.epoch, 0} {}
 
-  // A new revision; a key that stands twice in `changes` has its last document.
+  // Adds a revision. If a key occurs more than once in `changes`, its last document applies.
   configuration::Version publish(const std::vector<configuration::DocumentChange>& changes) {
     ++version_.revision;
     std::vector<std::string>& keys = changed_[version_.revision];
@@ -54,9 +54,9 @@
     cached_.clear();
     return version_;
   }
-  // Another writer goes on from here.
+  // Later revisions belong to `epoch`, as after a change of the writer.
   void takeOver(std::uint64_t epoch) { version_.epoch = epoch; }
-  // The next answers tell this hash in place of the true one: a replica that miscounts.
+  // Makes later answers carry a wrong hash, like a replica whose documents differ.
   void miscount(std::uint64_t by) { hash_ += by; }
 
   const configuration::Version& version() const { return version_; }
@@ -71,7 +71,7 @@
   void note(const configuration::PollRequest& poll) {
     reports_[poll.gatewayName] = {poll.state.version, poll.state.rejected};
   }
-  // None: there is nothing newer; the poll may be held. `now` in seconds.
+  // Returns nullopt if there is nothing newer; the poll may then be held. `now` is in seconds.
   std::optional<ControlReply> answer(const configuration::PollRequest& poll, double now) {
     const configuration::VersionState& at = poll.state;
     if (at.rejected && at.rejected->version == version_ && at.rejected->hash == hash_) return std::nullopt;
@@ -126,15 +126,16 @@
     return {200, text, 0};
   }
 
-  static constexpr std::uint64_t kWhole = UINT64_MAX;  // in cached_
+  static constexpr std::uint64_t kWhole = UINT64_MAX;  // key of the snapshot in cached_
 
   Settings settings_;
   configuration::Version version_{1, 0};
   std::uint64_t hash_ = 0;
   std::map<std::string, configuration::DocumentChange> documents_;
-  std::map<std::uint64_t, std::vector<std::string>> changed_;  // keys by revision
+  std::map<std::uint64_t, std::vector<std::string>> changed_;  // keys changed by each revision
   std::map<std::uint64_t, Point> history_;
-  std::map<std::uint64_t, std::string> cached_;  // texts of this revision, by the revision that is asked from
+  std::map<std::uint64_t, std::string>
+      cached_;  // serialized updates to the present version, by base revision
   std::map<std::string, Report> reports_;
   double freeAt_ = 0;
   std::uint64_t wholes_ = 0;
--- a/tools/control_machine.hpp
+++ b/tools/control_machine.hpp
@@ -1,4 +1,4 @@
-// A stand-in for a control machine on loopback: polls that are held, and faults on demand.
+// A fake control machine on loopback that serves long polls and can inject faults.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,10 +20,10 @@
 
 enum class ControlFault {
   none,
-  silent,   // takes calls and never answers, and what it had held stays unanswered too
-  half,     // answers in half, and says no more
-  cut,      // answers in half and closes
-  garbled,  // answers what is no update
+  silent,   // accepts polls but answers none, including those already held
+  half,     // sends half of each answer and keeps the connection open
+  cut,      // sends half of each answer and closes the connection
+  garbled,  // sends a body that is not a valid update
 };
 
 class ControlMachine {
@@ -50,11 +50,11 @@
     answerHeld();
     return version;
   }
-  // To be called when the log was changed from outside.
+  // Answers held polls for which there is a newer version. To be called after `log` was changed directly.
   void answerHeld() {
-    for (const auto& session : std::vector(held_.begin(), held_.end())) session->look();
+    for (const auto& session : std::vector(held_.begin(), held_.end())) session->answerIfNewer();
   }
-  // Its connections end, and nobody can connect any more.
+  // Closes the listener and all connections.
   void kill() {
     error_code ignored;
     acceptor_.close(ignored);
@@ -78,29 +78,29 @@
       boost::beast::http::async_read(socket, buffer, request,
                                      [self = shared_from_this()](error_code error, std::size_t) {
                                        if (error) return self->close();
-                                       self->onCall();
+                                       self->onRequest();
                                      });
     }
-    void onCall() {
+    void onRequest() {
       ++machine.polls_;
       poll =
           configuration::parsePollTarget(std::string_view(request.target().data(), request.target().size()));
-      if (!poll) return reply({400, "no such call", 0});
+      if (!poll) return reply({400, "unknown path", 0});
       machine.log.note(*poll);
       if (machine.fault == ControlFault::silent) return;
       machine.held_.insert(shared_from_this());
       timer.expires_after(std::min<std::chrono::nanoseconds>(poll->maxWait, std::chrono::minutes(1)));
       timer.async_wait([self = shared_from_this()](error_code stopped) {
-        if (!stopped && self->letGo()) self->reply(self->machine.log.noNews());
+        if (!stopped && self->releaseHeld()) self->reply(self->machine.log.noNews());
       });
-      look();
+      answerIfNewer();
     }
-    void look() {
+    void answerIfNewer() {
       if (machine.fault == ControlFault::silent) return;
-      if (auto answer = machine.log.answer(*poll, machine.now()); answer && letGo()) reply(*answer);
+      if (auto answer = machine.log.answer(*poll, machine.now()); answer && releaseHeld()) reply(*answer);
     }
-    // True: it was held.
-    bool letGo() { return machine.held_.erase(shared_from_this()) > 0; }
+    // Returns whether the poll was held.
+    bool releaseHeld() { return machine.held_.erase(shared_from_this()) > 0; }
     void reply(const ControlReply& answer) {
       timer.cancel();
       if (machine.fault == ControlFault::silent) return;
@@ -119,7 +119,7 @@
                                });
     }
     void close() {
-      letGo();
+      releaseHeld();
       timer.cancel();
       error_code ignored;
       socket.close(ignored);
--- a/tools/fake_upstream_config.hpp
+++ b/tools/fake_upstream_config.hpp
@@ -1,4 +1,4 @@
-// The platform's configuration as stand-ins and tests give it to a gateway. One place for its form.
+// Builds the JSON configuration and host lists that fake services, tests and benchmarks pass to a gateway.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,8 @@
 
 using nlohmann::json;
 
-struct Grade {  // a class of requests
+// Settings of a request class.
+struct Grade {
   std::string name, effect, group;
   double points = 1;
   std::int64_t aimNs = 3000000000, giveUpNs = 3000000000;
@@ -60,7 +61,8 @@
   return {{"index", index}, {"snapshot", whole}, {"endpoints", hosts}};
 }
 
-// A fleet of any size: names that are as long whatever the number, and hosts spread over five zones.
+// Names for deployments of any size. Their length does not depend on the index; hosts are spread over five
+// zones.
 inline std::string zoneName(std::size_t i) { return "zone-" + std::to_string(i % 5); }
 inline std::string hostName(std::size_t i) { return "host-" + std::to_string(100000 + i); }
 inline std::string tenantName(std::size_t i) { return "tenant-" + std::to_string(100000 + i); }
--- a/tools/long_poll_discovery.hpp
+++ b/tools/long_poll_discovery.hpp
@@ -1,5 +1,5 @@
-// A stand-in for discovery on loopback, for many gateways: whole lists, and watches that are held until a
-// host changes.
+// A fake discovery service on loopback for many gateways. It serves complete host lists, and long polls that
+// are held until a host changes or their timeout expires.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -35,14 +35,14 @@
     const auto at = acceptor_.local_endpoint();
     return at.address().to_string() + ":" + std::to_string(at.port());
   }
-  // One host has another status from now on; all watches are told.
+  // Changes the status of one host and answers all held polls.
   void change(std::size_t host, const std::string& status) {
     hosts_[host]["status"] = status;
     ++index_;
     changes_ = listJson(index_, false, json::array({hosts_[host]})).dump();
     for (const auto& session : std::vector(held_.begin(), held_.end())) session->reply(changes_);
   }
-  std::uint64_t bytes() const { return bytes_; }  // both ways
+  std::uint64_t bytes() const { return bytes_; }  // received and sent
   std::uint64_t calls() const { return calls_; }
 
  private:
@@ -55,10 +55,10 @@
       boost::beast::http::async_read(socket, buffer, request,
                                      [self = shared_from_this()](error_code error, std::size_t bytes) {
                                        self->discovery.bytes_ += bytes;
-                                       if (!error) self->onCall();
+                                       if (!error) self->onRequest();
                                      });
     }
-    void onCall() {
+    void onRequest() {
       ++discovery.calls_;
       const std::string target(request.target());
       const std::size_t since = target.find("since="), wait = target.find("timeout_ms=");
