--- a/tools/fake_upstream.cpp
+++ b/tools/fake_upstream.cpp
@@ -1,8 +1,8 @@
-// finchstile-fake-upstream: hosts that answer 200 and a discovery that lists them, on loopback, for trying
-// the gateway and for measurements. Writes a configuration for the gateway with ports that the system has
-// chosen, prints "ready", and serves until it gets SIGTERM or SIGINT or its time is up. It is no model of a
-// server: a host answers at once, or after a fixed time. Exit code 0, or 2 with a line on standard error if
-// an option makes no sense or the configuration cannot be written.
+// finchstile-fake-upstream: hosts that answer 200 and a discovery service that lists them, on loopback, for
+// trying out the gateway and for benchmarks. Writes a configuration for the gateway with ports assigned by
+// the system, prints "ready", and serves until SIGTERM, SIGINT or the end of --seconds. It does not model the
+// behaviour of real hosts: a host answers immediately or after a fixed time. The exit code is 0, or 2 with a
+// line on standard error if an option is invalid or the configuration cannot be written.
 //
 //   finchstile-fake-upstream --config FILE [--hosts N] [--work-ms N] [--seconds N] [--listen ADDRESS:PORT]
 #include <boost/asio/io_context.hpp>
@@ -35,11 +35,11 @@
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 
-constexpr std::chrono::seconds kWatchTime(2);  // for which discovery holds a call without news
+constexpr std::chrono::seconds kWatchTime(2);  // for which discovery holds a poll without changes
 
 struct Options {
   std::string configPath;
-  std::string listen = "127.0.0.1:0";  // of the gateway; port 0: one that is free now
+  std::string listen = "127.0.0.1:0";  // of the gateway; port 0: a free port is chosen
   int hosts = 2;
   int workMs = 0;
   int seconds = 600;
@@ -58,7 +58,7 @@
   Options options;
   for (int i = 1; i < argc; i += 2) {
     const std::string name = argv[i];
-    if (i + 1 >= argc) throw std::invalid_argument(name + " wants a value");
+    if (i + 1 >= argc) throw std::invalid_argument(name + " needs a value");
     const char* const value = argv[i + 1];
     if (name == "--config") options.configPath = value;
     else if (name == "--listen") options.listen = value;
@@ -68,7 +68,7 @@
     else throw std::invalid_argument("unknown option " + name);
   }
   if (options.configPath.empty())
-    throw std::invalid_argument("--config is missing: where to write the configuration");
+    throw std::invalid_argument("--config is missing: it names the file to write the configuration to");
   return options;
 }
 
@@ -77,10 +77,10 @@
 }
 
 using SendResponse = std::function<void(Response)>;
-// Calls `send` once for each request, at once or later.
+// Calls `send` once for each request, immediately or later.
 using RequestHandler = std::function<void(const Request&, const SendResponse& send)>;
 
-// One connection to a host or to discovery. Lives until the other side closes it; `handler` must outlive it.
+// One connection to a host or to discovery. It lives until the peer closes it; `handler` must outlive it.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   Session(tcp::socket socket, const RequestHandler& handler)
@@ -136,7 +136,8 @@
   const RequestHandler handler_;
 };
 
-// A port that is free now, for a gateway that is started next and cannot tell which port it was given.
+// Replaces port 0 by a port that is free now. The gateway is started later and does not report a port that
+// the system assigned to it.
 std::string chooseListenAddress(asio::io_context& io, const std::string& listen) {
   if (listen.size() < 2 || listen.compare(listen.size() - 2, 2, ":0") != 0) return listen;
   const auto address = asio::ip::make_address(listen.substr(0, listen.size() - 2));
--- a/tools/reconnect_surge/model.cpp
+++ b/tools/reconnect_surge/model.cpp
@@ -10,10 +10,10 @@
 
 constexpr Duration kTick = std::chrono::milliseconds(5);
 constexpr Time kStart = std::chrono::hours(24);
-constexpr double kReplacementDelay = 3;     // from a worker's drain to the listing of its successor
-constexpr double kConnectTime = 0.005;      // until a stream has begun
-constexpr double kSettleTime = 10;          // from the last first connection to the first replacement
-constexpr double kObservationTime = 60;     // behind the last replacement
+constexpr double kReplacementDelay = 3;     // from a worker's drain to the listing of its replacement
+constexpr double kConnectTime = 0.005;      // until a stream has started
+constexpr double kSettleTime = 10;          // from the end of the connection phase to the first replacement
+constexpr double kObservationTime = 60;     // after the last replacement
 constexpr double kMinRetryDelay = 0.05;     // of a client whose stream was ended or rejected
 constexpr double kRetryDelaySpread = 0.45;  // of a client whose stream was ended, above the minimum
 constexpr double kClientTimeout = 2;
@@ -130,7 +130,7 @@
   }
 }
 
-// Each gateway plans the end of the streams that it has at the worker.
+// Each gateway schedules the end of its streams at the worker.
 void Model::drain(std::size_t worker) {
   for (std::size_t g = 0; g < gateways_.size(); ++g) {
     std::vector<std::uint64_t> streams;
@@ -157,7 +157,7 @@
   }
 }
 
-// At a gateway drawn at random, as a plain front end deals out connections.
+// Uses a random gateway, like a front end that distributes connections at random.
 void Model::requestStream(std::size_t clientIndex) {
   Client& client = clients_[clientIndex];
   client.gateway = engine_() % gateways_.size();
--- a/tools/reconnect_surge/model.hpp
+++ b/tools/reconnect_surge/model.hpp
@@ -1,6 +1,6 @@
-// A model of a rolling deploy under long-held streams: gateways with the real decision module and drain plan,
-// workers that are replaced one after another, and clients that reconnect when their stream is ended.
-// Simulated time, no I/O, and the same run for the same seed.
+// Simulation of a rolling deploy with long-lived streams: gateways with the real decision module and drain
+// plan, workers that are replaced one after another, and clients that reconnect when their stream is ended.
+// Time is simulated, there is no I/O, and a run is determined by its seed.
 #pragma once
 
 #include <cmath>
@@ -17,29 +17,30 @@
 
 namespace finchstile::reconnect_surge {
 
-// Times are in seconds, rates in streams a second.
+// Times are in seconds, rates in streams per second.
 struct Options {
   std::size_t workers = 6, gateways = 2, streams = 2000;
-  double workerRate = 20;           // streams that may begin at one worker; 0: no bound
-  double drainTime = 20;            // in which a draining worker's streams are ended
-  double gatewayEndRate = 100;      // streams that one gateway ends; 0: no bound
-  double replacementInterval = 25;  // from one worker's drain to the next one's
-  double retrySpread = 10;          // over which rejected clients are told to come back
+  double workerRate = 20;           // limit for streams started at one worker; 0: no limit
+  double drainTime = 20;            // within which the streams of a draining worker are ended
+  double gatewayEndRate = 100;      // streams ended by one gateway; 0: no limit
+  double replacementInterval = 25;  // between the drains of two workers
+  double retrySpread = 10;          // over which retries of rejected clients are spread
   double warmUpTime = 9;
   double initialCapacityFraction = 0.32;
-  bool spreadsDrain = true;  // else all streams of a draining worker are ended at once
+  bool spreadsDrain = true;  // false: all streams of a draining worker are ended at the same time
   std::uint64_t seed = 1;
 };
 
-inline constexpr double kNotificationDelay = 1;  // from a worker's change to the endpoint list that has it
-inline constexpr double kDrainGrace = 0.5;       // from that list on, until nothing new may begin there
+inline constexpr double kNotificationDelay =
+    1;                                      // from a change of a worker to the endpoint list that shows it
+inline constexpr double kDrainGrace = 0.5;  // from that list until no stream may start at the worker
 
 struct Worker {
   std::string name;
-  double startedAt = 0;  // 0: long ago
+  double startedAt = 0;  // 0: long before the run
   double drainsAt = HUGE_VAL;
   std::size_t openStreams = 0;
-  std::vector<double> streamStarts;  // times, in order
+  std::vector<double> streamStarts;  // in ascending order
 };
 
 struct Sample {
@@ -55,17 +56,15 @@
   void run();
 
   const std::vector<Worker>& workers() const { return workers_; }
-  const std::vector<Sample>& samples() const { return samples_; }  // one a second
+  const std::vector<Sample>& samples() const { return samples_; }  // one per second
   std::size_t rejections() const { return rejections_; }
-  double longestReconnect() const {
-    return longestReconnect_;
-  }  // once all streams were open for the first time
+  double longestReconnect() const { return longestReconnect_; }  // after the initial connection phase
 
  private:
   struct Client {
     enum class State { waiting, connecting, connected };
     State state = State::waiting;
-    double nextEventAt = 0;  // when it asks for a stream, or when its stream begins
+    double nextEventAt = 0;  // when it requests a stream, or when its stream starts
     std::size_t gateway = 0, worker = 0;
     load_balancing::RequestId request = 0;
     std::uint32_t attempt = 0;
@@ -108,7 +107,7 @@
   std::size_t replacedWorkers_ = 0;
   std::size_t rejections_ = 0;
   double now_ = 0;
-  double connectPhase_ = 0;  // in which all clients come for the first time
+  double connectPhase_ = 0;  // duration over which the first connections of all clients are spread
   double nextSampleAt_ = 0;
   double longestReconnect_ = 0;
 };
--- a/tools/reconnect_surge/report.cpp
+++ b/tools/reconnect_surge/report.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t kSecondsPerRow = 10;
-// Bounds: the rate a worker may see in any second, beyond the rate that was set and the burst that each
-// gateway may add, and how far the workers may differ at the end, against the mean.
+// Limits: the streams started at a worker in any second, as a factor of the configured rate plus a burst for
+// each gateway, and the spread of streams among the replacements at the end, as a fraction of the mean.
 constexpr double kMaxRateFactor = 1.3;
 constexpr double kBurstPerGateway = 2;
 constexpr double kMaxSpread = 0.4;
@@ -19,11 +19,11 @@
 struct Figures {
   std::size_t startsAfterDrainGrace = 0;
   double maxStartsPerSecond = 0;
-  double maxWarmUpRateFactor = 0;  // starts a second at a warming worker, against its part of the rate
-  std::size_t fewestStreams = SIZE_MAX, mostStreams = 0;  // of a replacement, at the end
+  double maxWarmUpRateFactor = 0;  // starts per second at a warming worker / its part of the rate
+  std::size_t fewestStreams = SIZE_MAX, mostStreams = 0;  // of any replacement, at the end
 };
 
-// Of a worker: streams that began in the second that ends with each start.
+// Counts, for each start at the worker, the streams started there within the second before it.
 void countStarts(const Worker& worker, const Options& options, Figures& figures) {
   const std::vector<double>& starts = worker.streamStarts;
   std::size_t first = 0;
--- a/tools/reconnect_surge/report.hpp
+++ b/tools/reconnect_surge/report.hpp
@@ -1,4 +1,4 @@
-// What a run of the model shows: a table, a verdict on the bounds that a deploy has to keep, and a drawing.
+// Output of a simulation run: a table, the check of the limits for a deploy, and a chart.
 #pragma once
 
 #include <string>
@@ -7,11 +7,11 @@
 
 namespace finchstile::reconnect_surge {
 
-// Prints streams by worker over time and the figures that the bounds are about. Returns whether all bounds
-// held.
+// Prints the streams of each worker over time and the figures that are subject to limits. Returns whether all
+// limits were met.
 bool printReport(const Model& model, const Options& options);
 
-// Draws the streams of each worker over time as SVG; a file that cannot be written is left out in silence.
+// Draws the streams of each worker over time as SVG; if the file cannot be written, no error is reported.
 void drawStreams(const Model& model, const std::string& path);
 
 }  // namespace finchstile::reconnect_surge
--- a/tools/simulated_gateways.cpp
+++ b/tools/simulated_gateways.cpp
@@ -1,15 +1,16 @@
-// Many gateways without traffic in one process, on the real control code (the gateway with its module, the
-// discovery client, the configuration's client), against stand-ins for discovery and the control machines on
-// loopback. Tells how long changes take from publish to in force, and what control costs a gateway in bytes,
-// processor time and memory.
+// Runs many gateways without traffic in one process, with the real control code (the gateway with its
+// decision module, the discovery client and the configuration client), against a fake discovery service and
+// fake control machines on loopback. Reports the time from publication of a change until it is in force, and
+// the bytes, processor time and memory that control costs each gateway.
 //
 //   build-bench/finchstile-simulated-gateways [--gateways N] [--hosts N] [--tenants N] [--machines N]
 //   [--changes N]
 //                                 [--scenario NAME] [--seed N] [--most-seconds N] [--out FILE.tsv]
 //
-// Scenarios: idle, single, burst (27 changes a second), kill, silent and silent2 (one control machine, or
-// two, at each change), restart (a tenth of the gateways at each change), apart (half of them for 70
-// changes), start (all at once), hosts.
+// Scenarios: idle; single (one change at a time); burst (27 changes per second); kill, silent and silent2
+// (one control machine is stopped, or one or two do not answer, at each change); restart (of a tenth of the
+// gateways at each change); apart (half of the gateways are disconnected for 70 changes); start (all gateways
+// at the same time); hosts (changes of hosts).
 #include <pthread.h>
 #include <sys/resource.h>
 
@@ -49,37 +50,37 @@
 using std::chrono::seconds;
 using WallTime = std::chrono::steady_clock::time_point;
 
-constexpr double kMemoryShare = 0.5;               // of the machine's, at the most
-constexpr std::size_t kDescriptorsPerGateway = 5;  // its listener, and both ends of two connections
-constexpr std::size_t kDescriptorsBeside = 200;
-// What a gateway needs, by measurements of this program, rounded up.
+constexpr double kMaxMemoryFraction = 0.5;         // maximum fraction of the machine's memory
+constexpr std::size_t kDescriptorsPerGateway = 5;  // its listener and both ends of two connections
+constexpr std::size_t kOtherDescriptors = 200;
+// Memory needed by a gateway and by each of its hosts and tenants, rounded up.
 constexpr double kBytesPerGateway = 200e3, kBytesPerHost = 6000, kBytesPerTenant = 700;
-constexpr const char* kNoHost = "127.0.0.1:1";  // nothing is sent to it
+constexpr const char* kNoHost = "127.0.0.1:1";  // address of all hosts; no request is sent there
 constexpr int kSingleRounds = 10;
 constexpr double kBurstPerSecond = 1600.0 / 60;
-constexpr std::size_t kApartChanges = 70;
+constexpr std::size_t kChangesWhileDisconnected = 70;
 constexpr std::size_t kRestartedOneIn = 10;
-constexpr seconds kIdleFor(10);
-constexpr seconds kGiveUpAfter(180);
-constexpr std::size_t kWorkers = 4;
-constexpr std::size_t kKept = 10000;           // revisions of which a machine knows what they changed
-constexpr double kWholeBytesPerSecond = 25e6;  // of wholes that one control machine gives out
+constexpr seconds kIdleTime(10);
+constexpr seconds kMaxWait(180);
+constexpr std::size_t kWorkerThreads = 4;
+constexpr std::size_t kRetainedRevisions = 10000;  // revisions whose changes a control machine keeps
+constexpr double kSnapshotBytesPerSecond = 25e6;   // limit for snapshots of one control machine
 const std::vector<std::string> kScenarios = {"idle",    "single",  "burst", "kill",  "silent",
                                              "silent2", "restart", "apart", "start", "hosts"};
 
 struct Options {
   std::size_t gateways = 520, hosts = 46, tenants = 27000, machines = 4, changes = 400;
   std::uint64_t seed = 1;
-  std::size_t mostSeconds = 0;  // until in force, else it fails; 0: no bound
+  std::size_t maxSeconds = 0;  // limit for the time until a change is in force; 0: no limit
   std::string scenario, out;
 };
 
-std::size_t count(const std::string& name, const std::string& text, std::size_t least, std::size_t most) {
+std::size_t count(const std::string& name, const std::string& text, std::size_t min, std::size_t max) {
   std::size_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size() || value < least || value > most)
-    throw std::invalid_argument(name + " must be a number from " + std::to_string(least) + " to " +
-                                std::to_string(most) + ", and is '" + text + "'");
+  if (error != std::errc{} || end != text.data() + text.size() || value < min || value > max)
+    throw std::invalid_argument(name + " must be a number from " + std::to_string(min) + " to " +
+                                std::to_string(max) + ", and is '" + text + "'");
   return value;
 }
 
@@ -87,7 +88,7 @@
   Options o;
   for (int i = 1; i < argc; i += 2) {
     const std::string name = argv[i];
-    if (i + 1 >= argc) throw std::invalid_argument(name + " wants a value");
+    if (i + 1 >= argc) throw std::invalid_argument(name + " needs a value");
     const std::string value = argv[i + 1];
     if (name == "--gateways") o.gateways = count(name, value, 1, 100000);
     else if (name == "--hosts") o.hosts = count(name, value, 1, 65535);
@@ -95,7 +96,7 @@
     else if (name == "--machines") o.machines = count(name, value, 1, 64);
     else if (name == "--changes") o.changes = count(name, value, 1, 100000);
     else if (name == "--seed") o.seed = count(name, value, 0, SIZE_MAX);
-    else if (name == "--most-seconds") o.mostSeconds = count(name, value, 1, 3600);
+    else if (name == "--most-seconds") o.maxSeconds = count(name, value, 1, 3600);
     else if (name == "--scenario") o.scenario = value;
     else if (name == "--out") o.out = value;
     else throw std::invalid_argument("unknown option " + name);
@@ -113,53 +114,54 @@
   return kilobytes * 1024;
 }
 
-// Throws where the size does not fit this machine, and says what does. Nothing has been started then.
+// Throws if the number of gateways exceeds the memory or descriptors of this machine; the error gives the
+// maximum. Called before anything is started.
 void checkSize(const Options& o) {
   const double each = kBytesPerGateway + kBytesPerHost * static_cast<double>(o.hosts) +
                       kBytesPerTenant * static_cast<double>(o.tenants);
-  const auto byMemory = static_cast<std::size_t>(kMemoryShare * memoryOfMachine() / each);
+  const auto byMemory = static_cast<std::size_t>(kMaxMemoryFraction * memoryOfMachine() / each);
   rlimit files{};
   getrlimit(RLIMIT_NOFILE, &files);
-  const std::size_t free = files.rlim_cur > kDescriptorsBeside ? files.rlim_cur - kDescriptorsBeside : 0;
+  const std::size_t free = files.rlim_cur > kOtherDescriptors ? files.rlim_cur - kOtherDescriptors : 0;
   const std::size_t byDescriptors = free / kDescriptorsPerGateway;
-  const std::size_t most = std::min(byMemory, byDescriptors);
-  if (o.gateways <= most) return;
-  throw std::invalid_argument(std::to_string(o.gateways) + " gateways do not fit: " + std::to_string(most) +
-                              " with " + std::to_string(o.hosts) + " hosts and " + std::to_string(o.tenants) +
-                              " tenants, by " +
-                              (byMemory < byDescriptors ? "half of the memory" : "descriptors"));
+  const std::size_t maxGateways = std::min(byMemory, byDescriptors);
+  if (o.gateways <= maxGateways) return;
+  throw std::invalid_argument(
+      std::to_string(o.gateways) + " gateways do not fit: " + std::to_string(maxGateways) + " with " +
+      std::to_string(o.hosts) + " hosts and " + std::to_string(o.tenants) + " tenants, by " +
+      (byMemory < byDescriptors ? "half of the memory" : "descriptors"));
 }
 
 DocumentChange tenant(std::size_t i, double quota) {
   return {"tenant/" + tenantName(i), TenantDocument{tenantName(i), quota}};
 }
 
-// The control machines and discovery, on a thread of their own, so that their processor time is not the
-// gateways'.
-class ControlSide {
+// The control machines and discovery. They run on a separate thread, so that their processor time can be
+// subtracted from that of the gateways.
+class ControlPlane {
  public:
-  explicit ControlSide(const Options& o) : discovery_(io_, fake_upstream::hostsJson(o.hosts, kNoHost)) {
+  explicit ControlPlane(const Options& o) : discovery_(io_, fake_upstream::hostsJson(o.hosts, kNoHost)) {
     for (std::size_t i = 0; i < o.machines; ++i)
       machines_.push_back(std::make_unique<fake_upstream::ControlMachine>(
-          io_, fake_upstream::ControlLog::Settings{1, kKept, kWholeBytesPerSecond}));
+          io_, fake_upstream::ControlLog::Settings{1, kRetainedRevisions, kSnapshotBytesPerSecond}));
     std::vector<DocumentChange> all;
     for (std::size_t i = 0; i < o.tenants; ++i) all.push_back(tenant(i, 50));
     for (auto& machine : machines_) machine->log.publish(all);
     thread_ = std::thread([this] { io_.run(); });
     pthread_getcpuclockid(thread_.native_handle(), &processorClock_);
   }
-  ~ControlSide() {
+  ~ControlPlane() {
     io_.stop();
     thread_.join();
   }
-  // Runs on the machines' thread, and returns what it returns.
+  // Runs `work` on the thread of the control machines and returns its result.
   template <class Work>
   auto on(Work work) {
     std::promise<decltype(work())> done;
     asio::post(io_, [&] { done.set_value(work()); });
     return done.get_future().get();
   }
-  // One revision at all machines at once: what replicates it between them is none of this program's.
+  // Publishes a revision at all machines; replication between the machines is not simulated.
   configuration::Version publish(const std::vector<DocumentChange>& changes) {
     return on([&] {
       configuration::Version version;
@@ -184,8 +186,8 @@
   clockid_t processorClock_{};
 };
 
-// One gateway without traffic.
-struct HollowGateway {
+// A gateway without traffic.
+struct SimulatedGateway {
   std::unique_ptr<Gateway> gateway;
   std::unique_ptr<configuration::Client> client;
   std::uint64_t revision = 0;                      // in force
@@ -213,7 +215,7 @@
     }
   }
   ~SimulatedGateways() {
-    for (HollowGateway& g : gateways_) g.client.reset();
+    for (SimulatedGateway& g : gateways_) g.client.reset();
     workers_.join();
     io_.poll();
   }
@@ -268,13 +270,14 @@
     control_.on([&] { return control_.machine(machine).fault = fault, 0; });
   }
 
-  // The loop, until it is reached. Throws if that takes too long: whatever it shows, it is no figure.
+  // Runs the event loop until `reached` returns true. Throws after kMaxWait, as the result would not be
+  // valid.
   void until(const std::function<bool()>& reached, const char* what) {
-    const WallTime end = std::chrono::steady_clock::now() + kGiveUpAfter;
+    const WallTime end = std::chrono::steady_clock::now() + kMaxWait;
     while (!reached()) {
       if (std::chrono::steady_clock::now() > end)
         throw std::runtime_error(std::string(what) + " was not reached within " +
-                                 std::to_string(kGiveUpAfter.count()) + " s");
+                                 std::to_string(kMaxWait.count()) + " s");
       io_.restart();
       io_.run_for(milliseconds(1));
     }
@@ -285,7 +288,7 @@
   }
 
   void make(std::size_t number) {
-    HollowGateway& g = gateways_[number];
+    SimulatedGateway& g = gateways_[number];
     json config = config_;
     config["settings"]["myNumber"] = number;
     GatewayConfig read = readConfig(config.dump(), clock_);
@@ -306,31 +309,32 @@
         [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); });
     g.client->start();
   }
-  // Its configuration begins anew, with nothing kept on disk.
+  // Restarts the configuration client without a stored configuration.
   void restart(std::size_t number) {
-    HollowGateway& g = gateways_[number];
-    bytesOfRetired_ += g.client->bytesSent() + g.client->bytesReceived();
+    SimulatedGateway& g = gateways_[number];
+    bytesOfReplacedClients_ += g.client->bytesSent() + g.client->bytesReceived();
     g.client.reset();
     g.revision = 0;
     make(number);
   }
   bool allHave(std::uint64_t revision) const {
     return std::all_of(gateways_.begin(), gateways_.end(),
-                       [&](const HollowGateway& g) { return g.revision >= revision; });
+                       [&](const SimulatedGateway& g) { return g.revision >= revision; });
   }
 
   void start() {
     const std::int64_t bytesBefore = bench::allocatedBytes();
     const double cpuBefore = gatewaySeconds();
     gateways_.resize(options_.gateways);
-    const WallTime begun = std::chrono::steady_clock::now();
+    const WallTime startedAt = std::chrono::steady_clock::now();
     for (std::size_t i = 0; i < gateways_.size(); ++i) make(i);
     until([&] { return allHave(1); }, "the start");
     std::printf("start\n");
     Samples took;
-    for (const HollowGateway& g : gateways_) took.values.push_back(secondsSince(begun, g.inForceSince.at(1)));
+    for (const SimulatedGateway& g : gateways_)
+      took.values.push_back(secondsSince(startedAt, g.inForceSince.at(1)));
     add("start", "s until in force", "s", took);
-    playFor(seconds(1));  // buffers of the wholes go
+    playFor(seconds(1));  // until the buffers of the snapshots are released
     addOne("start", "memory a gateway", "MB",
            static_cast<double>(bench::allocatedBytes() - bytesBefore) * 1e-6 / perGateway());
     addOne("start", "processor time a gateway", "ms", 1e3 * (gatewaySeconds() - cpuBefore) / perGateway());
@@ -338,11 +342,11 @@
 
   void idle() {
     Meter meter(*this);
-    playFor(kIdleFor);
+    playFor(kIdleTime);
     meter.add("idle");
   }
 
-  // One change after another; `before` brings about what is to go on at the change, `after` ends it.
+  // Publishes changes one after another; `before` sets up a fault before each change, `after` ends it.
   void rounds(const std::string& name, const std::function<void(std::size_t)>& before,
               const std::function<void(std::size_t)>& after) {
     Samples took;
@@ -354,7 +358,7 @@
       const auto version =
           control_.publish({tenant(engine_() % options_.tenants, static_cast<double>(1 + engine_() % 100))});
       until([&] { return allHave(version.revision); }, "a change");
-      for (const HollowGateway& g : gateways_)
+      for (const SimulatedGateway& g : gateways_)
         took.values.push_back(secondsSince(published, g.inForceSince.at(version.revision)));
       after(i);
     }
@@ -376,16 +380,17 @@
     until([&] { return allHave(published.back().first); }, "the burst");
     Samples took;
     for (const auto& [revision, when] : published)
-      for (const HollowGateway& g : gateways_)
+      for (const SimulatedGateway& g : gateways_)
         took.values.push_back(secondsSince(when, g.inForceSince.at(revision)));
     add("burst", "s until in force", "s", took);
   }
 
-  // Half of the gateways reach no machine while there are changes, and all come back in the same moment.
+  // Stops the clients of half of the gateways, publishes changes, and restarts all of these clients at the
+  // same time.
   void apart() {
     for (std::size_t g = 0; g < gateways_.size(); g += 2) gateways_[g].client->stop();
     configuration::Version version;
-    for (std::size_t i = 0; i < kApartChanges; ++i)
+    for (std::size_t i = 0; i < kChangesWhileDisconnected; ++i)
       version =
           control_.publish({tenant(engine_() % options_.tenants, static_cast<double>(1 + engine_() % 100))});
     playFor(seconds(3));
@@ -400,7 +405,7 @@
     meter.add("apart");
   }
 
-  // Changes of hosts, one after another: what discovery's watch costs a gateway.
+  // Changes hosts one after another and measures the cost of discovery polls for each gateway.
   void hosts() {
     Meter meter(*this);
     const std::uint64_t bytes = control_.on([&] { return control_.discovery().bytes(); });
@@ -417,29 +422,29 @@
            static_cast<double>(after - bytes) / perGateway() / kSingleRounds);
   }
 
-  // What a stretch of time costs.
+  // Measures the cost of the time between its construction and add().
   class Meter {
    public:
-    explicit Meter(SimulatedGateways& hollow)
-        : hollow_(hollow),
-          begun_(std::chrono::steady_clock::now()),
-          cpu_(hollow.gatewaySeconds()),
-          controlCpu_(hollow.control_.processorSeconds()),
-          bytes_(hollow.configurationBytes()) {}
+    explicit Meter(SimulatedGateways& simulation)
+        : simulation_(simulation),
+          startedAt_(std::chrono::steady_clock::now()),
+          cpu_(simulation.gatewaySeconds()),
+          controlCpu_(simulation.control_.processorSeconds()),
+          bytes_(simulation.configurationBytes()) {}
     void add(const std::string& name) {
-      const double took = secondsSince(begun_, std::chrono::steady_clock::now());
-      const double gateways = hollow_.perGateway();
-      hollow_.addOne(name, "configuration's bytes a gateway", "B/s",
-                     static_cast<double>(hollow_.configurationBytes() - bytes_) / gateways / took);
-      hollow_.addOne(name, "processor time a gateway", "% core",
-                     100 * (hollow_.gatewaySeconds() - cpu_) / gateways / took);
-      hollow_.addOne(name, "processor time of all machines", "% core",
-                     100 * (hollow_.control_.processorSeconds() - controlCpu_) / took);
+      const double took = secondsSince(startedAt_, std::chrono::steady_clock::now());
+      const double gateways = simulation_.perGateway();
+      simulation_.addOne(name, "configuration's bytes a gateway", "B/s",
+                         static_cast<double>(simulation_.configurationBytes() - bytes_) / gateways / took);
+      simulation_.addOne(name, "processor time a gateway", "% core",
+                         100 * (simulation_.gatewaySeconds() - cpu_) / gateways / took);
+      simulation_.addOne(name, "processor time of all machines", "% core",
+                         100 * (simulation_.control_.processorSeconds() - controlCpu_) / took);
     }
 
    private:
-    SimulatedGateways& hollow_;
-    const WallTime begun_;
+    SimulatedGateways& simulation_;
+    const WallTime startedAt_;
     const double cpu_, controlCpu_;
     const std::uint64_t bytes_;
   };
@@ -450,8 +455,8 @@
   double perGateway() const { return static_cast<double>(options_.gateways); }
   double gatewaySeconds() const { return bench::processorSeconds() - control_.processorSeconds(); }
   std::uint64_t configurationBytes() const {
-    std::uint64_t all = bytesOfRetired_;
-    for (const HollowGateway& g : gateways_)
+    std::uint64_t all = bytesOfReplacedClients_;
+    for (const SimulatedGateway& g : gateways_)
       if (g.client) all += g.client->bytesSent() + g.client->bytesReceived();
     return all;
   }
@@ -464,23 +469,23 @@
            const Samples& all) {
     table_.add({scenario, perGateway(), cost, unit, all});
     addOne(scenario, cost + ", p99", unit, all.quantile(0.99));
-    if (options_.mostSeconds > 0 && scenario != "start" &&
-        all.most() > static_cast<double>(options_.mostSeconds))
+    if (options_.maxSeconds > 0 && scenario != "start" &&
+        all.most() > static_cast<double>(options_.maxSeconds))
       throw std::runtime_error(scenario + ": " + cost + " were more than " +
-                               std::to_string(options_.mostSeconds));
+                               std::to_string(options_.maxSeconds));
   }
 
   const Options options_;
   const Clock clock_;
-  ControlSide control_;
+  ControlPlane control_;
   asio::io_context io_{1};
-  asio::thread_pool workers_{kWorkers};
+  asio::thread_pool workers_{kWorkerThreads};
   std::mt19937_64 engine_;
   bench::Table table_;
   json config_;
   configuration::ConfigurationSettings settings_;
-  std::vector<HollowGateway> gateways_;
-  std::uint64_t bytesOfRetired_ = 0;  // of clients that were replaced
+  std::vector<SimulatedGateway> gateways_;
+  std::uint64_t bytesOfReplacedClients_ = 0;  // of clients that were replaced
 };
 
 }  // namespace
