--- a/tools/simulated_gateways.cpp
+++ b/tools/simulated_gateways.cpp
@@ -75,12 +75,13 @@
   std::string scenario, out;
 };
 
-std::size_t count(const std::string& name, const std::string& text, std::size_t min, std::size_t max) {
+std::size_t count(const std::string& name, const std::string& text, std::size_t minValue,
+                  std::size_t maxValue) {
   std::size_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size() || value < min || value > max)
-    throw std::invalid_argument(name + " must be a number from " + std::to_string(min) + " to " +
-                                std::to_string(max) + ", and is '" + text + "'");
+  if (error != std::errc{} || end != text.data() + text.size() || value < minValue || value > maxValue)
+    throw std::invalid_argument(name + " must be a number from " + std::to_string(minValue) + " to " +
+                                std::to_string(maxValue) + ", and is '" + text + "'");
   return value;
 }
 
