--- a/bench/allocation_count.cpp
+++ b/bench/allocation_count.cpp
@@ -1,4 +1,4 @@
-// Counts the bytes of the heap that the program has in use, by replacing the global allocation functions.
+// Replaces the global allocation functions to count the heap bytes in use.
 #include <malloc.h>
 
 #include <atomic>
--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,6 +1,6 @@
-// Cost against size, one variable at a time, of the code that a gateway runs: the decision module, the reader
-// of the configuration, the lists of discovery. Processor time and bytes, no wall time. docs/CAPACITY.md is
-// worked out from these figures.
+// Cost by size, one variable at a time, of the code that a gateway runs: the decision module, the
+// configuration parser and the host lists of discovery. Measures processor time and bytes, not wall time.
+// docs/CAPACITY.md is based on these figures.
 //   build-bench/bench_capacity [--out FILE.tsv] [--samples N] [--only hosts|tenants|classes|configuration]
 #include <cstdio>
 #include <cstdlib>
@@ -36,11 +36,11 @@
 using std::chrono::seconds;
 
 constexpr std::uint32_t kGateways = 520;
-constexpr std::size_t kZones = 5;  // as fake_upstream::zoneName spreads them
+constexpr std::size_t kZones = 5;  // number of zones used by fake_upstream::zoneName
 constexpr std::size_t kUsualHosts = 46, kUsualClasses = 8, kUsualTenants = 0;
 constexpr int kRequestsPerSample = 2000;
 constexpr int kChangesPerSample = 20;
-constexpr double kRequestsPerSecond = 230;  // of one gateway at the peak
+constexpr double kRequestsPerSecond = 230;  // peak rate of one gateway
 
 struct Options {
   std::string out, only;
@@ -79,7 +79,7 @@
   return s;
 }
 
-// A module with its hosts, fed with requests that are answered after 20 ms.
+// A decision module with hosts that answer requests after 20 ms.
 class Driven {
  public:
   Driven(std::size_t hosts, std::size_t classes, std::size_t tenants)
@@ -110,7 +110,7 @@
     balancer_.actions().clear();
   }
   void sweep() {
-    now_ += seconds(60);  // longer than the period of a sweep at any size
+    now_ += seconds(60);  // longer than the sweep period at any size
     balancer_.onTimer(now_);
     balancer_.actions().clear();
   }
@@ -140,7 +140,7 @@
  private:
   bool wanted(const char* variable) const { return options_.only.empty() || options_.only == variable; }
 
-  // `sample` gives one measurement; it is asked as often as the options say.
+  // Calls `sample` once for each of options_.samples measurements.
   void add(const char* variable, std::size_t size, const char* cost, const char* unit,
            const std::function<double()>& sample) {
     Row row{variable, static_cast<double>(size), cost, unit, {}};
@@ -228,8 +228,8 @@
     addMemory("tenants", n, [&] { return Driven(kUsualHosts, kUsualClasses, n); });
   }
 
-  // The configuration that control machines distribute: a whole, and one change, as the worker beside the
-  // loop reads them, and what the loop takes over.
+  // The configuration distributed by control machines: a snapshot and a single change, as the worker thread
+  // parses them, and their application on the event loop.
   void configuration(std::size_t n) {
     using namespace finchstile::configuration;
     fake_upstream::ControlLog log({1, 1'000'000, 0});
@@ -271,7 +271,7 @@
       return 1e6 * processorSecondsOf([&] { take(last_, driven.balancer(), table, driven.now()); });
     });
   }
-  // As Gateway::takeTerms does it.
+  // Applies a change like Gateway::applyDynamicSettings.
   static void take(const finchstile::configuration::SettingsChange& change, LoadBalancer& balancer,
                    TenantTable& table, load_balancing::Time now) {
     load_balancing::DynamicSettings terms;
@@ -283,7 +283,8 @@
     balancer.actions().clear();
   }
 
-  // A route is a class today: the first part of a path. Nothing else stands for one.
+  // Routes are modelled as classes: a class is chosen by the first part of the path, and there are no other
+  // routes.
   void classes(std::size_t n) {
     add("classes", n, "start of the module", "us", [&] {
       return 1e6 * processorSecondsOf([&] { LoadBalancer(settingsOf(n, kUsualTenants), seconds(1)); });
@@ -303,7 +304,7 @@
   Options o;
   for (int i = 1; i < argc; i += 2) {
     const std::string name = argv[i];
-    if (i + 1 >= argc) throw std::invalid_argument(name + " wants a value");
+    if (i + 1 >= argc) throw std::invalid_argument(name + " needs a value");
     const std::string value = argv[i + 1];
     if (name == "--out") {
       o.out = value;
--- a/bench/configuration_changes.cpp
+++ b/bench/configuration_changes.cpp
@@ -1,6 +1,7 @@
-// What changes of the configuration add to a request: the time from its first byte to its answer, one after
-// the other, through a gateway on loopback that has 27,000 tenants; with no client of the configuration, with
-// one and no changes, and with a thousand changes meanwhile. Each request has to be answered once.
+// Latency that configuration changes add to a request: the time from the first byte of a request to its
+// answer, for sequential requests through a gateway on loopback with 27,000 tenants; without a configuration
+// client, with a client and no changes, and with a thousand changes during the run. Each request has to be
+// answered once.
 //   build-bench/bench_configuration_changes [--small | --out FILE.tsv]
 #include <algorithm>
 #include <atomic>
@@ -31,7 +32,7 @@
 constexpr int kWarmUp = 500;
 constexpr std::chrono::milliseconds kBetweenChanges(4);
 
-// How much is played; small sizes are for a test that it works.
+// Sizes of a run; the small sizes are for a test of this program.
 struct Size {
   int rounds = 3, requests = 20000, changes = 1000;
 };
@@ -55,7 +56,7 @@
   return {"tenant/" + name, TenantDocument{name, quota}};
 }
 
-// A loop on a thread of its own.
+// An event loop on a separate thread.
 class Loop {
  public:
   Loop() : work_(asio::make_work_guard(io)), thread_([this] { io.run(); }) {}
@@ -100,7 +101,8 @@
       configuration::ConfigurationSettings settings;
       settings.addresses = {machine_->address()};
       settings.endpoints = {machine_->endpoint()};
-      settings.minPollInterval = std::chrono::milliseconds(0);  // each change by itself
+      settings.minPollInterval =
+          std::chrono::milliseconds(0);  // so that each change is distributed separately
       client = std::make_unique<configuration::Client>(
           io, worker.get_executor(), clock_, settings, "b", 1, start,
           [&](const configuration::SettingsChange& change) {
@@ -174,7 +176,7 @@
 void run(const Size& size, const std::string& out) {
   Table table(out);
   std::vector<std::vector<Round>> rounds(std::size(kModes));
-  // In turns, so that what else the machine does falls on all alike.
+  // The variants take turns, so that other load on the machine affects all of them alike.
   for (int round = 0; round < size.rounds; ++round)
     for (const Mode mode : kModes) rounds[static_cast<std::size_t>(mode)].push_back(Play(mode, size).run());
   for (const Mode mode : kModes) {
--- a/bench/cross_zone.cpp
+++ b/bench/cross_zone.cpp
@@ -1,10 +1,9 @@
-// What a budget for traffic between zones does, in a model: hosts of two zones with cores and a queue,
-// Poisson arrivals, the decision module as it is, the budget as it is, the clock of the model. Deterministic:
-// the same figures every time.
+// Effect of a budget for traffic between zones, in a simulation: hosts of two zones with cores and a queue,
+// Poisson arrivals, the real decision module and budget, and simulated time. The results are deterministic.
 //
-//   crossing [SECONDS] [REQUESTS_PER_SECOND]
+//   build-bench/bench_cross_zone [SECONDS] [REQUESTS_PER_SECOND]
 //
-// Between a third and two thirds of the time the own zone has lost three quarters of its hosts.
+// During the second third of the time, three quarters of the hosts in the local zone are down.
 #include <cmath>
 #include <cstdio>
 #include <cstdlib>
@@ -39,7 +38,7 @@
     {"stock-out", Idempotency::nonIdempotent, 0.53, 1, 25, milliseconds(400), milliseconds(2000), 400, 300},
     {"log-in", Idempotency::idempotentWithKey, 0.31, 1, 25, milliseconds(400), milliseconds(1000), 2000, 300},
 };
-constexpr int kHosts = 12, kCores = 4;  // the first half is ours
+constexpr int kHosts = 12, kCores = 4;  // the first half of the hosts is in the local zone
 
 struct Work {
   RequestId request;
@@ -52,13 +51,13 @@
 };
 struct Event {
   Time at;
-  int kind;  // 0 arrival, 1 done
+  int kind;  // 0: arrival, 1: completion
   RequestId request = 0;
   std::uint32_t attempt = 0;
   int host = 0;
   bool operator>(const Event& o) const { return at > o.at; }
 };
-struct Third {  // a third of the time
+struct Third {  // results of a third of the time
   double offered = 0, inTime = 0, refused = 0, crossed = 0, bytes = 0, forced = 0;
 };
 
--- a/bench/discovery_migration.cpp
+++ b/bench/discovery_migration.cpp
@@ -1,7 +1,8 @@
-// A fleet moves to another discovery at SIGHUP: when each gateway hears its first word. The modules are real
-// and ask again as they do; discovery is modelled as one server of fixed capacity that turns calls away while
-// what waits would take longer than its time-out. Whole lists or changes, the module told of the move or not.
-//   build/bench_moves [SEEDS]
+// Migration of a fleet to another discovery service at SIGHUP: the time until each gateway receives its first
+// host list. The decision modules are real, including their retries; discovery is modelled as one service of
+// fixed capacity that rejects polls while the queue would take longer than its timeout. Complete lists or
+// changes, with the decision module notified of the migration or not.
+//   build/bench_discovery_migration [SEEDS]
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -19,14 +20,14 @@
 struct Terms {
   int gateways = 200, hosts = 195;
   double linesPerSecond = 7000, callLines = 57, changedLines = 25;
-  Duration spread = seconds(3);            // in which all are told to move
-  Duration timeout = seconds(1);           // calls that would wait for longer are turned away,
-  Duration turnedAway = milliseconds(12);  // so soon
-  Duration full{};                         // others keep it full for so long, from the first moves on
+  Duration spread = seconds(3);            // over which the gateways start the migration
+  Duration timeout = seconds(1);           // polls that would wait longer are rejected
+  Duration turnedAway = milliseconds(12);  // time until a rejection
+  Duration full{};                         // time from the first migrations for which other load fills it
 };
 
 struct Result {
-  std::vector<double> firstWord;  // seconds after the move, one for each gateway
+  std::vector<double> firstWord;  // seconds after the migration, for each gateway
   double callsTurnedAway = 0;
 };
 
@@ -48,7 +49,7 @@
       gateways_[g].balancer = std::make_unique<LoadBalancer>(s, now_);
       gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::restored, list);
       gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::incremental,
-                                              {});  // its watch at the old one is on
+                                              {});  // polls the old service successfully
       gateways_[g].balancer->actions().clear();
       const auto when = static_cast<std::int64_t>(unit() * static_cast<double>(t_.spread.count()));
       at(now_ + Duration(when), [this, g] { move(g); });
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,4 +1,4 @@
-// Fleets in the model of tests/support/fleet.hpp, and what lists of many hosts cost one gateway.
+// Simulates fleets with tests/support/fleet.hpp and measures the cost of long host lists for one gateway.
 //   build/bench_fleet [SEEDS]
 #include "support/fleet.hpp"
 
--- a/bench/gossip.cpp
+++ b/bench/gossip.cpp
@@ -1,6 +1,5 @@
-// How soon gateways know of a worker that has gone silent, what that costs in bytes, and how often they are
-// wrong: the gossip of src/membership as it is, 3 to 1,000 gateways before 10 to 10,000 workers, in a model.
-// Deterministic for a seed.
+// Time until gateways detect an unresponsive worker, bytes used and rate of false alarms: a simulation of the
+// gossip of src/membership with 3 to 1,000 gateways and 10 to 10,000 workers. Deterministic for a seed.
 //
 //   bench_gossip                       the tables of docs/design/gossip.md
 //   bench_gossip --svg gossip.svg      the curves too
@@ -25,20 +24,20 @@
 
 struct Options {
   std::size_t gateways = 100, workers = 100, quorum = 3, fanout = 3, mad = 0;
-  double rate = 50;          // requests of a gateway a second
-  double falseRate = 0.001;  // of the attempts at a worker that is well meet silence all the same
-  double loss = 0.01;        // of the datagrams
-  double holds = 3;          // seconds that what was seen counts for
+  double rate = 50;          // requests per second of a gateway
+  double falseRate = 0.001;  // fraction of attempts at healthy workers that get no answer
+  double loss = 0.01;        // fraction of datagrams lost
+  double holds = 3;          // seconds for which an observation is valid
   double seconds = 40;
-  bool gossip = true, cut = false;  // cut: two halves that do not hear one another
+  bool gossip = true, cut = false;  // cut: network partition into two halves
   std::uint64_t seed = 1;
 };
 
 struct Result {
-  std::vector<double> knownAt;           // by gateway, after the death; beyond the end: never
-  double bytesMean = 0, bytesWorst = 0;  // of one gateway a second: mean while there was news, worst second
-  double falseAlarms = 0;                // onsets for each worker that is well, gateway and hour
-  double lost = 0;                       // attempts sent to the dead one, by all gateways
+  std::vector<double> knownAt;  // seconds from the failure, by gateway; after the end of the run: never
+  double bytesMean = 0, bytesWorst = 0;  // per gateway and second: mean while updates were sent, maximum
+  double falseAlarms = 0;                // onsets per healthy worker, gateway and hour
+  double lost = 0;                       // attempts sent to the failed worker by all gateways
   double at(double share) const {
     std::vector<double> v = knownAt;
     std::sort(v.begin(), v.end());
@@ -48,7 +47,8 @@
 };
 
 constexpr double kStep = 0.01, kDies = 5, kPatience = 0.4, kWay = 0.005, kOver = 28;
-constexpr std::size_t kTracked = 20;  // workers that the model follows; of the others only the rate counts
+constexpr std::size_t kTracked =
+    20;  // workers simulated individually; the others only affect the request rate
 
 class Model {
  public:
@@ -106,8 +106,8 @@
     std::unique_ptr<Gossip> gossip;
     std::vector<Time> answered;
     std::vector<bool> alarm;
-    std::deque<Attempt> out;  // that meet silence
-    Time silentAt{};          // the dead one, at first hand
+    std::deque<Attempt> out;  // that get no answer
+    Time silentAt{};          // when this gateway itself observed the failed worker as unresponsive
     double nextTick = 0, bytes = 0, inSecond = 0, secondEnds = 0;
     std::size_t ticksWithNews = 0;
   };
@@ -129,7 +129,7 @@
 
   void attempts(Gateway& g, Result& r) {
     const double each = o_.rate / static_cast<double>(o_.workers) * kStep;
-    // The first worker is the one that dies; whoever holds it silent sends nothing there.
+    // The first worker fails; a gateway that considers it unresponsive sends nothing to it.
     if (unit() < 1 - std::exp(-each)) {
       if (now_ < kDies) {
         g.answered[0] = time();
@@ -148,7 +148,7 @@
       const Attempt a = g.out.front();
       g.out.pop_front();
       const Time sent = time() - std::chrono::nanoseconds(static_cast<std::int64_t>((now_ - a.sent) * 1e9));
-      if (g.answered[a.host] >= sent) continue;  // it has answered others of ours since
+      if (g.answered[a.host] >= sent) continue;  // it has answered a later attempt
       g.gossip->onUnresponsive(a.host + 1, 0, time());
       if (a.host == 0) g.silentAt = time();
     }
@@ -157,7 +157,7 @@
   void tick(std::size_t i, Gateway& g, Result&) {
     g.nextTick += 0.2;
     if (now_ >= g.secondEnds) g.secondEnds = now_ + 1, g.inSecond = 0;
-    if (i < o_.mad) {  // calls every worker silent, to everybody
+    if (i < o_.mad) {  // a faulty gateway reports every worker as unresponsive to all gateways
       std::vector<GossipUpdate> all;
       for (HostKey h = 1; h <= std::min<std::size_t>(hosts_, kMaxUpdatesPerMessage); ++h)
         all.push_back({h, 0, GossipUpdate::Kind::unresponsive, 0, {}});
@@ -169,7 +169,7 @@
     const auto out = g.gossip->tick(time());
     g.ticksWithNews += !out.empty();
     for (const auto& o : out) {
-      g.bytes += static_cast<double>(o.payload.size()) + 38;  // what the datagram adds
+      g.bytes += static_cast<double>(o.payload.size()) + 38;  // 38 bytes of datagram overhead
       g.inSecond += static_cast<double>(o.payload.size()) + 38;
       send(static_cast<GatewayNumber>(i), o.recipient, o.payload);
     }
@@ -239,7 +239,7 @@
       what);
 }
 
-// Share of the gateways that know, over time.
+// Plots the fraction of gateways that have detected the failure over time.
 void draw(const std::string& path, const std::vector<std::pair<std::string, Options>>& curves) {
   std::ofstream f(path);
   constexpr double kWide = 640, kHigh = 300, kSpan = 8;
--- a/bench/hooks.cpp
+++ b/bench/hooks.cpp
@@ -1,4 +1,4 @@
-// What hooks cost. Prints one line a figure; docs/design/hooks.md says what they mean.
+// Cost of hooks. Prints one line per figure; docs/design/hooks.md explains the figures.
 //
 //   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target bench_hooks
 //   build-bench/bench_hooks
@@ -61,7 +61,7 @@
   }
 }
 
-// The median of some runs.
+// Returns the median of several runs.
 template <class F>
 double median(F run) {
   std::array<double, 7> all;
@@ -72,7 +72,7 @@
 
 volatile std::int64_t sink;
 
-// The rule: `checks` comparisons of the path's length and a look at the class, as a chain that none ends.
+// A rule of `checks` comparisons of the path length and the class, in a chain that no comparison ends.
 void rule(int checks) {
   std::string body;
   for (int i = 0; i < checks; ++i)
@@ -96,7 +96,7 @@
   const double native = median([&] {
     const auto begin = SteadyClock::now();
     for (int i = 0; i < kRuns; ++i) {
-      const volatile std::size_t size = in.path.size();  // read anew for each check, as the hook does
+      const volatile std::size_t size = in.path.size();  // read for each check, as in the hook
       std::int64_t rejected = 0;
       for (int k = 0; k < checks && rejected == 0; ++k)
         if (size == 1000 + static_cast<std::size_t>(k)) rejected = 403;
@@ -111,7 +111,7 @@
       native, static_cast<unsigned long long>(before), kRuns);
 }
 
-// Ten operations of the usual kind: header, lower, set, pattern, tag.
+// Ten common operations: header, lower, set, pattern, tag.
 void usual() {
   const auto code = codeOf(
       "hook \"h\";\non request {\n  if class in {\"cut-plan\", \"x\"} and path matches "
@@ -184,13 +184,14 @@
               static_cast<double>(table->bytes()) / 1e6, looking);
 }
 
-// --- the gateway, with a host and a client on threads of their own
+// --- The gateway, with a host and a client on separate threads
 
 struct Served {
   double cpuUs, medianUs, p999Us, mostUs;
 };
 
-// `requests` one after the other; `swapEvery` above 0 takes a new set of hooks between them, from the loop.
+// Sends `requests` sequentially; if `swapEvery` is positive, the loop installs a new set of hooks between
+// them.
 Served serve(std::size_t hooks, int requests, int swapEvery) {
   Host host;
   asio::io_context io(1);
@@ -225,10 +226,10 @@
   std::vector<double> took;
   timespec begin{}, end{};
   char bytes[4096];
-  for (int i = -500; i < requests; ++i) {  // the first ones warm it up
+  for (int i = -500; i < requests; ++i) {  // negative: warm-up
     if (i == 0) clock_gettime(cpu, &begin);
     if (swapEvery > 0 && i % swapEvery == 0) {
-      const auto next = setOf(i);  // compiled on this thread, as the program's loader does
+      const auto next = setOf(i);  // compiled outside the event loop, as in the hook loader
       asio::post(io, [&stage, &clock, next] { stage.chain().install(next); });
     }
     const std::string request = "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: i" + std::to_string(i) +
@@ -250,7 +251,7 @@
 
 void requestCost() {
   constexpr int kRequests = 5000;
-  // In turns, so that what else the machine does falls on all alike.
+  // The variants take turns, so that other load on the machine affects all of them alike.
   std::array<std::array<double, 5>, 3> cpu;
   const std::array<std::size_t, 3> hooks = {0, 1, 16};
   for (std::size_t round = 0; round < cpu[0].size(); ++round)
--- a/bench/host.hpp
+++ b/bench/host.hpp
@@ -1,4 +1,4 @@
-// A host for measurements, on threads of its own.
+// A fake host for benchmarks, on separate threads.
 #pragma once
 
 #include <sys/socket.h>
@@ -21,7 +21,7 @@
 
 namespace asio = boost::asio;
 
-// Answers 200 to each request, one at a time on a connection.
+// Answers each request with 200; requests of one connection are answered one at a time.
 class Host {
  public:
   Host() : acceptor_(io_, {asio::ip::address_v4::loopback(), 0}), thread_([this] { run(); }) {}
@@ -66,7 +66,7 @@
   std::thread thread_;
 };
 
-// A gateway's configuration with that host alone, and one class.
+// A gateway configuration with `host` as its only host, and one class.
 inline nlohmann::json configFor(const Host& host, const nlohmann::json& grade) {
   using nlohmann::json;
   const auto at = host.at().address().to_string() + ":" + std::to_string(host.at().port());
--- a/bench/idempotency.cpp
+++ b/bench/idempotency.cpp
@@ -1,4 +1,4 @@
-// What the store of keyed requests costs: look-ups a second and bytes an entry by size.
+// Cost of the store of keyed requests: lookups per second and bytes per entry, by size.
 //
 //   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target bench_idempotency
 //   build-bench/bench_idempotency
--- a/bench/idempotency_log.cpp
+++ b/bench/idempotency_log.cpp
@@ -1,9 +1,9 @@
-// What the log of keyed requests costs: requests a second and the time that each waits for its record, by
-// sync policy; how long a start takes by the size of the log.
+// Cost of the log of keyed requests: requests per second and the time that each waits for its record, by sync
+// policy; recovery time at start-up, by the size of the log.
 //
 //   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target
 //   bench_idempotency_log build-bench/bench_idempotency_log FOLDER      (empty or missing, on the disk to be
-//   measured; left empty)
+//   measured; emptied at the end)
 #include <algorithm>
 #include <chrono>
 #include <condition_variable>
@@ -24,7 +24,7 @@
 using namespace finchstile::idempotency;
 using SteadyClock = std::chrono::steady_clock;
 
-// What a loop is to the thread: calls handed over, taken in turn.
+// Stands in for the event loop: runs posted functions in order.
 class Calls {
  public:
   void post(std::function<void()> call) {
@@ -93,7 +93,8 @@
     return std::chrono::duration<double>(SteadyClock::now() - begin).count();
   }
 
-  // So many keyed requests with answers of 100 bytes, `atOnce` of them under way; the time each waited.
+  // Runs keyed requests with answers of 100 bytes, `atOnce` of them concurrently, and measures the wait of
+  // each.
   std::vector<double> serve(std::size_t requests, std::size_t atOnce) {
     struct Open {
       Store::EntryId entry;
--- a/bench/idempotency_owners.cpp
+++ b/bench/idempotency_owners.cpp
@@ -1,8 +1,10 @@
-// What a repeat takes that lands at another gateway, beside one that lands at the first again and one that is
-// new: three gateways that ask each other for owners of keys, on loopback, one request after the other.
+// Latency of a repeated keyed request at another gateway, compared with one at the same gateway and with a
+// new request: three gateways on loopback that query each other for the owners of keys, with sequential
+// requests.
 //
 //   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target
-//   bench_idempotency_owners && build-bench/bench_idempotency_owners FOLDER   (for the secret; left empty)
+//   bench_idempotency_owners && build-bench/bench_idempotency_owners FOLDER   (for the secret; emptied at the
+//   end)
 #include <sys/stat.h>
 
 #include <algorithm>
@@ -30,7 +32,7 @@
 
 constexpr std::size_t kGateways = 3;
 
-// One gateway with its loop on a thread of its own.
+// A gateway with its event loop on a separate thread.
 struct One {
   One(const nlohmann::json& config, const IdempotencySettings& settings, const peer::PeerSettings& peers)
       : read(readConfig(config.dump(), clock)), gateway(io, clock, read) {
@@ -64,7 +66,7 @@
     socket_.connect(at);
     socket_.set_option(asio::ip::tcp::no_delay(true));
   }
-  // Microseconds; below 0: not served.
+  // Returns microseconds; negative: not served.
   double ask(const std::string& key, bool repeat) {
     static int asked = 0;
     const std::string request = "POST /put/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: i" +
@@ -104,7 +106,7 @@
   peers.secretFile = secret;
   {
     asio::io_context io;
-    std::vector<asio::ip::udp::socket> held;  // all at once, so that they differ
+    std::vector<asio::ip::udp::socket> held;  // open at the same time, so that the ports differ
     for (std::size_t g = 0; g < kGateways; ++g) {
       held.emplace_back(io, asio::ip::udp::endpoint(asio::ip::address_v4::loopback(), 0));
       peers.endpoints.push_back(held.back().local_endpoint());
@@ -121,11 +123,11 @@
     peers.listenEndpoint = peers.endpoints[g];
     all.push_back(std::make_unique<One>(config, settings, peers));
   }
-  std::this_thread::sleep_for(std::chrono::seconds(3));  // they come to know each other
+  std::this_thread::sleep_for(std::chrono::seconds(3));  // until the gateways have discovered each other
   Asker first(all[0]->at), second(all[1]->at);
   std::vector<double> fresh, same, other;
   constexpr int kRequests = 3000;
-  for (int i = -300; i < kRequests; ++i) {  // the first ones warm it up
+  for (int i = -300; i < kRequests; ++i) {  // negative: warm-up
     const std::string key = "5c0f6e1a2b3d4c59a8b7c6d5e4f" + std::to_string(1'000'000 + i);
     const double a = first.ask(key, false), b = first.ask(key, true), c = second.ask(key, true);
     if (i < 0) continue;
--- a/bench/idempotency_request.cpp
+++ b/bench/idempotency_request.cpp
@@ -1,9 +1,9 @@
-// What the store and its log add to a keyed request: the time from its first byte to its answer, one after
-// the other, through the gateway on loopback.
+// Latency that the store and its log add to a keyed request: the time from the first byte of a request to its
+// answer, for sequential requests through a gateway on loopback.
 //
 //   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target
 //   bench_idempotency_request build-bench/bench_idempotency_request FOLDER   (empty or missing, on the disk
-//   to be measured; left empty)
+//   to be measured; emptied at the end)
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -40,7 +40,7 @@
   asio::io_context io(1);
   const Clock clock;
   const json config = bench::configFor(host, fake_upstream::gradeJson({"put", "dedup", "zone"}));
-  // In the order in which they have to outlive one another.
+  // Each object must outlive those declared after it.
   std::filesystem::remove_all(path);
   const TenantAndClassNames names{{}, {"put"}};
   std::unique_ptr<wal::LogDirectory> folder;
@@ -77,7 +77,7 @@
   client.set_option(asio::ip::tcp::no_delay(true));
   std::vector<double> took;
   char bytes[4096];
-  for (int i = -500; i < requests; ++i) {  // the first ones warm it up
+  for (int i = -500; i < requests; ++i) {  // negative: warm-up
     const std::string id = std::to_string(1'000'000 + i);
     std::string request = "POST /put/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: i";
     request += id;
@@ -87,7 +87,7 @@
     const auto sent = SteadyClock::now();
     asio::write(client, asio::buffer(request));
     const std::size_t n = client.read_some(asio::buffer(bytes));
-    // The module may refuse some, as it does for a host that is slow at times: not what is measured.
+    // The decision module may reject requests while the host is slow; these are not part of the measurement.
     if (std::string_view(bytes, n).substr(9, 3) == "200" && i >= 0)
       took.push_back(std::chrono::duration<double, std::micro>(SteadyClock::now() - sent).count());
   }
@@ -114,7 +114,7 @@
                         {"log, before_send", true, SyncPolicy::beforeSend}};
   constexpr int kRounds = 3, kRequests = 2000;
   std::vector<std::vector<std::vector<double>>> took(std::size(modes));
-  // In turns, so that what else the machine does falls on all alike.
+  // The variants take turns, so that other load on the machine affects all of them alike.
   for (int round = 0; round < kRounds; ++round)
     for (std::size_t m = 0; m < std::size(modes); ++m) took[m].push_back(serve(modes[m], path, kRequests));
   for (std::size_t m = 0; m < std::size(modes); ++m) {
--- a/bench/measure.hpp
+++ b/bench/measure.hpp
@@ -1,4 +1,5 @@
-// Measuring by processor time and allocated bytes, and results as a table and as tab-separated values.
+// Measurement of processor time and allocated bytes, and output of results as a table and as tab-separated
+// values.
 #pragma once
 
 #include <time.h>
@@ -29,10 +30,10 @@
   return processorSeconds() - begun;
 }
 
-// Bytes of the heap that are in use; counted by bench/allocation_count.cpp.
+// Bytes of the heap in use, as counted by bench/allocation_count.cpp.
 std::int64_t allocatedBytes();
 
-// Several samples of one quantity.
+// Samples of one quantity.
 struct Samples {
   std::vector<double> values;
 
@@ -46,19 +47,19 @@
   double most() const { return quantile(1); }
 };
 
-// One line of a result: a cost at a size.
+// A row of the results: one cost at one size.
 struct Row {
-  std::string variable;  // what was varied, "hosts"
+  std::string variable;  // varied quantity, e.g. "hosts"
   double size = 0;
-  std::string cost;  // what was measured, "one change"
+  std::string cost;  // measured quantity, e.g. "one change"
   std::string unit;
   Samples samples;
 };
 
-// Prints rows as they come, and writes them to a file that a plot can be drawn from.
+// Prints each row when it is added and writes it to a tab-separated file, for plotting.
 class Table {
  public:
-  // An empty path writes no file. Throws std::runtime_error if the file cannot be written.
+  // With an empty path, no file is written. Throws std::runtime_error if the file cannot be written.
   explicit Table(const std::string& path) {
     if (path.empty()) return;
     file_.open(path, std::ios::trunc);
--- a/bench/streams.cpp
+++ b/bench/streams.cpp
@@ -1,8 +1,8 @@
-// What a stream costs: added latency of a message, messages a second of one core, memory of a stream at rest.
-// The gateway is a process of its own between clients and a host that sends back what it is sent, both here;
-// a bare relay of two sockets, which looks at nothing, is measured in its place in the same run.
+// Cost of a stream: added latency of a message, messages per second and core, memory of an idle stream. The
+// gateway is a separate process between clients and an echo host, both in this process. A plain relay between
+// two sockets, which does not parse the stream, is measured in place of the gateway in the same run.
 //
-//   bench_streams [STREAMS ...]      (10 1000 9900; two descriptors each in either process)
+//   bench_streams [STREAMS ...]      (10 1000 9900; two descriptors per stream in each process)
 //
 //   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4
 //   --target bench_streams && build-bench/bench_streams
@@ -99,7 +99,7 @@
   }
 }
 
-// --- The host: sends back what it is sent, on a thread; messages are small and read whole.
+// --- The echo host, on a thread. Messages are small and read completely.
 
 class EchoHost {
  public:
@@ -146,7 +146,7 @@
           websocket::acceptOf(text.substr(at + 19, 24)) + "\r\n\r\n";
       return writeAll(fd, head.data(), head.size());
     }
-    constexpr std::size_t kFrame = 6 + kPayload;  // a client's: masked
+    constexpr std::size_t kFrame = 6 + kPayload;  // frame from a client: masked
     if (n % kFrame != 0 || static_cast<unsigned char>(bytes[0]) != 0x82 ||
         static_cast<unsigned char>(bytes[1]) != (0x80 | kPayload))
       return writeAll(fd, bytes, n);
@@ -161,7 +161,8 @@
   const int listening_, epoll_;
 };
 
-// --- What is between: in a process of its own, which writes its port to `out` and serves until it is killed.
+// --- The gateway or relay, in a separate process that writes its port to `out` and serves until it is
+// killed.
 
 [[noreturn]] void bareRelay(std::uint16_t host, int out) {
   std::uint16_t port = 0;
@@ -199,7 +200,7 @@
 [[noreturn]] void gatewayProcess(Mode mode, std::uint16_t host, std::size_t streams, int out) {
   asio::io_context io(1);
   const Clock clock;
-  tcp::acceptor silent(io, {asio::ip::address_v4::loopback(), 0});  // discovery says nothing more
+  tcp::acceptor silent(io, {asio::ip::address_v4::loopback(), 0});  // discovery that does not answer
   const auto text = [](std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); };
   const nlohmann::json config = {
       {"name", "bench"},
@@ -263,7 +264,7 @@
     ::kill(pid, SIGKILL);
     ::waitpid(pid, nullptr, 0);
   }
-  double cpu() const {  // seconds, in user and kernel
+  double cpu() const {  // seconds, user and system time
     std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
     std::string line;
     std::getline(file, line);
@@ -298,7 +299,7 @@
     answer = kPayload + 2;
   }
   char bytes[16384];
-  // One first: what the process takes once is not counted to the streams.
+  // A first stream, so that one-time costs of the process are not attributed to the streams.
   std::vector<int> all;
   const double empty = between.memory();
   double first = empty;
@@ -337,7 +338,7 @@
     times.push_back(std::chrono::duration<double, std::micro>(steady_clock::now() - from).count());
   }
 
-  // Many under way: on up to 64 streams at once.
+  // Concurrent messages on up to 64 streams.
   const int epoll = ::epoll_create1(EPOLL_CLOEXEC);
   const std::size_t wide = std::min<std::size_t>(64, all.size());
   constexpr std::size_t kMany = 200'000;
@@ -392,7 +393,7 @@
   for (const std::size_t n : sizes)
     for (const Mode mode : {Mode::bare, Mode::tcp, Mode::relay, Mode::inspect}) {
       std::fflush(stdout);
-      // A host for each, so that none starts with the connections of another.
+      // Each variant has its own host, so that none starts with the connections of another.
       static std::vector<std::unique_ptr<EchoHost>> hosts;
       measure(mode, *hosts.emplace_back(std::make_unique<EchoHost>()), n);
     }
--- a/bench/trace.cpp
+++ b/bench/trace.cpp
@@ -1,5 +1,5 @@
-// What the log of attempts costs a gateway: a request with one attempt, two lines, from the gateway's word to
-// the buffer of the thread that writes them; and what putting logs together takes.
+// Cost of the attempt log: for a request with one attempt (two lines), from the event in the gateway to the
+// buffer of the writer thread; and the time to merge logs.
 //   build/bench_trace [REQUESTS]
 #include <boost/asio/io_context.hpp>
 #include <chrono>
