--- a/bench/cross_zone.cpp
+++ b/bench/cross_zone.cpp
@@ -29,8 +29,8 @@
 struct Kind {
   const char* name;
   Idempotency effect;
-  double share, worth, workMs;
-  Duration aim, giveUp;
+  double share, priorityWeight, workMs;
+  Duration latencyObjective, clientTimeout;
   double out, in;  // bytes
 };
 constexpr Kind kKinds[] = {
@@ -43,7 +43,7 @@
 struct Work {
   RequestId request;
   std::uint32_t attempt;
-  Duration takes;
+  Duration serviceTime;
 };
 struct Host {
   int busy = 0;
@@ -57,13 +57,13 @@
   int host = 0;
   bool operator>(const Event& o) const { return at > o.at; }
 };
-struct Third {  // results of a third of the time
+struct PhaseResults {  // results of a third of the time
   double offered = 0, inTime = 0, refused = 0, crossed = 0, bytes = 0, forced = 0;
 };
 
 struct Model {
   Settings settings;
-  std::mt19937_64 dice{42};
+  std::mt19937_64 engine{42};
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
   std::vector<Host> hosts = std::vector<Host>(kHosts);
   struct Open {
@@ -73,23 +73,23 @@
     std::map<std::uint32_t, std::pair<int, Time>> sent;
   };
   std::map<RequestId, Open> open;
-  Third phases[3];
+  PhaseResults phases[3];
   Time now = seconds(1000);
   Duration length;
 
-  double unit() { return static_cast<double>(dice() >> 11) * 0x1.0p-53; }
-  Third& phase(Time at) {
+  double unit() { return static_cast<double>(engine() >> 11) * 0x1.0p-53; }
+  PhaseResults& phase(Time at) {
     return phases[std::min<std::size_t>(2, static_cast<std::size_t>((at - seconds(1000)) * 3 / length))];
   }
 
-  std::vector<HostEntry> list(int ours) {
+  std::vector<HostEntry> list(int localHosts) {
     std::vector<HostEntry> out;
     for (int i = 0; i < kHosts; ++i) {
       HostEntry e;
       e.address = "h" + std::to_string(100 + i);
       e.zone = i < kHosts / 2 ? "brasov" : "cluj";
       e.machineType = "std";
-      if (i < kHosts / 2 && i >= ours) e.phase = finchstile::load_balancing::HostPhase::removed;
+      if (i < kHosts / 2 && i >= localHosts) e.phase = finchstile::load_balancing::HostPhase::removed;
       out.push_back(e);
     }
     return out;
@@ -97,7 +97,7 @@
 
   void start(LoadBalancer& b, int host, const Work& w) {
     ++hosts[static_cast<std::size_t>(host)].busy;
-    events.push({now + w.takes, 1, w.request, w.attempt, host});
+    events.push({now + w.serviceTime, 1, w.request, w.attempt, host});
     (void)b;
   }
 
@@ -115,7 +115,7 @@
         const Kind& k = kKinds[o->second.kind];
         o->second.sent[a.attempt] = {host, now};
         if (host >= kHosts / 2) {
-          Third& p = phase(now);
+          PhaseResults& p = phase(now);
           p.crossed += 1;
           p.bytes += k.out + k.in;
           p.forced += o->second.homeFirst;
@@ -135,9 +135,9 @@
       ClassSettings c;
       c.name = k.name;
       c.idempotency = k.effect;
-      c.priorityWeight = k.worth;
-      c.latencyObjective = k.aim;
-      c.clientTimeout = k.giveUp;
+      c.priorityWeight = k.priorityWeight;
+      c.latencyObjective = k.latencyObjective;
+      c.clientTimeout = k.clientTimeout;
       c.deduplicationWindow = seconds(2);
       c.deduplicationScope = DeduplicationScope::zone;
       settings.classes.push_back(c);
@@ -151,7 +151,7 @@
     carryOut(b, budget);
     RequestId last = 0;
     const Time end = now + length;
-    int ours = kHosts / 2;
+    int localHosts = kHosts / 2;
     Time wake = now + milliseconds(20);
     events.push({now, 0});
     while (!events.empty() && events.top().at < end) {
@@ -161,7 +161,7 @@
         wake += milliseconds(20);
         const bool lost = (now - seconds(1000)) * 3 / length == 1;
         const int want = lost ? kHosts / 8 : kHosts / 2;
-        if (want != ours) b.onHostListUpdate(now, HostListUpdate::complete, list(ours = want));
+        if (want != localHosts) b.onHostListUpdate(now, HostListUpdate::complete, list(localHosts = want));
         b.onTimer(now);
         carryOut(b, budget);
       }
@@ -175,10 +175,10 @@
         Request q;
         q.id = ++last;
         q.classIndex = static_cast<std::uint32_t>(kind);
-        q.timeLeft = kKinds[kind].giveUp;
-        q.preferLocalZone = budget && !budget->allows(now, kKinds[kind].worth);
+        q.timeLeft = kKinds[kind].clientTimeout;
+        q.preferLocalZone = budget && !budget->allows(now, kKinds[kind].priorityWeight);
         open[q.id] = {kind, now, q.preferLocalZone, false, {}};
-        phase(now).offered += kKinds[kind].worth;
+        phase(now).offered += kKinds[kind].priorityWeight;
         b.onRequest(now, q);
         events.push({now + Duration(static_cast<std::int64_t>(-std::log(1 - unit()) / perSecond * 1e9)), 0});
       } else {
@@ -191,7 +191,7 @@
         }
         Open& o = open[e.request];
         const Kind& k = kKinds[o.kind];
-        if (!o.over && now - o.at <= k.aim) phase(o.at).inTime += k.worth;
+        if (!o.over && now - o.at <= k.latencyObjective) phase(o.at).inTime += k.priorityWeight;
         const auto [host, at] = o.sent[e.attempt];
         AttemptResult r;
         r.request = e.request;
@@ -222,7 +222,7 @@
     cross_zone::CrossZoneBudget budget(s, 12, m.now);
     m.run(rate, bytes < 0 ? nullptr : &budget);
     for (int i = 0; i < 3; ++i) {
-      const Third& p = m.phases[i];
+      const PhaseResults& p = m.phases[i];
       static const char* const kNames[] = {"calm", "own lost", "calm"};
       const std::string name = bytes < 0 ? "none" : std::to_string(static_cast<long>(bytes));
       std::printf("%-18s %-9s %7.1f%% %9.1f %10.0f %7.1f%% %8.0f\n", name.c_str(), kNames[i],
--- a/bench/discovery_migration.cpp
+++ b/bench/discovery_migration.cpp
@@ -17,24 +17,27 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-struct Terms {
+struct Parameters {
   int gateways = 200, hosts = 195;
-  double linesPerSecond = 7000, callLines = 57, changedLines = 25;
-  Duration spread = seconds(3);            // over which the gateways start the migration
-  Duration timeout = seconds(1);           // polls that would wait longer are rejected
-  Duration turnedAway = milliseconds(12);  // time until a rejection
-  Duration full{};                         // time from the first migrations for which other load fills it
+  double linesPerSecond = 7000, linesPerPoll = 57, linesPerChange = 25;
+  Duration spread = seconds(3);               // over which the gateways start the migration
+  Duration timeout = seconds(1);              // polls that would wait longer are rejected
+  Duration rejectionTime = milliseconds(12);  // time until a rejection
+  Duration full{};                            // time from the first migrations for which other load fills it
 };
 
 struct Result {
-  std::vector<double> firstWord;  // seconds after the migration, for each gateway
-  double callsTurnedAway = 0;
+  std::vector<double> firstListTimes;  // seconds after the migration, for each gateway
+  double rejectedPolls = 0;
 };
 
-class Moves {
+class MigrationModel {
  public:
-  Moves(const Terms& t, bool whole, bool told, std::uint64_t seed)
-      : t_(t), lines_(t.callLines + (whole ? t.hosts : t.changedLines)), told_(told), dice_(seed) {
+  MigrationModel(const Parameters& t, bool whole, bool notified, std::uint64_t seed)
+      : t_(t),
+        lines_(t.linesPerPoll + (whole ? t.hosts : t.linesPerChange)),
+        notified_(notified),
+        engine_(seed) {
     std::vector<HostEntry> list;
     list.reserve(static_cast<std::size_t>(t_.hosts));
     for (int i = 0; i < t_.hosts; ++i) list.push_back(makeHost(i));
@@ -57,20 +60,20 @@
   }
 
   Result run() {
-    while (result_.firstWord.size() < gateways_.size() && !events_.empty()) {
+    while (result_.firstListTimes.size() < gateways_.size() && !events_.empty()) {
       const Event e = events_.top();
       events_.pop();
       now_ = e.when;
       e.what();
     }
-    std::sort(result_.firstWord.begin(), result_.firstWord.end());
+    std::sort(result_.firstListTimes.begin(), result_.firstListTimes.end());
     return result_;
   }
 
  private:
   struct Gateway {
     std::unique_ptr<LoadBalancer> balancer;
-    Time discoveryMoved{};
+    Time migratedAt{};
     bool heard = false;
   };
   struct Event {
@@ -80,20 +83,20 @@
     bool operator<(const Event& o) const { return when != o.when ? when > o.when : order > o.order; }
   };
 
-  double unit() { return static_cast<double>(dice_() >> 11) * 0x1.0p-53; }
+  double unit() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
   void at(Time when, std::function<void()> what) { events_.push({when, ++order_, std::move(what)}); }
 
   void move(std::size_t g) {
-    gateways_[g].discoveryMoved = now_;
-    if (told_) gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::discoveryMoved, {});
+    gateways_[g].migratedAt = now_;
+    if (notified_) gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::discoveryMoved, {});
     carryOut(g);
     call(g);
   }
   void call(std::size_t g) {
     const Time begin = std::max(now_, busyUntil_);
     if (begin - now_ > t_.timeout || now_ < start_ + t_.full) {
-      ++result_.callsTurnedAway;
-      return at(now_ + t_.turnedAway, [this, g] {
+      ++result_.rejectedPolls;
+      return at(now_ + t_.rejectionTime, [this, g] {
         gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::unavailable, {});
         carryOut(g);
       });
@@ -101,7 +104,7 @@
     busyUntil_ = begin + Duration(static_cast<std::int64_t>(1e9 * lines_ / t_.linesPerSecond));
     at(busyUntil_, [this, g] {
       gateways_[g].heard = true;
-      result_.firstWord.push_back(toSeconds(now_ - gateways_[g].discoveryMoved));
+      result_.firstListTimes.push_back(toSeconds(now_ - gateways_[g].migratedAt));
     });
   }
   void carryOut(std::size_t g) {
@@ -119,10 +122,10 @@
   }
   static double toSeconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
-  const Terms t_;
+  const Parameters t_;
   const double lines_;
-  const bool told_;
-  std::mt19937_64 dice_;
+  const bool notified_;
+  std::mt19937_64 engine_;
   std::vector<Gateway> gateways_;
   std::priority_queue<Event> events_;
   std::uint64_t order_ = 0;
@@ -131,25 +134,25 @@
   Result result_;
 };
 
-void row(const Terms& t, bool whole, bool told, int seeds) {
+void row(const Parameters& t, bool whole, bool notified, int seeds) {
   double median = 0, nine = 0, last = 0, late = 0, away = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
-    const Result r = Moves(t, whole, told, static_cast<std::uint64_t>(seed)).run();
-    const std::size_t n = r.firstWord.size();
-    median += r.firstWord[n / 2] / seeds;
-    nine += r.firstWord[n * 9 / 10] / seeds;
-    last = std::max(last, r.firstWord.back());
+    const Result r = MigrationModel(t, whole, notified, static_cast<std::uint64_t>(seed)).run();
+    const std::size_t n = r.firstListTimes.size();
+    median += r.firstListTimes[n / 2] / seeds;
+    nine += r.firstListTimes[n * 9 / 10] / seeds;
+    last = std::max(last, r.firstListTimes.back());
     late += 100.0 *
-            static_cast<double>(
-                std::count_if(r.firstWord.begin(), r.firstWord.end(), [](double s) { return s > 4; })) /
+            static_cast<double>(std::count_if(r.firstListTimes.begin(), r.firstListTimes.end(),
+                                              [](double s) { return s > 4; })) /
             static_cast<double>(n) / seeds;
-    away += r.callsTurnedAway / static_cast<double>(n) / seeds;
+    away += r.rejectedPolls / static_cast<double>(n) / seeds;
   }
   std::printf(
       "%4d gateways %4d hosts  full %.1f s  %-7s %-8s  median %5.2f s  nine in ten %5.2f  last %5.2f  "
       "over 4 s %4.1f%%  turned away %4.1f a gateway\n",
       t.gateways, t.hosts, std::chrono::duration<double>(t.full).count(), whole ? "whole" : "changes",
-      told ? "soon" : "back-off", median, nine, last, late, away);
+      notified ? "soon" : "back-off", median, nine, last, late, away);
 }
 
 }  // namespace
@@ -159,13 +162,13 @@
   using namespace finchstile::load_balancing::testing;
   const int seeds = std::max(1, argc > 1 ? std::atoi(argv[1]) : 3);
   const auto rows = [&](int gateways, int hosts, double lines, finchstile::load_balancing::Duration full) {
-    Terms t;
+    Parameters t;
     t.gateways = gateways;
     t.hosts = hosts;
     t.linesPerSecond = lines;
     t.full = full;
     for (const bool whole : {true, false})
-      for (const bool told : {false, true}) row(t, whole, told, seeds);
+      for (const bool notified : {false, true}) row(t, whole, notified, seeds);
   };
   rows(200, 195, 7000, {});
   rows(200, 195, 7000, seconds(4));
--- a/bench/gossip.cpp
+++ b/bench/gossip.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 struct Options {
-  std::size_t gateways = 100, workers = 100, quorum = 3, fanout = 3, mad = 0;
+  std::size_t gateways = 100, workers = 100, quorum = 3, fanout = 3, faultyGateways = 0;
   double rate = 50;          // requests per second of a gateway
   double falseRate = 0.001;  // fraction of attempts at healthy workers that get no answer
   double loss = 0.01;        // fraction of datagrams lost
@@ -46,13 +46,13 @@
   }
 };
 
-constexpr double kStep = 0.01, kDies = 5, kPatience = 0.4, kWay = 0.005, kOver = 28;
+constexpr double kStep = 0.01, kFailureTime = 5, kAttemptTimeout = 0.4, kNetworkDelay = 0.005, kOver = 28;
 constexpr std::size_t kTracked =
     20;  // workers simulated individually; the others only affect the request rate
 
 class Model {
  public:
-  explicit Model(const Options& o) : o_(o), dice_(o.seed), hosts_(std::min(o.workers, kTracked)) {
+  explicit Model(const Options& o) : o_(o), engine_(o.seed), hosts_(std::min(o.workers, kTracked)) {
     const Time start = time();
     for (std::size_t i = 0; i < o.gateways; ++i) {
       GossipSettings s;
@@ -84,7 +84,8 @@
         Gateway& g = *gateways_[i];
         attempts(g, r);
         if (o_.gossip && now_ >= g.nextTick) tick(i, g, r);
-        if (now_ >= kDies && r.knownAt[i] >= o_.seconds && knows(g)) r.knownAt[i] = now_ - kDies;
+        if (now_ >= kFailureTime && r.knownAt[i] >= o_.seconds && hasDetectedFailure(g))
+          r.knownAt[i] = now_ - kFailureTime;
         bytes = std::max(bytes, g.inSecond);
       }
     }
@@ -120,9 +121,9 @@
   Time time() const {
     return std::chrono::seconds(1000) + std::chrono::nanoseconds(static_cast<std::int64_t>(now_ * 1e9));
   }
-  double unit() { return std::uniform_real_distribution<>(0, 1)(dice_); }
+  double unit() { return std::uniform_real_distribution<>(0, 1)(engine_); }
 
-  bool knows(const Gateway& g) const {
+  bool hasDetectedFailure(const Gateway& g) const {
     return (g.silentAt != Time{} && std::chrono::duration<double>(time() - g.silentAt).count() < o_.holds) ||
            g.gossip->isUnresponsiveByQuorum(1, time());
   }
@@ -131,17 +132,17 @@
     const double each = o_.rate / static_cast<double>(o_.workers) * kStep;
     // The first worker fails; a gateway that considers it unresponsive sends nothing to it.
     if (unit() < 1 - std::exp(-each)) {
-      if (now_ < kDies) {
+      if (now_ < kFailureTime) {
         g.answered[0] = time();
-      } else if (!knows(g)) {
-        g.out.push_back({now_, now_ + kPatience, 0, true});
+      } else if (!hasDetectedFailure(g)) {
+        g.out.push_back({now_, now_ + kAttemptTimeout, 0, true});
         if (now_ < kOver) r.lost += 1;
       }
     }
     const double others = each * static_cast<double>(hosts_ - 1);
-    for (int n = std::poisson_distribution<>(others)(dice_); n > 0; --n) {
+    for (int n = std::poisson_distribution<>(others)(engine_); n > 0; --n) {
       const std::size_t h = 1 + static_cast<std::size_t>(unit() * static_cast<double>(hosts_ - 1));
-      if (unit() < o_.falseRate) g.out.push_back({now_, now_ + kPatience, h, true});
+      if (unit() < o_.falseRate) g.out.push_back({now_, now_ + kAttemptTimeout, h, true});
       else g.answered[h] = time();
     }
     while (!g.out.empty() && g.out.front().ends <= now_) {
@@ -157,7 +158,7 @@
   void tick(std::size_t i, Gateway& g, Result&) {
     g.nextTick += 0.2;
     if (now_ >= g.secondEnds) g.secondEnds = now_ + 1, g.inSecond = 0;
-    if (i < o_.mad) {  // a faulty gateway reports every worker as unresponsive to all gateways
+    if (i < o_.faultyGateways) {  // a faulty gateway reports every worker as unresponsive to all gateways
       std::vector<GossipUpdate> all;
       for (HostKey h = 1; h <= std::min<std::size_t>(hosts_, kMaxUpdatesPerMessage); ++h)
         all.push_back({h, 0, GossipUpdate::Kind::unresponsive, 0, {}});
@@ -182,21 +183,21 @@
 
   void send(GatewayNumber from, GatewayNumber to, const std::string& payload) {
     const bool apart = o_.cut && (from < o_.gateways / 2) != (to < o_.gateways / 2);
-    if (!apart && unit() >= o_.loss) way_.push_back({now_ + kWay, from, to, payload});
+    if (!apart && unit() >= o_.loss) inTransit_.push_back({now_ + kNetworkDelay, from, to, payload});
   }
   void deliver() {
-    while (!way_.empty() && way_.front().at <= now_) {
-      const Datagram d = std::move(way_.front());
-      way_.pop_front();
-      if (d.to >= o_.mad) gateways_[d.to]->gossip->onMessage(d.from, d.payload, time());
+    while (!inTransit_.empty() && inTransit_.front().at <= now_) {
+      const Datagram d = std::move(inTransit_.front());
+      inTransit_.pop_front();
+      if (d.to >= o_.faultyGateways) gateways_[d.to]->gossip->onMessage(d.from, d.payload, time());
     }
   }
 
   const Options o_;
-  std::mt19937_64 dice_;
+  std::mt19937_64 engine_;
   const std::size_t hosts_;
   std::vector<std::unique_ptr<Gateway>> gateways_;
-  std::deque<Datagram> way_;
+  std::deque<Datagram> inTransit_;
   double now_ = 0, alarms_ = 0;
 };
 
@@ -221,7 +222,7 @@
 
 std::string secondsOf(double s, double end) {
   char text[32];
-  if (s >= end - kDies - 0.05) return "-";
+  if (s >= end - kFailureTime - 0.05) return "-";
   std::snprintf(text, sizeof text, "%.2f", s);
   return text;
 }
@@ -290,7 +291,7 @@
                  "part of the attempts at a worker that is well that meet silence");
   app.add_option("--holds", o.holds, "seconds that what was seen counts for");
   app.add_option("--loss", o.loss, "part of the datagrams that are lost");
-  app.add_option("--mad", o.mad, "gateways that call every worker silent");
+  app.add_option("--mad", o.faultyGateways, "gateways that report every worker as unresponsive");
   app.add_flag("--cut", o.cut, "two halves of the gateways do not hear one another");
   app.add_option("--seeds", seeds)->check(CLI::Range(1, 100));
   app.add_option("--svg", svg, "draw the share of gateways that know over time");
@@ -349,9 +350,9 @@
   trouble("none", [](Options&) {});
   trouble("30% of the datagrams lost", [](Options& p) { p.loss = 0.3; });
   trouble("two halves that do not hear one another", [](Options& p) { p.cut = true; });
-  trouble("one mad gateway", [](Options& p) { p.mad = 1; });
-  trouble("two mad gateways", [](Options& p) { p.mad = 2; });
-  trouble("three mad gateways (a quorum)", [](Options& p) { p.mad = 3; });
+  trouble("one mad gateway", [](Options& p) { p.faultyGateways = 1; });
+  trouble("two mad gateways", [](Options& p) { p.faultyGateways = 2; });
+  trouble("three mad gateways (a quorum)", [](Options& p) { p.faultyGateways = 3; });
   trouble("1% of attempts at well workers silent", [](Options& p) { p.falseRate = 0.01; });
   if (!svg.empty()) {
     std::vector<std::pair<std::string, Options>> curves;
--- a/bench/streams.cpp
+++ b/bench/streams.cpp
@@ -232,9 +232,9 @@
   stream::TcpProxyHandler front(io, clock, s, read.settings, gateway.protocolHandlerCallbacks(), table);
   websocket::WebSocketSettings w;
   w.inspect = mode == Mode::inspect;
-  std::mt19937 dice(1);
+  std::mt19937 engine(1);
   websocket::WebSocketHandler upgrades(
-      clock, w, "bench", [&] { return static_cast<std::uint32_t>(dice()); }, table);
+      clock, w, "bench", [&] { return static_cast<std::uint32_t>(engine()); }, table);
   gateway.attach(front);
   gateway.setUpgradeHandler(upgrades);
   front.start();
@@ -327,11 +327,11 @@
   }
   const double memory = streams > 1 ? (between.memory() - first) / static_cast<double>(streams - 1) : 0;
 
-  std::mt19937 dice(7);
+  std::mt19937 engine(7);
   std::vector<double> times;
   constexpr std::size_t kOneByOne = 20'000;
   for (std::size_t i = 0; i < kOneByOne; ++i) {
-    const int fd = all[dice() % all.size()];
+    const int fd = all[engine() % all.size()];
     const auto from = steady_clock::now();
     writeAll(fd, message.data(), message.size());
     readAll(fd, bytes, answer);
