--- a/bench/cross_zone.cpp
+++ b/bench/cross_zone.cpp
@@ -29,8 +29,8 @@
 struct Kind {
   const char* name;
   Idempotency effect;
-  double share, priorityWeight, workMs;
-  Duration latencyObjective, clientTimeout;
+  double share, valueWeight, workMs;
+  Duration objective, timeout;
   double out, in;  // bytes
 };
 constexpr Kind kKinds[] = {
@@ -135,9 +135,9 @@
       ClassSettings c;
       c.name = k.name;
       c.idempotency = k.effect;
-      c.priorityWeight = k.priorityWeight;
-      c.latencyObjective = k.latencyObjective;
-      c.clientTimeout = k.clientTimeout;
+      c.priorityWeight = k.valueWeight;
+      c.latencyObjective = k.objective;
+      c.clientTimeout = k.timeout;
       c.deduplicationWindow = seconds(2);
       c.deduplicationScope = DeduplicationScope::zone;
       settings.classes.push_back(c);
@@ -175,10 +175,10 @@
         Request q;
         q.id = ++last;
         q.classIndex = static_cast<std::uint32_t>(kind);
-        q.timeLeft = kKinds[kind].clientTimeout;
-        q.preferLocalZone = budget && !budget->allows(now, kKinds[kind].priorityWeight);
+        q.timeLeft = kKinds[kind].timeout;
+        q.preferLocalZone = budget && !budget->allows(now, kKinds[kind].valueWeight);
         open[q.id] = {kind, now, q.preferLocalZone, false, {}};
-        phase(now).offered += kKinds[kind].priorityWeight;
+        phase(now).offered += kKinds[kind].valueWeight;
         b.onRequest(now, q);
         events.push({now + Duration(static_cast<std::int64_t>(-std::log(1 - unit()) / perSecond * 1e9)), 0});
       } else {
@@ -191,7 +191,7 @@
         }
         Open& o = open[e.request];
         const Kind& k = kKinds[o.kind];
-        if (!o.over && now - o.at <= k.latencyObjective) phase(o.at).inTime += k.priorityWeight;
+        if (!o.over && now - o.at <= k.objective) phase(o.at).inTime += k.valueWeight;
         const auto [host, at] = o.sent[e.attempt];
         AttemptResult r;
         r.request = e.request;
