--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -11,7 +11,8 @@
 
 using std::chrono::milliseconds;
 
-// A host that is cordoned at another process is cordoned here within this time.
+// Interval between reads of the cordon file: the longest delay until a cordon set by another process takes
+// effect here.
 constexpr milliseconds kRefreshInterval(100);
 
 constexpr unsigned kOk = 200;
@@ -27,7 +28,7 @@
 AdminApi::AdminApi(boost::asio::io_context& io, const Clock& clock, const GatewayConfig& config,
                    const std::string& cordonFile, Gateway& gateway)
     : clock_(clock),
-      cordonMemory_(config.settings.warmUpTime),
+      cordonRetention_(config.settings.warmUpTime),
       gateway_(gateway),
       stateFile_(cordonFile),
       timer_(io),
@@ -37,13 +38,13 @@
   scheduleRefresh();
 }
 
-// Returns whether another process has changed the cordoned hosts.
+// Reads the cordon file. Returns true if another process has changed the cordoned hosts.
 bool AdminApi::readSharedState() {
   if (stateFile_.path().empty()) return false;
   const auto text = stateFile_.readIfChanged();
   if (!text) return false;
   if (cordon_.decode(*text, clock_.now())) return true;
-  std::fprintf(stderr, "finchstile: invalid cordon file, cordoned hosts stay as they were: file=%s\n",
+  std::fprintf(stderr, "finchstile: invalid cordon file, keeping the current cordons: file=%s\n",
                stateFile_.path().c_str());
   return false;
 }
@@ -53,7 +54,7 @@
   timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
     if (readSharedState()) gateway_.reapplyHostFilters();
-    cordon_.expire(clock_.now(), cordonMemory_);
+    cordon_.expire(clock_.now(), cordonRetention_);
     scheduleRefresh();
   });
 }
@@ -106,21 +107,22 @@
   return onCordonChanged(host, "put back");
 }
 
-// A change by another process is returned by the file only once, so it is applied here whatever becomes of
-// the call.
+// readIfChanged() returns a change by another process only once, so the change is applied here even if the
+// operation on `host` then fails.
 bool AdminApi::isKnownHost(const std::string& host) {
   if (readSharedState()) gateway_.reapplyHostFilters();
   return gateway_.isListed(host) || cordon_.isTracked(host);
 }
 
-// The call fails if the next process of the gateway would not know of the change.
+// Replies with an error if the cordon file cannot be written, since the successor process reads cordons from
+// that file.
 ops::Reply AdminApi::onCordonChanged(const std::string& host, const char* change) {
   gateway_.reapplyHostFilters();
   std::fprintf(stderr, "finchstile: host changed by an operator: host=%s change=\"%s\"\n", host.c_str(),
                change);
   if (stateFile_.path().empty() || stateFile_.write(cordon_.encode())) return {kOk, "done\n"};
   std::fprintf(stderr,
-               "finchstile: cannot write the cordon file, the change holds in this process: file=%s\n",
+               "finchstile: cannot write the cordon file, the change applies to this process only: file=%s\n",
                stateFile_.path().c_str());
   return {kServerError,
           std::string(change) + " in this process; the next would not know: the file can not be written\n"};
--- a/src/app/admin_api.hpp
+++ b/src/app/admin_api.hpp
@@ -1,5 +1,5 @@
-// Carries out the calls of the administration interface on the gateway. Cordoned hosts are filtered in its
-// endpoint list, and written to a file that the other processes of the gateway read.
+// Executes the operations of the administration interface on the gateway. Cordons are applied as a filter on
+// its endpoint list, and written to a file that the other processes of the gateway read.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,18 +22,18 @@
 class AdminApi : ops::AdminCallHandler, HostEntryFilter {
  public:
   // `config` has an admin endpoint. `cordonFile`: the path of the shared file; empty for none. `clock` and
-  // `gateway` must outlive this object. Throws boost::system::system_error if the endpoint cannot be listened
-  // at.
+  // `gateway` must outlive this object. Throws boost::system::system_error if it cannot listen at the
+  // endpoint.
   AdminApi(boost::asio::io_context& io, const Clock& clock, const GatewayConfig& config,
            const std::string& cordonFile, Gateway& gateway);
 
-  ops::ConfigMetrics configMetrics;  // counted by the owner, who reads configurations
+  ops::ConfigMetrics configMetrics;  // updated by the owner when it loads a configuration
 
-  // Further lines of the exposition format. May be empty.
+  // Returns further lines of the telemetry reply, in the exposition format. May be unset.
   std::function<std::string()> additionalMetrics;
 
-  // What is known of a host, or of all hosts if the name is empty. Returns nothing if the list does not name
-  // the host. Empty if membership is not enabled.
+  // Describes a host, or all hosts if the name is empty. Returns nothing if the list does not contain the
+  // host. Unset if membership is not enabled.
   std::function<std::optional<std::string>(const std::string& host)> hostsText;
 
  private:
@@ -49,7 +49,7 @@
   void scheduleRefresh();
 
   const Clock& clock_;
-  const Duration cordonMemory_;  // for which uncordoned hosts are remembered: no host warms up for longer
+  const Duration cordonRetention_;  // how long uncordoned hosts are tracked: no warm-up takes longer
   Gateway& gateway_;
   ops::HostCordon cordon_;
   ops::StateFile stateFile_;
@@ -57,8 +57,8 @@
   ops::AdminServer server_;
 };
 
-// The path of the file that the processes of a gateway share, named after the gateway; empty if there is no
-// directory for it.
+// The path of the cordon file that the processes of a gateway share, in the directory TMPDIR and named after
+// the gateway; empty if TMPDIR is not set.
 std::string cordonFilePath(const std::string& name);
 
 }  // namespace finchstile
--- a/src/app/gateway_program.cpp
+++ b/src/app/gateway_program.cpp
@@ -18,7 +18,7 @@
   std::fprintf(stderr, "%.*s\n", static_cast<int>(line.size()), line.data());
 }
 
-LoadedOperatorFile loadFileOfOptions(const RunOptions& options) {
+LoadedOperatorFile loadInitialOperatorFile(const RunOptions& options) {
   if (options.operatorFile.empty()) return {};
   return loadOperatorFileWithHooks(options.operatorFile, OperatorFileReloader::kFirstVersion);
 }
@@ -40,7 +40,7 @@
 
 GatewayProgram::GatewayProgram(const RunOptions& options)
     : options_(options),
-      operator_(loadFileOfOptions(options)),
+      operator_(loadInitialOperatorFile(options)),
       config_(readGatewayConfig()),
       hooks_(clock_, maxRetryAfter(config_.settings), printLine),
       gateway_(io_, clock_, config_),
@@ -70,7 +70,7 @@
   return config;
 }
 
-// Filters are attached in the order in which requests pass them.
+// Filters are attached in the order in which requests pass through them.
 void GatewayProgram::serve() {
   waitForSignal();
   summaryLog_.setInterval(operator_.file.hooks.reportInterval);
@@ -90,7 +90,7 @@
 
 // --- Subsystems ----------------------------------------------------------------------------------------
 
-// Also after a reload: the first hooks may come with it.
+// Runs at startup and after each reload, since a reload may add the first hooks.
 void GatewayProgram::attachHooks() {
   if (operator_.hooks->hooks.empty() && !hookFilterAttached_) return;
   hooks_.chain().install(operator_.hooks);
@@ -98,13 +98,14 @@
   summaryLog_.start();
 }
 
-// Hooks come first: what they reject is neither remembered nor charged by the filters behind them. Those are
-// attached once, so the hooks' place is taken even if there are none yet.
+// The hook filter is the first one, so that requests rejected by hooks are neither stored nor charged by the
+// later filters. Filters are attached only once, so the hook filter is attached before the others even if
+// there are no hooks yet.
 void GatewayProgram::ensureHookFilter() {
   if (!std::exchange(hookFilterAttached_, true)) gateway_.attach(hooks_);
 }
 
-// Before the filters that hold requests, so that it sees those as well.
+// Attached before the filters that hold requests, so that held requests pass through it as well.
 void GatewayProgram::attachCrossZoneBudget() {
   if (!operator_.file.crossing.enabled) return;
   ensureHookFilter();
@@ -119,9 +120,9 @@
   if (!settings.enabled) return;
   ensureHookFilter();
   std::random_device entropy;
-  const auto word = [&] { return static_cast<std::uint64_t>(entropy()) << 32 | entropy(); };
+  const auto random64 = [&] { return static_cast<std::uint64_t>(entropy()) << 32 | entropy(); };
   idempotency_ = std::make_unique<idempotency::IdempotencyFilter>(
-      clock_, settings, config_.settings.tenants.size(), idempotency::Seed{word(), word()},
+      clock_, settings, config_.settings.tenants.size(), idempotency::Seed{random64(), random64()},
       gateway_.filterCallbacks());
   if (!settings.log.directory.empty())
     idempotencyLog_ =
@@ -174,7 +175,7 @@
 void GatewayProgram::attachAdminApi() {
   if (!config_.adminEndpoint) return;
   adminApi_ = std::make_unique<AdminApi>(io_, clock_, config_, cordonFilePath(config_.name), gateway_);
-  adminApi_->additionalMetrics = [this] { return furtherMetrics(); };
+  adminApi_->additionalMetrics = [this] { return subsystemMetrics(); };
   if (membership_)
     adminApi_->hostsText = [this](const std::string& host) { return membership_->describeHosts(host); };
 }
@@ -194,7 +195,7 @@
 
 // --- Signals -------------------------------------------------------------------------------------------
 
-// They may come again, also while draining.
+// Signals may arrive repeatedly, also while draining, so the wait is renewed after each one.
 void GatewayProgram::waitForSignal() {
   signals_.async_wait([this](const boost::system::error_code& error, int signal) {
     if (error) return;
@@ -218,8 +219,8 @@
   if (handover_) handover_->startHandingOver();
 }
 
-// A file that is incomplete or wrong must not end a gateway that serves: the one in force stays in force,
-// unchanged. The two files are independent: the platform writes one and the operator the other.
+// An incomplete or invalid file must not stop a serving gateway: the configuration in effect stays unchanged.
+// The two files are reloaded independently, since the platform writes one and the operator the other.
 void GatewayProgram::reload() {
   try {
     gateway_.reload(loadConfig(options_.config, clock_));
@@ -231,7 +232,7 @@
   if (!options_.operatorFile.empty()) reloader_.reload();
 }
 
-// Between two requests, in one step.
+// Runs on the event loop in one step, so that no handler sees a partly applied file.
 void GatewayProgram::onOperatorFileLoaded(LoadedOperatorFile&& loaded) {
   operator_ = std::move(loaded);
   gateway_.setOptions(operator_.file.tuning);
@@ -241,7 +242,7 @@
                static_cast<unsigned long long>(operator_.hooks->version));
 }
 
-// --- Figures -------------------------------------------------------------------------------------------
+// --- Metrics -------------------------------------------------------------------------------------------
 
 std::vector<std::string> GatewayProgram::summaries() {
   std::vector<std::string> lines = hooks_.chain().summary(clock_.now());
@@ -256,7 +257,7 @@
   return lines;
 }
 
-std::string GatewayProgram::furtherMetrics() const {
+std::string GatewayProgram::subsystemMetrics() const {
   std::string metrics;
   if (crossZone_) metrics += crossZone_->account().exposition();
   if (streams_) metrics += streams_->exposition();
--- a/src/app/gateway_program.hpp
+++ b/src/app/gateway_program.hpp
@@ -1,6 +1,5 @@
-// The gateway as a process: makes the subsystems that the operator's file asks for, ties them to the gateway,
-// and turns signals into a drain or a reload. It is the only place that knows every subsystem; none of them
-// knows another.
+// The gateway process: creates the subsystems that the operator's file enables, connects them to the gateway,
+// and starts a drain or a reload on signals. No other class depends on all subsystems.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -41,7 +40,8 @@
   // with them.
   explicit GatewayProgram(const RunOptions& options);
 
-  // Serves until a drain is over. Signals are taken from here on: SIGTERM and SIGINT drain, SIGHUP reloads.
+  // Serves until a drain has completed. Handles signals from here on: SIGTERM and SIGINT start a drain,
+  // SIGHUP a reload.
   void serve();
 
  private:
@@ -64,10 +64,10 @@
   void onOperatorFileLoaded(LoadedOperatorFile&& loaded);
 
   std::vector<std::string> summaries();
-  std::string furtherMetrics() const;
+  std::string subsystemMetrics() const;
 
-  // Members are destroyed from the last to the first. Filters and protocol handlers outlive the gateway,
-  // which calls them; what calls the gateway is destroyed before it.
+  // Members are destroyed in reverse order. Filters and the attempt log outlive the gateway, which calls
+  // them; objects that call the gateway, among them the protocol handlers, are destroyed before it.
   const RunOptions options_;
   const Clock clock_;
   boost::asio::io_context io_{1};
@@ -89,7 +89,7 @@
   std::unique_ptr<AdminApi> adminApi_;
   std::unique_ptr<ProcessHandover> handover_;
   std::unique_ptr<boost::asio::thread_pool>
-      configurationWorker_;  // outlives the client, which has a strand of it
+      configurationWorker_;  // outlives the client, which has a strand on it
   std::unique_ptr<configuration::Client> configuration_;
   bool hookFilterAttached_ = false;
   bool draining_ = false;
--- a/src/app/hook_commands.cpp
+++ b/src/app/hook_commands.cpp
@@ -143,23 +143,24 @@
   return 0;
 }
 
-void addCheckCommand(CLI::App& hooks, std::function<int()>& chosen) {
+void addCheckCommand(CLI::App& hooks, std::function<int()>& selectedCommand) {
   const auto files = std::make_shared<std::vector<std::string>>();
   const auto bytecodePath = std::make_shared<std::string>();
   CLI::App* command = hooks.add_subcommand("check", "compile, verify, and run the hook's own expectations");
   command->add_option("file", *files, "sources or bytecode")->required();
   command->add_option("--bytecode", *bytecodePath, "write the bytecode of the (last) hook here");
-  command->callback([=, &chosen] { chosen = [=] { return checkHooks(*files, *bytecodePath); }; });
+  command->callback(
+      [=, &selectedCommand] { selectedCommand = [=] { return checkHooks(*files, *bytecodePath); }; });
 }
 
-void addShowCommand(CLI::App& hooks, std::function<int()>& chosen) {
+void addShowCommand(CLI::App& hooks, std::function<int()>& selectedCommand) {
   const auto file = std::make_shared<std::string>();
   CLI::App* command = hooks.add_subcommand("show", "print a hook's instructions");
   command->add_option("file", *file, "source or bytecode")->required();
-  command->callback([=, &chosen] { chosen = [=] { return showHook(*file); }; });
+  command->callback([=, &selectedCommand] { selectedCommand = [=] { return showHook(*file); }; });
 }
 
-void addRunCommand(CLI::App& hooks, std::function<int()>& chosen) {
+void addRunCommand(CLI::App& hooks, std::function<int()>& selectedCommand) {
   const auto options = std::make_shared<HookRunOptions>();
   CLI::App* command = hooks.add_subcommand("run", "run one handler on a request given here");
   command->add_option("file", options->file, "source or bytecode")->required();
@@ -178,17 +179,17 @@
   command->add_option("--attempt", options->attempt, "the attempt's number")->check(CLI::Range(1, 100));
   command->add_option("--time-left-ms", options->timeLeftMs, "of the client")
       ->check(CLI::Range(0, 3'600'000));
-  command->callback([=, &chosen] { chosen = [=] { return runHook(*options); }; });
+  command->callback([=, &selectedCommand] { selectedCommand = [=] { return runHook(*options); }; });
 }
 
 }  // namespace
 
-void addHookCommands(CLI::App& app, std::function<int()>& chosen) {
+void addHookCommands(CLI::App& app, std::function<int()>& selectedCommand) {
   CLI::App* hooks = app.add_subcommand("hook", "check, run or show a hook");
   hooks->require_subcommand(1);
-  addCheckCommand(*hooks, chosen);
-  addShowCommand(*hooks, chosen);
-  addRunCommand(*hooks, chosen);
+  addCheckCommand(*hooks, selectedCommand);
+  addShowCommand(*hooks, selectedCommand);
+  addRunCommand(*hooks, selectedCommand);
 }
 
 }  // namespace finchstile
--- a/src/app/hook_commands.hpp
+++ b/src/app/hook_commands.hpp
@@ -6,8 +6,8 @@
 
 namespace finchstile {
 
-// Adds the commands to `app`. When the command line selects one, parsing sets `chosen` to the function that
-// runs it and returns the exit code.
-void addHookCommands(CLI::App& app, std::function<int()>& chosen);
+// Adds the commands to `app`. When the command line selects one, parsing sets `selectedCommand` to the
+// function that runs it and returns the exit code.
+void addHookCommands(CLI::App& app, std::function<int()>& selectedCommand);
 
 }  // namespace finchstile
--- a/src/app/hosts_command.cpp
+++ b/src/app/hosts_command.cpp
@@ -26,7 +26,7 @@
 
 struct Options {
   std::string adminAddress;
-  std::string host;  // empty: all
+  std::string host;  // empty: all hosts
 };
 
 struct FetchResult {
@@ -64,8 +64,8 @@
 int printHosts(const Options& options) {
   const FetchResult fetched = fetchHosts(options);
   if (fetched.error) {
-    std::fprintf(stderr, "finchstile: %s does not answer: %s\n", options.adminAddress.c_str(),
-                 fetched.error.message().c_str());
+    std::fprintf(stderr, "finchstile: no response from the administration interface at %s: %s\n",
+                 options.adminAddress.c_str(), fetched.error.message().c_str());
     return kExitFailed;
   }
   const bool isOk = fetched.response.result() == http::status::ok;
@@ -75,14 +75,17 @@
 
 }  // namespace
 
-void addHostsCommand(CLI::App& app, std::function<int()>& chosen) {
+void addHostsCommand(CLI::App& app, std::function<int()>& selectedCommand) {
   auto options = std::make_shared<Options>();
   CLI::App* command =
-      app.add_subcommand("hosts", "what a running gateway knows of its hosts, with sources and ages");
-  command->add_option("--ops", options->adminAddress, "the gateway's operators' address, as 127.0.0.1:9000")
+      app.add_subcommand("hosts", "print the state of a running gateway's hosts, with sources and ages");
+  command
+      ->add_option("--ops", options->adminAddress,
+                   "address of the gateway's administration interface, e.g. 127.0.0.1:9000")
       ->required();
-  command->add_option("name", options->host, "one host, by its name in the list; else all");
-  command->callback([&chosen, options] { chosen = [options] { return printHosts(*options); }; });
+  command->add_option("name", options->host, "name of a listed host; without it, all hosts");
+  command->callback(
+      [&selectedCommand, options] { selectedCommand = [options] { return printHosts(*options); }; });
 }
 
 }  // namespace finchstile
--- a/src/app/hosts_command.hpp
+++ b/src/app/hosts_command.hpp
@@ -1,4 +1,5 @@
-// `finchstile hosts`: prints what a running gateway knows of its hosts, from its operators' address.
+// The command `finchstile hosts`: fetches the state of hosts from the administration interface of a running
+// gateway and prints it.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -6,8 +7,8 @@
 
 namespace finchstile {
 
-// Adds the command. When it is parsed, `chosen` becomes the function that runs it and returns the exit code.
-// `chosen` must outlive the parsing.
-void addHostsCommand(CLI::App& app, std::function<int()>& chosen);
+// Adds the command to `app`. When the command line selects it, parsing sets `selectedCommand` to the function
+// that runs it and returns the exit code. `selectedCommand` must outlive the parsing.
+void addHostsCommand(CLI::App& app, std::function<int()>& selectedCommand);
 
 }  // namespace finchstile
--- a/src/app/idempotency_log.cpp
+++ b/src/app/idempotency_log.cpp
@@ -20,7 +20,7 @@
   }
 }
 
-// Empty if the system does not say.
+// Returns an empty string if the system provides no boot id.
 std::string bootId() {
   std::string id;
   std::ifstream("/proc/sys/kernel/random/boot_id") >> id;
@@ -57,7 +57,8 @@
   scheduleTick();
 }
 
-// docs/operators/idempotency.md promises the names in these lines, so they keep their form.
+// The event and field names of these lines are documented in docs/operators/idempotency.md and must not
+// change.
 void IdempotencyLog::printRecovery(const idempotency::JournalRecovery& recovery, const std::string& directory,
                                    Duration retention) const {
   const char* const path = directory.c_str();
--- a/src/app/idempotency_log.hpp
+++ b/src/app/idempotency_log.hpp
@@ -1,4 +1,5 @@
-// The idempotency log within the program: its directory, its sync thread and its timer.
+// Connects the idempotency journal to the program: opens its log directory and runs its sync thread and its
+// timer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,10 +17,10 @@
 
 class IdempotencyLog {
  public:
-  // Reads the whole log into the store of `filter`, which must not be attached yet, and prints what it found.
+  // Reads the whole log into the store of `filter`, which must not be attached yet, and logs the result.
   // `filter` and `clock` must outlive this object. Throws wal::LogDirectoryError if the directory cannot be
-  // used, since the operator asked for what this process cannot give. Later failures show in the filter's
-  // summary.
+  // used, since the gateway must not start without the durability that the operator configured. Later
+  // failures appear in the filter's summary.
   IdempotencyLog(boost::asio::io_context& io, const Clock& clock,
                  const idempotency::IdempotencySettings& settings,
                  const load_balancing::Settings& balancerSettings, idempotency::IdempotencyFilter& filter);
--- a/src/app/idempotency_ownership.hpp
+++ b/src/app/idempotency_ownership.hpp
@@ -1,4 +1,5 @@
-// The agreement of gateways on idempotency keys, within the program: its datagrams and its timer.
+// Connects the ownership of idempotency keys, which gateways share, to the program: sends and receives its
+// datagrams and runs its timer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,8 +14,8 @@
 
 class IdempotencyOwnership : idempotency::GatewayLink {
  public:
-  // Has `filter` ask the other gateways from now on. `balancerSettings` are read during the call; the other
-  // references must outlive this object.
+  // Makes `filter` query the other gateways from now on. `balancerSettings` is read by the constructor only;
+  // the other references must outlive this object.
   IdempotencyOwnership(boost::asio::io_context& io, const Clock& clock,
                        const idempotency::IdempotencySettings& settings, PeerLink& link,
                        const load_balancing::Settings& balancerSettings,
@@ -31,7 +32,7 @@
   peer::Channel& channel_;
   idempotency::KeyOwnership ownership_;
   boost::asio::steady_timer timer_;
-  std::optional<Time> scheduledAt_;
+  std::optional<Time> scheduledAt_;  // expiry of the running timer; empty: it is not set
 };
 
 }  // namespace finchstile
--- a/src/app/loaded_operator_file.hpp
+++ b/src/app/loaded_operator_file.hpp
@@ -1,4 +1,5 @@
-// The operator's file together with what it refers to, loaded aside and as a whole.
+// The operator's file together with the hooks that it refers to, loaded completely before any of it takes
+// effect.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +13,12 @@
 
 struct LoadedOperatorFile {
   OperatorFile file;
-  std::shared_ptr<const hook::HookSet> hooks;  // null only where no file was named
+  std::shared_ptr<const hook::HookSet> hooks;  // null only if the command line names no file
 };
 
-// Reads the file at `path` and compiles its hooks; `version` numbers them. Reads files, so it may take longer
-// than a request can wait. Throws OperatorFileError with everything that is wrong.
+// Reads the file at `path` and compiles its hooks, which get the version number `version`. Blocks on file I/O
+// for longer than a request may wait, so a serving gateway must not run it on its event loop. Throws
+// OperatorFileError with all problems.
 LoadedOperatorFile loadOperatorFileWithHooks(const std::string& path, std::uint64_t version);
 
 }  // namespace finchstile
--- a/src/app/membership_service.cpp
+++ b/src/app/membership_service.cpp
@@ -12,13 +12,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t kMaxMachineTypes = 4096;             // whose names are kept for snapshots
-constexpr Duration kRespondingTime = seconds(2);           // a host that responded within it is responding
+constexpr std::size_t kMaxMachineTypes = 4096;             // whose names are kept to decode snapshots
+constexpr Duration kRespondingTime = seconds(2);           // a host with a more recent response is responding
 constexpr Duration kCleanupInterval = seconds(1);          // between removals of expired hosts
-constexpr Duration kMinFilterInterval = milliseconds(50);  // the filter is applied to all hosts at a time
-constexpr Duration kSnapshotPause = milliseconds(10);      // between the chunks of snapshots
-constexpr std::uint64_t kWarmStartSeedMask = 0x57a27;  // keeps its random numbers apart from those of gossip
-constexpr std::uint64_t kGossipSlots = 100;            // over which gateways spread within a period
+constexpr Duration kMinFilterInterval = milliseconds(50);  // since each run processes all hosts
+constexpr Duration kSnapshotPause = milliseconds(10);      // between chunks of a snapshot
+constexpr std::uint64_t kWarmStartSeedMask =
+    0x57a27;                                 // so that warm start and gossip draw different sequences
+constexpr std::uint64_t kGossipSlots = 100;  // offsets of gateways within a period
 
 membership::EndpointList toEndpointList(const HostList& from) {
   membership::EndpointList list;
@@ -63,7 +64,8 @@
     const std::string* name = findName(key);
     return name ? gateway_.lastResponseAt(*name) : Time{};
   });
-  // Gateways that start together would send at the same moments otherwise.
+  // Spreads the first messages over a period: gateways that start together would otherwise send at the same
+  // times.
   nextGossipAt_ =
       now + gossip.period * static_cast<int>(seed % kGossipSlots) / static_cast<int>(kGossipSlots);
   link_->channel().setHandler(peer::Topic::hosts,
@@ -89,7 +91,7 @@
   return name ? hostStates_.find(*name) : nullptr;
 }
 
-// --- Lists
+// --- Endpoint lists
 
 void MembershipService::onInitialList(const HostList& known) {
   const Time now = clock_.now();
@@ -123,7 +125,7 @@
   return recordList(std::move(*decision.list));
 }
 
-// Records a list before the gateway gets it: the gateway asks the filter about each of its entries.
+// Records a list before the gateway receives it, since the gateway applies the filter to each of its entries.
 HostList MembershipService::recordList(membership::EndpointList&& list) {
   const Time now = clock_.now();
   const auto version = static_cast<std::uint64_t>(std::max<std::int64_t>(list.version, 0));
@@ -175,7 +177,7 @@
 
 void MembershipService::apply(load_balancing::HostEntry& entry) const {
   const Time now = clock_.now();
-  // An unknown host had no room in the table, or is not listed yet: nothing is known against it.
+  // A host without a state did not fit into the table or is not listed yet; its phase stays as listed.
   if (!hostStates_.find(entry.address)) return;
   entry.phase = membership::worsePhase(entry.phase, hostStates_.phase(entry.address, now));
   if (!gossip_ || entry.phase != HostPhase::active) return;
@@ -230,7 +232,7 @@
     link_->channel().send(peer::Topic::hosts, message.recipient, message.payload);
 }
 
-// Makes effective what the messages of other gateways have changed.
+// Applies the unresponsive hosts and the phases that gossip has accepted.
 void MembershipService::applyGossip() {
   for (const Time until : gossip_->takeUnresponsiveUntil()) {
     restrictionEnds_.insert(until);
@@ -250,7 +252,8 @@
   membership::StateSnapshot snapshot = membership::makeSnapshot(
       gateway_.learnedState(), [this](std::string_view name) { return keyOf(name); },
       [this](const std::string& host) { return listedState(host); });
-  // The learned state has no hosts that are not active, but their phase is of use to the other gateway.
+  // The learned state contains active hosts only. The other hosts are added for their phase, which the
+  // receiving gateway applies.
   for (const Gateway::HostView& host : gateway_.hosts()) {
     const auto state = listedState(host.listed.address);
     if (!state || state->phase == HostPhase::active) continue;
@@ -325,7 +328,7 @@
   applyGossip();
 }
 
-// --- Time
+// --- Timers
 
 Time MembershipService::nextTimer() const {
   Time next = nextCleanupAt_;
--- a/src/app/membership_service.hpp
+++ b/src/app/membership_service.hpp
@@ -1,6 +1,6 @@
-// Ties src/membership to the gateway: endpoint lists, load reports, first-hand observations and the messages
-// of other gateways go in; effective lists and the filter for host entries come out. The decisions are those
-// of src/membership.
+// Connects src/membership to the gateway. Passes it endpoint lists, load reports, the gateway's own
+// observations and the messages of other gateways, and provides the gateway with effective lists and a filter
+// for host entries. The decisions are made in src/membership.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -31,8 +31,8 @@
 
   std::string summary() const;     // the statistics in one line for the log
   std::string exposition() const;  // the statistics in the exposition format of metrics
-  // What is known of one host, each observation with its source and age, or of all hosts if `host` is empty.
-  // Empty: no list names the host.
+  // Describes one host, each observation with its source and age, or all hosts if `host` is empty. Returns
+  // nothing if no list contains the host.
   std::optional<std::string> describeHosts(const std::string& host) const;
 
   const membership::ListPolicy& listPolicy() const { return listPolicy_; }
@@ -90,13 +90,13 @@
   std::unique_ptr<membership::Gossip> gossip_;
   std::unique_ptr<membership::WarmStart> warmStart_;
   membership::SnapshotServer snapshotServer_;
-  std::unordered_map<std::string, membership::HostKey> keys_;  // of hosts that the list names
+  std::unordered_map<std::string, membership::HostKey> keys_;  // of listed hosts, by address
   std::unordered_map<membership::HostKey, std::string> names_;
   std::set<std::string> machineTypes_;
-  std::set<Time> restrictionEnds_;  // of phases and unresponsiveness that other gateways reported
+  std::set<Time> restrictionEnds_;  // expiry times of phases and unresponsiveness reported by other gateways
   std::uint64_t knownRenumberings_ = 0;
   bool warmStartFinished_ = false;
-  bool filterChanged_ = false;  // the gateway has to apply the filter again
+  bool filterChanged_ = false;  // the gateway has not reapplied the changed filter yet
   Time nextGossipAt_{};
   Time nextCleanupAt_{};
   Time filteredAt_{};
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -14,24 +14,24 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-void readTuning(SettingReader& root, GatewayOptions& t) {
-  root.table("clients", [&](SettingReader& r) {
-    r.duration("idle", t.clients.idleTimeout, seconds(1), hours(1));
-    r.duration("request", t.clients.requestTimeout, milliseconds(100), minutes(1));
-    r.duration("write", t.clients.writeTimeout, milliseconds(100), minutes(1));
-    r.number("descriptor_share", t.clientDescriptorFraction, 0.05, 0.9);
-    r.duration("serve_draining", t.drainServeTime, milliseconds(0), hours(1));
+void readTuning(SettingReader& root, GatewayOptions& options) {
+  root.table("clients", [&](SettingReader& reader) {
+    reader.duration("idle", options.clients.idleTimeout, seconds(1), hours(1));
+    reader.duration("request", options.clients.requestTimeout, milliseconds(100), minutes(1));
+    reader.duration("write", options.clients.writeTimeout, milliseconds(100), minutes(1));
+    reader.number("descriptor_share", options.clientDescriptorFraction, 0.05, 0.9);
+    reader.duration("serve_draining", options.drainServeTime, milliseconds(0), hours(1));
   });
-  root.table("upstream", [&](SettingReader& r) {
-    r.size("connecting", t.maxConnectingPerHost, 1, 64);
-    r.duration("proof_least", t.minVerificationTime, milliseconds(0), milliseconds(100));
-    r.number("descriptor_share", t.upstreamDescriptorFraction, 0.05, 0.9);
-    if (t.clientDescriptorFraction + t.upstreamDescriptorFraction > 0.95)
-      r.error("descriptor_share", "and clients.descriptor_share must be 0.95 together at most");
+  root.table("upstream", [&](SettingReader& reader) {
+    reader.size("connecting", options.maxConnectingPerHost, 1, 64);
+    reader.duration("proof_least", options.minVerificationTime, milliseconds(0), milliseconds(100));
+    reader.number("descriptor_share", options.upstreamDescriptorFraction, 0.05, 0.9);
+    if (options.clientDescriptorFraction + options.upstreamDescriptorFraction > 0.95)
+      reader.error("descriptor_share", "and clients.descriptor_share must be 0.95 together at most");
   });
 }
 
-std::string joined(const std::vector<std::string>& lines) {
+std::string joinLines(const std::vector<std::string>& lines) {
   std::string all;
   for (const std::string& line : lines) all += (all.empty() ? "" : "\n") + line;
   return all;
@@ -40,7 +40,7 @@
 }  // namespace
 
 OperatorFileError::OperatorFileError(std::vector<std::string> lines)
-    : std::runtime_error(joined(lines)), lines_(std::move(lines)) {}
+    : std::runtime_error(joinLines(lines)), lines_(std::move(lines)) {}
 
 OperatorFile readOperatorFile(std::string_view text, const std::string& file) {
   std::vector<SettingProblem> problems;
@@ -63,8 +63,8 @@
       if (out.webSocket.enabled && !out.streams.enabled)
         streams.error("websocket", "needs [streams], enabled, that holds its streams");
     });
-    // [idempotency] tells tenants apart by the configuration of the start. Tenants that are added later would
-    // share their keys with one another.
+    // [idempotency] identifies tenants by the configuration at startup. Tenants that are added later would
+    // share one key space.
     if (out.configuration.enabled && out.idempotency.enabled)
       root.error("configuration",
                  "can't be enabled together with [idempotency] yet, whose tenants are those of "
--- a/src/app/operator_file.hpp
+++ b/src/app/operator_file.hpp
@@ -1,5 +1,5 @@
-// The operator's file (deploy/finchstile.toml): the settings of everything that the program does beyond its
-// platform's configuration. All are optional; an empty file changes nothing.
+// The operator's file (deploy/finchstile.toml): all settings that are not part of the platform's
+// configuration. All are optional; an empty file leaves the defaults.
 #pragma once
 
 #include <stdexcept>
@@ -34,7 +34,7 @@
   websocket::WebSocketSettings webSocket;
 };
 
-// All errors of a file, one line each, in the order of the file: "FILE:LINE: MESSAGE".
+// All problems of a file, one line each, in the order of the file: "FILE:LINE: MESSAGE".
 class OperatorFileError : public std::runtime_error {
  public:
   explicit OperatorFileError(std::vector<std::string> lines);
@@ -44,9 +44,10 @@
   std::vector<std::string> lines_;
 };
 
-// `file`: the path, for messages and for its folder, where relative paths of the settings start. Both throw
-// OperatorFileError.
+// Reads the settings from `text`. `file`: its path, which messages quote and whose folder is the base of
+// relative paths in the settings. Throws OperatorFileError.
 OperatorFile readOperatorFile(std::string_view text, const std::string& file);
+// Reads the settings from the file at `path`. Throws OperatorFileError, also if the file cannot be read.
 OperatorFile loadOperatorFile(const std::string& path);
 
 }  // namespace finchstile
--- a/src/app/operator_file_reloader.hpp
+++ b/src/app/operator_file_reloader.hpp
@@ -1,6 +1,5 @@
-// Loads the operator's file anew while the gateway serves. Compiling hooks and reading large tables takes
-// longer than a request may wait, so a thread does it; it shares nothing with the loop but the result that it
-// hands over.
+// Reloads the operator's file while the gateway serves. Compiling hooks and reading large tables takes longer
+// than a request may wait, so a separate thread does it; only its result is shared with the event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,20 +16,20 @@
  public:
   struct Callbacks {
     std::function<void(LoadedOperatorFile&&)> onLoaded;
-    std::function<void(const std::string& problems)> onFailed;  // the file in force stays in force
+    std::function<void(const std::string& problems)> onFailed;  // the settings in effect stay
   };
 
-  // Callbacks are made from the loop of `io`, which must outlive the reloader.
+  // Callbacks run on the event loop of `io`, which must outlive the reloader.
   OperatorFileReloader(boost::asio::io_context& io, std::string path, Callbacks callbacks);
-  ~OperatorFileReloader();  // waits for a load that is under way; nothing is told of it
+  ~OperatorFileReloader();  // waits for a running load, whose result is dropped
   OperatorFileReloader(const OperatorFileReloader&) = delete;
   OperatorFileReloader& operator=(const OperatorFileReloader&) = delete;
 
-  // Begins to load the file. While a load is under way it is repeated afterwards, since the file may have
-  // changed behind it.
+  // Starts to load the file. If a load is running, another one follows it, since the file may have changed
+  // after it was read.
   void reload();
 
-  static constexpr std::uint64_t kFirstVersion = 1;  // of the file that was read at the start
+  static constexpr std::uint64_t kFirstVersion = 1;  // of the file that was read at startup
 
  private:
   void onFinished(const std::shared_ptr<LoadedOperatorFile>& loaded, const std::string& problems);
--- a/src/app/peer_link.cpp
+++ b/src/app/peer_link.cpp
@@ -31,7 +31,7 @@
 
 SipKey PeerLink::deriveKey(std::string_view purpose) const { return derive(secret_, purpose); }
 
-// The names of the fields are part of the operators' documentation.
+// The field names are part of the operators' documentation.
 std::string PeerLink::summary() const {
   using peer::DatagramResult;
   const peer::ChannelStatistics& statistics = channel_.statistics();
--- a/src/app/peer_link.hpp
+++ b/src/app/peer_link.hpp
@@ -1,4 +1,5 @@
-// The program's one channel to the other gateways, shared by everything that exchanges datagrams with them.
+// The program's only channel to the other gateways, shared by all subsystems that exchange datagrams with
+// them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,12 +15,12 @@
 
 class PeerLink {
  public:
-  // Throws peer::SecretError if the secret is not usable, boost::system::system_error if the address is not
+  // Throws peer::SecretError if the secret is invalid, boost::system::system_error if the address is not
   // available. `io` must outlive the link.
   PeerLink(boost::asio::io_context& io, const Clock& clock, const peer::PeerSettings& settings);
 
   peer::Channel& channel() { return channel_; }
-  // A key of its own for each purpose: what the use of one key reveals says nothing about the others.
+  // Derives a separate key for each purpose, so that the use of one key reveals nothing about the others.
   SipKey deriveKey(std::string_view purpose) const;
   peer::GatewayNumber ownNumber() const { return ownNumber_; }
   peer::GatewayNumber gatewayCount() const { return gatewayCount_; }
--- a/src/app/process_handover.cpp
+++ b/src/app/process_handover.cpp
@@ -36,10 +36,10 @@
   predecessor_->onMessage = [this](const Message& message, std::unique_ptr<Descriptor> connection) {
     onPredecessorMessage(message, std::move(connection));
   };
-  // While the predecessor serves, the socket stays its own: a successor that fails at its start must not take
-  // it away.
+  // The predecessor keeps the socket while it serves, so that a successor that fails during startup cannot
+  // take it over.
   predecessor_->onClosed = [this] {
-    // docs/operators/operations.md promises this line, so it keeps its form.
+    // docs/operators/operations.md documents this line, so its form must not change.
     std::fprintf(stderr, "handover: took over %zu connections at rest\n", connectionsAdopted_);
     predecessor_.reset();
     listenForSuccessor();
@@ -87,7 +87,7 @@
 void ProcessHandover::onHello(const Message& message) {
   const auto channel = std::exchange(candidate_, nullptr);
   if (message.text != name_) return channel->close();
-  // The latest successor counts.
+  // A newer successor replaces an earlier one.
   if (successor_) successor_->close();
   successor_ = channel;
   welcomeSuccessor();
@@ -111,7 +111,8 @@
   gateway_.handOverClients([this](int fd) { return handOver(fd); });
 }
 
-// Returns whether the connection now belongs to the successor. A failed channel is reported as closed soon.
+// Returns true if the connection now belongs to the successor. If the channel has failed, its onClosed
+// follows.
 bool ProcessHandover::handOver(int fd) {
   if (!successor_) return false;
   if (successor_->send({MessageKind::connection, {}}, fd) != Channel::SendResult::sent) return false;
@@ -122,7 +123,7 @@
 void ProcessHandover::onSuccessorLost() {
   successor_.reset();
   if (!handingOver_) return;
-  // docs/operators/operations.md promises this line, so it keeps its form.
+  // docs/operators/operations.md documents this line, so its form must not change.
   std::fprintf(stderr, "handover: the next process is lost after %zu connections; the others are closed\n",
                connectionsGiven_);
   gateway_.handOverClients({});
@@ -131,7 +132,7 @@
 void ProcessHandover::finish() {
   if (!successor_) return;
   successor_->send({MessageKind::finished, {}});
-  // docs/operators/operations.md promises this line, so it keeps its form.
+  // docs/operators/operations.md documents this line, so its form must not change.
   std::fprintf(stderr, "handover: gave %zu connections to the next process\n", connectionsGiven_);
 }
 
--- a/src/app/process_handover.hpp
+++ b/src/app/process_handover.hpp
@@ -1,7 +1,7 @@
 // Lets one process of a gateway take over from another without closing client connections. The successor
-// finds its predecessor by a socket in the directory that they share. Once the predecessor drains, it hands
-// over each client connection as soon as no request runs on it. Without a successor, or once it is lost,
-// connections are closed as in any drain.
+// connects to its predecessor by a Unix socket in a shared directory. Once the predecessor drains, it hands
+// over each client connection as soon as no request is active on it. Without a successor, or once the channel
+// to it is closed, connections are closed as in any drain.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,11 +25,12 @@
   ProcessHandover(const ProcessHandover&) = delete;
   ProcessHandover& operator=(const ProcessHandover&) = delete;
 
-  // Whether the predecessor still serves beside this process.
+  // Whether the channel to the predecessor is open, which is so until the predecessor has drained.
   bool hasPredecessor() const { return predecessor_ != nullptr; }
 
-  // To be called when the gateway begins to drain, and when it has finished.
+  // To be called when the gateway starts to drain.
   void startHandingOver();
+  // To be called when the gateway has drained.
   void finish();
 
  private:
@@ -47,7 +48,7 @@
   Gateway& gateway_;
   std::unique_ptr<handover::HandoverListener> listener_;
   std::shared_ptr<handover::Channel> predecessor_;
-  std::shared_ptr<handover::Channel> candidate_;  // has connected and has not sent its hello
+  std::shared_ptr<handover::Channel> candidate_;  // connected, has not sent its hello yet
   std::shared_ptr<handover::Channel> successor_;
   std::size_t connectionsGiven_ = 0, connectionsAdopted_ = 0;
   bool handingOver_ = false;
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -7,7 +7,7 @@
 namespace finchstile {
 namespace {
 
-// The signals that the program handles once it serves.
+// The signals that the program handles while it serves.
 sigset_t handledSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -18,11 +18,11 @@
 }  // namespace
 
 int run(const RunOptions& options) {
-  std::signal(SIGPIPE,
-              SIG_IGN);  // a connection that its other side has closed shows as an error of the write
-  // Nobody handles signals before the program is made: SIGHUP would end the process, and a SIGTERM has to
-  // lead to a drain like any other. They are held back until then. If the start fails they stay held back,
-  // and its exit code stands.
+  // Without SIGPIPE, a write to a connection that the peer has closed returns an error.
+  std::signal(SIGPIPE, SIG_IGN);
+  // Signals are blocked until the program has installed its handlers: before that, SIGHUP and SIGTERM would
+  // end the process, and a SIGTERM must lead to a drain at any time. If the start fails they stay blocked, so
+  // that the process ends with the exit code of the failure.
   const sigset_t signals = handledSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   GatewayProgram program(options);
--- a/src/app/run.hpp
+++ b/src/app/run.hpp
@@ -1,4 +1,4 @@
-// The `run` command: serves until it is told to end.
+// The command `finchstile run`: serves until a signal has started a drain and the drain has completed.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 
 struct RunOptions {
   std::string config;        // path of the platform's configuration
-  std::string operatorFile;  // path of the operator's file; empty: there is none
+  std::string operatorFile;  // path of the operator's file; empty: none
 };
 
-// Returns the exit code once a drain is over. Throws std::exception if the gateway cannot start.
+// Returns the exit code once a drain has completed. Throws std::exception if the gateway cannot start.
 int run(const RunOptions& options);
 
 }  // namespace finchstile
--- a/src/app/summary_log.cpp
+++ b/src/app/summary_log.cpp
@@ -10,8 +10,8 @@
 
 void SummaryLog::start() {
   timer_.expires_after(interval_);
-  timer_.async_wait([this](const boost::system::error_code& stopped) {
-    if (!stopped) onTimer();
+  timer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (!cancelled) onTimer();
   });
 }
 
--- a/src/app/summary_log.hpp
+++ b/src/app/summary_log.hpp
@@ -20,9 +20,9 @@
 
   SummaryLog(boost::asio::io_context& io, CollectLines collect, Print print);
 
-  // Begins an interval, in place of the one that runs; lines are printed at the end of each.
+  // Starts an interval, and restarts a running one. Lines are printed at the end of each interval.
   void start();
-  // From the next interval on. To be called before `start`.
+  // Takes effect with the next interval. Must be called before the first `start`.
   void setInterval(Duration interval) { interval_ = interval; }
 
  private:
@@ -32,11 +32,11 @@
   const Print print_;
   boost::asio::steady_timer timer_;
   Duration interval_{};
-  std::map<std::string, std::string> lastLines_;  // by what the line is about
+  std::map<std::string, std::string> lastLines_;  // by subject
 };
 
-// What a line of figures is about: its text up to the first value that is a number, "crossing class=a zone=b"
-// of "crossing class=a zone=b attempts=3".
+// Returns the subject of a summary line: its text up to the first field with a numeric value, for example
+// "crossing class=a zone=b" for "crossing class=a zone=b attempts=3".
 std::string subjectOfSummary(const std::string& line);
 
 }  // namespace finchstile
--- a/src/app/trace_command.cpp
+++ b/src/app/trace_command.cpp
@@ -40,7 +40,7 @@
   std::string clockSkew = "0ms";
 };
 
-// Reports a text that is no duration on standard error and returns false.
+// Returns false, after an error message on standard error, if `text` is not a duration.
 bool readMicroseconds(const char* option, const std::string& text, std::int64_t& out) {
   const auto duration = parseDuration(text);
   if (!duration) {
@@ -59,7 +59,8 @@
   return settings;
 }
 
-// Reads log files into a merger. Reports what cannot be read on standard error and goes on.
+// Reads log files into a merger. Reports unreadable files and malformed lines on standard error and
+// continues.
 class LogFileReader {
  public:
   explicit LogFileReader(trace::LogMerger& log) : log_(log) {}
@@ -80,7 +81,7 @@
       std::fprintf(stderr, "and %zu more\n", malformedLines_ - kMaxShownProblems);
   }
 
-  std::size_t otherLines() const { return otherLines_; }  // that are not of the attempt log
+  std::size_t otherLines() const { return otherLines_; }  // that do not belong to the attempt log
   std::size_t malformedLines() const { return malformedLines_; }
   std::size_t unreadableFiles() const { return unreadableFiles_; }
 
@@ -170,7 +171,7 @@
 
 }  // namespace
 
-void addTraceCommand(CLI::App& app, std::function<int()>& chosen) {
+void addTraceCommand(CLI::App& app, std::function<int()>& selectedCommand) {
   auto options = std::make_shared<Options>();
   CLI::App* command = app.add_subcommand("trace", "logs of attempts of many gateways, put together");
   command->add_option("files", options->files, "logs that [trace] had written, or standard error's")
@@ -185,7 +186,8 @@
       ->capture_default_str();
   command->add_option("--clocks", options->clockSkew, "by which the clocks of two gateways may differ")
       ->capture_default_str();
-  command->callback([&chosen, options] { chosen = [options] { return runTrace(*options); }; });
+  command->callback(
+      [&selectedCommand, options] { selectedCommand = [options] { return runTrace(*options); }; });
 }
 
 }  // namespace finchstile
--- a/src/app/trace_command.hpp
+++ b/src/app/trace_command.hpp
@@ -7,8 +7,8 @@
 
 namespace finchstile {
 
-// Adds the command to `app`. When the command line selects it, parsing sets `chosen` to the function that
-// runs it and returns the exit code.
-void addTraceCommand(CLI::App& app, std::function<int()>& chosen);
+// Adds the command to `app`. When the command line selects it, parsing sets `selectedCommand` to the function
+// that runs it and returns the exit code.
+void addTraceCommand(CLI::App& app, std::function<int()>& selectedCommand);
 
 }  // namespace finchstile
--- a/src/app/trace_file.cpp
+++ b/src/app/trace_file.cpp
@@ -86,8 +86,8 @@
 }
 
 void TraceFile::writeBlock(std::string block) {
-  // A write that was cut off leaves part of a line in the file. Without a line feed of its own the next line
-  // would be read as the rest of it. This line feed ends no line that anybody counts.
+  // A short write leaves an incomplete line in the file. A line feed before the next block keeps its first
+  // line from being read as the rest of that line. This line feed is not counted as a line.
   const std::size_t repairBytes = endsWithinLine_ ? 1 : 0;
   block.insert(0, repairBytes, '\n');
   const std::size_t written = writeAll(block);
@@ -102,7 +102,7 @@
   if (!path_.empty() && fileBytes_ >= maxFileBytes_) rotate();
 }
 
-// Returns the number of bytes that were written: all, unless there was an error.
+// Returns the number of bytes written, which is less than the size of `block` only after an error.
 std::size_t TraceFile::writeAll(const std::string& block) const {
   std::size_t written = 0;
   while (written < block.size()) {
@@ -114,7 +114,7 @@
   return written;
 }
 
-// A file that cannot be renamed or replaced keeps growing: an oversized log is better than a lost one.
+// A file that cannot be renamed or replaced continues to grow: an oversized log is better than a lost one.
 void TraceFile::rotate() {
   const std::string rotatedPath = path_ + ".1";
   if (std::rename(path_.c_str(), rotatedPath.c_str()) != 0) return;
--- a/src/app/trace_file.hpp
+++ b/src/app/trace_file.hpp
@@ -1,5 +1,5 @@
-// The file of the attempt log. A thread of its own writes it, so that a slow disk does not delay the event
-// loop. The queue and the file are bounded.
+// The file of the attempt log. A separate thread writes it, so that a slow disk does not delay the event
+// loop. The sizes of the queue and of the file are limited.
 #pragma once
 
 #include <condition_variable>
@@ -25,8 +25,8 @@
 class TraceFile {
  public:
   // `path`: empty for standard error, which is never renamed. A file of `maxFileBytes` is renamed to PATH.1,
-  // replaces an earlier one there, and a new file is opened. `maxQueuedBytes`: that may wait to be written.
-  // Throws TraceFileError if the file cannot be opened for appending.
+  // replaces an earlier one there, and a new file is opened. `maxQueuedBytes`: limit of the queue of the
+  // writer thread. Throws TraceFileError if the file cannot be opened for appending.
   TraceFile(std::string path, std::size_t maxFileBytes, std::size_t maxQueuedBytes);
   // Writes what is still queued.
   ~TraceFile();
@@ -50,10 +50,10 @@
   const std::size_t maxFileBytes_;
   const std::size_t maxQueuedBytes_;
 
-  // Used by the writer's thread only, once it runs.
+  // Used by the writer thread only, once it runs.
   int descriptor_ = -1;
   std::size_t fileBytes_ = 0;
-  bool endsWithinLine_ = false;  // the last write was cut off within a line
+  bool endsWithinLine_ = false;  // the last write ended within a line
 
   std::mutex mutex_;  // guards the members below
   std::condition_variable changed_;
--- a/src/app/trace_log.cpp
+++ b/src/app/trace_log.cpp
@@ -145,8 +145,8 @@
   if (buffer_.size() >= kFlushBytes) flush();
 }
 
-// docs/operators/trace.md promises this form. It must not begin as a line of the log does, since both may go
-// to standard error.
+// docs/operators/trace.md documents this form. The line must not start like a line of the attempt log, since
+// both may go to standard error.
 std::string TraceLog::summary() const {
   return "attempt_log written=" + std::to_string(writtenLines_) +
          " left_out=" + std::to_string(droppedLines_);
--- a/src/app/trace_log.hpp
+++ b/src/app/trace_log.hpp
@@ -28,7 +28,7 @@
   void onRequest(const RequestLogEntry& request) override;
   void onHostPhase(const std::string& host, load_balancing::HostPhase phase) override;
 
-  // Records the orderly end of the process, with the number of requests that are open then.
+  // Records the regular end of the process, with the number of requests that are still open.
   void stop(std::size_t openRequests);
 
   // The numbers of written and dropped lines, for the program's log.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The gateway as a program.
+// Entry point of the gateway program.
 #include <cstdio>
 #include <exception>
 
@@ -6,7 +6,7 @@
 
 int main(int argc, char** argv) try {
   return finchstile::runCommand(argc, argv);
-} catch (const std::exception& bad) {
-  std::fprintf(stderr, "finchstile: %s\n", bad.what());
+} catch (const std::exception& error) {
+  std::fprintf(stderr, "finchstile: %s\n", error.what());
   return finchstile::kExitFailed;
 }
