--- a/tests/app/configuration_test.cpp
+++ b/tests/app/configuration_test.cpp
@@ -1,4 +1,5 @@
-// The program with [configuration] in the operator's file: signals and restarts during a change.
+// The program with [configuration] in the operator's file: signals and restarts during a configuration
+// change.
 #include <csignal>
 
 #include "control_machine.hpp"
@@ -38,7 +39,7 @@
         folder / "log");
   }
   bool until(const std::function<bool()>& reached) { return runUntil(io, reached); }
-  // The process that was launched last reports that it has this revision.
+  // Waits until the process that was launched last has reported this revision. Returns false if it has ended.
   bool reports(std::uint64_t revision) {
     const auto has = [&] { return machine.polls() > pollsBefore && machine.log.have({1, revision}) == 1; };
     return until([&] { return has() || program->ended(); }) && !program->ended();
@@ -53,9 +54,9 @@
   }
 };
 
-// The process exits in order. The next one has the last accepted version from its start on and requests no
-// snapshot.
-TEST_F(ConfiguredProgram, SignalsAndRestartDuringAChangeKeepTheLastVersion) {
+// The process exits regularly. The next one uses the last accepted version from its start on and requests no
+// complete snapshot.
+TEST_F(ConfiguredProgram, KeepsTheLastAcceptedVersionAcrossSignalsAndRestartDuringAChange) {
   configure();
   machine.publish(manyTenants(1));
   launch();
@@ -78,7 +79,7 @@
   EXPECT_EQ(program->wait(), 0);
 }
 
-// The file is one complete version or the other at any moment.
+// SIGKILL at any moment of a file write leaves the previous or the next version, complete.
 TEST_F(ConfiguredProgram, KillDuringAFileWriteLeavesACompleteVersion) {
   configure();
   machine.publish(manyTenants(1));
@@ -96,7 +97,7 @@
     const configuration::Update kept = configuration::parseUpdate(readFile(folder / "kept.json"));
     EXPECT_EQ(kept.changes.size(), 27000u);
     EXPECT_TRUE(kept.errors.empty());
-    EXPECT_GE(kept.version.revision, last);  // it never goes back
+    EXPECT_GE(kept.version.revision, last);  // revisions never decrease
     last = kept.version.revision;
   }
 }
--- a/tests/app/membership_service_test.cpp
+++ b/tests/app/membership_service_test.cpp
@@ -1,5 +1,5 @@
-// The membership service with gateways, fake upstreams and discoveries on loopback: faulty lists, drains and
-// unresponsive hosts that other gateways report, and the warm start.
+// The membership service with gateways, fake upstreams and discovery servers on loopback: faulty lists,
+// drains and unresponsive hosts reported by other gateways, and warm start.
 #include "app/membership_service.hpp"
 
 #include <cmath>
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// One gateway with a discovery of its own, which holds each poll until the test answers it.
+// A gateway with its own discovery server, which holds each poll until the test responds.
 struct Node {
   std::vector<std::shared_ptr<Peer>> polls;
   Server discovery;
@@ -48,7 +48,7 @@
   std::vector<std::unique_ptr<Server>> hosts;
   std::vector<std::unique_ptr<Node>> nodes;
   MembershipSettings settings;
-  std::size_t gateways = 0;  // of the [peers] table; 0: there is none
+  std::size_t gateways = 0;  // in the [peers] table; 0: no table
 
   MembershipServiceTest() {
     settings.enabled = true;
@@ -75,7 +75,7 @@
     Node& n = *nodes.back();
     if (gateways > 0) {
       peer::PeerSettings p;
-      for (std::size_t i = 0; i < gateways; ++i)  // replaced when that gateway has started
+      for (std::size_t i = 0; i < gateways; ++i)  // placeholder, replaced when that gateway has started
         p.endpoints.emplace_back(asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(1 + i));
       p.ownNumber = static_cast<std::uint16_t>(number);
       p.listenEndpoint = {asio::ip::make_address("127.0.0.1"), 0};
@@ -126,7 +126,7 @@
 const auto ok = [](const std::shared_ptr<Peer>& peer, const Received&) { peer->reply(200, "ok"); };
 
 // An empty complete list while the hosts respond: no request is rejected, and a complete list is requested.
-TEST_F(MembershipServiceTest, EmptyListLosesNoRequest) {
+TEST_F(MembershipServiceTest, EmptyListCausesNoRejectedRequest) {
   for (int i = 0; i < 3; ++i) host(ok);
   Node& n = node(listed());
   EXPECT_EQ(sendRequest(n, 10), 10u);
@@ -142,7 +142,7 @@
   EXPECT_EQ(n.service->listPolicy().statistics().withdrawn, 1u);
 }
 
-// Without another list the empty one becomes effective in time.
+// If no other list follows, the empty list becomes effective after the hold time.
 TEST_F(MembershipServiceTest, UncontradictedEmptyListBecomesEffective) {
   for (int i = 0; i < 2; ++i) host(ok);
   Node& n = node(listed());
@@ -150,7 +150,7 @@
   const auto sentAt = std::chrono::steady_clock::now();
   n.list(2, true, json::array());
   ASSERT_TRUE(until([&] { return n.service->listPolicy().statistics().expired == 1; }));
-  EXPECT_LT(std::chrono::steady_clock::now() - sentAt, seconds(5));  // 300 ms, and what a busy machine adds
+  EXPECT_LT(std::chrono::steady_clock::now() - sentAt, seconds(5));  // 300 ms, plus delays on a busy machine
   const auto before = received();
   EXPECT_EQ(sendRequest(n, 4), 0u);
   EXPECT_EQ(received(), before);
@@ -169,7 +169,8 @@
   EXPECT_EQ(received()[0], 0u);
 }
 
-// Another gateway's list has a drain that our discovery does not report. Our own newer list overrides it.
+// Gateway a's list drains a host that gateway b's list does not; gossip passes the drain to b. A newer list
+// of b overrides it.
 TEST_F(MembershipServiceTest, AppliesDrainReportedByAnotherGateway) {
   gateways = 2;
   for (int i = 0; i < 2; ++i) host(ok);
@@ -193,10 +194,10 @@
   EXPECT_FALSE(b.service->describeHosts("s-9"));
 }
 
-// Three gateways find a host unresponsive; the fourth learns of it and sends nothing there.
+// Three gateways find a host unresponsive; the fourth learns of it by gossip and sends it no request.
 TEST_F(MembershipServiceTest, AvoidsUnresponsiveHostReportedByOtherGateways) {
   gateways = 4;
-  settings.gossip.gossip.observationLifetime = seconds(20);  // longer than any pause of a busy machine
+  settings.gossip.gossip.observationLifetime = seconds(20);  // longer than any delay on a busy machine
   host([](const auto&, const Received&) {});
   host(ok);
   host(ok);
@@ -238,7 +239,8 @@
 
 // --- Warm start
 
-// How unevenly requests are spread: the largest number in relation to the mean, and chi-squared.
+// The unevenness of a distribution of requests over hosts: largest count divided by the mean, and
+// chi-squared.
 struct Spread {
   double largest = 0, chi = 0;
 };
@@ -258,8 +260,8 @@
   std::int64_t now =
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 
-  // Six warm hosts; one that drains in the running gateway's list and not in the older list of the new one;
-  // one that started two seconds ago and warms up for nine more.
+  // Hosts 0 to 5 are warm. Host 6 drains in the running gateway's list, but not in the new gateway's older
+  // list. Host 7 started two seconds ago and warms up for nine more.
   WarmStartTest() {
     gateways = 3;
     settings.warmStart.enabled = true;
@@ -272,7 +274,7 @@
       if (i == 7) h["since_ms"] = now - 2000;
     });
   }
-  // Sends requests from eight clients in closed loops and returns how many each host got.
+  // Sends requests from eight clients in closed loops and returns the number that each host received.
   std::vector<std::size_t> load(Node& n, std::size_t requests) {
     const auto before = received();
     std::vector<std::shared_ptr<Client>> clients;
@@ -298,12 +300,12 @@
 
 // The new gateway's first 1,000 requests are spread as evenly as those of the running one, none to the
 // draining host.
-TEST_F(WarmStartTest, SpreadsTheFirstRequestsLikeARunningGateway) {
+TEST_F(WarmStartTest, DistributesFirstRequestsAsEvenlyAsARunningGateway) {
   Node& old = node(known(false));
   old.list(5, true, known(true));
   ASSERT_TRUE(until([&] { return !old.polls.empty(); }));
   load(old, 1000);
-  pass(milliseconds(1300));  // a gateway with an uptime below a second has no weight
+  pass(milliseconds(1300));  // snapshots of gateways with an uptime below a second have no weight
   const auto usual = load(old, 1000);
   Node& fresh = node(known(false));
   ASSERT_TRUE(until([&] { return fresh.service->warmStart()->isFinished(); }));
@@ -323,13 +325,13 @@
       o.largest, o.chi, f.largest, f.chi, a.largest, a.chi, usual[6], first[6], without[6], usual[7],
       first[7], without[7]);
   EXPECT_EQ(first[6], 0u);
-  EXPECT_GT(without[6], 0u);  // the difference that peers make
+  EXPECT_GT(without[6], 0u);  // without peers the draining host receives requests
   EXPECT_LT(f.largest, std::max(1.5, 1.3 * o.largest));
   EXPECT_EQ(fresh.service->warmStart()->statistics().complete, 1u);
 }
 
-// The snapshot has the host as active.
-TEST_F(WarmStartTest, HostThatOurListDrainsStaysDraining) {
+// The peer's snapshot lists the host as active.
+TEST_F(WarmStartTest, HostDrainedByOwnListStaysDraining) {
   Node& old = node(known(false));
   load(old, 200);
   pass(milliseconds(1300));
@@ -347,7 +349,7 @@
   EXPECT_EQ(std::accumulate(counts.begin(), counts.end(), std::size_t{0}), 300u);
 }
 
-// The first request is served while the peers have not responded.
+// Requests are served before the peers have responded.
 TEST_F(WarmStartTest, ServesWithoutWaitingForPeers) {
   settings.warmStart.start.peerTimeout = seconds(5);
   settings.warmStart.start.deadline = seconds(10);
--- a/tests/app/operator_file_test.cpp
+++ b/tests/app/operator_file_test.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-std::vector<std::string> complaints(const char* text) {
+std::vector<std::string> problemsOf(const char* text) {
   try {
     readOperatorFile(text, "o.toml");
   } catch (const OperatorFileError& bad) {
@@ -17,7 +17,7 @@
   return {};
 }
 
-TEST(OperatorFile, EmptyChangesNothing) {
+TEST(OperatorFile, EmptyFileLeavesDefaults) {
   const GatewayOptions is = readOperatorFile("", "o.toml").tuning, was;
   EXPECT_EQ(is.clients.idleTimeout, was.clients.idleTimeout);
   EXPECT_EQ(is.clients.requestTimeout, was.clients.requestTimeout);
@@ -26,7 +26,7 @@
   EXPECT_EQ(is.clientDescriptorFraction, was.clientDescriptorFraction);
 }
 
-TEST(OperatorFile, TunesTheGateway) {
+TEST(OperatorFile, SetsGatewayOptions) {
   const auto t =
       readOperatorFile("[clients]\nidle = '30s'\nrequest = '900ms'\n[upstream]\nconnecting = 8\n", "o.toml")
           .tuning;
@@ -35,8 +35,8 @@
   EXPECT_EQ(t.maxConnectingPerHost, 8u);
 }
 
-TEST(OperatorFile, ErrorsComeInTheOrderOfLines) {
-  const auto lines = complaints("[upstream]\nconecting = 8\n[clients]\nidle = 30\nwrite = '1h'\n[hoks]\n");
+TEST(OperatorFile, ReportsErrorsInTheOrderOfLines) {
+  const auto lines = problemsOf("[upstream]\nconecting = 8\n[clients]\nidle = 30\nwrite = '1h'\n[hoks]\n");
   ASSERT_EQ(lines.size(), 4u);
   EXPECT_EQ(lines[0], "o.toml:2: unknown key upstream.conecting; did you mean upstream.connecting?");
   EXPECT_EQ(lines[1].substr(0, 29), "o.toml:4: clients.idle must b");
@@ -44,12 +44,12 @@
   EXPECT_EQ(lines[3].substr(0, 26), "o.toml:6: unknown key hoks");
 }
 
-TEST(OperatorFile, SharesOfDescriptorsLeaveRoom) {
-  EXPECT_EQ(complaints("[clients]\ndescriptor_share = 0.6\n[upstream]\ndescriptor_share = 0.4\n").size(), 1u);
-  EXPECT_TRUE(complaints("[clients]\ndescriptor_share = 0.3\n[upstream]\ndescriptor_share = 0.6\n").empty());
+TEST(OperatorFile, RejectsDescriptorSharesAboveTheirCommonLimit) {
+  EXPECT_EQ(problemsOf("[clients]\ndescriptor_share = 0.6\n[upstream]\ndescriptor_share = 0.4\n").size(), 1u);
+  EXPECT_TRUE(problemsOf("[clients]\ndescriptor_share = 0.3\n[upstream]\ndescriptor_share = 0.6\n").empty());
 }
 
-TEST(OperatorFile, AMissingFileIsNamed) {
+TEST(OperatorFile, MissingFileIsReportedWithItsPath) {
   try {
     loadOperatorFile("/nowhere/at/all.toml");
     FAIL();
@@ -58,7 +58,7 @@
   }
 }
 
-TEST(OperatorFile, WhatMembershipNeedsIsSaid) {
+TEST(OperatorFile, ReportsMissingAndInvalidMembershipSettings) {
   const auto problems = [](const std::string& text) {
     try {
       readOperatorFile(text, "o.toml");
@@ -72,16 +72,16 @@
   ASSERT_EQ(peers.size(), 1u);
   EXPECT_NE(peers[0].find("gossip and warm_start need [peers]"), std::string::npos) << peers[0];
   const auto late = problems("[membership]\nenabled = true\ndoubt = '500ms'\n");
-  ASSERT_EQ(late.size(), 1u);  // beyond the grace of the rule on drains
+  ASSERT_EQ(late.size(), 1u);  // beyond the drain grace period
   EXPECT_NE(late[0].find("o.toml:3: membership.doubt must be"), std::string::npos) << late[0];
   const auto shortHold = problems("[membership.gossip]\nperiod = '1s'\nholds = '1s'\n");
   ASSERT_EQ(shortHold.size(), 1u);
   EXPECT_NE(shortHold[0].find("two periods at least"), std::string::npos) << shortHold[0];
-  EXPECT_EQ(problems("[membership.warm_start]\nask = 8\n").size(), 1u);  // of four tries
+  EXPECT_EQ(problems("[membership.warm_start]\nask = 8\n").size(), 1u);  // at most four requests are allowed
   EXPECT_EQ(problems("[membership.warm_start]\nenabled = true\n").size(), 1u);
 }
 
-TEST(OperatorFile, TheLogOfAttemptsHasBounds) {
+TEST(OperatorFile, RejectsInvalidAttemptLogSettings) {
   EXPECT_FALSE(readOperatorFile("", "o.toml").trace.enabled);
   const auto good =
       readOperatorFile("[trace]\nenabled = true\nfile = 'a-{name}'\nshare = 0.1\n", "etc/o.toml");
--- a/tests/app/program_test.cpp
+++ b/tests/app/program_test.cpp
@@ -1,4 +1,4 @@
-// The program as a process: signals and the files of its configuration.
+// The program as a process: signals, configuration files, and replacement by a successor process.
 #include <sys/resource.h>
 
 #include <csignal>
@@ -40,7 +40,7 @@
   }
 };
 
-TEST_F(ProgramTest, HangupRereadsTheFileAndABadFileChangesNothing) {
+TEST_F(ProgramTest, SighupReloadsConfigurationAndInvalidFileChangesNothing) {
   configure(discovery.endpoint());
   run();
   Server second(io, [&](const auto&, const Received&) {}), third(io, [&](const auto&, const Received&) {});
@@ -53,24 +53,25 @@
   ASSERT_TRUE(until([&] { return !program->logged().empty(); }));
   EXPECT_EQ(program->logged().substr(0, 27), "finchstile: not reloaded: b");
   EXPECT_EQ(program->logged().find('\n'), program->logged().size() - 1);  // one line
-  EXPECT_FALSE(second.peers[0]->ended);                                   // the old watch goes on
+  EXPECT_FALSE(second.peers[0]->ended);                                   // the current watch continues
   configure(third.endpoint());
   program->signal(SIGTERM);
   ASSERT_FALSE(program->ended());
-  program->signal(SIGHUP);  // while draining, too
+  program->signal(SIGHUP);  // also handled while draining
   ASSERT_TRUE(until([&] { return third.received.size() == 1; }));
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_EQ(program->wait(), 0);
 }
 
-// The process before still holds the address. SIGHUP meanwhile ends nothing, and is heeded once it serves.
-TEST_F(ProgramTest, AStartWaitsForItsAddressAndSignalsWaitForTheStart) {
+// Another process still holds the listen address. SIGHUP during the wait does not end the process, and is
+// handled once it serves.
+TEST_F(ProgramTest, WaitsForListenAddressAndHandlesSignalsAfterStartup) {
   tcp::acceptor before(io, loopback());
-  ::fcntl(before.native_handle(), F_SETFD, FD_CLOEXEC);  // else the process would hold it itself
+  ::fcntl(before.native_handle(), F_SETFD, FD_CLOEXEC);  // otherwise the launched process would inherit it
   json config = configJson(discovery.endpoint(), json::array());
   config["listen"] = text(before.local_endpoint());
   launch(config);
-  pause(std::chrono::milliseconds(500));  // it waits for the address by then
+  pause(std::chrono::milliseconds(500));  // by then it waits for the address
   ASSERT_FALSE(program->ended()) << program->logged();
   Server second(io, [&](const auto&, const Received&) {});
   config["discovery"] = text(second.endpoint());
@@ -86,36 +87,37 @@
   EXPECT_EQ(program->wait(), 0);
 }
 
-// Discovery is down, and clients hold all descriptors that they may, most with an attempt out. When it is
-// back it is reached all the same: the system grants the process no more than its configuration says.
-TEST_F(ProgramTest, WhileClientsHoldAllThatTheyMayDiscoveryGetsItsDescriptor) {
+// Discovery is down, and clients hold their whole share of descriptors, most with an attempt in progress.
+// When discovery is back the gateway connects to it, although the system's descriptor limit equals the
+// configured one.
+TEST_F(ProgramTest, ReconnectsToDiscoveryWhileClientsHoldAllTheirDescriptors) {
   Server host(io, [](const auto&, const Received&) {});
   const tcp::endpoint at = tcp::acceptor(io, loopback()).local_endpoint();
   tcp::acceptor first(io, loopback());
-  ::fcntl(first.native_handle(), F_SETFD, FD_CLOEXEC);  // else the process would hold it itself
+  ::fcntl(first.native_handle(), F_SETFD, FD_CLOEXEC);  // otherwise the launched process would inherit it
   const tcp::endpoint down = first.local_endpoint();
   json config = configJson(down, json::array({hostJson("s-0", host.endpoint())}));
   config["listen"] = text(at);
   config["limits"]["sockets"] = 64;
   rlimit before{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &before), 0);
-  rlimit tight = before;
-  tight.rlim_cur = 64;
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &tight), 0);
+  rlimit reducedLimit = before;
+  reducedLimit.rlim_cur = 64;
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &reducedLimit), 0);
   launch(config);
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &before), 0);
-  bool asked = false;
-  first.async_accept([&](error_code error, tcp::socket) { asked = !error; });
-  ASSERT_TRUE(until([&] { return asked; }));
+  bool connected = false;
+  first.async_accept([&](error_code error, tcp::socket) { connected = !error; });
+  ASSERT_TRUE(until([&] { return connected; }));
   first.close();
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 60; ++i) {
     clients.push_back(Client::connect(io, at));
     clients.back()->sendRequest("GET", "/read", 2900);
   }
-  // Shares are 24 for clients, 21 for hosts: all of both are taken.
+  // The shares are 24 descriptors for clients and 21 for hosts; both are used up.
   ASSERT_TRUE(until([&] { return host.received.size() >= 20; }));
-  pause(std::chrono::milliseconds(300));  // whatever can be taken is
+  pause(std::chrono::milliseconds(300));  // until no further descriptor can be taken
   tcp::acceptor back(io, down);
   bool reached = false;
   back.async_accept([&](error_code error, tcp::socket) { reached = !error; });
@@ -125,34 +127,34 @@
   EXPECT_FALSE(program->ended()) << program->logged();
 }
 
-// SIGTERM and SIGHUP together, twice, in either order, while the loop gets no turn for 200 ms: one drain, and
-// one end in order in its time.
-TEST_F(ProgramTest, SignalsTogetherAndTwiceInAStallEndItOnce) {
+// SIGTERM and SIGHUP arrive together, twice, in either order, while the process is stopped for 200 ms: there
+// is one drain, and the process exits regularly and in time.
+TEST_F(ProgramTest, RepeatedSignalsDuringAStallCauseOneDrain) {
   for (const bool hangupFirst : {true, false}) {
     polls.clear();
     configure(discovery.endpoint());
     run();
-    const auto told = std::chrono::steady_clock::now();
+    const auto signaledAt = std::chrono::steady_clock::now();
     program->signal(SIGSTOP);
     for (int i = 0; i < 2; ++i) {
       program->signal(hangupFirst ? SIGHUP : SIGTERM);
       program->signal(hangupFirst ? SIGTERM : SIGHUP);
     }
-    const auto then = told + std::chrono::milliseconds(200);
+    const auto then = signaledAt + std::chrono::milliseconds(200);
     until([&] { return std::chrono::steady_clock::now() >= then; });
     program->signal(SIGCONT);
     ASSERT_TRUE(until([&] { return program->ended(); }));
     EXPECT_EQ(program->wait(), 0) << program->logged();
-    EXPECT_LT(std::chrono::steady_clock::now() - told, std::chrono::milliseconds(3700));
+    EXPECT_LT(std::chrono::steady_clock::now() - signaledAt, std::chrono::milliseconds(3700));
     const std::string log = program->logged();
-    EXPECT_EQ(log.find("drains"), log.rfind("drains")) << log;
+    EXPECT_EQ(log.find("draining:"), log.rfind("draining:")) << log;
     EXPECT_NE(log.find("drained"), std::string::npos) << log;
   }
 }
 
-TEST_F(ProgramTest, AnAddressThatStaysTakenEndsTheStartWithOneLine) {
+TEST_F(ProgramTest, ListenAddressInUseFailsStartupWithAnErrorLine) {
   tcp::acceptor before(io, loopback());
-  ::fcntl(before.native_handle(), F_SETFD, FD_CLOEXEC);  // else the process would hold it itself
+  ::fcntl(before.native_handle(), F_SETFD, FD_CLOEXEC);  // otherwise the launched process would inherit it
   json config = configJson(discovery.endpoint(), json::array());
   config["listen"] = text(before.local_endpoint());
   launch(config);
@@ -162,7 +164,7 @@
       << program->logged();
 }
 
-TEST_F(ProgramTest, HangupRereadsTheOperatorsFileInFullOrNotAtAll) {
+TEST_F(ProgramTest, SighupRejectsInvalidOperatorFileWithAllProblems) {
   configure(discovery.endpoint());
   folder.write("o.toml", "[clients]\nidle = '10s'\n");
   run({"run", "--operator", folder / "o.toml"});
@@ -177,8 +179,8 @@
   EXPECT_EQ(program->wait(), 0);
 }
 
-// Streams and WebSocket by the operator's file alone, and a SIGTERM with both open.
-TEST_F(ProgramTest, StreamsAreCarriedAndEndedBeforeTheProcess) {
+// Streams and WebSocket are enabled by the operator's file alone; SIGTERM arrives while a stream is open.
+TEST_F(ProgramTest, RelaysStreamsAndEndsThemBeforeExit) {
   TcpServer worker(io, echo);
   json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", worker.endpoint())}));
   const tcp::endpoint at = tcp::acceptor(io, loopback()).local_endpoint(),
@@ -195,7 +197,7 @@
   scanner->write("scan");
   ASSERT_TRUE(until([&] { return scanner->receivedBytes == "scan" || scanner->over(); }))
       << program->logged();
-  // The echo of a handshake is no 101: refused, and the worker's answer seen as what it is.
+  // The worker echoes the handshake, which is no 101 response, so the gateway refuses the stream.
   const auto terminal = TcpConnection::connect(io, at);
   terminal->write(
       "GET /read/live HTTP/1.1\r\nHost: a\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n"
@@ -212,7 +214,7 @@
   EXPECT_NE(program->logged().find("stream websocket refused by=gateway why=turned_away"), std::string::npos);
 }
 
-TEST_F(ProgramTest, AStreamOfAnUnknownClassIsNoStart) {
+TEST_F(ProgramTest, StreamListenerOfUnknownClassFailsStartup) {
   configure(discovery.endpoint());
   folder.write("o.toml",
                "[streams]\nenabled = true\n[[streams.listen]]\nname = 'scans'\naddress = '127.0.0.1:9'\n"
@@ -226,11 +228,11 @@
       << program->logged();
 }
 
-// Hard case: SIGHUP with a broken file. Nothing of it takes effect, and the next good one does.
-TEST_F(ProgramTest, HooksAreSwappedByHangupAndABrokenOneLeavesTheOldInForce) {
+// SIGHUP with an invalid hook or operator's file changes nothing; the next valid file takes effect.
+TEST_F(ProgramTest, SighupReplacesHooksAndInvalidHookKeepsTheCurrentOnes) {
   Server host(io, [](const auto& peer, const Received&) { peer->reply(200, "ok"); });
   json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", host.endpoint())}));
-  // The program does not tell which port it was given: one that was free a moment ago.
+  // The program does not report an assigned port, so the test chooses one that was free just before.
   const tcp::endpoint at = tcp::acceptor(io, loopback()).local_endpoint();
   config["listen"] = text(at);
   folder.write("config.json", config.dump());
@@ -265,14 +267,14 @@
   hook("reject(403, \"three\");");
   ASSERT_TRUE(hangup("operator's file reloaded", 1)) << program->logged();
   EXPECT_EQ(sendRequest(), "three");
-  folder.write("o.toml", "");  // all hooks gone
+  folder.write("o.toml", "");  // removes all hooks
   ASSERT_TRUE(hangup("operator's file reloaded", 2)) << program->logged();
   EXPECT_EQ(sendRequest(), "ok");
   EXPECT_FALSE(program->ended());
 }
 
-// Hard case: the gateway is killed, with what it remembers of keyed requests on a disk that lasts.
-TEST_F(ProgramTest, WhatWasAnsweredBeforeAKillIsAnsweredAfterIt) {
+// The gateway is killed by SIGKILL; its idempotency log stays on the disk.
+TEST_F(ProgramTest, ReplaysStoredResponsesAfterAKill) {
   for (const char* const sync : {"never", "interval", "before_send"}) {
     polls.clear();
     std::size_t ran = 0;
@@ -293,12 +295,12 @@
     run({"--operator", folder / "o.toml"});
     EXPECT_EQ(sendRequest("one"), "answer 1");
     EXPECT_EQ(sendRequest("two"), "answer 2");
-    // The folder is this one's alone.
+    // A second process cannot use the same log folder.
     config["listen"] = "127.0.0.1:0";
     setenv("LB_CONFIG", folder.write("second.json", config.dump()).c_str(), 1);
     Process second(FINCHSTILE_PROGRAM, {"--operator", folder / "o.toml"}, folder / "log2");
-    // Danger: one that receivedBytes the folder would serve on, and a wait without an end would hold up the
-    // whole run.
+    // Waits with a limit: a process that wrongly got the folder would serve on, and an unlimited wait would
+    // block the whole test run.
     ASSERT_TRUE(until([&] { return second.ended(); })) << program->logged() << second.logged();
     EXPECT_NE(second.wait(), 0);
     EXPECT_NE(second.logged().find("another process uses it"), std::string::npos) << second.logged();
@@ -316,8 +318,8 @@
   }
 }
 
-// Two gateways that hear one another: a repeat at the second is answered from the first.
-TEST_F(ProgramTest, ARepeatAtAnotherGatewayIsAnsweredFromTheFirst) {
+// Two gateways that share idempotency keys: a repeated request at the second gets the first one's response.
+TEST_F(ProgramTest, RepeatedRequestAtAnotherGatewayGetsTheStoredResponse) {
   std::size_t ran = 0;
   Server host(io,
               [&](const auto& peer, const Received&) { peer->reply(200, "run " + std::to_string(++ran)); });
@@ -337,7 +339,8 @@
     at.push_back(tcp::acceptor(io, loopback()).local_endpoint());
     config["listen"] = text(at.back());
     setenv("LB_CONFIG", folder.write("c" + std::to_string(i), config.dump()).c_str(), 1);
-    // Young owners know nothing for certain: with `keep` as short as it may be they are soon old.
+    // An owner is uncertain of unknown keys until it has run for the retention time, so `keep` has its
+    // minimum.
     const std::string file =
         folder.write("o" + std::to_string(i),
                      "[idempotency]\nenabled = true\nkeep = '1s'\n[idempotency.owners]\nenabled = "
@@ -363,10 +366,10 @@
   EXPECT_EQ(host.received.size(), 2u);
 }
 
-// The platform keeps the listening socket, starts the next process beside the last, and ends that one when
-// the next is ready. Operators call each at an address of its own.
+// The platform keeps the listening socket, starts the successor beside the running process, and ends the
+// running one when the successor is ready. Each has its own administration address.
 struct OperatedTest : ProgramTest {
-  tcp::acceptor kept{io, loopback()};
+  tcp::acceptor listener{io, loopback()};
   std::vector<std::unique_ptr<Server>> hosts;
   std::unique_ptr<Process> next;
 
@@ -385,15 +388,15 @@
                                   const std::vector<std::string>& arguments = {}) {
     json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", hosts[0]->endpoint()),
                                                                 hostJson("s-1", hosts[1]->endpoint())}));
-    config["listen"] = text(kept.local_endpoint());
+    config["listen"] = text(listener.local_endpoint());
     config["ops"] = text(ops);
     folder.write(name, config.dump());
     setenv("LB_CONFIG", (folder / name).c_str(), 1);
     return std::make_unique<Process>(FINCHSTILE_PROGRAM, arguments, folder / (name + ".log"),
-                                     kept.native_handle());
+                                     listener.native_handle());
   }
   tcp::endpoint freePort() { return tcp::acceptor(io, loopback()).local_endpoint(); }
-  // Status and body; 0 if nobody is there.
+  // Returns status and body of the response; status 0 if there is none.
   std::pair<unsigned, std::string> call(const tcp::endpoint& at, const std::string& what) {
     try {
       const auto c = Client::connect(io, at);
@@ -418,51 +421,50 @@
   }
 };
 
-TEST_F(OperatedTest, AProcessIsReplacedUnderItsClientsAndWhatIsOutByHandStaysOut) {
+TEST_F(OperatedTest, SuccessorKeepsClientConnectionsAndCordonedHosts) {
   const tcp::endpoint ops = freePort(), opsNext = freePort();
   program = launch(ops, "first");
   ASSERT_TRUE(becomesReady(ops)) << program->logged();
-  const auto c = Client::connect(io, kept.local_endpoint()),
-             resting = Client::connect(io, kept.local_endpoint());
+  const auto c = Client::connect(io, listener.local_endpoint()),
+             idleClient = Client::connect(io, listener.local_endpoint());
   sendRequest(c, 20);
-  sendRequest(resting, 1);
+  sendRequest(idleClient, 1);
   EXPECT_EQ(call(ops, "PUT /api/exclude/s-9").first, 404u);
   EXPECT_EQ(call(ops, "PUT /api/exclude/s-0").first, 200u);
-  EXPECT_EQ(call(ops, "PUT /api/exclude/s-0").first, 200u);  // arrives twice
+  EXPECT_EQ(call(ops, "PUT /api/exclude/s-0").first, 200u);  // a repeated cordon has no further effect
   const std::size_t before = hosts[0]->received.size();
   sendRequest(c, 20);
-  const std::string figures = call(ops, "GET /api/telemetry").second;
-  EXPECT_NE(figures.find("lb_transactions_total{group=\"read\",state=\"answered\"} 41\n"), std::string::npos)
-      << figures;
-  EXPECT_NE(figures.find("lb_sends_total 41\n"), std::string::npos) << figures;
-  EXPECT_NE(figures.find("lb_cluster_size 2\n"), std::string::npos) << figures;
-  EXPECT_NE(figures.find("lb_cluster_unhealthy 1\n"), std::string::npos) << figures;
+  const std::string metrics = call(ops, "GET /api/telemetry").second;
+  EXPECT_NE(metrics.find("lb_transactions_total{group=\"read\",state=\"answered\"} 41\n"), std::string::npos)
+      << metrics;
+  EXPECT_NE(metrics.find("lb_sends_total 41\n"), std::string::npos) << metrics;
+  EXPECT_NE(metrics.find("lb_cluster_size 2\n"), std::string::npos) << metrics;
+  EXPECT_NE(metrics.find("lb_cluster_unhealthy 1\n"), std::string::npos) << metrics;
   next = launch(opsNext, "second");
   ASSERT_TRUE(becomesReady(opsNext)) << next->logged();
   program->signal(SIGTERM);
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_EQ(program->wait(), 0);
-  EXPECT_FALSE(c->ended || resting->ended) << program->logged() << next->logged();
-  sendRequest(c, 20);  // over the same connection, now at the next process
-  sendRequest(resting, 1);
-  const auto fresh = Client::connect(io, kept.local_endpoint());
+  EXPECT_FALSE(c->ended || idleClient->ended) << program->logged() << next->logged();
+  sendRequest(c, 20);  // over the same connection, now at the successor
+  sendRequest(idleClient, 1);
+  const auto fresh = Client::connect(io, listener.local_endpoint());
   sendRequest(fresh, 5);
-  EXPECT_EQ(hosts[0]->received.size(), before);                  // out by hand, at the next process too
-  EXPECT_EQ(call(opsNext, "PUT /api/include/s-0").first, 200u);  // one call back undoes both
+  EXPECT_EQ(hosts[0]->received.size(), before);                  // cordoned at the successor, too
+  EXPECT_EQ(call(opsNext, "PUT /api/include/s-0").first, 200u);  // one uncordon undoes both cordons
   EXPECT_NE(call(opsNext, "GET /api/telemetry").second.find("lb_cluster_unhealthy 0\n"), std::string::npos);
   next->signal(SIGTERM);
   ASSERT_TRUE(until([&] { return next->ended(); }));
   EXPECT_TRUE(until([&] { return c->ended; }));
 }
 
-// What is known of hosts, by the operators' address and by the command; and without [membership], that it is
-// off.
-TEST_F(OperatedTest, WhatIsKnownOfHostsIsToldWithItsSources) {
+// The state of hosts, from /api/hosts and from `finchstile hosts`; without [membership] both are unavailable.
+TEST_F(OperatedTest, DescribesHostsByAdminApiAndCommand) {
   const tcp::endpoint ops = freePort(), off = freePort();
   const std::string file = folder.write("o.toml", "[membership]\nenabled = true\n");
   program = launch(ops, "first", {"--operator", file});
   ASSERT_TRUE(becomesReady(ops)) << program->logged();
-  sendRequest(Client::connect(io, kept.local_endpoint()), 20);
+  sendRequest(Client::connect(io, listener.local_endpoint()), 20);
   const auto all = call(ops, "GET /api/hosts");
   EXPECT_EQ(all.first, 200u);
   EXPECT_EQ(all.second.substr(0, 16), "list version 1, ") << all.second;
@@ -489,12 +491,12 @@
             std::pair(404u, std::string("needs [membership] in the operator's file\n")));
 }
 
-// Hard case: the next process dies before it is ready. The last one serves on, and the one after it finds it.
-TEST_F(OperatedTest, ANextProcessThatDiesLeavesTheLastOneAsItWas) {
+// A successor that is killed does not affect the running process, and a later successor connects to it.
+TEST_F(OperatedTest, ServesOnAfterASuccessorIsKilled) {
   const tcp::endpoint ops = freePort();
   program = launch(ops, "first");
   ASSERT_TRUE(becomesReady(ops));
-  const auto c = Client::connect(io, kept.local_endpoint());
+  const auto c = Client::connect(io, listener.local_endpoint());
   sendRequest(c, 2);
   const tcp::endpoint opsNext = freePort(), opsThird = freePort();
   next = launch(opsNext, "second");
@@ -509,7 +511,7 @@
   sendRequest(c, 2);
 }
 
-TEST_F(OperatedTest, ADescriptorThatIsNoListenerEndsTheStartWithALineThatSaysWhy) {
+TEST_F(OperatedTest, InvalidInheritedDescriptorFailsStartupWithItsReason) {
   setenv("LB_INHERITED_FD", "0", 1);
   program = launch(freePort(), "first");
   ASSERT_TRUE(until([&] { return program->ended(); }));
--- a/tests/app/release_test.cpp
+++ b/tests/app/release_test.cpp
@@ -1,6 +1,6 @@
-// A rolling release of real processes: a dozen gateways under load are ended by SIGTERM in turn and started
-// again, while hosts are replaced and SIGHUP moves discovery. Clients count what becomes of each request, and
-// the end by force comes exactly when the protocol allows it.
+// A rolling release of real processes: twelve gateways under load are ended by SIGTERM in turn and restarted,
+// while hosts are replaced and SIGHUP reloadPending discovery. Clients count the outcome of each request. A
+// process that has not exited when the platform's grace period ends gets SIGKILL.
 #include <csignal>
 #include <map>
 #include <random>
@@ -14,14 +14,14 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr int kLongestMs = 800;
-constexpr milliseconds kKillAfter{kLongestMs + 700};
-constexpr milliseconds kFrontNotices{250};  // after SIGTERM fronts go on connecting for so long
-constexpr milliseconds kSlack{550};         // past a client's time
+constexpr int kMaxTimeLimitMs = 800;
+constexpr milliseconds kKillAfter{kMaxTimeLimitMs + 700};
+constexpr milliseconds kFrontRoutingDelay{250};  // fronts still connect to a node for this long after SIGTERM
+constexpr milliseconds kResponseSlack{550};      // tolerance beyond a client's time limit
 
 struct Stall {
   Duration length{};
-  Duration before{};  // ahead of the kill; 0: the stall is about the signal
+  Duration before{};  // lead over the SIGKILL time; 0: the stall begins at SIGTERM
 };
 
 class ReleaseTest : public ::testing::Test {
@@ -30,26 +30,26 @@
     std::string name, config;
     tcp::endpoint at;
     std::unique_ptr<Process> process;
-    bool in = false;  // fronts connect to it
+    bool in = false;  // fronts connect to this node
     bool ending = false, killed = false;
-    bool moves = false;  // is to be sent SIGHUP; the platform sends none before a process is ready
-    steady_clock::time_point told;
+    bool reloadPending = false;  // SIGHUP is pending; the platform sends none before a process is ready
+    steady_clock::time_point signaledAt;
     Stall stall;
-    int stalled = 0;  // 0: still to come, 1: on, 2: over
+    int stallState = 0;  // 0: pending, 1: stopped, 2: continued
   };
-  struct Asked {
+  struct PendingRequest {
     std::string id;
     int leftMs = 0;
-    int kind = 0;  // safe, unsafe, keyed
-    bool kept = false, again = false;
+    int kind = 0;  // 0: safe, 1: unsafe, 2: with an idempotency key
+    bool connectionReused = false, retried = false;
     steady_clock::time_point sent;
   };
-  // A client with one connection: it asks, waits for the whole answer, rests, and asks again.
+  // A client with one connection: sends a request, waits for the whole response, pauses, and repeats.
   struct User {
     std::size_t node = 0;
     std::shared_ptr<Client> connection;
-    std::size_t seen = 0;
-    std::optional<Asked> open;
+    std::size_t responsesSeen = 0;
+    std::optional<PendingRequest> open;
     steady_clock::time_point next;
   };
 
@@ -57,31 +57,31 @@
   TemporaryDirectory folder;
   Registry registry{io};
   std::map<std::string, std::unique_ptr<Server>> hosts;
-  std::map<std::string, int> ran;  // how often what may not run twice has run, by request id
+  std::map<std::string, int> executions;  // number of executions of unsafe requests, by request id
   std::vector<std::unique_ptr<asio::steady_timer>> work;
   std::vector<Node> nodes;
   std::vector<User> users;
-  std::mt19937 dice{7};
-  int asked = 0, answered = 0, served = 0, refused = 0, failed = 0, lost = 0, late = 0, twice = 0, resent = 0,
-      kills = 0, badEnds = 0, nextHost = 0;
-  std::string firstLost, firstBad;
+  std::mt19937 rng{7};
+  int requestCount = 0, answered = 0, served = 0, refused = 0, failed = 0, lost = 0, late = 0, twice = 0,
+      resent = 0, kills = 0, failedExits = 0, nextHost = 0;
+  std::string firstLost, firstFailedExit;
   std::size_t discovery = 0;
 
-  int draw(int most) { return static_cast<int>(dice() % static_cast<unsigned>(most)); }
+  int randomBelow(int limit) { return static_cast<int>(rng() % static_cast<unsigned>(limit)); }
 
   void addHost() {
     const std::string name = "s-" + std::to_string(nextHost++);
     auto server = std::make_unique<Server>(io, [this](const std::shared_ptr<Peer>& peer, const Received& r) {
-      if (r.target() == "/book") ++ran[std::string(r["X-Correlation-Id"])];
-      const int fate = draw(40);
-      if (fate < 2) return;                 // it hangs: what may not run twice stays open to its client's end
-      if (fate == 2) return peer->close();  // it has run, and nobody hears of it
-      auto timer = std::make_unique<asio::steady_timer>(io, milliseconds(2 + draw(30)));
+      if (r.target() == "/book") ++executions[std::string(r["X-Correlation-Id"])];
+      const int fate = randomBelow(40);
+      if (fate < 2) return;  // never responds: an unsafe request stays open until its time limit
+      if (fate == 2) return peer->close();  // executed, but the connection closes without a response
+      auto timer = std::make_unique<asio::steady_timer>(io, milliseconds(2 + randomBelow(30)));
       timer->async_wait([peer](error_code) {
         try {
           peer->reply(200, "done");
         } catch (const boost::system::system_error&) {
-          // Its gateway has given it up.
+          // The gateway has closed the connection.
         }
       });
       work.push_back(std::move(timer));
@@ -98,7 +98,7 @@
     config["settings"]["groupSize"] = nodes.size();
     config["settings"]["myNumber"] = static_cast<int>(&n - nodes.data());
     for (json& g : config["settings"]["grades"])
-      g["giveUpNs"] = kLongestMs * 1'000'000LL, g["aimNs"] = (kLongestMs - 100) * 1'000'000LL;
+      g["giveUpNs"] = kMaxTimeLimitMs * 1'000'000LL, g["aimNs"] = (kMaxTimeLimitMs - 100) * 1'000'000LL;
     n.config = folder.write(n.name + ".json", config.dump());
   }
 
@@ -107,11 +107,11 @@
     setenv("LB_CONFIG", n.config.c_str(), 1);
     n.process =
         std::make_unique<Process>(FINCHSTILE_PROGRAM, std::vector<std::string>{}, folder / (n.name + ".log"));
-    n.ending = n.in = n.killed = n.moves = false;
-    n.stalled = 0;
+    n.ending = n.in = n.killed = n.reloadPending = false;
+    n.stallState = 0;
   }
 
-  // Whether it has come up: it takes a connection.
+  // Returns whether the node accepts connections.
   bool listens(const Node& n) {
     tcp::socket s(io);
     error_code error;
@@ -125,19 +125,19 @@
       if (nodes[i].in) in.push_back(i);
     u.connection.reset();
     if (in.empty()) return;
-    u.node = in[dice() % in.size()];
+    u.node = in[rng() % in.size()];
     try {
       u.connection = Client::connect(io, nodes[u.node].at);
-      u.seen = 0;
+      u.responsesSeen = 0;
     } catch (const boost::system::system_error&) {
-      u.connection.reset();  // it has just gone: the front tries another one
+      u.connection.reset();  // it has just stopped listening; the next turn connects to another node
     }
   }
 
-  void send(User& u, Asked a) {
+  void send(User& u, PendingRequest a) {
     static constexpr const char* kPaths[] = {"/read", "/book", "/put"};
     const int kind = a.kind;
-    a.kept = u.seen > 0;
+    a.connectionReused = u.responsesSeen > 0;
     a.sent = steady_clock::now();
     std::string head = std::string(kind == 0 ? "GET " : "POST ") + kPaths[kind] +
                        " HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: " + a.id +
@@ -148,7 +148,7 @@
     try {
       u.connection->write(head);
     } catch (const boost::system::system_error&) {
-      // The end of the connection tells the same.
+      // turn() detects the closed connection.
     }
     u.open = std::move(a);
   }
@@ -157,60 +157,66 @@
     const auto now = steady_clock::now();
     if (u.open) {
       Client& c = *u.connection;
-      const Asked& a = *u.open;
-      if (c.answers.size() > u.seen) {
+      const PendingRequest& a = *u.open;
+      if (c.answers.size() > u.responsesSeen) {
         ++answered;
-        const unsigned status = c.answers[u.seen].result_int();
+        const unsigned status = c.answers[u.responsesSeen].result_int();
         served += status == 200, refused += status == 503 || status == 429;
         failed += status != 200 && status != 503 && status != 429;
-        if (now > a.sent + milliseconds(a.leftMs) + kSlack) ++late;
-        if (!c.answers[u.seen].keep_alive()) c.ended = true;
-        ++u.seen;
+        if (now > a.sent + milliseconds(a.leftMs) + kResponseSlack) ++late;
+        if (!c.answers[u.responsesSeen].keep_alive()) c.ended = true;
+        ++u.responsesSeen;
         u.open.reset();
-        u.next = now + milliseconds(10 + draw(40));
+        u.next = now + milliseconds(10 + randomBelow(40));
       } else if (c.ended) {
-        // One that was closed at rest may have crossed the request: it is sent once more on a new connection.
-        if (a.kept && !a.again) {
-          Asked again = a;
-          again.again = true;
+        // The gateway may have closed the idle connection while the request was in transit: it is sent once
+        // more on a new connection.
+        if (a.connectionReused && !a.retried) {
+          PendingRequest retried = a;
+          retried.retried = true;
           connect(u);
           if (!u.connection) return;
           ++resent;
-          send(u, std::move(again));
+          send(u, std::move(retried));
           return;
         }
-        gone(u, "closed with no answer");
-      } else if (now > a.sent + milliseconds(a.leftMs) + kSlack) {
+        recordLost(u, "closed with no answer");
+      } else if (now > a.sent + milliseconds(a.leftMs) + kResponseSlack) {
         ++late;
-        gone(u, "no answer in time");
+        recordLost(u, "no answer in time");
       }
       return;
     }
     if (!more || now < u.next) return;
     if (!u.connection || u.connection->ended) connect(u);
     if (!u.connection) return;
-    ++asked;
-    static constexpr int kLeft[] = {250, 500, kLongestMs}, kKinds[] = {0, 1, 1, 2};
-    send(u, {"r-" + std::to_string(asked), kLeft[draw(3)], kKinds[draw(4)], false, false, {}});
+    ++requestCount;
+    static constexpr int kLeft[] = {250, 500, kMaxTimeLimitMs}, kKinds[] = {0, 1, 1, 2};
+    send(u, {"r-" + std::to_string(requestCount),
+             kLeft[randomBelow(3)],
+             kKinds[randomBelow(4)],
+             false,
+             false,
+             {}});
   }
 
-  void gone(User& u, const std::string& how) {
+  void recordLost(User& u, const std::string& how) {
     ++lost;
     const Node& n = nodes[u.node];
     if (firstLost.empty())
-      firstLost = u.open->id + " at " + n.name + ": " + how + "; sent " +
-                  std::to_string(std::chrono::duration_cast<milliseconds>(u.open->sent - n.told).count()) +
-                  " ms after its last signal; killed " + std::to_string(n.killed) + "\n" +
-                  n.process->logged();
+      firstLost =
+          u.open->id + " at " + n.name + ": " + how + "; sent " +
+          std::to_string(std::chrono::duration_cast<milliseconds>(u.open->sent - n.signaledAt).count()) +
+          " ms after its last signal; killed " + std::to_string(n.killed) + "\n" + n.process->logged();
     u.open.reset();
     u.connection.reset();
   }
 
   void end(Node& n, const Stall& stall) {
     n.stall = stall;
-    n.told = steady_clock::now();
+    n.signaledAt = steady_clock::now();
     n.ending = true;
-    if (stall.length > Duration{} && stall.before == Duration{}) n.process->signal(SIGSTOP), n.stalled = 1;
+    if (stall.length > Duration{} && stall.before == Duration{}) n.process->signal(SIGSTOP), n.stallState = 1;
     n.process->signal(SIGTERM);
   }
 
@@ -218,27 +224,29 @@
     const auto now = steady_clock::now();
     if (!n.ending) {
       if (!n.in && listens(n)) n.in = true;
-      if (n.in && std::exchange(n.moves, false)) n.process->signal(SIGHUP);
+      if (n.in && std::exchange(n.reloadPending, false)) n.process->signal(SIGHUP);
       return;
     }
-    if (n.in && now - n.told > kFrontNotices) n.in = false;
+    if (n.in && now - n.signaledAt > kFrontRoutingDelay) n.in = false;
     if (n.stall.length > Duration{}) {
-      const auto from = n.stall.before == Duration{} ? n.told : n.told + kKillAfter - n.stall.before;
-      if (n.stalled == 0 && now >= from) n.process->signal(SIGSTOP), n.stalled = 1;
-      if (n.stalled == 1 && now >= from + n.stall.length) n.process->signal(SIGCONT), n.stalled = 2;
+      const auto from =
+          n.stall.before == Duration{} ? n.signaledAt : n.signaledAt + kKillAfter - n.stall.before;
+      if (n.stallState == 0 && now >= from) n.process->signal(SIGSTOP), n.stallState = 1;
+      if (n.stallState == 1 && now >= from + n.stall.length) n.process->signal(SIGCONT), n.stallState = 2;
     }
     if (n.process->ended()) {
-      if (!n.killed && n.process->wait() != 0) ++badEnds, firstBad += n.name + ": " + n.process->logged();
+      if (!n.killed && n.process->wait() != 0)
+        ++failedExits, firstFailedExit += n.name + ": " + n.process->logged();
       startNode(n);
-    } else if (now >= n.told + kKillAfter && !n.killed) {
+    } else if (now >= n.signaledAt + kKillAfter && !n.killed) {
       n.killed = true;
       ++kills;
       n.process->signal(SIGKILL);
-      if (n.stalled == 1) n.process->signal(SIGCONT);
+      if (n.stallState == 1) n.process->signal(SIGCONT);
     }
   }
 
-  void play(const std::vector<Stall>& stalls) {
+  void runRelease(const std::vector<Stall>& stalls) {
     for (int i = 0; i < 6; ++i) addHost();
     nodes.resize(12);
     for (std::size_t i = 0; i < nodes.size(); ++i) {
@@ -250,62 +258,62 @@
       return std::all_of(nodes.begin(), nodes.end(), [&](Node& n) { return n.in = n.in || listens(n); });
     }));
     users.resize(60);
-    const auto begun = steady_clock::now();
+    const auto startedAt = steady_clock::now();
     std::size_t ended = 0, replaced = 0;
     bool moved = false, closed = false;
-    const auto over = begun + milliseconds(300) + nodes.size() * milliseconds(150) + 2 * kKillAfter;
+    const auto over = startedAt + milliseconds(300) + nodes.size() * milliseconds(150) + 2 * kKillAfter;
     runUntil(io, [&] {
       const auto now = steady_clock::now();
       for (Node& n : nodes) turn(n);
       for (User& u : users) turn(u, now < over);
-      if (ended < nodes.size() && now >= begun + milliseconds(300) + ended * milliseconds(150))
+      if (ended < nodes.size() && now >= startedAt + milliseconds(300) + ended * milliseconds(150))
         end(nodes[ended], stalls[ended % stalls.size()]), ++ended;
-      if (replaced < 3 && now >= begun + milliseconds(500) + replaced * milliseconds(600)) {
+      if (replaced < 3 && now >= startedAt + milliseconds(500) + replaced * milliseconds(600)) {
         const std::string old = "s-" + std::to_string(replaced++);
         registry.set(old, hosts[old]->endpoint(), "leaving");
         addHost();
       }
-      if (!moved && now >= begun + milliseconds(1100)) {
+      if (!moved && now >= startedAt + milliseconds(1100)) {
         moved = true;
         discovery = 1;
         for (Node& n : nodes) {
           configure(n);
-          n.moves = true;
+          n.reloadPending = true;
         }
       }
-      // The old one takes no new connection, and closes the open ones after 1.5 s.
-      if (moved && !closed && now >= begun + milliseconds(2600)) closed = true, registry.stop(0);
+      // 1.5 s after the move the previous discovery stops accepting connections and closes the open ones.
+      if (moved && !closed && now >= startedAt + milliseconds(2600)) closed = true, registry.stop(0);
       return now >= over && std::none_of(users.begin(), users.end(), [](const User& u) { return !!u.open; });
     });
-    for (const auto& [id, times] : ran) twice += times > 1;
-    RecordProperty("asked", asked);
+    for (const auto& [id, times] : executions) twice += times > 1;
+    RecordProperty("asked", requestCount);
     std::printf(
         "asked %d answered %d served %d refused %d failed %d resent %d lost %d late %d twice %d kills %d\n",
-        asked, answered, served, refused, failed, resent, lost, late, twice, kills);
+        requestCount, answered, served, refused, failed, resent, lost, late, twice, kills);
     EXPECT_EQ(ended, nodes.size());
-    EXPECT_GT(asked, 500);
+    EXPECT_GT(requestCount, 500);
     EXPECT_EQ(lost, 0) << firstLost;
     EXPECT_EQ(late, 0);
-    EXPECT_GT(ran.size(), 100u);
+    EXPECT_GT(executions.size(), 100u);
     EXPECT_EQ(twice, 0);
-    EXPECT_EQ(answered, asked);
+    EXPECT_EQ(answered, requestCount);
     EXPECT_EQ(kills, 0);
-    EXPECT_EQ(badEnds, 0) << firstBad;
-    EXPECT_GT(served, asked * 7 / 10);
+    EXPECT_EQ(failedExits, 0) << firstFailedExit;
+    EXPECT_GT(served, requestCount * 7 / 10);
     EXPECT_GT(registry.polls(1), 0u);
   }
 };
 
-TEST_F(ReleaseTest, EveryRequestOfARollingReleaseHasItsOneWholeAnswerInTime) { play({{}}); }
+TEST_F(ReleaseTest, EveryRequestOfARollingReleaseGetsOneCompleteResponseInTime) { runRelease({{}}); }
 
-// Hard case: the machine gives a gateway no turn for 50, 100 and 200 ms, about the signal and about the end.
-TEST_F(ReleaseTest, NothingIsLostWhereTheLoopIsStalledAboutTheSignalAndTheEnd) {
+// Gateways are stopped for 50, 100 and 200 ms, either at SIGTERM or shortly before the grace period ends.
+TEST_F(ReleaseTest, LosesNoRequestIfAGatewayStallsAtTheSignalOrNearItsEnd) {
   std::vector<Stall> stalls;
   for (const int ms : {50, 100, 200}) {
     stalls.push_back({milliseconds(ms), {}});
     stalls.push_back({milliseconds(ms), milliseconds(ms + 120)});
   }
-  play(stalls);
+  runRelease(stalls);
 }
 
 }  // namespace
--- a/tests/app/trace_file_test.cpp
+++ b/tests/app/trace_file_test.cpp
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(TraceFile, CountsTheLinesThatAFullDiskLoses) {
+TEST(TraceFile, CountsLinesLostOnAFullDisk) {
   TraceFile file("/dev/full", 1 << 20, 1 << 20);
   ASSERT_TRUE(file.write("one\ntwo\n"));
   std::uint64_t lost = 0;
@@ -37,7 +37,7 @@
   EXPECT_EQ(lost, 2u);
 }
 
-// The disk fills up within a line. Once there is space again the next block begins a line of its own, and
+// The disk becomes full within a line. Once there is space again, the next block starts on a new line, and
 // each lost line is counted once.
 TEST(TraceFile, EndsATruncatedLineBeforeTheNext) {
   std::signal(SIGXFSZ, SIG_IGN);
@@ -85,7 +85,8 @@
   EXPECT_EQ(readFile(folder / "log"), "after\n");
 }
 
-// The reader of a pipe has stopped. The caller does not block, and lines beyond the queue are refused.
+// The reader of a pipe has stopped reading. The caller does not block, and lines beyond the queue limit are
+// refused.
 TEST(TraceFile, NeverBlocksTheCaller) {
   std::signal(SIGPIPE, SIG_IGN);  // as the program does
   TemporaryDirectory folder;
@@ -99,7 +100,7 @@
     int accepted = 0;
     while (accepted < 100 && file.write(block)) ++accepted;
     EXPECT_LT(accepted, 100);
-    ::close(reader);  // its writes fail from here on, so that the destructor returns
+    ::close(reader);  // writes fail from here on, so that the destructor does not block
   }
 }
 
--- a/tests/app/trace_log_test.cpp
+++ b/tests/app/trace_log_test.cpp
@@ -1,4 +1,4 @@
-// The attempt log of a gateway: the lines that it writes for requests to the hosts of a test.
+// The attempt log of a gateway: the lines written for requests to fake hosts.
 #include "app/trace_log.hpp"
 
 #include <map>
@@ -49,14 +49,14 @@
     gateway->setAttemptLog(*log);
     gateway->start();
   }
-  // Ends the log in order and reads it.
+  // Stops the log, closes it and reads the file.
   Logs endLog() {
     log->stop(gateway->openRequests());
     gateway.reset();
     log.reset();
     return readLogs(folder / "trace-n_1");
   }
-  // Sends a request and waits for the answer. Returns its status, or 0 without an answer.
+  // Sends a request and waits for the response. Returns its status, or 0 if there is none.
   int sendRequest(Client& c, const char* method, const char* path, const std::string& body = {}) {
     const std::size_t before = c.answers.size();
     c.sendRequest(method, path, 1000, body);
@@ -65,7 +65,7 @@
   }
 };
 
-TEST_F(TraceLogTest, WritesTheLinesOfEveryRequestAndTheAuditFindsNothing) {
+TEST_F(TraceLogTest, WritesLinesOfEveryRequestWithoutAuditFindings) {
   int n = 0;
   for (int i = 0; i < 3; ++i)
     host([&](const std::shared_ptr<Peer>& peer, const Received&) {
@@ -107,8 +107,8 @@
                   << trace::formatTimeline(all.log.history(f.id));
 }
 
-// One client disconnects, and one request runs into its deadline at a host that never answers.
-TEST_F(TraceLogTest, WritesTheReasonWhyAnAttemptEnded) {
+// One client disconnects, and one request exceeds its deadline at a host that never responds.
+TEST_F(TraceLogTest, WritesTheEndReasonOfAttempts) {
   host(hold);
   startTraced();
   const auto gone = client();
@@ -183,8 +183,8 @@
   EXPECT_EQ(all.log.missingLines(), 0u);
 }
 
-// Log lines and the program's other lines share standard error, unless the settings name a file.
-TEST_F(TraceLogTest, SummaryIsNoLineOfTheLog) {
+// Attempt log lines and the program's other lines share standard error, unless the settings name a file.
+TEST_F(TraceLogTest, SummaryIsNotParsedAsALogLine) {
   startTraced();
   EXPECT_EQ(log->summary(), "attempt_log written=0 left_out=0");
   EXPECT_EQ(trace::parseLine(log->summary()).status, trace::ParseResult::Status::notTrace) << log->summary();
