--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -80,10 +80,10 @@
 ops::Reply AdminApi::setLameDuck(bool enabled) {
   if (enabled) {
     gateway_.enterLameDuck();
-    std::fprintf(stderr, "finchstile: lame duck mode entered, clients are asked to leave\n");
+    std::fprintf(stderr, "finchstile: lame duck mode entered, closing client connections\n");
   } else {
     gateway_.leaveLameDuck();
-    std::fprintf(stderr, "finchstile: lame duck mode left, clients are served again\n");
+    std::fprintf(stderr, "finchstile: lame duck mode left, keeping client connections\n");
   }
   return {kOk, "done\n"};
 }
--- a/src/app/membership_service.cpp
+++ b/src/app/membership_service.cpp
@@ -15,11 +15,10 @@
 constexpr std::size_t kMaxMachineTypes = 4096;             // whose names are kept to decode snapshots
 constexpr Duration kRespondingTime = seconds(2);           // a host with a more recent response is responding
 constexpr Duration kCleanupInterval = seconds(1);          // between removals of expired hosts
-constexpr Duration kMinFilterInterval = milliseconds(50);  // since each run processes all hosts
+constexpr Duration kMinFilterInterval = milliseconds(50);  // between filter runs, each over all hosts
 constexpr Duration kSnapshotPause = milliseconds(10);      // between chunks of a snapshot
-constexpr std::uint64_t kWarmStartSeedMask =
-    0x57a27;                                 // so that warm start and gossip draw different sequences
-constexpr std::uint64_t kGossipSlots = 100;  // offsets of gateways within a period
+constexpr std::uint64_t kWarmStartSeedMask = 0x57a27;  // separates its random sequence from that of gossip
+constexpr std::uint64_t kGossipSlots = 100;            // offsets of gateways within a period
 
 membership::EndpointList toEndpointList(const HostList& from) {
   membership::EndpointList list;
--- a/tests/app/program_test.cpp
+++ b/tests/app/program_test.cpp
@@ -228,7 +228,7 @@
       << program->logged();
 }
 
-// SIGHUP with an invalid hook or operator's file changes nothing; the next valid file takes effect.
+// SIGHUP with an invalid hook changes nothing; the next valid hook takes effect.
 TEST_F(ProgramTest, SighupReplacesHooksAndInvalidHookKeepsTheCurrentOnes) {
   Server host(io, [](const auto& peer, const Received&) { peer->reply(200, "ok"); });
   json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", host.endpoint())}));
@@ -339,8 +339,8 @@
     at.push_back(tcp::acceptor(io, loopback()).local_endpoint());
     config["listen"] = text(at.back());
     setenv("LB_CONFIG", folder.write("c" + std::to_string(i), config.dump()).c_str(), 1);
-    // An owner is uncertain of unknown keys until it has run for the retention time, so `keep` has its
-    // minimum.
+    // An owner counts as new until it has run for `keep` plus the longest request duration, and a new owner
+    // may have lost the keys of its previous run. The minimum of `keep` makes that time short.
     const std::string file =
         folder.write("o" + std::to_string(i),
                      "[idempotency]\nenabled = true\nkeep = '1s'\n[idempotency.owners]\nenabled = "
@@ -368,19 +368,19 @@
 
 // The platform keeps the listening socket, starts the successor beside the running process, and ends the
 // running one when the successor is ready. Each has its own administration address.
-struct OperatedTest : ProgramTest {
+struct ProcessReplacementTest : ProgramTest {
   tcp::acceptor listener{io, loopback()};
   std::vector<std::unique_ptr<Server>> hosts;
-  std::unique_ptr<Process> next;
+  std::unique_ptr<Process> successor;
 
-  OperatedTest() {
+  ProcessReplacementTest() {
     for (int i = 0; i < 2; ++i)
       hosts.push_back(
           std::make_unique<Server>(io, [](const auto& peer, const Received&) { peer->reply(200, "ok"); }));
     setenv("TMPDIR", folder.path().c_str(), 1);
     setenv("LB_INHERITED_FD", "3", 1);
   }
-  ~OperatedTest() override {
+  ~ProcessReplacementTest() override {
     unsetenv("TMPDIR");
     unsetenv("LB_INHERITED_FD");
   }
@@ -421,8 +421,8 @@
   }
 };
 
-TEST_F(OperatedTest, SuccessorKeepsClientConnectionsAndCordonedHosts) {
-  const tcp::endpoint ops = freePort(), opsNext = freePort();
+TEST_F(ProcessReplacementTest, SuccessorKeepsClientConnectionsAndCordonedHosts) {
+  const tcp::endpoint ops = freePort(), successorOps = freePort();
   program = launch(ops, "first");
   ASSERT_TRUE(becomesReady(ops)) << program->logged();
   const auto c = Client::connect(io, listener.local_endpoint()),
@@ -440,26 +440,27 @@
   EXPECT_NE(metrics.find("lb_sends_total 41\n"), std::string::npos) << metrics;
   EXPECT_NE(metrics.find("lb_cluster_size 2\n"), std::string::npos) << metrics;
   EXPECT_NE(metrics.find("lb_cluster_unhealthy 1\n"), std::string::npos) << metrics;
-  next = launch(opsNext, "second");
-  ASSERT_TRUE(becomesReady(opsNext)) << next->logged();
+  successor = launch(successorOps, "second");
+  ASSERT_TRUE(becomesReady(successorOps)) << successor->logged();
   program->signal(SIGTERM);
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_EQ(program->wait(), 0);
-  EXPECT_FALSE(c->ended || idleClient->ended) << program->logged() << next->logged();
+  EXPECT_FALSE(c->ended || idleClient->ended) << program->logged() << successor->logged();
   sendRequest(c, 20);  // over the same connection, now at the successor
   sendRequest(idleClient, 1);
   const auto fresh = Client::connect(io, listener.local_endpoint());
   sendRequest(fresh, 5);
-  EXPECT_EQ(hosts[0]->received.size(), before);                  // cordoned at the successor, too
-  EXPECT_EQ(call(opsNext, "PUT /api/include/s-0").first, 200u);  // one uncordon undoes both cordons
-  EXPECT_NE(call(opsNext, "GET /api/telemetry").second.find("lb_cluster_unhealthy 0\n"), std::string::npos);
-  next->signal(SIGTERM);
-  ASSERT_TRUE(until([&] { return next->ended(); }));
+  EXPECT_EQ(hosts[0]->received.size(), before);                       // cordoned at the successor, too
+  EXPECT_EQ(call(successorOps, "PUT /api/include/s-0").first, 200u);  // one uncordon undoes both cordons
+  EXPECT_NE(call(successorOps, "GET /api/telemetry").second.find("lb_cluster_unhealthy 0\n"),
+            std::string::npos);
+  successor->signal(SIGTERM);
+  ASSERT_TRUE(until([&] { return successor->ended(); }));
   EXPECT_TRUE(until([&] { return c->ended; }));
 }
 
 // The state of hosts, from /api/hosts and from `finchstile hosts`; without [membership] both are unavailable.
-TEST_F(OperatedTest, DescribesHostsByAdminApiAndCommand) {
+TEST_F(ProcessReplacementTest, DescribesHostsByAdminApiAndCommand) {
   const tcp::endpoint ops = freePort(), off = freePort();
   const std::string file = folder.write("o.toml", "[membership]\nenabled = true\n");
   program = launch(ops, "first", {"--operator", file});
@@ -485,33 +486,33 @@
   EXPECT_EQ(command({"hosts", "--ops", text(ops), "s-9"}).first, 3);
   EXPECT_EQ(command({"hosts", "--ops", text(off)}).first, 1);
   EXPECT_EQ(command({"hosts"}).first, 2);
-  next = launch(off, "second");
-  ASSERT_TRUE(becomesReady(off)) << next->logged();
+  successor = launch(off, "second");
+  ASSERT_TRUE(becomesReady(off)) << successor->logged();
   EXPECT_EQ(call(off, "GET /api/hosts"),
             std::pair(404u, std::string("needs [membership] in the operator's file\n")));
 }
 
 // A successor that is killed does not affect the running process, and a later successor connects to it.
-TEST_F(OperatedTest, ServesOnAfterASuccessorIsKilled) {
+TEST_F(ProcessReplacementTest, ServesOnAfterASuccessorIsKilled) {
   const tcp::endpoint ops = freePort();
   program = launch(ops, "first");
   ASSERT_TRUE(becomesReady(ops));
   const auto c = Client::connect(io, listener.local_endpoint());
   sendRequest(c, 2);
-  const tcp::endpoint opsNext = freePort(), opsThird = freePort();
-  next = launch(opsNext, "second");
-  ASSERT_TRUE(becomesReady(opsNext));
-  next.reset();  // killed
+  const tcp::endpoint successorOps = freePort(), thirdOps = freePort();
+  successor = launch(successorOps, "second");
+  ASSERT_TRUE(becomesReady(successorOps));
+  successor.reset();  // killed
   sendRequest(c, 2);
-  next = launch(opsThird, "third");
-  ASSERT_TRUE(becomesReady(opsThird));
+  successor = launch(thirdOps, "third");
+  ASSERT_TRUE(becomesReady(thirdOps));
   program->signal(SIGTERM);
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_FALSE(c->ended) << program->logged();
   sendRequest(c, 2);
 }
 
-TEST_F(OperatedTest, InvalidInheritedDescriptorFailsStartupWithItsReason) {
+TEST_F(ProcessReplacementTest, InvalidInheritedDescriptorFailsStartupWithItsReason) {
   setenv("LB_INHERITED_FD", "0", 1);
   program = launch(freePort(), "first");
   ASSERT_TRUE(until([&] { return program->ended(); }));
--- a/tests/app/release_test.cpp
+++ b/tests/app/release_test.cpp
@@ -1,6 +1,6 @@
-// A rolling release of real processes: twelve gateways under load are ended by SIGTERM in turn and restarted,
-// while hosts are replaced and SIGHUP reloadPending discovery. Clients count the outcome of each request. A
-// process that has not exited when the platform's grace period ends gets SIGKILL.
+// A rolling release of real processes: twelve gateways under load are ended by SIGTERM one after the other
+// and restarted, while hosts are replaced and SIGHUP moves discovery. Clients count the outcome of each
+// request. A process that has not exited when the platform's grace period ends gets SIGKILL.
 #include <csignal>
 #include <map>
 #include <random>
@@ -30,7 +30,7 @@
     std::string name, config;
     tcp::endpoint at;
     std::unique_ptr<Process> process;
-    bool in = false;  // fronts connect to this node
+    bool inRotation = false;  // fronts connect to this node
     bool ending = false, killed = false;
     bool reloadPending = false;  // SIGHUP is pending; the platform sends none before a process is ready
     steady_clock::time_point signaledAt;
@@ -107,7 +107,7 @@
     setenv("LB_CONFIG", n.config.c_str(), 1);
     n.process =
         std::make_unique<Process>(FINCHSTILE_PROGRAM, std::vector<std::string>{}, folder / (n.name + ".log"));
-    n.ending = n.in = n.killed = n.reloadPending = false;
+    n.ending = n.inRotation = n.killed = n.reloadPending = false;
     n.stallState = 0;
   }
 
@@ -120,17 +120,17 @@
   }
 
   void connect(User& u) {
-    std::vector<std::size_t> in;
+    std::vector<std::size_t> inRotation;
     for (std::size_t i = 0; i < nodes.size(); ++i)
-      if (nodes[i].in) in.push_back(i);
+      if (nodes[i].inRotation) inRotation.push_back(i);
     u.connection.reset();
-    if (in.empty()) return;
-    u.node = in[rng() % in.size()];
+    if (inRotation.empty()) return;
+    u.node = inRotation[rng() % inRotation.size()];
     try {
       u.connection = Client::connect(io, nodes[u.node].at);
       u.responsesSeen = 0;
     } catch (const boost::system::system_error&) {
-      u.connection.reset();  // it has just stopped listening; the next turn connects to another node
+      u.connection.reset();  // it has just stopped listening; the next step() connects to another node
     }
   }
 
@@ -148,12 +148,12 @@
     try {
       u.connection->write(head);
     } catch (const boost::system::system_error&) {
-      // turn() detects the closed connection.
+      // step() detects the closed connection.
     }
     u.open = std::move(a);
   }
 
-  void turn(User& u, bool more) {
+  void step(User& u, bool more) {
     const auto now = steady_clock::now();
     if (u.open) {
       Client& c = *u.connection;
@@ -169,8 +169,8 @@
         u.open.reset();
         u.next = now + milliseconds(10 + randomBelow(40));
       } else if (c.ended) {
-        // The gateway may have closed the idle connection while the request was in transit: it is sent once
-        // more on a new connection.
+        // The gateway may have closed the idle connection while the request was in
+        // transit: it is sent once more on a new connection.
         if (a.connectionReused && !a.retried) {
           PendingRequest retried = a;
           retried.retried = true;
@@ -220,14 +220,14 @@
     n.process->signal(SIGTERM);
   }
 
-  void turn(Node& n) {
+  void step(Node& n) {
     const auto now = steady_clock::now();
     if (!n.ending) {
-      if (!n.in && listens(n)) n.in = true;
-      if (n.in && std::exchange(n.reloadPending, false)) n.process->signal(SIGHUP);
+      if (!n.inRotation && listens(n)) n.inRotation = true;
+      if (n.inRotation && std::exchange(n.reloadPending, false)) n.process->signal(SIGHUP);
       return;
     }
-    if (n.in && now - n.signaledAt > kFrontRoutingDelay) n.in = false;
+    if (n.inRotation && now - n.signaledAt > kFrontRoutingDelay) n.inRotation = false;
     if (n.stall.length > Duration{}) {
       const auto from =
           n.stall.before == Duration{} ? n.signaledAt : n.signaledAt + kKillAfter - n.stall.before;
@@ -255,17 +255,18 @@
     }
     for (Node& n : nodes) startNode(n);
     ASSERT_TRUE(runUntil(io, [&] {
-      return std::all_of(nodes.begin(), nodes.end(), [&](Node& n) { return n.in = n.in || listens(n); });
+      return std::all_of(nodes.begin(), nodes.end(),
+                         [&](Node& n) { return n.inRotation = n.inRotation || listens(n); });
     }));
     users.resize(60);
     const auto startedAt = steady_clock::now();
     std::size_t ended = 0, replaced = 0;
-    bool moved = false, closed = false;
-    const auto over = startedAt + milliseconds(300) + nodes.size() * milliseconds(150) + 2 * kKillAfter;
+    bool discoveryMoved = false, oldDiscoveryStopped = false;
+    const auto loadEndsAt = startedAt + milliseconds(300) + nodes.size() * milliseconds(150) + 2 * kKillAfter;
     runUntil(io, [&] {
       const auto now = steady_clock::now();
-      for (Node& n : nodes) turn(n);
-      for (User& u : users) turn(u, now < over);
+      for (Node& n : nodes) step(n);
+      for (User& u : users) step(u, now < loadEndsAt);
       if (ended < nodes.size() && now >= startedAt + milliseconds(300) + ended * milliseconds(150))
         end(nodes[ended], stalls[ended % stalls.size()]), ++ended;
       if (replaced < 3 && now >= startedAt + milliseconds(500) + replaced * milliseconds(600)) {
@@ -273,8 +274,8 @@
         registry.set(old, hosts[old]->endpoint(), "leaving");
         addHost();
       }
-      if (!moved && now >= startedAt + milliseconds(1100)) {
-        moved = true;
+      if (!discoveryMoved && now >= startedAt + milliseconds(1100)) {
+        discoveryMoved = true;
         discovery = 1;
         for (Node& n : nodes) {
           configure(n);
@@ -282,8 +283,10 @@
         }
       }
       // 1.5 s after the move the previous discovery stops accepting connections and closes the open ones.
-      if (moved && !closed && now >= startedAt + milliseconds(2600)) closed = true, registry.stop(0);
-      return now >= over && std::none_of(users.begin(), users.end(), [](const User& u) { return !!u.open; });
+      if (discoveryMoved && !oldDiscoveryStopped && now >= startedAt + milliseconds(2600))
+        oldDiscoveryStopped = true, registry.stop(0);
+      return now >= loadEndsAt &&
+             std::none_of(users.begin(), users.end(), [](const User& u) { return !!u.open; });
     });
     for (const auto& [id, times] : executions) twice += times > 1;
     RecordProperty("asked", requestCount);
