--- a/src/net/request_filter.hpp
+++ b/src/net/request_filter.hpp
@@ -2,9 +2,9 @@
 // requests independently of each other. The gateway does the I/O, the load balancer chooses hosts, attempts
 // and rejections, and a filter may act on the request as each phase permits:
 //
-//   received         The request was read and is valid, and its id is not active. It has not been submitted to
-//                    the load balancer. A filter may respond to the request here, or hold it and respond to
-//                    it or admit it later through RequestFilterCallbacks.
+//   received         The request was read and is valid, and its id is not active. It has not been submitted
+//                    to the load balancer. A filter may respond to the request here, or hold it and respond
+//                    to it or admit it later through RequestFilterCallbacks.
 //   admitted         The load balancer has chosen a host for the request for the first time.
 //   attemptSending   An attempt is being composed, directly before its first byte. A filter may add headers
 //                    for the host.
