--- a/src/configuration/configuration_store.cpp
+++ b/src/configuration/configuration_store.cpp
@@ -34,7 +34,7 @@
   }
   if (hash != update.hash) {
     const std::string message =
-        "is " + formatHash(update.hash) + ", but the hash of the entries is " + formatHash(hash);
+        "is " + formatHash(update.hash) + ", and the entries have " + formatHash(hash);
     return reject(update, ApplyResult::rejected, {{"hash", "", message}});
   }
 
@@ -66,7 +66,7 @@
   }
   if (!isActiveVersion) return std::nullopt;
   if (update.hash != state.hash)
-    return reject(update, ApplyResult::conflict, {{"hash", "", "differs from that of the active version"}});
+    return reject(update, ApplyResult::conflict, {{"hash", "", "is not that of the version in force"}});
   versionState_.needsSnapshot = false;
   outcome.result = ApplyResult::unchanged;
   return outcome;
@@ -94,8 +94,8 @@
     const bool needsIndex = change.document && tenants_.count(nameInKey(change.key)) == 0;
     if (needsIndex && ++tenantIndexes > load_balancing::kMaxTenants)
       errors.push_back({change.key, "",
-                        "exceeds the limit of " + std::to_string(load_balancing::kMaxTenants) +
-                            " tenant names; a restart frees the names of removed tenants"});
+                        "is one more than the " + std::to_string(load_balancing::kMaxTenants) +
+                            " names that fit; a restart forgets those removed"});
   }
   return errors;
 }
@@ -111,8 +111,9 @@
   const auto clientTimeout = classes_[*index].initialSettings.clientTimeout;
   if (std::get<ClassDocument>(*change.document).latencyObjective <= clientTimeout) return;
   const auto timeoutMs = std::chrono::duration_cast<std::chrono::milliseconds>(clientTimeout).count();
-  errors.push_back({change.key, "aim_ms",
-                    "must be at most " + std::to_string(timeoutMs) + ", the client timeout of the class"});
+  errors.push_back(
+      {change.key, "aim_ms",
+       "must be at most " + std::to_string(timeoutMs) + ", the time after which its clients give up"});
 }
 
 // --- Hashes
--- a/src/configuration/update.cpp
+++ b/src/configuration/update.cpp
@@ -64,7 +64,7 @@
     if (valid_ && entry_.size() == expectedFields) return;
     for (const auto& [field, value] : entry_.items()) {
       const bool isKnown = field == "key" || std::find(known.begin(), known.end(), field) != known.end();
-      if (!isKnown) addError(field, "is not a known field of this entry");
+      if (!isKnown) addError(field, "is no field of such an entry");
     }
   }
 
@@ -107,7 +107,7 @@
   const std::string place = "entry " + std::to_string(number);
   const auto field = entry.is_object() ? entry.find("key") : entry.end();
   if (!entry.is_object() || field == entry.end() || !field->is_string()) {
-    errors.push_back({place, "key", "must be a string"});
+    errors.push_back({place, "key", "must be a text"});
     return nullptr;
   }
   const auto* key = field->get_ptr<const std::string*>();
@@ -123,15 +123,13 @@
   const std::string* key = readKey(entry, number, update.errors);
   if (!key) return;
   if (!seenKeys.insert(*key).second) {
-    update.errors.push_back({*key, "", "occurs more than once"});
+    update.errors.push_back({*key, "", "stands twice"});
     return;
   }
   if (const auto removed = entry.find("removed"); removed != entry.end()) {
     const bool isRemoval = removed->is_boolean() && removed->get<bool>();
     if (isRemoval && entry.size() == 2 && !update.isSnapshot) update.changes.push_back({*key, std::nullopt});
-    else
-      update.errors.push_back(
-          {*key, "removed", "must be true and the only other field, and is not allowed in a snapshot"});
+    else update.errors.push_back({*key, "removed", "must be true and alone, in changes"});
     return;
   }
   if (auto document = readDocument(entry, *key, update.errors))
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -120,30 +120,27 @@
 bool requestsWebSocket(const RequestHead& head) { return hasToken(head, http::field::upgrade, "websocket"); }
 
 HandshakeVerdict checkRequest(const RequestHead& head, const HandshakeRules& rules) {
-  if (head.method() != http::verb::get || head.version() != 11)
-    return {400, "handshake must be an HTTP/1.1 GET request"};
-  if (head.count(http::field::host) != 1) return {400, "request must have exactly one Host header"};
+  if (head.method() != http::verb::get || head.version() != 11) return {400, "not a GET of HTTP/1.1"};
+  if (head.count(http::field::host) != 1) return {400, "not one Host"};
   if (!hasToken(head, http::field::connection, "upgrade")) return {400, "Connection does not name Upgrade"};
   if (head.count(http::field::content_length) + head.count(http::field::transfer_encoding) > 0)
-    return {400, "handshake must not have a body"};
+    return {400, "a body"};
   if (head.count(http::field::sec_websocket_version) != 1 || head[http::field::sec_websocket_version] != "13")
-    return {426, "Sec-WebSocket-Version must be 13"};
+    return {426, "not version 13"};
   if (head.count(http::field::sec_websocket_key) != 1 || !isKey(toView(head[http::field::sec_websocket_key])))
-    return {400, "request must have exactly one Sec-WebSocket-Key of 16 bytes in base64"};
-  if (head.count(http::field::sec_websocket_accept) > 0)
-    return {400, "request must not have a Sec-WebSocket-Accept header"};
+    return {400, "not one key of sixteen bytes"};
+  if (head.count(http::field::sec_websocket_accept) > 0) return {400, "an answer's header in a request"};
   const auto offered = tokens(joined(head, http::field::sec_websocket_protocol));
-  if (head.count(http::field::sec_websocket_protocol) > 0 && offered.empty())
-    return {400, "Sec-WebSocket-Protocol names no subprotocol"};
-  if (offered.size() > kMaxListItems) return {400, "Sec-WebSocket-Protocol names more than 32 subprotocols"};
+  if (head.count(http::field::sec_websocket_protocol) > 0 && offered.empty()) return {400, "no subprotocol"};
+  if (offered.size() > kMaxListItems) return {400, "too many subprotocols"};
   for (std::size_t i = 0; i < offered.size(); ++i)
     if (std::find(offered.begin(), offered.begin() + static_cast<std::ptrdiff_t>(i), offered[i]) !=
         offered.begin() + static_cast<std::ptrdiff_t>(i))
-      return {400, "Sec-WebSocket-Protocol names a subprotocol more than once"};
+      return {400, "a subprotocol twice"};
   if (!rules.origins.empty()) {
-    if (head.count(http::field::origin) != 1) return {403, "request must have exactly one Origin header"};
+    if (head.count(http::field::origin) != 1) return {403, "not one Origin"};
     if (!isAllowed(rules.origins, std::string(toView(head[http::field::origin]))))
-      return {403, "Origin is not allowed"};
+      return {403, "an Origin that may not ask"};
   }
   return {};
 }
--- a/tests/configuration/configuration_store_test.cpp
+++ b/tests/configuration/configuration_store_test.cpp
@@ -132,7 +132,7 @@
   EXPECT_EQ(rejection.result, ApplyResult::rejected);
   ASSERT_EQ(rejection.errors.size(), 2u);
   EXPECT_EQ(describe(rejection.errors[0]),
-            "class/read.aim_ms: must be at most 1000, the client timeout of the class");
+            "class/read.aim_ms: must be at most 1000, the time after which its clients give up");
   EXPECT_EQ(describe(rejection.errors[1]), "class/write: is no class of this gateway's configuration");
   EXPECT_EQ(store.versionState().version, (Version{1, 1}));
   // The revision is not sent again, and if it is, its errors are not reported again.
@@ -175,21 +175,20 @@
                              R"(7)"));
   std::vector<std::string> lines;
   for (const ValidationError& error : update.errors) lines.push_back(describe(error));
-  EXPECT_EQ(lines,
-            (std::vector<std::string>{
-                "tenant/a.quota_per_second: must be a number from 0 to 1e+12, and is -1",
-                "tenant/b.quota_per_second: is missing",
-                "tenant/c.qouta: is not a known field of this entry",
-                "entry 3.key: must be tenant/NAME or class/NAME, and is 'route/x'",
-                "tenant/.key: must have a name of 1 to 256 bytes",
-                "tenant/d: occurs more than once",
-                "class/read.worth: must be a number from 0 to 1e+12, and is \"x\"",
-                "class/read.aim_ms: must be a number from 0.001 to 8.64e+07, and is 0",
-                "class/read.late_share: must be a number from 0 to 1, and is 2",
-                "tenant/e.removed: must be true and the only other field, and is not allowed in a snapshot",
-                "entry 9.key: must be a string",
-                "entry 10.key: must be a string",
-            }));
+  EXPECT_EQ(lines, (std::vector<std::string>{
+                       "tenant/a.quota_per_second: must be a number from 0 to 1e+12, and is -1",
+                       "tenant/b.quota_per_second: is missing",
+                       "tenant/c.qouta: is no field of such an entry",
+                       "entry 3.key: must be tenant/NAME or class/NAME, and is 'route/x'",
+                       "tenant/.key: must have a name of 1 to 256 bytes",
+                       "tenant/d: stands twice",
+                       "class/read.worth: must be a number from 0 to 1e+12, and is \"x\"",
+                       "class/read.aim_ms: must be a number from 0.001 to 8.64e+07, and is 0",
+                       "class/read.late_share: must be a number from 0 to 1, and is 2",
+                       "tenant/e.removed: must be true and alone, in changes",
+                       "entry 9.key: must be a text",
+                       "entry 10.key: must be a text",
+                   }));
   ConfigurationStore store(initialSettings());
   EXPECT_EQ(store.apply(update).result, ApplyResult::rejected);
   EXPECT_EQ(store.tenantCount(), 2u);
@@ -261,7 +260,7 @@
   const ApplyOutcome result = applyNextUpdate(log, store);  // the two initial tenants use indexes as well
   EXPECT_EQ(result.result, ApplyResult::rejected);
   EXPECT_EQ(result.errors.size(), 2u);
-  EXPECT_NE(describe(result.errors).find("exceeds the limit of 131072 tenant names"), std::string::npos);
+  EXPECT_NE(describe(result.errors).find("is one more than the 131072 names that fit"), std::string::npos);
 }
 
 // After 70 changes, once with all of them in the log and once after the log was compacted.
--- a/tests/configuration/update_test.cpp
+++ b/tests/configuration/update_test.cpp
@@ -46,15 +46,14 @@
 
 TEST(ValidationError, DescribesTheFirstThreeErrorsAndCountsTheOthers) {
   const ValidationError withField{"tenant/a", "quota_per_second", "is missing"};
-  const ValidationError withoutField{"tenant/b", "", "occurs more than once"};
+  const ValidationError withoutField{"tenant/b", "", "stands twice"};
   EXPECT_EQ(describe(withField), "tenant/a.quota_per_second: is missing");
-  EXPECT_EQ(describe(withoutField), "tenant/b: occurs more than once");
+  EXPECT_EQ(describe(withoutField), "tenant/b: stands twice");
   EXPECT_EQ(describe(std::vector<ValidationError>{}), "");
   EXPECT_EQ(describe(std::vector{withoutField, withField}),
-            "tenant/b: occurs more than once; tenant/a.quota_per_second: is missing");
+            "tenant/b: stands twice; tenant/a.quota_per_second: is missing");
   EXPECT_EQ(describe(std::vector(5, withoutField)),
-            "tenant/b: occurs more than once; tenant/b: occurs more than once; tenant/b: occurs more than "
-            "once; and 2 more");
+            "tenant/b: stands twice; tenant/b: stands twice; tenant/b: stands twice; and 2 more");
 }
 
 }  // namespace
