--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -211,7 +211,7 @@
                    {"discovery", "127.0.0.1:1"},
                    {"seed", "1"},
                    {"settings", fake_upstream::settingsJson(
-                                    json::array({fake_upstream::gradeJson({"read", "retryable", "all", 1})}),
+                                    json::array({fake_upstream::classJson({"read", "retryable", "all", 1})}),
                                     true, zoneName(0))}};
     for (std::size_t i = 0; i < n; ++i)
       config["settings"]["tenants"].push_back({{"name", tenantName(i)}, {"quotaRps", 50.0}});
--- a/bench/configuration_changes.cpp
+++ b/bench/configuration_changes.cpp
@@ -89,7 +89,7 @@
 
   Round run() {
     if (mode_ == Mode::direct) return ask(host_.at());
-    const nlohmann::json config = configFor(host_, fake_upstream::gradeJson({"get", "retryable", "all"}));
+    const nlohmann::json config = configFor(host_, fake_upstream::classJson({"get", "retryable", "all"}));
     GatewayConfig read = readConfig(config.dump(), clock_);
     const load_balancing::Settings start = read.settings;
     asio::io_context io(1);
--- a/bench/hooks.cpp
+++ b/bench/hooks.cpp
@@ -196,7 +196,7 @@
   Host host;
   asio::io_context io(1);
   const Clock clock;
-  const json config = bench::configFor(host, fake_upstream::gradeJson({"read", "retryable", "all"}));
+  const json config = bench::configFor(host, fake_upstream::classJson({"read", "retryable", "all"}));
   const auto setOf = [&](int version) {
     auto set = std::make_shared<HookSet>();
     for (std::size_t i = 0; i < hooks; ++i) {
--- a/bench/idempotency_owners.cpp
+++ b/bench/idempotency_owners.cpp
@@ -113,7 +113,7 @@
     }
   }
   bench::Host host;
-  const nlohmann::json config = bench::configFor(host, fake_upstream::gradeJson({"put", "dedup", "zone"}));
+  const nlohmann::json config = bench::configFor(host, fake_upstream::classJson({"put", "dedup", "zone"}));
   IdempotencySettings settings;
   settings.peerOwnership.enabled = true;
   settings.limits.maxEntries = 1'000'000;
--- a/bench/idempotency_request.cpp
+++ b/bench/idempotency_request.cpp
@@ -39,7 +39,7 @@
   bench::Host host;
   asio::io_context io(1);
   const Clock clock;
-  const json config = bench::configFor(host, fake_upstream::gradeJson({"put", "dedup", "zone"}));
+  const json config = bench::configFor(host, fake_upstream::classJson({"put", "dedup", "zone"}));
   // Each object must outlive those declared after it.
   std::filesystem::remove_all(path);
   const TenantAndClassNames names{{}, {"put"}};
--- a/bench/streams.cpp
+++ b/bench/streams.cpp
@@ -212,7 +212,7 @@
                     1, true, nlohmann::json::array({fake_upstream::hostJson("h", text(host), "a")}))},
       {"settings",
        fake_upstream::settingsJson(
-           nlohmann::json::array({fake_upstream::gradeJson({"live", "retryable", "all"})}), false, "a")}};
+           nlohmann::json::array({fake_upstream::classJson({"live", "retryable", "all"})}), false, "a")}};
   GatewayConfig read = readConfig(config.dump(), clock);
   stream::StreamSettings s;
   s.enabled = true;
--- a/tests/support/sockets.hpp
+++ b/tests/support/sockets.hpp
@@ -152,10 +152,10 @@
 };
 
 inline json settingsJson() {
-  using fake_upstream::gradeJson;
+  using fake_upstream::classJson;
   return fake_upstream::settingsJson(
-      {gradeJson({"read", "retryable", "all", 12}), gradeJson({"book", "fragile", "all"}),
-       gradeJson({"put", "dedup", "zone"})},
+      {classJson({"read", "retryable", "all", 12}), classJson({"book", "fragile", "all"}),
+       classJson({"put", "dedup", "zone"})},
       false, "east");
 }
 
--- a/tools/fake_upstream.cpp
+++ b/tools/fake_upstream.cpp
@@ -146,13 +146,13 @@
 
 json gatewayConfiguration(const std::string& listen, const tcp::endpoint& discovery,
                           const json& endpointList) {
-  using finchstile::fake_upstream::gradeJson;
+  using finchstile::fake_upstream::classJson;
   constexpr std::int64_t kLatencyObjectiveNs = 400000000;
   constexpr std::int64_t kClientTimeoutNs = 2000000000;
   const json classes = {
-      gradeJson({"cut-plan", "retryable", "all", 12, kLatencyObjectiveNs, kClientTimeoutNs}),
-      gradeJson({"stock-out", "fragile", "all", 1, kLatencyObjectiveNs, kClientTimeoutNs}),
-      gradeJson({"log-in", "dedup", "zone", 1, kLatencyObjectiveNs, kClientTimeoutNs})};
+      classJson({"cut-plan", "retryable", "all", 12, kLatencyObjectiveNs, kClientTimeoutNs}),
+      classJson({"stock-out", "fragile", "all", 1, kLatencyObjectiveNs, kClientTimeoutNs}),
+      classJson({"log-in", "dedup", "zone", 1, kLatencyObjectiveNs, kClientTimeoutNs})};
   return {{"name", "standin"},
           {"listen", listen},
           {"discovery", textOf(discovery)},
--- a/tools/fake_upstream_config.hpp
+++ b/tools/fake_upstream_config.hpp
@@ -11,19 +11,25 @@
 using nlohmann::json;
 
 // Settings of a request class.
-struct Grade {
-  std::string name, effect, group;
-  double points = 1;
-  std::int64_t aimNs = 3000000000, giveUpNs = 3000000000;
+struct RequestClass {
+  std::string name, idempotency, deduplicationScope;
+  double priorityWeight = 1;
+  std::int64_t latencyObjectiveNs = 3000000000, clientTimeoutNs = 3000000000;
 };
 
-inline json gradeJson(const Grade& g) {
-  return {{"name", g.name},   {"effect", g.effect}, {"group", g.group},
-          {"aimNs", g.aimNs}, {"points", g.points}, {"giveUpNs", g.giveUpNs},
-          {"stream", false},  {"lateShare", 0.0},   {"windowNs", 2000000000}};
+inline json classJson(const RequestClass& requestClass) {
+  return {{"name", requestClass.name},
+          {"effect", requestClass.idempotency},
+          {"group", requestClass.deduplicationScope},
+          {"aimNs", requestClass.latencyObjectiveNs},
+          {"points", requestClass.priorityWeight},
+          {"giveUpNs", requestClass.clientTimeoutNs},
+          {"stream", false},
+          {"lateShare", 0.0},
+          {"windowNs", 2000000000}};
 }
 
-inline json settingsJson(const json& grades, bool retryAfter, const std::string& zone) {
+inline json settingsJson(const json& classes, bool retryAfter, const std::string& zone) {
   return {{"ceilings",
            {{"cancel", true},
             {"connectTimeoutNs", 500000000},
@@ -34,7 +40,7 @@
             {"probes", false},
             {"peers", false}}},
           {"domain", {{"warmKeys", false}}},
-          {"grades", grades},
+          {"grades", classes},
           {"groupSize", 1},
           {"myNumber", 0},
           {"overShareWorth", 0.1},
@@ -57,8 +63,8 @@
           {"group", 0},   {"status", status},   {"weight", 1.0}, {"since_ms", sinceMs}};
 }
 
-inline json listJson(int index, bool whole, const json& hosts) {
-  return {{"index", index}, {"snapshot", whole}, {"endpoints", hosts}};
+inline json listJson(int index, bool isSnapshot, const json& hosts) {
+  return {{"index", index}, {"snapshot", isSnapshot}, {"endpoints", hosts}};
 }
 
 // Names for deployments of any size. Their length does not depend on the index; hosts are spread over five
--- a/tools/simulated_gateways.cpp
+++ b/tools/simulated_gateways.cpp
@@ -199,9 +199,9 @@
  public:
   explicit SimulatedGateways(const Options& options)
       : options_(options), control_(options), engine_(options.seed), table_(options.out) {
-    fake_upstream::Grade read{"read", "retryable", "all", 1};
+    fake_upstream::RequestClass read{"read", "retryable", "all", 1};
     json settings =
-        fake_upstream::settingsJson(json::array({fake_upstream::gradeJson(read)}), true, "zone-0");
+        fake_upstream::settingsJson(json::array({fake_upstream::classJson(read)}), true, "zone-0");
     settings["groupSize"] = options.gateways;
     config_ = {{"name", "n0"},
                {"listen", "127.0.0.1:0"},
