--- a/tests/app/configuration_test.cpp
+++ b/tests/app/configuration_test.cpp
@@ -32,7 +32,7 @@
                                       "\"]\nwait = \"300ms\"\nfile = \"kept.json\"\n");
   }
   void launch() {
-    pollsBefore = machine.polls();
+    pollsBefore = machine.pollCount();
     setenv("LB_CONFIG", (folder / "config.json").c_str(), 1);
     program = std::make_unique<Process>(
         FINCHSTILE_PROGRAM, std::vector<std::string>{"run", "--operator", folder / "operator.toml"},
@@ -41,7 +41,9 @@
   bool until(const std::function<bool()>& reached) { return runUntil(io, reached); }
   // Waits until the process that was launched last has reported this revision. Returns false if it has ended.
   bool reports(std::uint64_t revision) {
-    const auto has = [&] { return machine.polls() > pollsBefore && machine.log.have({1, revision}) == 1; };
+    const auto has = [&] {
+      return machine.pollCount() > pollsBefore && machine.log.countGatewaysAtLeast({1, revision}) == 1;
+    };
     return until([&] { return has() || program->ended(); }) && !program->ended();
   }
   static std::vector<DocumentChange> manyTenants(double quota) {
@@ -69,11 +71,11 @@
   program->signal(SIGTERM);
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_EQ(program->wait(), 0) << program->logged();
-  const std::uint64_t wholes = machine.log.wholes();
+  const std::uint64_t snapshotsBefore = machine.log.snapshotsSent();
   launch();
   ASSERT_TRUE(reports(3)) << program->logged();
   EXPECT_NE(program->logged().find("in force, from "), std::string::npos) << program->logged();
-  EXPECT_EQ(machine.log.wholes(), wholes);
+  EXPECT_EQ(machine.log.snapshotsSent(), snapshotsBefore);
   program->signal(SIGTERM);
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_EQ(program->wait(), 0);
--- a/tests/configuration/client_test.cpp
+++ b/tests/configuration/client_test.cpp
@@ -86,8 +86,10 @@
   ASSERT_TRUE(becomesActive(2));
   EXPECT_EQ(changes.back().tenants.size(), 1u);
   EXPECT_EQ(changes.back().classes.size(), 1u);
-  EXPECT_TRUE(waitUntil([&] { return machines[0]->log.have({1, 2}) == 1; }));  // reported by the next poll
-  EXPECT_EQ(machines[0]->log.wholes(), 1u);
+  EXPECT_TRUE(waitUntil([&] {
+    return machines[0]->log.countGatewaysAtLeast({1, 2}) == 1;
+  }));  // reported by the next poll
+  EXPECT_EQ(machines[0]->log.snapshotsSent(), 1u);
 }
 
 TEST_F(ClientTest, ReportsRejectedRevisionOnceWithItsReason) {
@@ -96,12 +98,12 @@
   start();
   ASSERT_TRUE(becomesActive(1));
   publish({classChange("read", 1, 9000)});
-  ASSERT_TRUE(waitUntil([&] { return machines[0]->log.reports().at("n0").turnedDown.has_value(); }));
-  EXPECT_NE(machines[0]->log.reports().at("n0").turnedDown->reason.find("class/read.aim_ms: must be at most"),
+  ASSERT_TRUE(waitUntil([&] { return machines[0]->log.reports().at("n0").rejected.has_value(); }));
+  EXPECT_NE(machines[0]->log.reports().at("n0").rejected->reason.find("class/read.aim_ms: must be at most"),
             std::string::npos);
-  const std::uint64_t polls = machines[0]->polls();
+  const std::uint64_t polls = machines[0]->pollCount();
   runFor(milliseconds(700));
-  EXPECT_LE(machines[0]->polls() - polls, 4u);  // one per wait of 300 ms
+  EXPECT_LE(machines[0]->pollCount() - polls, 4u);  // one per wait of 300 ms
   EXPECT_EQ(client->statistics().rejected, 1u);
   EXPECT_EQ(std::count_if(logLines.begin(), logLines.end(),
                           [](const auto& line) { return line.find("1.2") != std::string::npos; }),
@@ -126,7 +128,7 @@
   publish({tenantChange("a", 1)});
   start();
   ASSERT_TRUE(becomesActive(1));
-  preferred().fault = ControlFault::silent;
+  preferred().fault = ControlFault::unresponsive;
   const auto startedAt = std::chrono::steady_clock::now();
   publish({tenantChange("b", 1)});
   ASSERT_TRUE(becomesActive(2));
@@ -142,8 +144,8 @@
   start();
   ASSERT_TRUE(becomesActive(1));
   const auto order = ControlPlaneEndpoints(settings.addresses, "n0", {}).preferenceOrder();
-  machines[order[0]]->fault = ControlFault::silent;
-  machines[order[1]]->fault = ControlFault::silent;
+  machines[order[0]]->fault = ControlFault::unresponsive;
+  machines[order[1]]->fault = ControlFault::unresponsive;
   publish({tenantChange("b", 1)});
   const auto startedAt = std::chrono::steady_clock::now();
   ASSERT_TRUE(becomesActive(2));
@@ -154,7 +156,8 @@
 }
 
 TEST_F(ClientTest, FailsOverFromTruncatedAndInvalidResponses) {
-  for (const ControlFault fault : {ControlFault::half, ControlFault::cut, ControlFault::garbled}) {
+  for (const ControlFault fault :
+       {ControlFault::stalledResponse, ControlFault::truncatedResponse, ControlFault::malformedUpdate}) {
     SCOPED_TRACE(static_cast<int>(fault));
     client.reset();
     for (auto& machine : machines)
@@ -202,9 +205,9 @@
   preferred().kill();
   ASSERT_TRUE(waitUntil([&] { return client->statistics().conflicts == 1; }));
   ControlMachine& other = &preferred() == machines[0].get() ? *machines[1] : *machines[0];
-  const std::uint64_t wholes = other.log.wholes();
+  const std::uint64_t snapshotsBefore = other.log.snapshotsSent();
   runFor(milliseconds(500));
-  EXPECT_LE(other.log.wholes() - wholes, 1u);  // the snapshot is not sent with each poll
+  EXPECT_LE(other.log.snapshotsSent() - snapshotsBefore, 1u);  // the snapshot is not sent with each poll
   other.publish({tenantChange("b", 2)});
   EXPECT_TRUE(becomesActive(2));
 }
@@ -245,7 +248,7 @@
   machines[0]->restart();
   publish({tenantChange("b", 1)});
   ASSERT_TRUE(becomesActive(2));
-  EXPECT_EQ(machines[0]->log.wholes(), 1u);  // no further snapshot was needed
+  EXPECT_EQ(machines[0]->log.snapshotsSent(), 1u);  // no further snapshot was needed
 }
 
 // The file contains the complete configuration, so writing it at each change of a burst would be too
@@ -379,9 +382,9 @@
   ASSERT_TRUE(becomesActive(2));
   EXPECT_EQ(changes.size(), 2u);
   EXPECT_EQ(client->statistics().endpointFailures, 0u);  // a second poll would cancel the first
-  const std::uint64_t polls = machines[0]->polls();
+  const std::uint64_t polls = machines[0]->pollCount();
   runFor(milliseconds(950));
-  EXPECT_LE(machines[0]->polls() - polls, 4u);
+  EXPECT_LE(machines[0]->pollCount() - polls, 4u);
 }
 
 TEST_F(ClientTest, WorkerDropsResultsOfADestroyedClient) {
--- a/tests/configuration/configuration_store_test.cpp
+++ b/tests/configuration/configuration_store_test.cpp
@@ -98,7 +98,7 @@
   newWriter.publish({tenantChange("a", 1)});
   ConfigurationStore store(initialSettings());
   applyNextUpdate(oldWriter, store);
-  newWriter.takeOver(2);
+  newWriter.changeEpoch(2);
   newWriter.publish({tenantChange("a", 7)});
   EXPECT_EQ(applyNextUpdate(newWriter, store).result, ApplyResult::accepted);
   for (int i = 0; i < 5; ++i)
@@ -115,7 +115,7 @@
   for (int i = 1; i <= 5; ++i) oldWriter.publish({tenantChange("a", i)});
   ConfigurationStore store(initialSettings());
   applyNextUpdate(oldWriter, store);
-  newWriter.takeOver(2);
+  newWriter.changeEpoch(2);
   newWriter.publish({tenantChange("a", 3)});
   EXPECT_EQ(applyNextUpdate(newWriter, store).result, ApplyResult::accepted);
   EXPECT_EQ(store.versionState().version, (Version{2, 1}));
@@ -209,7 +209,7 @@
 TEST(ConfigurationStore, RejectsSnapshotWithAWrongHash) {
   ControlLog log;
   log.publish({tenantChange("a", 1)});
-  log.miscount(1);
+  log.corruptHash(1);
   ConfigurationStore store(initialSettings());
   const ApplyOutcome result = applyNextUpdate(log, store);
   EXPECT_EQ(result.result, ApplyResult::rejected);
@@ -231,7 +231,7 @@
   other.publish({tenantChange("b", 5)});
   EXPECT_EQ(applyNextUpdate(other, store).result, ApplyResult::accepted);
   EXPECT_EQ(store.versionState().hash, other.hash());
-  EXPECT_EQ(other.wholes(), 2u);
+  EXPECT_EQ(other.snapshotsSent(), 2u);
 }
 
 TEST(ConfigurationStore, TenantAddedAgainKeepsItsIndex) {
@@ -272,14 +272,14 @@
     for (int i = 0; i < 2000; ++i) allTenants.push_back(tenantChange("t" + std::to_string(i), 1));
     log.publish(allTenants);
     applyNextUpdate(log, store);
-    const std::uint64_t wholes = log.wholes();
+    const std::uint64_t snapshotsBefore = log.snapshotsSent();
     for (int i = 0; i < 70; ++i) log.publish({tenantChange("t" + std::to_string(i), 2)});
     const Update update = *nextUpdate(log, store);
     EXPECT_EQ(update.isSnapshot, retainedRevisions == 10);
     EXPECT_EQ(update.changes.size(), retainedRevisions == 10 ? 2000u : 70u);
     EXPECT_EQ(store.apply(update).result, ApplyResult::accepted);
     EXPECT_EQ(store.versionState().hash, log.hash());
-    EXPECT_EQ(log.wholes() - wholes, retainedRevisions == 10 ? 1u : 0u);
+    EXPECT_EQ(log.snapshotsSent() - snapshotsBefore, retainedRevisions == 10 ? 1u : 0u);
   }
 }
 
@@ -324,7 +324,7 @@
     Version lastVersion;
     for (int step = 0; step < 120; ++step) {
       if (randomBelow(12) == 0) {
-        log.takeOver(log.version().epoch + 1);
+        log.changeEpoch(log.version().epoch + 1);
         published[log.version()] = reference;
       }
       if (randomBelow(2) == 0) {
--- a/tools/control_machine.hpp
+++ b/tools/control_machine.hpp
@@ -20,10 +20,10 @@
 
 enum class ControlFault {
   none,
-  silent,   // accepts polls but answers none, including those already held
-  half,     // sends half of each answer and keeps the connection open
-  cut,      // sends half of each answer and closes the connection
-  garbled,  // sends a body that is not a valid update
+  unresponsive,       // accepts polls but answers none, including those already held
+  stalledResponse,    // sends half of each answer and keeps the connection open
+  truncatedResponse,  // sends half of each answer and closes the connection
+  malformedUpdate,    // sends a body that is not a valid update
 };
 
 class ControlMachine {
@@ -33,26 +33,29 @@
 
   ControlMachine(boost::asio::io_context& io, const ControlLog::Settings& settings)
       : log(settings), io_(io), acceptor_(io, {boost::asio::ip::make_address("127.0.0.1"), 0}) {
-    at_ = acceptor_.local_endpoint();
+    endpoint_ = acceptor_.local_endpoint();
     accept();
   }
 
   ControlLog log;
   ControlFault fault = ControlFault::none;
 
-  tcp::endpoint endpoint() const { return at_; }
-  std::string address() const { return at_.address().to_string() + ":" + std::to_string(at_.port()); }
-  std::uint64_t polls() const { return polls_; }
-  std::uint64_t bytesSent() const { return bytes_; }
+  tcp::endpoint endpoint() const { return endpoint_; }
+  std::string address() const {
+    return endpoint_.address().to_string() + ":" + std::to_string(endpoint_.port());
+  }
+  std::uint64_t pollCount() const { return pollCount_; }
+  std::uint64_t bytesSent() const { return bytesSent_; }
 
   configuration::Version publish(const std::vector<configuration::DocumentChange>& changes) {
     const configuration::Version version = log.publish(changes);
-    answerHeld();
+    answerHeldPolls();
     return version;
   }
   // Answers held polls for which there is a newer version. To be called after `log` was changed directly.
-  void answerHeld() {
-    for (const auto& session : std::vector(held_.begin(), held_.end())) session->answerIfNewer();
+  void answerHeldPolls() {
+    for (const auto& session : std::vector(heldSessions_.begin(), heldSessions_.end()))
+      session->answerIfNewer();
   }
   // Closes the listener and all connections.
   void kill() {
@@ -62,9 +65,9 @@
   }
   void restart() {
     acceptor_ = tcp::acceptor(io_);
-    acceptor_.open(at_.protocol());
+    acceptor_.open(endpoint_.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    acceptor_.bind(at_);
+    acceptor_.bind(endpoint_);
     acceptor_.listen();
     accept();
   }
@@ -82,44 +85,48 @@
                                      });
     }
     void onRequest() {
-      ++machine.polls_;
+      ++machine.pollCount_;
       poll =
           configuration::parsePollTarget(std::string_view(request.target().data(), request.target().size()));
       if (!poll) return reply({400, "unknown path", 0});
-      machine.log.note(*poll);
-      if (machine.fault == ControlFault::silent) return;
-      machine.held_.insert(shared_from_this());
+      machine.log.recordPoll(*poll);
+      if (machine.fault == ControlFault::unresponsive) return;
+      machine.heldSessions_.insert(shared_from_this());
       timer.expires_after(std::min<std::chrono::nanoseconds>(poll->maxWait, std::chrono::minutes(1)));
       timer.async_wait([self = shared_from_this()](error_code stopped) {
-        if (!stopped && self->releaseHeld()) self->reply(self->machine.log.noNews());
+        if (!stopped && self->releaseHeldPoll()) self->reply(self->machine.log.unchangedReply());
       });
       answerIfNewer();
     }
     void answerIfNewer() {
-      if (machine.fault == ControlFault::silent) return;
-      if (auto answer = machine.log.answer(*poll, machine.now()); answer && releaseHeld()) reply(*answer);
+      if (machine.fault == ControlFault::unresponsive) return;
+      if (auto answer = machine.log.answer(*poll, machine.now()); answer && releaseHeldPoll()) reply(*answer);
     }
     // Returns whether the poll was held.
-    bool releaseHeld() { return machine.held_.erase(shared_from_this()) > 0; }
+    bool releaseHeldPoll() { return machine.heldSessions_.erase(shared_from_this()) > 0; }
     void reply(const ControlReply& answer) {
       timer.cancel();
-      if (machine.fault == ControlFault::silent) return;
+      if (machine.fault == ControlFault::unresponsive) return;
       out = "HTTP/1.1 " + std::to_string(answer.status) + " X\r\n";
-      if (answer.retryAfter > 0) out += "Retry-After: " + std::to_string(answer.retryAfter) + "\r\n";
-      const std::string body = machine.fault == ControlFault::garbled ? "{\"epoch\":[]}" : answer.body;
+      if (answer.retryAfterSeconds > 0)
+        out += "Retry-After: " + std::to_string(answer.retryAfterSeconds) + "\r\n";
+      const std::string body =
+          machine.fault == ControlFault::malformedUpdate ? "{\"epoch\":[]}" : answer.body;
       out += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-      const bool half = machine.fault == ControlFault::half || machine.fault == ControlFault::cut;
-      if (half) out.resize(out.size() - body.size() / 2 - 1);
-      boost::asio::async_write(socket, boost::asio::buffer(out),
-                               [self = shared_from_this(), half](error_code error, std::size_t bytes) {
-                                 self->machine.bytes_ += bytes;
-                                 if (error || (half && self->machine.fault == ControlFault::cut))
-                                   return self->close();
-                                 if (!half) self->read();
-                               });
+      const bool isPartial =
+          machine.fault == ControlFault::stalledResponse || machine.fault == ControlFault::truncatedResponse;
+      if (isPartial) out.resize(out.size() - body.size() / 2 - 1);
+      boost::asio::async_write(
+          socket, boost::asio::buffer(out),
+          [self = shared_from_this(), isPartial](error_code error, std::size_t bytes) {
+            self->machine.bytesSent_ += bytes;
+            if (error || (isPartial && self->machine.fault == ControlFault::truncatedResponse))
+              return self->close();
+            if (!isPartial) self->read();
+          });
     }
     void close() {
-      releaseHeld();
+      releaseHeldPoll();
       timer.cancel();
       error_code ignored;
       socket.close(ignored);
@@ -150,9 +157,9 @@
 
   boost::asio::io_context& io_;
   tcp::acceptor acceptor_;
-  tcp::endpoint at_;
-  std::set<std::shared_ptr<Session>> sessions_, held_;
-  std::uint64_t polls_ = 0, bytes_ = 0;
+  tcp::endpoint endpoint_;
+  std::set<std::shared_ptr<Session>> sessions_, heldSessions_;
+  std::uint64_t pollCount_ = 0, bytesSent_ = 0;
 };
 
 }  // namespace finchstile::fake_upstream
--- a/tools/long_poll_discovery.hpp
+++ b/tools/long_poll_discovery.hpp
@@ -19,16 +19,16 @@
 
 namespace finchstile::fake_upstream {
 
-class HeldDiscovery {
+class LongPollDiscovery {
  public:
   using tcp = boost::asio::ip::tcp;
   using error_code = boost::system::error_code;
 
-  HeldDiscovery(boost::asio::io_context& io, json hosts)
+  LongPollDiscovery(boost::asio::io_context& io, json hosts)
       : hosts_(std::move(hosts)),
         io_(io),
         acceptor_(io, {boost::asio::ip::make_address("127.0.0.1"), 0}),
-        whole_(listJson(kFirst, true, hosts_).dump()) {
+        initialList_(listJson(kInitialIndex, true, hosts_).dump()) {
     accept();
   }
   std::string address() const {
@@ -36,51 +36,52 @@
     return at.address().to_string() + ":" + std::to_string(at.port());
   }
   // Changes the status of one host and answers all held polls.
-  void change(std::size_t host, const std::string& status) {
+  void setHostStatus(std::size_t host, const std::string& status) {
     hosts_[host]["status"] = status;
     ++index_;
-    changes_ = listJson(index_, false, json::array({hosts_[host]})).dump();
-    for (const auto& session : std::vector(held_.begin(), held_.end())) session->reply(changes_);
+    latestChange_ = listJson(index_, false, json::array({hosts_[host]})).dump();
+    for (const auto& session : std::vector(heldSessions_.begin(), heldSessions_.end()))
+      session->reply(latestChange_);
   }
-  std::uint64_t bytes() const { return bytes_; }  // received and sent
-  std::uint64_t calls() const { return calls_; }
+  std::uint64_t bytesTransferred() const { return bytesTransferred_; }  // received and sent
+  std::uint64_t requestCount() const { return requestCount_; }
 
  private:
-  static constexpr int kFirst = 1;
+  static constexpr int kInitialIndex = 1;
 
   struct Session : std::enable_shared_from_this<Session> {
-    Session(HeldDiscovery& d, tcp::socket s) : discovery(d), socket(std::move(s)), timer(d.io_) {}
+    Session(LongPollDiscovery& d, tcp::socket s) : discovery(d), socket(std::move(s)), timer(d.io_) {}
     void read() {
       request = {};
       boost::beast::http::async_read(socket, buffer, request,
                                      [self = shared_from_this()](error_code error, std::size_t bytes) {
-                                       self->discovery.bytes_ += bytes;
+                                       self->discovery.bytesTransferred_ += bytes;
                                        if (!error) self->onRequest();
                                      });
     }
     void onRequest() {
-      ++discovery.calls_;
+      ++discovery.requestCount_;
       const std::string target(request.target());
       const std::size_t since = target.find("since="), wait = target.find("timeout_ms=");
-      if (since == std::string::npos) return reply(discovery.whole_);
-      if (std::atoi(target.c_str() + since + 6) < discovery.index_) return reply(discovery.changes_);
-      discovery.held_.insert(shared_from_this());
+      if (since == std::string::npos) return reply(discovery.initialList_);
+      if (std::atoi(target.c_str() + since + 6) < discovery.index_) return reply(discovery.latestChange_);
+      discovery.heldSessions_.insert(shared_from_this());
       timer.expires_after(std::chrono::milliseconds(std::atoi(target.c_str() + wait + 11)));
       timer.async_wait([self = shared_from_this()](error_code stopped) {
         if (!stopped) self->reply(listJson(self->discovery.index_, false, json::array()).dump());
       });
     }
     void reply(const std::string& body) {
-      discovery.held_.erase(shared_from_this());
+      discovery.heldSessions_.erase(shared_from_this());
       timer.cancel();
       out = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
       boost::asio::async_write(socket, boost::asio::buffer(out),
                                [self = shared_from_this()](error_code error, std::size_t bytes) {
-                                 self->discovery.bytes_ += bytes;
+                                 self->discovery.bytesTransferred_ += bytes;
                                  if (!error) self->read();
                                });
     }
-    HeldDiscovery& discovery;
+    LongPollDiscovery& discovery;
     tcp::socket socket;
     boost::asio::steady_timer timer;
     boost::beast::flat_buffer buffer;
@@ -99,10 +100,11 @@
   json hosts_;
   boost::asio::io_context& io_;
   tcp::acceptor acceptor_;
-  int index_ = kFirst;
-  std::string whole_, changes_;
-  std::set<std::shared_ptr<Session>> held_;
-  std::uint64_t bytes_ = 0, calls_ = 0;
+  int index_ = kInitialIndex;
+  std::string initialList_;   // complete, with the hosts at construction; later changes are not in it
+  std::string latestChange_;  // the last change only
+  std::set<std::shared_ptr<Session>> heldSessions_;
+  std::uint64_t bytesTransferred_ = 0, requestCount_ = 0;
 };
 
 }  // namespace finchstile::fake_upstream
--- a/tools/simulated_gateways.cpp
+++ b/tools/simulated_gateways.cpp
@@ -172,7 +172,7 @@
   }
   fake_upstream::ControlMachine& machine(std::size_t i) { return *machines_[i % machines_.size()]; }
   std::size_t machines() const { return machines_.size(); }
-  fake_upstream::HeldDiscovery& discovery() { return discovery_; }
+  fake_upstream::LongPollDiscovery& discovery() { return discovery_; }
   double processorSeconds() const {
     timespec t{};
     clock_gettime(processorClock_, &t);
@@ -181,7 +181,7 @@
 
  private:
   asio::io_context io_{1};
-  fake_upstream::HeldDiscovery discovery_;
+  fake_upstream::LongPollDiscovery discovery_;
   std::vector<std::unique_ptr<fake_upstream::ControlMachine>> machines_;
   std::thread thread_;
   clockid_t processorClock_{};
@@ -243,14 +243,14 @@
           [this](std::size_t i) { control_.on([&] { return control_.machine(i).restart(), 0; }); });
     else if (name == "silent")
       rounds(
-          name, [this](std::size_t i) { setFault(i, fake_upstream::ControlFault::silent); },
+          name, [this](std::size_t i) { setFault(i, fake_upstream::ControlFault::unresponsive); },
           [this](std::size_t i) { setFault(i, fake_upstream::ControlFault::none); });
     else if (name == "silent2")
       rounds(
           name,
           [this](std::size_t i) {
-            setFault(i, fake_upstream::ControlFault::silent);
-            setFault(i + 1, fake_upstream::ControlFault::silent);
+            setFault(i, fake_upstream::ControlFault::unresponsive);
+            setFault(i + 1, fake_upstream::ControlFault::unresponsive);
           },
           [this](std::size_t i) {
             setFault(i, fake_upstream::ControlFault::none);
@@ -409,16 +409,16 @@
   // Changes hosts one after another and measures the cost of discovery polls for each gateway.
   void hosts() {
     Meter meter(*this);
-    const std::uint64_t bytes = control_.on([&] { return control_.discovery().bytes(); });
+    const std::uint64_t bytes = control_.on([&] { return control_.discovery().bytesTransferred(); });
     for (std::size_t i = 0; i < kSingleRounds; ++i) {
       control_.on([&] {
-        control_.discovery().change(i % options_.hosts, i % 2 == 0 ? "leaving" : "active");
+        control_.discovery().setHostStatus(i % options_.hosts, i % 2 == 0 ? "leaving" : "active");
         return 0;
       });
       playFor(milliseconds(500));
     }
     meter.add("hosts");
-    const std::uint64_t after = control_.on([&] { return control_.discovery().bytes(); });
+    const std::uint64_t after = control_.on([&] { return control_.discovery().bytesTransferred(); });
     addOne("hosts", "bytes of discovery a gateway and change", "B",
            static_cast<double>(after - bytes) / perGateway() / kSingleRounds);
   }
