--- a/tools/simulated_gateways.cpp
+++ b/tools/simulated_gateways.cpp
@@ -48,20 +48,20 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using WallTime = std::chrono::steady_clock::time_point;
+using SteadyTime = std::chrono::steady_clock::time_point;
 
 constexpr double kMaxMemoryFraction = 0.5;         // maximum fraction of the machine's memory
 constexpr std::size_t kDescriptorsPerGateway = 5;  // its listener and both ends of two connections
 constexpr std::size_t kOtherDescriptors = 200;
 // Memory needed by a gateway and by each of its hosts and tenants, rounded up.
 constexpr double kBytesPerGateway = 200e3, kBytesPerHost = 6000, kBytesPerTenant = 700;
-constexpr const char* kNoHost = "127.0.0.1:1";  // address of all hosts; no request is sent there
-constexpr int kSingleRounds = 10;
-constexpr double kBurstPerSecond = 1600.0 / 60;
+constexpr const char* kUnreachableAddress = "127.0.0.1:1";  // address of all hosts; no request is sent there
+constexpr int kChangesPerScenario = 10;
+constexpr double kBurstChangesPerSecond = 1600.0 / 60;
 constexpr std::size_t kChangesWhileDisconnected = 70;
-constexpr std::size_t kRestartedOneIn = 10;
-constexpr seconds kIdleTime(10);
-constexpr seconds kMaxWait(180);
+constexpr std::size_t kRestartStride = 10;  // at each change, one gateway in this many restarts
+constexpr seconds kIdleDuration(10);
+constexpr seconds kWaitTimeout(180);
 constexpr std::size_t kWorkerThreads = 4;
 constexpr std::size_t kRetainedRevisions = 10000;  // revisions whose changes a control machine keeps
 constexpr double kSnapshotBytesPerSecond = 25e6;   // limit for snapshots of one control machine
@@ -75,8 +75,8 @@
   std::string scenario, out;
 };
 
-std::size_t count(const std::string& name, const std::string& text, std::size_t minValue,
-                  std::size_t maxValue) {
+std::size_t readCount(const std::string& name, const std::string& text, std::size_t minValue,
+                      std::size_t maxValue) {
   std::size_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size() || value < minValue || value > maxValue)
@@ -91,13 +91,13 @@
     const std::string name = argv[i];
     if (i + 1 >= argc) throw std::invalid_argument(name + " needs a value");
     const std::string value = argv[i + 1];
-    if (name == "--gateways") o.gateways = count(name, value, 1, 100000);
-    else if (name == "--hosts") o.hosts = count(name, value, 1, 65535);
-    else if (name == "--tenants") o.tenants = count(name, value, 1, load_balancing::kMaxTenants);
-    else if (name == "--machines") o.machines = count(name, value, 1, 64);
-    else if (name == "--changes") o.changes = count(name, value, 1, 100000);
-    else if (name == "--seed") o.seed = count(name, value, 0, SIZE_MAX);
-    else if (name == "--most-seconds") o.maxSeconds = count(name, value, 1, 3600);
+    if (name == "--gateways") o.gateways = readCount(name, value, 1, 100000);
+    else if (name == "--hosts") o.hosts = readCount(name, value, 1, 65535);
+    else if (name == "--tenants") o.tenants = readCount(name, value, 1, load_balancing::kMaxTenants);
+    else if (name == "--machines") o.machines = readCount(name, value, 1, 64);
+    else if (name == "--changes") o.changes = readCount(name, value, 1, 100000);
+    else if (name == "--seed") o.seed = readCount(name, value, 0, SIZE_MAX);
+    else if (name == "--most-seconds") o.maxSeconds = readCount(name, value, 1, 3600);
     else if (name == "--scenario") o.scenario = value;
     else if (name == "--out") o.out = value;
     else throw std::invalid_argument("unknown option " + name);
@@ -107,7 +107,7 @@
   return o;
 }
 
-double memoryOfMachine() {
+double totalMemoryBytes() {
   std::ifstream file("/proc/meminfo");
   std::string name;
   double kilobytes = 0;
@@ -118,19 +118,21 @@
 // Throws if the number of gateways exceeds the memory or descriptors of this machine; the error gives the
 // maximum. Called before anything is started.
 void checkSize(const Options& o) {
-  const double each = kBytesPerGateway + kBytesPerHost * static_cast<double>(o.hosts) +
-                      kBytesPerTenant * static_cast<double>(o.tenants);
-  const auto byMemory = static_cast<std::size_t>(kMaxMemoryFraction * memoryOfMachine() / each);
-  rlimit files{};
-  getrlimit(RLIMIT_NOFILE, &files);
-  const std::size_t free = files.rlim_cur > kOtherDescriptors ? files.rlim_cur - kOtherDescriptors : 0;
-  const std::size_t byDescriptors = free / kDescriptorsPerGateway;
-  const std::size_t maxGateways = std::min(byMemory, byDescriptors);
+  const double bytesPerGateway = kBytesPerGateway + kBytesPerHost * static_cast<double>(o.hosts) +
+                                 kBytesPerTenant * static_cast<double>(o.tenants);
+  const auto maxByMemory =
+      static_cast<std::size_t>(kMaxMemoryFraction * totalMemoryBytes() / bytesPerGateway);
+  rlimit descriptorLimit{};
+  getrlimit(RLIMIT_NOFILE, &descriptorLimit);
+  const std::size_t availableDescriptors =
+      descriptorLimit.rlim_cur > kOtherDescriptors ? descriptorLimit.rlim_cur - kOtherDescriptors : 0;
+  const std::size_t maxByDescriptors = availableDescriptors / kDescriptorsPerGateway;
+  const std::size_t maxGateways = std::min(maxByMemory, maxByDescriptors);
   if (o.gateways <= maxGateways) return;
   throw std::invalid_argument(
       std::to_string(o.gateways) + " gateways do not fit: " + std::to_string(maxGateways) + " with " +
       std::to_string(o.hosts) + " hosts and " + std::to_string(o.tenants) + " tenants, by " +
-      (byMemory < byDescriptors ? "half of the memory" : "descriptors"));
+      (maxByMemory < maxByDescriptors ? "half of the memory" : "descriptors"));
 }
 
 DocumentChange tenant(std::size_t i, double quota) {
@@ -141,7 +143,8 @@
 // subtracted from that of the gateways.
 class ControlPlane {
  public:
-  explicit ControlPlane(const Options& o) : discovery_(io_, fake_upstream::hostsJson(o.hosts, kNoHost)) {
+  explicit ControlPlane(const Options& o)
+      : discovery_(io_, fake_upstream::hostsJson(o.hosts, kUnreachableAddress)) {
     for (std::size_t i = 0; i < o.machines; ++i)
       machines_.push_back(std::make_unique<fake_upstream::ControlMachine>(
           io_, fake_upstream::ControlLog::Settings{1, kRetainedRevisions, kSnapshotBytesPerSecond}));
@@ -155,16 +158,16 @@
     io_.stop();
     thread_.join();
   }
-  // Runs `work` on the thread of the control machines and returns its result.
-  template <class Work>
-  auto on(Work work) {
-    std::promise<decltype(work())> done;
-    asio::post(io_, [&] { done.set_value(work()); });
-    return done.get_future().get();
+  // Runs `task` on the thread of the control machines and returns its result.
+  template <class Task>
+  auto runOnControlThread(Task task) {
+    std::promise<decltype(task())> result;
+    asio::post(io_, [&] { result.set_value(task()); });
+    return result.get_future().get();
   }
   // Publishes a revision at all machines; replication between the machines is not simulated.
   configuration::Version publish(const std::vector<DocumentChange>& changes) {
-    return on([&] {
+    return runOnControlThread([&] {
       configuration::Version version;
       for (auto& machine : machines_) version = machine->publish(changes);
       return version;
@@ -191,8 +194,8 @@
 struct SimulatedGateway {
   std::unique_ptr<Gateway> gateway;
   std::unique_ptr<configuration::Client> client;
-  std::uint64_t revision = 0;                      // in force
-  std::map<std::uint64_t, WallTime> inForceSince;  // by revision
+  std::uint64_t revision = 0;                       // active
+  std::map<std::uint64_t, SteadyTime> activatedAt;  // by revision
 };
 
 class SimulatedGateways {
@@ -208,7 +211,8 @@
                {"discovery", control_.discovery().address()},
                {"seed", "1"},
                {"limits", {{"sockets", 256}}},
-               {"known", fake_upstream::listJson(1, true, fake_upstream::hostsJson(options.hosts, kNoHost))},
+               {"known", fake_upstream::listJson(
+                             1, true, fake_upstream::hostsJson(options.hosts, kUnreachableAddress))},
                {"settings", settings}};
     for (std::size_t i = 0; i < control_.machines(); ++i) {
       settings_.addresses.push_back(control_.machine(i).address());
@@ -226,27 +230,32 @@
     for (const std::string& name : kScenarios) {
       if (name == "start" || (!options_.scenario.empty() && options_.scenario != name)) continue;
       std::printf("%s\n", name.c_str());
-      play(name);
+      runScenario(name);
     }
   }
 
  private:
-  void play(const std::string& name) {
-    if (name == "idle") idle();
+  void runScenario(const std::string& name) {
+    if (name == "idle") runIdle();
     else if (name == "single")
-      rounds(
+      runSequentialChanges(
           name, [](std::size_t) {}, [](std::size_t) {});
-    else if (name == "burst") burst();
+    else if (name == "burst") runBurst();
     else if (name == "kill")
-      rounds(
-          name, [this](std::size_t i) { control_.on([&] { return control_.machine(i).kill(), 0; }); },
-          [this](std::size_t i) { control_.on([&] { return control_.machine(i).restart(), 0; }); });
+      runSequentialChanges(
+          name,
+          [this](std::size_t i) {
+            control_.runOnControlThread([&] { return control_.machine(i).kill(), 0; });
+          },
+          [this](std::size_t i) {
+            control_.runOnControlThread([&] { return control_.machine(i).restart(), 0; });
+          });
     else if (name == "silent")
-      rounds(
+      runSequentialChanges(
           name, [this](std::size_t i) { setFault(i, fake_upstream::ControlFault::unresponsive); },
           [this](std::size_t i) { setFault(i, fake_upstream::ControlFault::none); });
     else if (name == "silent2")
-      rounds(
+      runSequentialChanges(
           name,
           [this](std::size_t i) {
             setFault(i, fake_upstream::ControlFault::unresponsive);
@@ -257,38 +266,39 @@
             setFault(i + 1, fake_upstream::ControlFault::none);
           });
     else if (name == "restart")
-      rounds(
+      runSequentialChanges(
           name,
           [this](std::size_t i) {
-            for (std::size_t g = i % kRestartedOneIn; g < gateways_.size(); g += kRestartedOneIn) restart(g);
+            for (std::size_t g = i % kRestartStride; g < gateways_.size(); g += kRestartStride)
+              restartClient(g);
           },
           [](std::size_t) {});
-    else if (name == "apart") apart();
-    else hosts();
+    else if (name == "apart") runReconnection();
+    else runHostChanges();
   }
 
   void setFault(std::size_t machine, fake_upstream::ControlFault fault) {
-    control_.on([&] { return control_.machine(machine).fault = fault, 0; });
+    control_.runOnControlThread([&] { return control_.machine(machine).fault = fault, 0; });
   }
 
-  // Runs the event loop until `reached` returns true. Throws after kMaxWait, as the result would not be
+  // Runs the event loop until `condition` returns true. Throws after kWaitTimeout, as the result would not be
   // valid.
-  void until(const std::function<bool()>& reached, const char* what) {
-    const WallTime end = std::chrono::steady_clock::now() + kMaxWait;
-    while (!reached()) {
+  void runUntil(const std::function<bool()>& condition, const char* what) {
+    const SteadyTime end = std::chrono::steady_clock::now() + kWaitTimeout;
+    while (!condition()) {
       if (std::chrono::steady_clock::now() > end)
         throw std::runtime_error(std::string(what) + " was not reached within " +
-                                 std::to_string(kMaxWait.count()) + " s");
+                                 std::to_string(kWaitTimeout.count()) + " s");
       io_.restart();
       io_.run_for(milliseconds(1));
     }
   }
-  void playFor(std::chrono::nanoseconds time) {
-    const WallTime end = std::chrono::steady_clock::now() + time;
-    until([&] { return std::chrono::steady_clock::now() >= end; }, "the end of a pause");
+  void runFor(std::chrono::nanoseconds time) {
+    const SteadyTime end = std::chrono::steady_clock::now() + time;
+    runUntil([&] { return std::chrono::steady_clock::now() >= end; }, "the end of a pause");
   }
 
-  void make(std::size_t number) {
+  void startClient(std::size_t number) {
     SimulatedGateway& g = gateways_[number];
     json config = config_;
     config["settings"]["myNumber"] = number;
@@ -303,124 +313,129 @@
         options_.seed + number, settings,
         [&g](const configuration::SettingsChange& change) {
           g.gateway->applyDynamicSettings(change);
-          const WallTime now = std::chrono::steady_clock::now();
-          for (std::uint64_t r = g.revision + 1; r <= change.version.revision; ++r) g.inForceSince[r] = now;
+          const SteadyTime now = std::chrono::steady_clock::now();
+          for (std::uint64_t r = g.revision + 1; r <= change.version.revision; ++r) g.activatedAt[r] = now;
           g.revision = change.version.revision;
         },
         [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); });
     g.client->start();
   }
   // Restarts the configuration client without a stored configuration.
-  void restart(std::size_t number) {
+  void restartClient(std::size_t number) {
     SimulatedGateway& g = gateways_[number];
     bytesOfReplacedClients_ += g.client->bytesSent() + g.client->bytesReceived();
     g.client.reset();
     g.revision = 0;
-    make(number);
+    startClient(number);
   }
-  bool allHave(std::uint64_t revision) const {
+  bool allHaveActivated(std::uint64_t revision) const {
     return std::all_of(gateways_.begin(), gateways_.end(),
                        [&](const SimulatedGateway& g) { return g.revision >= revision; });
   }
 
   void start() {
     const std::int64_t bytesBefore = bench::allocatedBytes();
-    const double cpuBefore = gatewaySeconds();
+    const double cpuBefore = gatewayProcessorSeconds();
     gateways_.resize(options_.gateways);
-    const WallTime startedAt = std::chrono::steady_clock::now();
-    for (std::size_t i = 0; i < gateways_.size(); ++i) make(i);
-    until([&] { return allHave(1); }, "the start");
+    const SteadyTime startedAt = std::chrono::steady_clock::now();
+    for (std::size_t i = 0; i < gateways_.size(); ++i) startClient(i);
+    runUntil([&] { return allHaveActivated(1); }, "the start");
     std::printf("start\n");
-    Samples took;
+    Samples durations;
     for (const SimulatedGateway& g : gateways_)
-      took.values.push_back(secondsSince(startedAt, g.inForceSince.at(1)));
-    add("start", "s until in force", "s", took);
-    playFor(seconds(1));  // until the buffers of the snapshots are released
+      durations.values.push_back(secondsBetween(startedAt, g.activatedAt.at(1)));
+    add("start", "s until in force", "s", durations);
+    runFor(seconds(1));  // until the buffers of the snapshots are released
     addOne("start", "memory a gateway", "MB",
-           static_cast<double>(bench::allocatedBytes() - bytesBefore) * 1e-6 / perGateway());
-    addOne("start", "processor time a gateway", "ms", 1e3 * (gatewaySeconds() - cpuBefore) / perGateway());
+           static_cast<double>(bench::allocatedBytes() - bytesBefore) * 1e-6 / gatewayCount());
+    addOne("start", "processor time a gateway", "ms",
+           1e3 * (gatewayProcessorSeconds() - cpuBefore) / gatewayCount());
   }
 
-  void idle() {
+  void runIdle() {
     Meter meter(*this);
-    playFor(kIdleTime);
+    runFor(kIdleDuration);
     meter.add("idle");
   }
 
   // Publishes changes one after another; `before` sets up a fault before each change, `after` ends it.
-  void rounds(const std::string& name, const std::function<void(std::size_t)>& before,
-              const std::function<void(std::size_t)>& after) {
-    Samples took;
+  void runSequentialChanges(const std::string& name, const std::function<void(std::size_t)>& before,
+                            const std::function<void(std::size_t)>& after) {
+    Samples durations;
     Meter meter(*this);
-    for (std::size_t i = 0; i < kSingleRounds; ++i) {
-      playFor(milliseconds(500 + engine_() % 1000));
+    for (std::size_t i = 0; i < kChangesPerScenario; ++i) {
+      runFor(milliseconds(500 + engine_() % 1000));
       before(i);
-      const WallTime published = std::chrono::steady_clock::now();
+      const SteadyTime published = std::chrono::steady_clock::now();
       const auto version =
           control_.publish({tenant(engine_() % options_.tenants, static_cast<double>(1 + engine_() % 100))});
-      until([&] { return allHave(version.revision); }, "a change");
+      runUntil([&] { return allHaveActivated(version.revision); }, "a change");
       for (const SimulatedGateway& g : gateways_)
-        took.values.push_back(secondsSince(published, g.inForceSince.at(version.revision)));
+        durations.values.push_back(secondsBetween(published, g.activatedAt.at(version.revision)));
       after(i);
     }
-    add(name, "s until in force", "s", took);
+    add(name, "s until in force", "s", durations);
     meter.add(name);
   }
 
-  void burst() {
-    std::vector<std::pair<std::uint64_t, WallTime>> published;
+  void runBurst() {
+    std::vector<std::pair<std::uint64_t, SteadyTime>> published;
     Meter meter(*this);
     for (std::size_t i = 0; i < options_.changes; ++i) {
-      const WallTime now = std::chrono::steady_clock::now();
+      const SteadyTime now = std::chrono::steady_clock::now();
       const auto version =
           control_.publish({tenant(engine_() % options_.tenants, static_cast<double>(1 + engine_() % 100))});
       published.emplace_back(version.revision, now);
-      playFor(std::chrono::nanoseconds(static_cast<std::int64_t>(1e9 / kBurstPerSecond)));
+      runFor(std::chrono::nanoseconds(static_cast<std::int64_t>(1e9 / kBurstChangesPerSecond)));
     }
     meter.add("burst");
-    until([&] { return allHave(published.back().first); }, "the burst");
-    Samples took;
+    runUntil([&] { return allHaveActivated(published.back().first); }, "the burst");
+    Samples durations;
     for (const auto& [revision, when] : published)
       for (const SimulatedGateway& g : gateways_)
-        took.values.push_back(secondsSince(when, g.inForceSince.at(revision)));
-    add("burst", "s until in force", "s", took);
+        durations.values.push_back(secondsBetween(when, g.activatedAt.at(revision)));
+    add("burst", "s until in force", "s", durations);
   }
 
   // Stops the clients of half of the gateways, publishes changes, and restarts all of these clients at the
   // same time.
-  void apart() {
+  void runReconnection() {
     for (std::size_t g = 0; g < gateways_.size(); g += 2) gateways_[g].client->stop();
     configuration::Version version;
     for (std::size_t i = 0; i < kChangesWhileDisconnected; ++i)
       version =
           control_.publish({tenant(engine_() % options_.tenants, static_cast<double>(1 + engine_() % 100))});
-    playFor(seconds(3));
+    runFor(seconds(3));
     Meter meter(*this);
-    const WallTime back = std::chrono::steady_clock::now();
+    const SteadyTime reconnectedAt = std::chrono::steady_clock::now();
     for (std::size_t g = 0; g < gateways_.size(); g += 2) gateways_[g].client->start();
-    until([&] { return allHave(version.revision); }, "what was missed");
-    Samples took;
+    runUntil([&] { return allHaveActivated(version.revision); },
+             "the last revision published while disconnected");
+    Samples durations;
     for (std::size_t g = 0; g < gateways_.size(); g += 2)
-      took.values.push_back(secondsSince(back, gateways_[g].inForceSince.at(version.revision)));
-    add("apart", "s from back to in force", "s", took);
+      durations.values.push_back(
+          secondsBetween(reconnectedAt, gateways_[g].activatedAt.at(version.revision)));
+    add("apart", "s from back to in force", "s", durations);
     meter.add("apart");
   }
 
   // Changes hosts one after another and measures the cost of discovery polls for each gateway.
-  void hosts() {
+  void runHostChanges() {
     Meter meter(*this);
-    const std::uint64_t bytes = control_.on([&] { return control_.discovery().bytesTransferred(); });
-    for (std::size_t i = 0; i < kSingleRounds; ++i) {
-      control_.on([&] {
+    const std::uint64_t bytes =
+        control_.runOnControlThread([&] { return control_.discovery().bytesTransferred(); });
+    for (std::size_t i = 0; i < kChangesPerScenario; ++i) {
+      control_.runOnControlThread([&] {
         control_.discovery().setHostStatus(i % options_.hosts, i % 2 == 0 ? "leaving" : "active");
         return 0;
       });
-      playFor(milliseconds(500));
+      runFor(milliseconds(500));
     }
     meter.add("hosts");
-    const std::uint64_t after = control_.on([&] { return control_.discovery().bytesTransferred(); });
+    const std::uint64_t after =
+        control_.runOnControlThread([&] { return control_.discovery().bytesTransferred(); });
     addOne("hosts", "bytes of discovery a gateway and change", "B",
-           static_cast<double>(after - bytes) / perGateway() / kSingleRounds);
+           static_cast<double>(after - bytes) / gatewayCount() / kChangesPerScenario);
   }
 
   // Measures the cost of the time between its construction and add().
@@ -429,32 +444,33 @@
     explicit Meter(SimulatedGateways& simulation)
         : simulation_(simulation),
           startedAt_(std::chrono::steady_clock::now()),
-          cpu_(simulation.gatewaySeconds()),
+          cpu_(simulation.gatewayProcessorSeconds()),
           controlCpu_(simulation.control_.processorSeconds()),
           bytes_(simulation.configurationBytes()) {}
     void add(const std::string& name) {
-      const double took = secondsSince(startedAt_, std::chrono::steady_clock::now());
-      const double gateways = simulation_.perGateway();
-      simulation_.addOne(name, "configuration's bytes a gateway", "B/s",
-                         static_cast<double>(simulation_.configurationBytes() - bytes_) / gateways / took);
+      const double elapsedSeconds = secondsBetween(startedAt_, std::chrono::steady_clock::now());
+      const double gateways = simulation_.gatewayCount();
+      simulation_.addOne(
+          name, "configuration's bytes a gateway", "B/s",
+          static_cast<double>(simulation_.configurationBytes() - bytes_) / gateways / elapsedSeconds);
       simulation_.addOne(name, "processor time a gateway", "% core",
-                         100 * (simulation_.gatewaySeconds() - cpu_) / gateways / took);
+                         100 * (simulation_.gatewayProcessorSeconds() - cpu_) / gateways / elapsedSeconds);
       simulation_.addOne(name, "processor time of all machines", "% core",
-                         100 * (simulation_.control_.processorSeconds() - controlCpu_) / took);
+                         100 * (simulation_.control_.processorSeconds() - controlCpu_) / elapsedSeconds);
     }
 
    private:
     SimulatedGateways& simulation_;
-    const WallTime startedAt_;
+    const SteadyTime startedAt_;
     const double cpu_, controlCpu_;
     const std::uint64_t bytes_;
   };
 
-  static double secondsSince(WallTime from, WallTime to) {
+  static double secondsBetween(SteadyTime from, SteadyTime to) {
     return std::max(std::chrono::duration<double>(to - from).count(), 0.0);
   }
-  double perGateway() const { return static_cast<double>(options_.gateways); }
-  double gatewaySeconds() const { return bench::processorSeconds() - control_.processorSeconds(); }
+  double gatewayCount() const { return static_cast<double>(options_.gateways); }
+  double gatewayProcessorSeconds() const { return bench::processorSeconds() - control_.processorSeconds(); }
   std::uint64_t configurationBytes() const {
     std::uint64_t all = bytesOfReplacedClients_;
     for (const SimulatedGateway& g : gateways_)
@@ -464,11 +480,11 @@
   void addOne(const std::string& scenario, const std::string& cost, const std::string& unit, double value) {
     Samples one;
     one.values.push_back(value);
-    table_.add({scenario, perGateway(), cost, unit, one});
+    table_.add({scenario, gatewayCount(), cost, unit, one});
   }
   void add(const std::string& scenario, const std::string& cost, const std::string& unit,
            const Samples& all) {
-    table_.add({scenario, perGateway(), cost, unit, all});
+    table_.add({scenario, gatewayCount(), cost, unit, all});
     addOne(scenario, cost + ", p99", unit, all.quantile(0.99));
     if (options_.maxSeconds > 0 && scenario != "start" &&
         all.most() > static_cast<double>(options_.maxSeconds))
@@ -486,7 +502,7 @@
   json config_;
   configuration::ConfigurationSettings settings_;
   std::vector<SimulatedGateway> gateways_;
-  std::uint64_t bytesOfReplacedClients_ = 0;  // of clients that were replaced
+  std::uint64_t bytesOfReplacedClients_ = 0;
 };
 
 }  // namespace
