--- a/src/app/gateway_program.cpp
+++ b/src/app/gateway_program.cpp
@@ -55,7 +55,7 @@
 
 GatewayConfig GatewayProgram::readGatewayConfig() const {
   GatewayConfig config = loadConfig(options_.config, clock_);
-  config.options = operator_.file.tuning;
+  config.options = operator_.file.gatewayOptions;
   if (const stream::StreamSettings& streams = operator_.file.streams; streams.enabled) {
     config.options.reservedDescriptorFraction = streams.descriptorShare;
     config.settings.maxStreams =
@@ -107,10 +107,10 @@
 
 // Attached before the filters that hold requests, so that held requests pass through it as well.
 void GatewayProgram::attachCrossZoneBudget() {
-  if (!operator_.file.crossing.enabled) return;
+  if (!operator_.file.crossZone.enabled) return;
   ensureHookFilter();
   crossZone_ =
-      std::make_unique<cross_zone::CrossZoneFilter>(clock_, operator_.file.crossing, config_.settings);
+      std::make_unique<cross_zone::CrossZoneFilter>(clock_, operator_.file.crossZone, config_.settings);
   gateway_.attach(*crossZone_);
   summaryLog_.start();
 }
@@ -235,7 +235,7 @@
 // Runs on the event loop in one step, so that no handler sees a partly applied file.
 void GatewayProgram::onOperatorFileLoaded(LoadedOperatorFile&& loaded) {
   operator_ = std::move(loaded);
-  gateway_.setOptions(operator_.file.tuning);
+  gateway_.setOptions(operator_.file.gatewayOptions);
   summaryLog_.setInterval(operator_.file.hooks.reportInterval);
   attachHooks();
   std::fprintf(stderr, "finchstile: operator's file reloaded, version %llu\n",
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -14,7 +14,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-void readTuning(SettingReader& root, GatewayOptions& options) {
+void readGatewayOptions(SettingReader& root, GatewayOptions& options) {
   root.table("clients", [&](SettingReader& reader) {
     reader.duration("idle", options.clients.idleTimeout, seconds(1), hours(1));
     reader.duration("request", options.clients.requestTimeout, milliseconds(100), minutes(1));
@@ -48,13 +48,13 @@
   OperatorFile out;
   {
     SettingReader root(document, "", problems);
-    readTuning(root, out.tuning);
+    readGatewayOptions(root, out.gatewayOptions);
     const std::size_t slash = file.rfind('/');
     const std::string folder = slash == std::string::npos ? "" : file.substr(0, slash);
     hook::readHookSettings(root, folder, out.hooks);
     idempotency::readIdempotencySettings(root, folder, out.idempotency);
     peer::readPeerSettings(root, folder, out.peers);
-    cross_zone::readCrossZoneSettings(root, out.crossing);
+    cross_zone::readCrossZoneSettings(root, out.crossZone);
     membership::readMembershipSettings(root, out.membership);
     trace::readTraceSettings(root, folder, out.trace);
     configuration::readConfigurationSettings(root, folder, out.configuration);
--- a/src/app/operator_file.hpp
+++ b/src/app/operator_file.hpp
@@ -22,11 +22,11 @@
 namespace finchstile {
 
 struct OperatorFile {
-  GatewayOptions tuning;
+  GatewayOptions gatewayOptions;
   hook::HookSettings hooks;
   idempotency::IdempotencySettings idempotency;
   peer::PeerSettings peers;
-  cross_zone::CrossZoneSettings crossing;
+  cross_zone::CrossZoneSettings crossZone;
   membership::MembershipSettings membership;
   stream::StreamSettings streams;
   trace::TraceSettings trace;
--- a/tests/app/operator_file_test.cpp
+++ b/tests/app/operator_file_test.cpp
@@ -18,7 +18,7 @@
 }
 
 TEST(OperatorFile, EmptyFileLeavesDefaults) {
-  const GatewayOptions is = readOperatorFile("", "o.toml").tuning, was;
+  const GatewayOptions is = readOperatorFile("", "o.toml").gatewayOptions, was;
   EXPECT_EQ(is.clients.idleTimeout, was.clients.idleTimeout);
   EXPECT_EQ(is.clients.requestTimeout, was.clients.requestTimeout);
   EXPECT_EQ(is.maxConnectingPerHost, was.maxConnectingPerHost);
@@ -29,7 +29,7 @@
 TEST(OperatorFile, SetsGatewayOptions) {
   const auto t =
       readOperatorFile("[clients]\nidle = '30s'\nrequest = '900ms'\n[upstream]\nconnecting = 8\n", "o.toml")
-          .tuning;
+          .gatewayOptions;
   EXPECT_EQ(t.clients.idleTimeout, seconds(30));
   EXPECT_EQ(t.clients.requestTimeout, milliseconds(900));
   EXPECT_EQ(t.maxConnectingPerHost, 8u);
--- a/tests/fuzz/operator_file.cpp
+++ b/tests/fuzz/operator_file.cpp
@@ -8,7 +8,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   try {
     const auto file = finchstile::readOperatorFile(asText(data, size), "f");
-    if (file.tuning.clientDescriptorFraction + file.tuning.upstreamDescriptorFraction > 0.95001 ||
+    if (file.gatewayOptions.clientDescriptorFraction + file.gatewayOptions.upstreamDescriptorFraction >
+            0.95001 ||
         file.hooks.hooks.size() > 64)
       std::abort();
   } catch (const finchstile::OperatorFileError& error) {
