--- a/src/stream/ending.cpp
+++ b/src/stream/ending.cpp
@@ -6,9 +6,9 @@
 
 StreamResult resultOf(const Ending& e) {
   switch (e.why) {
-    case EndReason::turnedAway: return StreamResult::refused;
-    case EndReason::unreached:
-    case EndReason::left:
+    case EndReason::rejected: return StreamResult::refused;
+    case EndReason::notEstablished:
+    case EndReason::clientDisconnected:
     case EndReason::header: return StreamResult::failed;
     default: return e.orderly ? StreamResult::served : StreamResult::failed;
   }
@@ -39,9 +39,9 @@
   switch (w) {
     case EndReason::finished: return "finished";
     case EndReason::reset: return "reset";
-    case EndReason::turnedAway: return "turned_away";
-    case EndReason::unreached: return "unreached";
-    case EndReason::left: return "left";
+    case EndReason::rejected: return "turned_away";
+    case EndReason::notEstablished: return "unreached";
+    case EndReason::clientDisconnected: return "left";
     case EndReason::drain: return "drain";
     case EndReason::idle: return "idle";
     case EndReason::halfIdle: return "half_idle";
--- a/src/stream/ending.hpp
+++ b/src/stream/ending.hpp
@@ -14,19 +14,19 @@
 
 enum class EndedBy : std::uint8_t { client, host, gateway };
 enum class EndReason : std::uint8_t {
-  finished,    // both directions were closed in order
-  reset,       // reset or lost connection of a side
-  turnedAway,  // not sent, or no host accepted it; safe to retry
-  unreached,   // not established, but a host may have processed it
-  left,        // the client disconnected before the stream was established
-  drain,       // the host or the gateway is draining
-  idle,        // idle timeout: no bytes in either direction
-  halfIdle,    // idle timeout of a half-closed stream
-  stalled,     // a side accepted none of the bytes waiting for it
-  silent,      // a side did not answer a ping
-  protocol,    // protocol violation found by the codec
-  tooBig,      // a message or frame exceeds the limit
-  header       // the PROXY protocol header is missing or invalid
+  finished,            // both directions were closed in order
+  reset,               // reset or lost connection of a side
+  rejected,            // not sent, or no host accepted it; safe to retry
+  notEstablished,      // a host may have processed the request
+  clientDisconnected,  // before the stream was established
+  drain,               // the host or the gateway is draining
+  idle,                // idle timeout: no bytes in either direction
+  halfIdle,            // idle timeout of a half-closed stream
+  stalled,             // a side accepted none of the bytes waiting for it
+  silent,              // a side did not answer a ping
+  protocol,            // protocol violation found by the codec
+  tooBig,              // a message or frame exceeds the limit
+  header               // the PROXY protocol header is missing or invalid
 };
 inline constexpr std::size_t kEndReasonCount = 13;
 enum class StreamResult : std::uint8_t { served, refused, failed };
--- a/src/stream/tcp_proxy_handler.cpp
+++ b/src/stream/tcp_proxy_handler.cpp
@@ -116,7 +116,7 @@
   // Pending streams count as well: connections that never send a PROXY header must not exceed the limit
   // before the decision module sees them.
   if (pendingStreams_.size() + table_.size() > table_.most())
-    return dropPending(pending, {EndedBy::gateway, EndReason::turnedAway, false});
+    return dropPending(pending, {EndedBy::gateway, EndReason::rejected, false});
   pending->client.non_blocking(true, error);
   watchForReset(pending);
   if (pending->over) return;
@@ -134,7 +134,8 @@
 void TcpProxyHandler::watchForReset(const std::shared_ptr<PendingStream>& pending) {
   pending->client.async_wait(tcp::socket::wait_error, [this, pending](error_code error) {
     if (error || pending->over) return;
-    if (isBroken(pending->client)) dropPending(pending, {EndedBy::client, EndReason::left, false});
+    if (isBroken(pending->client))
+      dropPending(pending, {EndedBy::client, EndReason::clientDisconnected, false});
   });
 }
 
@@ -245,14 +246,14 @@
   const auto pending = find(request);
   if (!pending) return;
   pending->submitted = false;
-  dropPending(pending, {EndedBy::gateway, EndReason::turnedAway, false});
+  dropPending(pending, {EndedBy::gateway, EndReason::rejected, false});
 }
 
 void TcpProxyHandler::onRequestFailed(RequestId request) {
   const auto pending = find(request);
   if (!pending) return;
   pending->submitted = false;
-  dropPending(pending, {EndedBy::host, EndReason::unreached, false});
+  dropPending(pending, {EndedBy::host, EndReason::notEstablished, false});
 }
 
 void TcpProxyHandler::dropPending(const std::shared_ptr<PendingStream>& pending, const Ending& how) {
--- a/src/websocket/web_socket_handler.cpp
+++ b/src/websocket/web_socket_handler.cpp
@@ -19,10 +19,10 @@
 Ending endingOf(RequestResult how) {
   switch (how) {
     case RequestResult::rejected:
-    case RequestResult::rejectedByFilter: return {EndedBy::gateway, EndReason::turnedAway, false};
-    case RequestResult::clientDisconnected: return {EndedBy::client, EndReason::left, false};
+    case RequestResult::rejectedByFilter: return {EndedBy::gateway, EndReason::rejected, false};
+    case RequestResult::clientDisconnected: return {EndedBy::client, EndReason::clientDisconnected, false};
     default:
-      return {EndedBy::host, EndReason::unreached, false};  // also when the response is not a valid 101
+      return {EndedBy::host, EndReason::notEstablished, false};  // also when the response is not a valid 101
   }
 }
 
--- a/tests/stream/decisions_test.cpp
+++ b/tests/stream/decisions_test.cpp
@@ -246,9 +246,9 @@
       {{EndedBy::host, EndReason::finished, true}, StreamResult::served, Outcome::served},
       {{EndedBy::client, EndReason::reset, false}, StreamResult::failed, Outcome::served},
       {{EndedBy::host, EndReason::reset, false}, StreamResult::failed, Outcome::reset},
-      {{EndedBy::gateway, EndReason::turnedAway, false}, StreamResult::refused, Outcome::served},
-      {{EndedBy::host, EndReason::unreached, false}, StreamResult::failed, Outcome::served},
-      {{EndedBy::client, EndReason::left, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::gateway, EndReason::rejected, false}, StreamResult::refused, Outcome::served},
+      {{EndedBy::host, EndReason::notEstablished, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::client, EndReason::clientDisconnected, false}, StreamResult::failed, Outcome::served},
       {{EndedBy::gateway, EndReason::drain, true}, StreamResult::served, Outcome::served},
       {{EndedBy::gateway, EndReason::drain, false}, StreamResult::failed, Outcome::served},
       {{EndedBy::gateway, EndReason::idle, true}, StreamResult::served, Outcome::served},
@@ -295,9 +295,9 @@
   EXPECT_EQ(a.onEnded("x", {"x", "", "c", {EndedBy::client, EndReason::finished, true}, {}, 0, 0}, false,
                       seconds(1)),
             "");
-  EXPECT_NE(
-      a.onEnded("x", {"x", "", "c", {EndedBy::client, EndReason::left, false}, {}, 0, 0}, false, seconds(1)),
-      "");
+  EXPECT_NE(a.onEnded("x", {"x", "", "c", {EndedBy::client, EndReason::clientDisconnected, false}, {}, 0, 0},
+                      false, seconds(1)),
+            "");
 }
 
 }  // namespace
