--- a/bench/cross_zone.cpp
+++ b/bench/cross_zone.cpp
@@ -15,8 +15,8 @@
 #include <utility>
 #include <vector>
 
-#include "cross_zone/cross_zone_account.hpp"
 #include "cross_zone/cross_zone_budget.hpp"
+#include "cross_zone/cross_zone_statistics.hpp"
 #include "finchstile/load_balancer.hpp"
 
 using namespace finchstile::load_balancing;
--- a/src/app/gateway_program.cpp
+++ b/src/app/gateway_program.cpp
@@ -249,7 +249,7 @@
   if (idempotency_) lines.push_back(idempotency_->summary());
   if (peers_) lines.push_back(peers_->summary());
   if (membership_) lines.push_back(membership_->summary());
-  if (streams_) lines.push_back(streams_->account().summary());
+  if (streams_) lines.push_back(streams_->statistics().summary());
   if (trace_) lines.push_back(trace_->summary());
   if (configuration_) lines.push_back(configuration_->summary());
   if (crossZone_)
@@ -259,7 +259,7 @@
 
 std::string GatewayProgram::subsystemMetrics() const {
   std::string metrics;
-  if (crossZone_) metrics += crossZone_->account().exposition();
+  if (crossZone_) metrics += crossZone_->statistics().exposition();
   if (streams_) metrics += streams_->exposition();
   if (membership_) metrics += membership_->exposition();
   if (configuration_) metrics += configuration_->exposition();
--- a/src/cross_zone/cross_zone_filter.cpp
+++ b/src/cross_zone/cross_zone_filter.cpp
@@ -31,7 +31,7 @@
       localZone_(gatewaySettings.zone),
       priorityWeights_(priorityWeights(gatewaySettings)),
       budget_(settings, *std::max_element(priorityWeights_.begin(), priorityWeights_.end()), clock.now()),
-      account_(classNames(gatewaySettings)) {}
+      statistics_(classNames(gatewaySettings)) {}
 
 FilterDecision CrossZoneFilter::onRequestReceived(RequestContext& context) {
   context.preferLocalZone = !budget_.allows(clock_.now(), priorityWeights_.at(context.classIndex));
@@ -39,10 +39,10 @@
 }
 
 void CrossZoneFilter::onAttemptSending(RequestContext& context, UpstreamRequest& upstreamRequest) {
-  if (!isCrossZone(context)) return account_.recordLocalAttempt(context.classIndex);
+  if (!isCrossZone(context)) return statistics_.recordLocalAttempt(context.classIndex);
   const std::uint64_t bodyBytes = std::max<std::uint64_t>(upstreamRequest.body().size(), context.bodyLength);
   const std::uint64_t bytes = kEstimatedHeaderBytes + upstreamRequest.target().size() + bodyBytes;
-  account_.recordAttempt(context.classIndex, context.zone, bytes, context.preferLocalZone);
+  statistics_.recordAttempt(context.classIndex, context.zone, bytes, context.preferLocalZone);
   budget_.charge(clock_.now(), static_cast<double>(bytes));
 }
 
@@ -51,12 +51,12 @@
   const bool fromHost = head.fromUpstream && head.fields != nullptr;
   if (!fromHost || !isCrossZone(context)) return;
   const std::uint64_t bytes = kEstimatedHeaderBytes + std::max<std::uint64_t>(head.body.size(), head.length);
-  account_.recordResponse(context.classIndex, context.zone, bytes);
+  statistics_.recordResponse(context.classIndex, context.zone, bytes);
   budget_.charge(clock_.now(), static_cast<double>(bytes));
 }
 
 std::vector<std::string> CrossZoneFilter::summary() {
-  std::vector<std::string> lines = account_.report();
+  std::vector<std::string> lines = statistics_.report();
   std::array<char, 48> level{};
   std::snprintf(level.data(), level.size(), " level=%.2f", budget_.balanceFraction(clock_.now()));
   lines.back() += level.data();
--- a/src/cross_zone/cross_zone_filter.hpp
+++ b/src/cross_zone/cross_zone_filter.hpp
@@ -3,8 +3,8 @@
 // zone if the local zone cannot serve a marked request.
 #pragma once
 
-#include "cross_zone/cross_zone_account.hpp"
 #include "cross_zone/cross_zone_budget.hpp"
+#include "cross_zone/cross_zone_statistics.hpp"
 #include "net/clock.hpp"
 #include "net/request_filter.hpp"
 
@@ -16,8 +16,8 @@
   CrossZoneFilter(const Clock& clock, const CrossZoneSettings& settings,
                   const load_balancing::Settings& gatewaySettings);
 
-  const CrossZoneAccount& account() const { return account_; }
-  // Log lines: those of CrossZoneAccount::report(), with the budget's balance appended to the last.
+  const CrossZoneStatistics& statistics() const { return statistics_; }
+  // Log lines: those of CrossZoneStatistics::report(), with the budget's balance appended to the last.
   std::vector<std::string> summary();
 
   std::uint8_t phases() const override {
@@ -38,7 +38,7 @@
   const std::string localZone_;
   const std::vector<double> priorityWeights_;  // by class
   CrossZoneBudget budget_;
-  CrossZoneAccount account_;
+  CrossZoneStatistics statistics_;
 };
 
 }  // namespace finchstile::cross_zone
--- a/src/cross_zone/cross_zone_account.cpp
+++ b/src/cross_zone/cross_zone_statistics.cpp
@@ -1,4 +1,4 @@
-#include "cross_zone/cross_zone_account.hpp"
+#include "cross_zone/cross_zone_statistics.hpp"
 
 #include <numeric>
 
@@ -32,7 +32,7 @@
   return *this;
 }
 
-CrossZoneCounts& CrossZoneAccount::countsOf(std::uint32_t classIndex, std::string_view zone) {
+CrossZoneCounts& CrossZoneStatistics::countsOf(std::uint32_t classIndex, std::string_view zone) {
   auto found = zones_.find(zone);
   // Zone names come from the endpoint list. The cap bounds memory if the list keeps introducing new names.
   if (found == zones_.end() && zones_.size() >= kMaxZones) found = zones_.find(kOtherZones);
@@ -43,31 +43,31 @@
   return found->second.at(classIndex);
 }
 
-void CrossZoneAccount::recordAttempt(std::uint32_t classIndex, std::string_view zone,
-                                     std::uint64_t requestBytes, bool overBudget) {
+void CrossZoneStatistics::recordAttempt(std::uint32_t classIndex, std::string_view zone,
+                                        std::uint64_t requestBytes, bool overBudget) {
   CrossZoneCounts& counts = countsOf(classIndex, zone);
   ++counts.attempts;
   if (overBudget) ++counts.attemptsOverBudget;
   counts.requestBytes += requestBytes;
 }
 
-void CrossZoneAccount::recordResponse(std::uint32_t classIndex, std::string_view zone,
-                                      std::uint64_t responseBytes) {
+void CrossZoneStatistics::recordResponse(std::uint32_t classIndex, std::string_view zone,
+                                         std::uint64_t responseBytes) {
   countsOf(classIndex, zone).responseBytes += responseBytes;
 }
 
-CrossZoneCounts CrossZoneAccount::total() const {
+CrossZoneCounts CrossZoneStatistics::total() const {
   CrossZoneCounts total;
   for (const auto& [zone, countsByClass] : zones_)
     for (const CrossZoneCounts& counts : countsByClass) total += counts;
   return total;
 }
 
-std::uint64_t CrossZoneAccount::localAttempts() const {
+std::uint64_t CrossZoneStatistics::localAttempts() const {
   return std::accumulate(localAttempts_.begin(), localAttempts_.end(), std::uint64_t{0});
 }
 
-std::vector<std::string> CrossZoneAccount::report() const {
+std::vector<std::string> CrossZoneStatistics::report() const {
   std::vector<std::string> lines;
   for (std::size_t i = 0; i < classes_.size(); ++i)
     for (const auto& [zone, countsByClass] : zones_)
@@ -77,7 +77,7 @@
   return lines;
 }
 
-std::string CrossZoneAccount::exposition() const {
+std::string CrossZoneStatistics::exposition() const {
   static const std::string kAttempts = "lb_crossing_attempts_total";
   static const std::string kBytes = "lb_crossing_bytes_total";
   std::string text = "# TYPE " + kAttempts + " counter\n# TYPE " + kBytes + " counter\n";
--- a/src/cross_zone/cross_zone_account.hpp
+++ b/src/cross_zone/cross_zone_statistics.hpp
@@ -20,12 +20,12 @@
   CrossZoneCounts& operator+=(const CrossZoneCounts& other);
 };
 
-class CrossZoneAccount {
+class CrossZoneStatistics {
  public:
   static constexpr std::size_t kMaxZones = 64;
 
   // `classes`: the names of the request classes. Every `classIndex` below is an index into it.
-  explicit CrossZoneAccount(std::vector<std::string> classes)
+  explicit CrossZoneStatistics(std::vector<std::string> classes)
       : classes_(std::move(classes)), localAttempts_(classes_.size()) {}
 
   void recordLocalAttempt(std::uint32_t classIndex) { ++localAttempts_.at(classIndex); }
--- a/src/stream/account.cpp
+++ b/src/stream/statistics.cpp
@@ -1,4 +1,4 @@
-#include "stream/account.hpp"
+#include "stream/statistics.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-bool StreamAccount::takeLogToken(Time now) {
+bool StreamStatistics::takeLogToken(Time now) {
   if (lastRefill_ == Time{}) tokens_ = kMaxLogLinesPerSecond;
   else tokens_ += std::chrono::duration<double>(now - lastRefill_).count() * kMaxLogLinesPerSecond;
   lastRefill_ = now;
@@ -33,8 +33,8 @@
   return true;
 }
 
-std::string StreamAccount::onEnded(const std::string& name, const EndedStream& e, bool established,
-                                   Time now) {
+std::string StreamStatistics::onEnded(const std::string& name, const EndedStream& e, bool established,
+                                      Time now) {
   NameStats& n = of(name);
   const StreamResult became = resultOf(e.how);
   ++n.ended[at(e.how.who)][at(e.how.why)];
@@ -60,25 +60,25 @@
   return text;
 }
 
-std::uint64_t StreamAccount::ended(StreamResult became) const {
+std::uint64_t StreamStatistics::ended(StreamResult became) const {
   std::uint64_t sum = 0;
   for (const auto& [name, n] : names_) sum += n.became[at(became)];
   return sum;
 }
 
-std::uint64_t StreamAccount::ended(EndedBy who, EndReason why) const {
+std::uint64_t StreamStatistics::ended(EndedBy who, EndReason why) const {
   std::uint64_t sum = 0;
   for (const auto& [name, n] : names_) sum += n.ended[at(who)][at(why)];
   return sum;
 }
 
-std::uint64_t StreamAccount::taken() const {
+std::uint64_t StreamStatistics::taken() const {
   std::uint64_t sum = 0;
   for (const auto& [name, n] : names_) sum += n.taken;
   return sum;
 }
 
-std::string StreamAccount::exposition(std::size_t bufferHeld) const {
+std::string StreamStatistics::exposition(std::size_t bufferHeld) const {
   std::string out =
       "# TYPE lb_streams_taken_total counter\n# TYPE lb_streams_held gauge\n"
       "# TYPE lb_streams_ended_total counter\n# TYPE lb_streams_bytes_total counter\n"
@@ -101,7 +101,7 @@
   return out;
 }
 
-std::string StreamAccount::summary() const {
+std::string StreamStatistics::summary() const {
   std::uint64_t held = 0;
   for (const auto& [name, n] : names_) held += n.held;
   return "streams held=" + std::to_string(held) + " taken=" + std::to_string(taken()) +
--- a/src/stream/account.hpp
+++ b/src/stream/statistics.hpp
@@ -21,9 +21,9 @@
   std::uint64_t in = 0, out = 0;  // bytes sent by the client, by the host
 };
 
-class StreamAccount {
+class StreamStatistics {
  public:
-  explicit StreamAccount(LogEnds log) : log_(log) {}
+  explicit StreamStatistics(LogEnds log) : log_(log) {}
 
   void onAccepted(const std::string& name) { ++of(name).taken; }
   void onBegun(const std::string& name) { ++of(name).held; }
--- a/src/stream/table.cpp
+++ b/src/stream/table.cpp
@@ -26,7 +26,7 @@
       gateway_(gateway),
       logSink_(std::move(say)),
       budget_(std::max(settings.bufferBytes, minBufferBytes(most)), most),
-      account_(settings.log),
+      statistics_(settings.log),
       plan_(settings.maxDrainRate, seed),
       timer_(io) {}
 
@@ -43,7 +43,7 @@
   entry.relay =
       std::make_shared<Relay>(id, std::move(parts), budget_, clock_, static_cast<RelayEvents&>(*this));
   byHost_[info.host].insert(id);
-  account_.onBegun(info.name);
+  statistics_.onBegun(info.name);
   entry.relay->start();
   gateway_.attemptEstablished(info.request, info.attempt);
   // The host or the gateway may have started draining while the stream was established.
@@ -54,7 +54,7 @@
 
 void StreamTable::onNotEstablished(const StreamInfo& info, const Ending& how) {
   const Time now = clock_.now();
-  const std::string line = account_.onEnded(
+  const std::string line = statistics_.onEnded(
       info.name, {info.name, info.hostName, info.from, how, now - info.since, 0, 0}, false, now);
   if (!line.empty()) logSink_(line);
 }
@@ -73,10 +73,10 @@
   const Time now = clock_.now();
   const StreamInfo& b = entry.info;
   const std::string line =
-      account_.onEnded(b.name,
-                       {b.name, b.hostName, b.from, ending, now - b.since, entry.relay->passed(Side::client),
-                        entry.relay->passed(Side::host)},
-                       true, now);
+      statistics_.onEnded(b.name,
+                          {b.name, b.hostName, b.from, ending, now - b.since,
+                           entry.relay->passed(Side::client), entry.relay->passed(Side::host)},
+                          true, now);
   if (!line.empty()) logSink_(line);
   gateway_.attemptEnded(b.request, b.attempt, b.host, outcomeOf(ending), entry.establishedAt - b.since, true);
 }
--- a/src/stream/table.hpp
+++ b/src/stream/table.hpp
@@ -12,12 +12,12 @@
 #include <unordered_set>
 
 #include "net/protocol_handler.hpp"
-#include "stream/account.hpp"
 #include "stream/buffers.hpp"
 #include "stream/deadlines.hpp"
 #include "stream/drain_plan.hpp"
 #include "stream/relay.hpp"
 #include "stream/settings.hpp"
+#include "stream/statistics.hpp"
 
 namespace finchstile::stream {
 
@@ -37,7 +37,7 @@
   ~StreamTable() override;
 
   // Starts relaying and reports the attempt as established. The stream must have been counted with
-  // StreamAccount::onAccepted.
+  // StreamStatistics::onAccepted.
   void addEstablished(const StreamInfo& info, RelayParts&& parts);
   // Records the ending of a stream that was not established.
   void onNotEstablished(const StreamInfo& info, const Ending& how);
@@ -49,9 +49,9 @@
   std::size_t most() const { return most_; }
   const BufferBudget& buffers() const { return budget_; }
   const DrainPlan& drains() const { return plan_; }
-  StreamAccount& account() { return account_; }
-  const StreamAccount& account() const { return account_; }
-  std::string exposition() const { return account_.exposition(budget_.held()); }
+  StreamStatistics& statistics() { return statistics_; }
+  const StreamStatistics& statistics() const { return statistics_; }
+  std::string exposition() const { return statistics_.exposition(budget_.held()); }
 
  private:
   struct Entry {
@@ -70,7 +70,7 @@
   ProtocolHandlerCallbacks& gateway_;
   const LogSink logSink_;
   BufferBudget budget_;
-  StreamAccount account_;
+  StreamStatistics statistics_;
   Deadlines deadlines_;
   DrainPlan plan_;
   boost::asio::steady_timer timer_;
--- a/src/stream/tcp_proxy_handler.cpp
+++ b/src/stream/tcp_proxy_handler.cpp
@@ -111,7 +111,7 @@
   pending->info.from = textOf(from);
   pending->info.since = clock_.now();
   pending->ends.ends = ProxyHeader::Ends{from, to};
-  table_.account().onAccepted(l.settings.name);
+  table_.statistics().onAccepted(l.settings.name);
   pendingStreams_.emplace(pending->request, pending);
   // Pending streams count as well: connections that never send a PROXY header must not exceed the limit
   // before the decision module sees them.
--- a/src/websocket/web_socket_handler.cpp
+++ b/src/websocket/web_socket_handler.cpp
@@ -81,7 +81,7 @@
   return AcceptedUpgrade{std::move(v.toClient), v.deflate};
 }
 
-void WebSocketHandler::onUpgradeRequested() { table_.account().onAccepted(kName); }
+void WebSocketHandler::onUpgradeRequested() { table_.statistics().onAccepted(kName); }
 
 void WebSocketHandler::onUpgradeNotEstablished(const PendingUpgrade& pendingUpgrade, RequestResult how) {
   stream::StreamInfo b;
--- a/tests/cross_zone/cross_zone_filter_test.cpp
+++ b/tests/cross_zone/cross_zone_filter_test.cpp
@@ -58,13 +58,13 @@
   begin(2, 2, 1e9);
   sendRequest(60);
   EXPECT_GT(crossZoneAttempts(), 3u);  // the local zone is only preferred
-  const auto total = filter->account().total();
+  const auto total = filter->statistics().total();
   EXPECT_EQ(total.attempts, crossZoneAttempts());
   EXPECT_EQ(total.attemptsOverBudget, 0u);
-  EXPECT_EQ(total.attempts + filter->account().localAttempts(), 60u);
+  EXPECT_EQ(total.attempts + filter->statistics().localAttempts(), 60u);
   EXPECT_GE(total.requestBytes, 100 * crossZoneAttempts());
   EXPECT_GE(total.responseBytes, 2 * crossZoneAttempts());
-  EXPECT_NE(filter->account().exposition().find("{group=\"book\",zone=\"west\",way=\"out\"}"),
+  EXPECT_NE(filter->statistics().exposition().find("{group=\"book\",zone=\"west\",way=\"out\"}"),
             std::string::npos);
 }
 
@@ -72,7 +72,7 @@
   begin(2, 2, 0);
   sendRequest(60);
   EXPECT_EQ(crossZoneAttempts(), 0u);
-  EXPECT_EQ(filter->account().localAttempts(), 60u);
+  EXPECT_EQ(filter->statistics().localAttempts(), 60u);
 }
 
 // The budget allows its capacity at first, and then its rate.
@@ -81,7 +81,7 @@
   const auto began = clock.now();
   sendRequest(120);  // each about 620 bytes with its response
   const double time = std::chrono::duration<double>(clock.now() - began).count();
-  const auto total = filter->account().total();
+  const auto total = filter->statistics().total();
   EXPECT_GT(total.attempts, 0u);
   EXPECT_EQ(total.attemptsOverBudget, 0u);
   EXPECT_LE(static_cast<double>(total.requestBytes + total.responseBytes), 500 * (time + 10) + 1000);
@@ -96,7 +96,7 @@
   ASSERT_TRUE(until([&] { return !gateway->isListed("s-0"); }));
   sendRequest(20);
   EXPECT_EQ(crossZoneAttempts(), 20u);
-  EXPECT_EQ(filter->account().total().attemptsOverBudget, 20u);
+  EXPECT_EQ(filter->statistics().total().attemptsOverBudget, 20u);
   EXPECT_NE(filter->summary().back().find("forced=20"), std::string::npos);
 }
 
@@ -111,7 +111,7 @@
   }
   EXPECT_GT(hosts[0]->received.size(), 1u);  // the local host is preferred,
   EXPECT_LT(hosts[0]->received.size(), 6u);  // until it is near its admission cutoff
-  EXPECT_EQ(filter->account().total().attemptsOverBudget, crossZoneAttempts());
+  EXPECT_EQ(filter->statistics().total().attemptsOverBudget, crossZoneAttempts());
   EXPECT_EQ(gateway->metrics().classes[0].rejected, 0u);
   for (const auto& h : hosts)
     for (const auto& peer : h->peers) peer->reply(200, "ok");
--- a/tests/cross_zone/cross_zone_account_test.cpp
+++ b/tests/cross_zone/cross_zone_statistics_test.cpp
@@ -1,4 +1,4 @@
-#include "cross_zone/cross_zone_account.hpp"
+#include "cross_zone/cross_zone_statistics.hpp"
 
 #include <gtest/gtest.h>
 
@@ -6,20 +6,20 @@
 namespace {
 
 TEST(CrossZoneAccount, ReportsCountsByClassAndZone) {
-  CrossZoneAccount account({"cut-plan", "log-in"});
-  account.recordLocalAttempt(1);
-  account.recordLocalAttempt(1);
-  account.recordAttempt(0, "cluj", 300, false);
-  account.recordAttempt(0, "cluj", 200, true);
-  account.recordResponse(0, "cluj", 5000);
-  account.recordAttempt(1, "brasov", 100, false);
-  EXPECT_EQ(account.total().attempts, 3u);
-  EXPECT_EQ(account.localAttempts(), 2u);
-  EXPECT_EQ(account.report(),
+  CrossZoneStatistics statistics({"cut-plan", "log-in"});
+  statistics.recordLocalAttempt(1);
+  statistics.recordLocalAttempt(1);
+  statistics.recordAttempt(0, "cluj", 300, false);
+  statistics.recordAttempt(0, "cluj", 200, true);
+  statistics.recordResponse(0, "cluj", 5000);
+  statistics.recordAttempt(1, "brasov", 100, false);
+  EXPECT_EQ(statistics.total().attempts, 3u);
+  EXPECT_EQ(statistics.localAttempts(), 2u);
+  EXPECT_EQ(statistics.report(),
             (std::vector<std::string>{"crossing class=cut-plan zone=cluj attempts=2 forced=1 out=500 in=5000",
                                       "crossing class=log-in zone=brasov attempts=1 forced=0 out=100 in=0",
                                       "crossing all attempts=3 forced=1 out=600 in=5000 stayed=2"}));
-  const std::string text = account.exposition();
+  const std::string text = statistics.exposition();
   EXPECT_EQ(text,
             "# TYPE lb_crossing_attempts_total counter\n"
             "# TYPE lb_crossing_bytes_total counter\n"
@@ -39,11 +39,11 @@
 
 // Endpoint lists may keep introducing new zone names.
 TEST(CrossZoneAccount, CountsZonesBeyondTheMaximumAsOther) {
-  CrossZoneAccount account({"x"});
-  for (int i = 0; i < 10000; ++i) account.recordAttempt(0, "zone-" + std::to_string(i), 1, false);
-  EXPECT_EQ(account.total().attempts, 10000u);
-  EXPECT_EQ(account.report().size(), CrossZoneAccount::kMaxZones + 1);
-  EXPECT_NE(account.exposition().find("zone=\"other\""), std::string::npos);
+  CrossZoneStatistics statistics({"x"});
+  for (int i = 0; i < 10000; ++i) statistics.recordAttempt(0, "zone-" + std::to_string(i), 1, false);
+  EXPECT_EQ(statistics.total().attempts, 10000u);
+  EXPECT_EQ(statistics.report().size(), CrossZoneStatistics::kMaxZones + 1);
+  EXPECT_NE(statistics.exposition().find("zone=\"other\""), std::string::npos);
 }
 
 }  // namespace
--- a/tests/stream/decisions_test.cpp
+++ b/tests/stream/decisions_test.cpp
@@ -5,12 +5,12 @@
 #include <algorithm>
 #include <random>
 
-#include "stream/account.hpp"
 #include "stream/buffers.hpp"
 #include "stream/deadlines.hpp"
 #include "stream/drain_plan.hpp"
 #include "stream/ending.hpp"
 #include "stream/flow.hpp"
+#include "stream/statistics.hpp"
 
 namespace finchstile::stream {
 namespace {
@@ -268,7 +268,7 @@
 }
 
 TEST(Account, LogsPartyAndReasonAndLimitsTheRateOfLines) {
-  StreamAccount a(LogEnds::all);
+  StreamStatistics a(LogEnds::all);
   a.onAccepted("scan");
   a.onBegun("scan");
   const EndedStream one{
@@ -291,7 +291,7 @@
 }
 
 TEST(Account, LogsOnlyFailedStreamsWhenConfiguredSo) {
-  StreamAccount a(LogEnds::failed);
+  StreamStatistics a(LogEnds::failed);
   EXPECT_EQ(a.onEnded("x", {"x", "", "c", {EndedBy::client, EndReason::finished, true}, {}, 0, 0}, false,
                       seconds(1)),
             "");
--- a/tests/stream/tcp_proxy_handler_test.cpp
+++ b/tests/stream/tcp_proxy_handler_test.cpp
@@ -76,7 +76,7 @@
     ASSERT_TRUE(until([&] { return !polls.empty(); }));  // the next poll shows that the list was applied
   }
   std::shared_ptr<TcpConnection> open() { return TcpConnection::connect(io, handler->endpoint(0)); }
-  std::size_t count(StreamResult b) const { return table->account().ended(b); }
+  std::size_t count(StreamResult b) const { return table->statistics().ended(b); }
   std::size_t connections() const {
     std::size_t n = 0;
     for (const auto& w : hostServers) n += w->connections.size();
@@ -369,7 +369,7 @@
   startGateway();
   const auto c = TcpConnection::connect(io, handler->endpoint(0));
   c->paused = true;
-  ASSERT_TRUE(until([&] { return table->account().ended(EndedBy::client, EndReason::stalled) == 1; }));
+  ASSERT_TRUE(until([&] { return table->statistics().ended(EndedBy::client, EndReason::stalled) == 1; }));
   EXPECT_EQ(table->buffers().held(), 0u);
   EXPECT_TRUE(hasLine("failed by=client why=stalled"));
 }
@@ -396,7 +396,7 @@
   }));
   // Closes are spread: neither all at the start nor all at the end.
   EXPECT_GT(times[drainedCount * 3 / 4] - times[drainedCount / 4], 0.25);
-  EXPECT_EQ(table->account().ended(EndedBy::gateway, EndReason::drain), drainedCount);
+  EXPECT_EQ(table->statistics().ended(EndedBy::gateway, EndReason::drain), drainedCount);
   EXPECT_EQ(hostServers[1]->open(), 60 - drainedCount);  // streams of the other host stay
   for (int i = 0; i < 20; ++i) clients.push_back(open());
   ASSERT_TRUE(until([&] { return connections() == 80; }));
@@ -452,7 +452,7 @@
   EXPECT_TRUE(table->idle());
   ASSERT_TRUE(until(
       [&] { return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->over(); }); }));
-  EXPECT_EQ(table->account().ended(EndedBy::gateway, EndReason::drain), 40u);
+  EXPECT_EQ(table->statistics().ended(EndedBy::gateway, EndReason::drain), 40u);
 }
 
 // --- Bounds
@@ -472,7 +472,7 @@
   for (std::size_t i = 0; i < 4 * most; ++i) clients.push_back(open());
   ASSERT_TRUE(until([&] { return count(StreamResult::refused) >= 3 * most; }));
   EXPECT_LE(table->size(), most);
-  EXPECT_EQ(table->account().taken(), 4 * most);
+  EXPECT_EQ(table->statistics().taken(), 4 * most);
   for (int i = 0; i < 10; ++i) {
     const auto c = client();
     c->sendRequest("GET", "/read", 2500);
@@ -504,7 +504,7 @@
     io.poll();
   }
   ASSERT_TRUE(until([&] {
-    return handler->endpoint(0).port() && table->account().taken() == 2000 &&
+    return handler->endpoint(0).port() && table->statistics().taken() == 2000 &&
            table->size() + count(StreamResult::refused) == 2000;
   }));
   const double took = std::chrono::duration<double>(Steady::now() - from).count();
@@ -558,7 +558,7 @@
   ASSERT_TRUE(until([&] { return wrong->over() && silent->over(); }));
   EXPECT_TRUE(wrong->reset);
   EXPECT_EQ(connections(), 0u);
-  EXPECT_EQ(table->account().ended(EndedBy::client, EndReason::header), 2u);
+  EXPECT_EQ(table->statistics().ended(EndedBy::client, EndReason::header), 2u);
   EXPECT_TRUE(handler->isIdle());
 }
 
--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -128,7 +128,7 @@
     return std::any_of(lines.begin(), lines.end(),
                        [&](const std::string& l) { return l.find(part) != std::string::npos; });
   }
-  std::size_t count(StreamResult b) const { return table->account().ended(b); }
+  std::size_t count(StreamResult b) const { return table->statistics().ended(b); }
 };
 
 std::string closeFrame(bool client, unsigned number, const std::string& reason) {
@@ -396,7 +396,7 @@
     c->write(closeFrame(true, 1014, ""));
     ASSERT_TRUE(until([&] { return c->over() && table->idle(); }));
   }
-  EXPECT_EQ(table->account().ended(EndedBy::host, EndReason::reset), 2u);
+  EXPECT_EQ(table->statistics().ended(EndedBy::host, EndReason::reset), 2u);
 }
 
 TEST_F(WebSocketTest, ClientResetSendsClose1001ToTheHost) {
@@ -510,7 +510,7 @@
   // The client answers pings; the host does not.
   ASSERT_TRUE(until([&] {
     if (c->receivedBytes == ping) c->receivedBytes.clear(), c->write(bytesOf(true, {10, ""}));
-    return table->account().ended(EndedBy::host, EndReason::silent) == 1 || c->over();
+    return table->statistics().ended(EndedBy::host, EndReason::silent) == 1 || c->over();
   }));
   EXPECT_EQ(c->receivedBytes.substr(0, 2), closeFrame(false, 1014, "silent").substr(0, 2));
   EXPECT_NE(last()->receivedBytes.find(bytesOf(true, {9, ""})), std::string::npos);
