--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -277,7 +277,7 @@
     load_balancing::DynamicSettings terms;
     for (const auto& tenant : change.tenants) {
       terms.tenants.push_back({tenant.index, *tenant.quotaPerSecond});
-      table.list(tenant.index, tenant.name);
+      table.add(tenant.index, tenant.name);
     }
     balancer.onDynamicSettings(now, terms);
     balancer.actions().clear();
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -71,8 +71,8 @@
   balancer_.onDynamicSettings(clock_.now(), settings);
   TenantTable& tenants = requests_.tenants();
   for (const auto& tenant : change.tenants) {
-    if (tenant.quotaPerSecond) tenants.list(tenant.index, tenant.name);
-    else tenants.unlist(tenant.name);
+    if (tenant.quotaPerSecond) tenants.add(tenant.index, tenant.name);
+    else tenants.remove(tenant.name);
   }
   for (const auto& changed : change.classes) {
     load_balancing::ClassSettings& classSettings = config_.settings.classes[changed.index];
--- a/src/net/tenant_table.hpp
+++ b/src/net/tenant_table.hpp
@@ -17,19 +17,19 @@
 class TenantTable {
  public:
   explicit TenantTable(const std::vector<load_balancing::TenantSettings>& tenants) {
-    for (const auto& tenant : tenants) list(static_cast<std::uint32_t>(names_.size()), tenant.name);
+    for (const auto& tenant : tenants) add(static_cast<std::uint32_t>(names_.size()), tenant.name);
   }
 
   /// Adds a tenant: requests that name it have this index from now on. An index is never reused for another
   /// name.
-  void list(std::uint32_t index, std::string_view name) {
+  void add(std::uint32_t index, std::string_view name) {
     if (names_.size() <= index) names_.resize(index + 1);
     if (names_[index].empty()) names_[index] = name;
     indices_.try_emplace(names_[index], index);
   }
   /// Removes a tenant: requests that name it are treated as having an unknown tenant from now on. The name
   /// stays valid for active requests.
-  void unlist(std::string_view name) { indices_.erase(name); }
+  void remove(std::string_view name) { indices_.erase(name); }
 
   /// Returns the index of the tenant; kNone if it is not listed.
   std::uint32_t find(std::string_view name) const {
