--- a/src/app/membership_service.cpp
+++ b/src/app/membership_service.cpp
@@ -73,7 +73,7 @@
 }
 
 HostKey MembershipService::keyOf(std::string_view name) const {
-  return SipHasher(nameKey_).add(name).end().low;
+  return SipHasher(nameKey_).add(name).finalize().low;
 }
 
 std::int64_t MembershipService::unixMs(Time startedAt) const {
--- a/src/app/peer_link.cpp
+++ b/src/app/peer_link.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 SipKey derive(const SipKey& secret, std::string_view purpose) {
-  const SipHash128 hash = SipHasher(secret).add(purpose).end();
+  const SipHash128 hash = SipHasher(secret).add(purpose).finalize();
   return {hash.low, hash.high};
 }
 
--- a/src/base/siphash.cpp
+++ b/src/base/siphash.cpp
@@ -39,7 +39,7 @@
   return *this;
 }
 
-SipHash128 SipHasher::end() {
+SipHash128 SipHasher::finalize() {
   addWord(pendingWord_ | byteCount_ << 56);
   v2_ ^= 0xee;
   for (int i = 0; i < 4; ++i) sipRound();
--- a/src/base/siphash.hpp
+++ b/src/base/siphash.hpp
@@ -21,7 +21,7 @@
  public:
   explicit SipHasher(const SipKey& key);
   SipHasher& add(std::string_view part);
-  SipHash128 end();
+  SipHash128 finalize();
 
  private:
   void addByte(unsigned char b);
--- a/src/configuration/control_plane_endpoints.cpp
+++ b/src/configuration/control_plane_endpoints.cpp
@@ -17,7 +17,7 @@
 std::uint64_t rendezvousHash(const std::string& address, const std::string& gatewayName) {
   SipHasher hasher(SipKey{});
   hasher.add(address).add(gatewayName);
-  return hasher.end().low;
+  return hasher.finalize().low;
 }
 
 }  // namespace
--- a/src/configuration/document.cpp
+++ b/src/configuration/document.cpp
@@ -26,7 +26,7 @@
 std::uint64_t documentHash(const TenantDocument& tenant) {
   SipHasher hasher(kHashKey);
   hasher.add(kTenantPrefix).add(tenant.name).add(bytesOf(tenant.quotaPerSecond));
-  return hasher.end().low;
+  return hasher.finalize().low;
 }
 
 std::uint64_t documentHash(const ClassDocument& cls) {
@@ -34,7 +34,7 @@
   SipHasher hasher(kHashKey);
   hasher.add(kClassPrefix).add(cls.name).add(bytesOf(cls.priorityWeight));
   hasher.add(bytesOf(objectiveMs)).add(bytesOf(cls.lateValueFraction));
-  return hasher.end().low;
+  return hasher.finalize().low;
 }
 
 std::uint64_t documentHash(const Document& document) {
--- a/src/idempotency/filter.cpp
+++ b/src/idempotency/filter.cpp
@@ -80,7 +80,7 @@
                           .add(view(message.method_string()))
                           .add(view(message.target()))
                           .add(message.body())
-                          .end();
+                          .finalize();
   keyed.waiter = request.id;
   return keyed;
 }
--- a/src/idempotency/owner_selector.cpp
+++ b/src/idempotency/owner_selector.cpp
@@ -9,8 +9,11 @@
 namespace {
 
 std::uint32_t hashMembership(GatewayNumber gateways, std::size_t ownersPerKey, const SipKey& secret) {
-  const SipHash128 hash =
-      SipHasher(secret).add("view").add(std::to_string(gateways)).add(std::to_string(ownersPerKey)).end();
+  const SipHash128 hash = SipHasher(secret)
+                              .add("view")
+                              .add(std::to_string(gateways))
+                              .add(std::to_string(ownersPerKey))
+                              .finalize();
   return static_cast<std::uint32_t>(hash.low);
 }
 
@@ -26,8 +29,8 @@
                                std::string_view method, std::string_view target,
                                std::string_view body) const {
   SharedKey shared;
-  shared.id = SipHasher(secret_).add("key").add(tenant).add(className).add(key).end();
-  shared.fingerprint = SipHasher(secret_).add("request").add(method).add(target).add(body).end().low;
+  shared.id = SipHasher(secret_).add("key").add(tenant).add(className).add(key).finalize();
+  shared.fingerprint = SipHasher(secret_).add("request").add(method).add(target).add(body).finalize().low;
   return shared;
 }
 
@@ -37,7 +40,7 @@
       .add(std::to_string(id.low))
       .add(std::to_string(id.high))
       .add(std::to_string(gateway))
-      .end()
+      .finalize()
       .low;
 }
 
--- a/src/idempotency/store.cpp
+++ b/src/idempotency/store.cpp
@@ -47,7 +47,7 @@
                                .add(std::to_string(request.tenant))
                                .add(std::to_string(request.classIndex))
                                .add(request.key)
-                               .end();
+                               .finalize();
   return hash.low & hashMask_;
 }
 
--- a/src/peer/datagram.cpp
+++ b/src/peer/datagram.cpp
@@ -16,7 +16,7 @@
 static_assert(kPayloadOffset + kSignatureBytes == kDatagramOverheadBytes);
 
 std::string sign(std::string_view bytes, const SipKey& key) {
-  const SipHash128 hash = SipHasher(key).add(bytes).end();
+  const SipHash128 hash = SipHasher(key).add(bytes).finalize();
   std::string signature;
   putLittleEndian(signature, hash.low);
   putLittleEndian(signature, hash.high);
--- a/tests/idempotency/journal_test.cpp
+++ b/tests/idempotency/journal_test.cpp
@@ -64,7 +64,7 @@
     a.classIndex = *names.classIndex("put");
     a.key = key;
     // As in the filter, with the seed of the store.
-    a.fingerprint = Hasher(store->seed()).add(std::to_string(body)).end();
+    a.fingerprint = Hasher(store->seed()).add(std::to_string(body)).finalize();
     a.waiter = ++lastWaiter;
     return store->admit(now, a);
   }
@@ -398,7 +398,7 @@
     Store::KeyedRequest a;
     a.classIndex = 1;
     a.key = "r0";
-    a.fingerprint = Hasher(other.seed()).add("1").end();
+    a.fingerprint = Hasher(other.seed()).add("1").finalize();
     EXPECT_NE(other.admit(now, a).admission, Admission::firstRun);
     EXPECT_EQ(r.replay.running,
               static_cast<std::size_t>(i) - 1);  // no key r0, r1, ...; the last f was not recorded
--- a/tests/idempotency/store_test.cpp
+++ b/tests/idempotency/store_test.cpp
@@ -480,7 +480,7 @@
   const auto of = [](Seed seed, std::vector<std::string> parts) {
     Hasher h(seed);
     for (const auto& p : parts) h.add(p);
-    return h.end();
+    return h.finalize();
   };
   EXPECT_EQ(of({1, 2}, {"ab", "c"}), of({1, 2}, {"ab", "c"}));
   EXPECT_FALSE(of({1, 2}, {"ab", "c"}) == of({1, 2}, {"a", "bc"}));
