--- a/src/net/tenant_table.hpp
+++ b/src/net/tenant_table.hpp
@@ -13,7 +13,7 @@
 
 namespace finchstile {
 
-/// Owns the names of all tenants that were ever listed.
+/// Owns the names of all tenants that were ever added.
 class TenantTable {
  public:
   explicit TenantTable(const std::vector<load_balancing::TenantSettings>& tenants) {
@@ -31,7 +31,7 @@
   /// stays valid for active requests.
   void remove(std::string_view name) { indices_.erase(name); }
 
-  /// Returns the index of the tenant; kNone if it is not listed.
+  /// Returns the index of the tenant; kNone if the table does not have it.
   std::uint32_t find(std::string_view name) const {
     const auto found = indices_.find(name);
     return found == indices_.end() ? load_balancing::kNone : found->second;
