--- a/tests/hook/hook_chain_test.cpp
+++ b/tests/hook/hook_chain_test.cpp
@@ -19,7 +19,7 @@
   static HookSpec spec(const std::string& source) {
     HookSpec s;
     s.file = "f.hook";
-    s.executable = codeOf(source);
+    s.executable = compileAndLink(source);
     return s;
   }
   static std::string hookSource(const std::string& name, const std::string& body,
@@ -253,7 +253,7 @@
 
 TEST_F(HookChainTest, ComparesAShadowWithoutApplyingIt) {
   HookSpec s = spec(hookSource("h", "set header(\"X\", \"1\");"));
-  s.shadow = codeOf(
+  s.shadow = compileAndLink(
       hookSource("h", "if starts_with(path, \"/new\") { reject(403, \"no\"); } set header(\"X\", \"1\");"));
   install({s});
   for (int i = 0; i < 10; ++i) {
@@ -269,7 +269,7 @@
 
 TEST_F(HookChainTest, NeverSuspendsAHookForItsShadow) {
   HookSpec s = spec(hookSource("h", "count(\"n\");"));
-  s.shadow = codeOf(hookSource("h", "while true { }"));
+  s.shadow = compileAndLink(hookSource("h", "while true { }"));
   s.faultPolicy.maxFaults = 1;
   install({s});
   for (int i = 0; i < 20; ++i) startRequest();
--- a/tests/hook/hook_filter_test.cpp
+++ b/tests/hook/hook_filter_test.cpp
@@ -24,7 +24,7 @@
   static HookSpec spec(const std::string& source, bool failClosed = false) {
     HookSpec s;
     s.file = "f.hook";
-    s.executable = codeOf(source);
+    s.executable = compileAndLink(source);
     s.failClosed = failClosed;
     return s;
   }
--- a/tests/hook/interpreter_test.cpp
+++ b/tests/hook/interpreter_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_EQ(runStatements("while true { }"), "fault: the budget of instructions is spent");
   EXPECT_EQ(runStatements("let n = 0; while n == 0 { log(\"\"); }"),
             "fault: more results than one run may leave");
-  const auto code = codeOf(onRequest("while true {\n}\n"));
+  const auto code = compileAndLink(onRequest("while true {\n}\n"));
   Interpreter m;
   const RunResult& r = m.run(*code, Handler::request, exampleInput(), instructions(500));
   EXPECT_EQ(r.instructions, 500u);
@@ -63,8 +63,8 @@
 
 // The client could retry a request that may already have run.
 TEST(Interpreter, FaultsOnARejectionAfterAnAttempt) {
-  const auto code =
-      codeOf("hook \"h\";\non answer {\n  set header(\"X-A\", \"1\");\n  reject(503, \"late\");\n}\n");
+  const auto code = compileAndLink(
+      "hook \"h\";\non answer {\n  set header(\"X-A\", \"1\");\n  reject(503, \"late\");\n}\n");
   Interpreter m;
   RunInput in = exampleInput();
   in.responseStatus = 200;
@@ -96,7 +96,7 @@
 
 TEST(Interpreter, GivesEqualResultsForEqualInputs) {
   const auto code =
-      codeOf(onRequest("let s = \"\"; for i in 0 .. 9 { s = s + to_text(i * 7 % 5); } log(s);"));
+      compileAndLink(onRequest("let s = \"\"; for i in 0 .. 9 { s = s + to_text(i * 7 % 5); } log(s);"));
   Interpreter a, b;
   const std::string first = formatResult(*code, a.run(*code, Handler::request, exampleInput(), RunBudget{}));
   for (int i = 0; i < 3; ++i) {
@@ -109,8 +109,8 @@
 // These patterns take exponential time in a backtracking matcher.
 TEST(Interpreter, MatchesPatternsInLinearTime) {
   const auto code =
-      codeOf(onRequest("if body(0, 65536) matches r\"^(a+)+$\" { log(\"yes\"); } "
-                       "if body(0, 65536) matches r\"(x+x+)+y\" { log(\"yes\"); }"));
+      compileAndLink(onRequest("if body(0, 65536) matches r\"^(a+)+$\" { log(\"yes\"); } "
+                               "if body(0, 65536) matches r\"(x+x+)+y\" { log(\"yes\"); }"));
   const std::string body = std::string(65000, 'a') + "!" + std::string(500, 'x');
   RunInput in = exampleInput();
   in.body = body;
@@ -163,7 +163,7 @@
 TEST(Interpreter, LooksUpKeysAndValuesOfTables) {
   std::vector<Problem> problems;
   auto table = std::make_shared<const Table>(*Table::parse("B12 = Brasov\nC3\n", problems));
-  const auto code = codeOf(
+  const auto code = compileAndLink(
       "hook \"h\";\ntable t from \"t.txt\";\non request {\n"
       "if header(\"X-Yard\") in t { log(lookup(t, \"B12\") + lookup(t, \"C3\") + lookup(t, \"?\")); } }\n",
       {table});
--- a/tests/hook/support.hpp
+++ b/tests/hook/support.hpp
@@ -36,8 +36,8 @@
   return out;
 }
 
-inline std::shared_ptr<const Executable> codeOf(std::string_view source,
-                                                std::vector<std::shared_ptr<const Table>> tables = {}) {
+inline std::shared_ptr<const Executable> compileAndLink(
+    std::string_view source, std::vector<std::shared_ptr<const Table>> tables = {}) {
   std::vector<Problem> problems;
   auto compiled = compile(source, problems);
   for (const Problem& p : problems) ADD_FAILURE() << describe("hook", p);
@@ -85,7 +85,7 @@
 // Runs the statements as handler `request` with exampleInput() and returns the formatted result.
 inline std::string runStatements(const std::string& body, const std::string& declarations = "",
                                  const RunBudget& budget = {}) {
-  const auto code = codeOf(onRequest(body, declarations));
+  const auto code = compileAndLink(onRequest(body, declarations));
   if (!code) return "does not compile";
   static const MapHeaders headers{{"X-Yard", "B12"}, {"Empty", ""}};
   RunInput in = exampleInput();
