--- a/src/app/trace_file.hpp
+++ b/src/app/trace_file.hpp
@@ -24,9 +24,9 @@
 
 class TraceFile {
  public:
-  // `path`: empty for standard error, which is never renamed. A file of `maxFileBytes` is renamed to PATH.1,
-  // replaces an earlier one there, and a new file is opened. `maxQueuedBytes`: limit of the queue of the
-  // writer thread. Throws TraceFileError if the file cannot be opened for appending.
+  // `path`: empty for standard error, which is never renamed. A file that has reached `maxFileBytes` is
+  // renamed to PATH.1, where it replaces an earlier one, and a new file is opened. `maxQueuedBytes`: limit of
+  // the queue of the writer thread. Throws TraceFileError if the file cannot be opened for appending.
   TraceFile(std::string path, std::size_t maxFileBytes, std::size_t maxQueuedBytes);
   // Writes what is still queued.
   ~TraceFile();
--- a/src/app/trace_log.hpp
+++ b/src/app/trace_log.hpp
@@ -52,7 +52,7 @@
   std::string buffer_;
   std::uint64_t bufferedLines_ = 0;  // without gap lines
   std::uint64_t writtenLines_ = 0;
-  std::uint64_t droppedLines_ = 0;  // that a gap line in the file reports
+  std::uint64_t droppedLines_ = 0;  // as reported by the gap lines in the file
 };
 
 }  // namespace finchstile
--- a/src/cross_zone/cross_zone_filter.cpp
+++ b/src/cross_zone/cross_zone_filter.cpp
@@ -7,7 +7,7 @@
 namespace finchstile::cross_zone {
 namespace {
 
-// Estimate of a header section without the target, whose size is not measured: it varies little between
+// Assumed size of a header section without the target. It is not measured, since it varies little between
 // messages.
 constexpr std::uint64_t kEstimatedHeaderBytes = 256;
 
--- a/src/stream/buffers.hpp
+++ b/src/stream/buffers.hpp
@@ -3,7 +3,7 @@
 //
 // Taking a piece never waits. With one shared pool of equal pieces, slow readers could hold all of it and
 // block all other streams. Therefore one half of the budget is given out in large pieces while it lasts; the
-// other half reserves a small piece for each direction of each stream allowed. No I/O.
+// other half reserves a small piece for each direction of as many streams as the limit allows. No I/O.
 #pragma once
 
 #include <algorithm>
--- a/src/stream/codec.hpp
+++ b/src/stream/codec.hpp
@@ -23,9 +23,10 @@
   // Decodes the next `n` bytes sent by `from`, starting after those passed so far. With `stop` it stops after
   // the unit (frame) in progress.
   virtual DecodeResult decode(Side from, const char* bytes, std::size_t n, bool stop) = 0;
-  // The bytes forwarded from `from` end at a unit boundary, so the gateway may insert its own messages there.
+  // Whether the bytes forwarded from `from` end at a unit boundary, so that the gateway may insert its own
+  // messages there.
   virtual bool atBoundary(Side from) const = 0;
-  // `from` has sent its close message; later bytes of it are dropped.
+  // Whether `from` has sent its close message. Its later bytes are dropped.
   virtual bool closeReceived(Side from) const = 0;
   // The close message for `to` with the reason of the ending; empty: nothing to send.
   virtual std::string closeMessage(Side to, const Ending& ending) = 0;
--- a/src/stream/drain_plan.hpp
+++ b/src/stream/drain_plan.hpp
@@ -1,6 +1,6 @@
 // Schedule by which streams of draining hosts, or of a draining gateway, are closed: evenly spread over an
-// interval, in random order, with a bounded rate over all hosts. Closed at the same time, their clients would
-// all reconnect within a second to the same few hosts. No I/O.
+// interval, in random order, with a bounded rate over all hosts. If all were closed at the same time, their
+// clients would all reconnect within a second to the same few hosts. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -22,8 +22,7 @@
   // Schedules each stream at its own time in [now, now + within). A stream that already has an earlier time
   // keeps it.
   void add(const std::vector<std::uint64_t>& streams, Time now, Duration within);
-  // The gateway stops at `until`; the rate bound no longer applies where it would leave streams open after
-  // that.
+  // The gateway stops at `until`. The rate bound is exceeded where it would leave streams open at that time.
   void endsAt(Time until) { deadline_ = until; }
   void erase(std::uint64_t stream);
   bool planned(std::uint64_t stream) const { return at_.count(stream) > 0; }
--- a/src/stream/ending.hpp
+++ b/src/stream/ending.hpp
@@ -16,7 +16,7 @@
 enum class EndReason : std::uint8_t {
   finished,            // both directions were closed in order
   reset,               // reset or lost connection of a side
-  rejected,            // not sent, or no host accepted it; safe to retry
+  rejected,            // the request was not sent, or no host accepted it; safe to retry
   notEstablished,      // a host may have processed the request
   clientDisconnected,  // before the stream was established
   drain,               // the host or the gateway is draining
@@ -40,7 +40,7 @@
 };
 
 // Result of an ending. An established stream is served if it ended in order and failed otherwise; its
-// duration does not matter, since clients are promised none.
+// duration does not matter, since clients are not promised a minimum duration.
 StreamResult resultOf(const Ending& e);
 
 // Outcome of the attempt as reported to the decision module. Only failures caused by the host count against
--- a/src/stream/flow.hpp
+++ b/src/stream/flow.hpp
@@ -42,7 +42,7 @@
  private:
   struct Direction {
     bool ended = false, endForwarded = false;
-    Time blocked{};  // start of write blocking towards this side; 0: not blocked
+    Time blocked{};  // when writes to this side began to block; 0: they do not
   };
   Direction& at(Side s) { return sides_[static_cast<std::size_t>(s)]; }
   const Direction& at(Side s) const { return sides_[static_cast<std::size_t>(s)]; }
@@ -50,7 +50,7 @@
 
   FlowLimits limits_;
   Time lastActivity_;
-  std::array<Direction, 2> sides_;  // indexed by the sending side, but `blocked` by the receiving side
+  std::array<Direction, 2> sides_;  // by sending side; `blocked` of an element is about writes to that side
   std::optional<Side> firstEnded_;  // side that sent its FIN first
 };
 
--- a/src/stream/relay.hpp
+++ b/src/stream/relay.hpp
@@ -31,10 +31,10 @@
 class RelayEvents {
  public:
   virtual ~RelayEvents() = default;
-  // Called once, after both sockets are closed. Never called from within `start`, but possibly from within
-  // the other functions.
+  // Called once, after both sockets are closed. Never called from within Relay::start, but possibly from
+  // within the relay's other functions.
   virtual void onRelayOver(StreamId id, const Ending& ending) = 0;
-  // `check` must be called at `due` at the latest.
+  // Relay::check must be called at `due` at the latest.
   virtual void onRelayDue(StreamId id, Time due) = 0;
 };
 
@@ -64,7 +64,7 @@
     std::size_t injectedOffset = 0;
     bool reading = false, writing = false;  // an asynchronous wait is pending
     bool ended = false;                     // the sender has sent its FIN
-    bool broken = false;          // the connection is reset or lost; bytes in the kernel are still read
+    bool broken = false;          // reset or lost; bytes that the kernel has received are still read
     bool discardsInput = false;   // input is read and discarded
     bool closeDone = false;       // the close message was written, or none can be sent
     bool closeForwarded = false;  // the receiver got a close message
--- a/src/stream/settings.hpp
+++ b/src/stream/settings.hpp
@@ -25,8 +25,8 @@
 
 struct StreamSettings {
   bool enabled = false;
-  double descriptorShare = 0.2;  // share of the process descriptors; client and host connections divide the
-                                 // rest in their usual proportion
+  double descriptorShare = 0.2;  // fraction of the process's descriptors; the fractions in GatewayOptions
+                                 // apply to the rest
   std::size_t most = 1000;       // concurrent streams of this gateway; less if there are too few descriptors
   std::size_t bufferBytes = std::size_t{16} * 1024 * 1024;  // total relay buffer of all streams
   std::size_t hostStreamLimit = 0;  // concurrent streams of one host over all gateways; 0: no bound
--- a/src/stream/statistics.hpp
+++ b/src/stream/statistics.hpp
@@ -39,9 +39,10 @@
 
  private:
   struct NameStats {
+    // Streams accepted; established and not ended; bytes sent by the client, by the host.
     std::uint64_t taken = 0, held = 0, in = 0, out = 0;
     std::array<std::array<std::uint64_t, kEndReasonCount>, 3> ended{};  // by EndedBy and EndReason
-    std::array<std::uint64_t, 3> became{};
+    std::array<std::uint64_t, 3> became{};                              // by StreamResult
   };
   NameStats& of(const std::string& name) { return names_[name]; }
   bool takeLogToken(Time now);
--- a/src/stream/tcp_proxy_handler.cpp
+++ b/src/stream/tcp_proxy_handler.cpp
@@ -129,8 +129,8 @@
   readHeader(pending);
 }
 
-// A client that resets before its stream is established has left; one that has sent its FIN still waits for a
-// response.
+// Drops the pending stream when the client resets its connection. A client that has only sent its FIN still
+// waits for a response.
 void TcpProxyHandler::watchForReset(const std::shared_ptr<PendingStream>& pending) {
   pending->client.async_wait(tcp::socket::wait_error, [this, pending](error_code error) {
     if (error || pending->over) return;
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -71,8 +71,8 @@
   return out;
 }
 
-// Sixteen bytes in canonical base64 (4.1, item 7). Another encoding of the same bytes would produce a
-// different accept value.
+// Whether `key` is sixteen bytes in canonical base64 (4.1, item 7). Another encoding of the same bytes would
+// produce a different accept value.
 bool isKey(std::string_view key) {
   if (key.size() != 24 || key.substr(22) != "==") return false;
   static constexpr std::string_view kLetters =
