--- a/src/app/gateway_program.cpp
+++ b/src/app/gateway_program.cpp
@@ -55,7 +55,7 @@
 
 GatewayConfig GatewayProgram::readGatewayConfig() const {
   GatewayConfig config = loadConfig(options_.config, clock_);
-  config.options = operator_.file.tuning;
+  config.options = operator_.file.gatewayOptions;
   if (const stream::StreamSettings& streams = operator_.file.streams; streams.enabled) {
     config.options.reservedDescriptorFraction = streams.descriptorShare;
     config.settings.maxStreams =
@@ -107,10 +107,10 @@
 
 // Attached before the filters that hold requests, so that held requests pass through it as well.
 void GatewayProgram::attachCrossZoneBudget() {
-  if (!operator_.file.crossing.enabled) return;
+  if (!operator_.file.crossZone.enabled) return;
   ensureHookFilter();
   crossZone_ =
-      std::make_unique<cross_zone::CrossZoneFilter>(clock_, operator_.file.crossing, config_.settings);
+      std::make_unique<cross_zone::CrossZoneFilter>(clock_, operator_.file.crossZone, config_.settings);
   gateway_.attach(*crossZone_);
   summaryLog_.start();
 }
@@ -235,7 +235,7 @@
 // Runs on the event loop in one step, so that no handler sees a partly applied file.
 void GatewayProgram::onOperatorFileLoaded(LoadedOperatorFile&& loaded) {
   operator_ = std::move(loaded);
-  gateway_.setOptions(operator_.file.tuning);
+  gateway_.setOptions(operator_.file.gatewayOptions);
   summaryLog_.setInterval(operator_.file.hooks.reportInterval);
   attachHooks();
   std::fprintf(stderr, "finchstile: operator's file reloaded, version %llu\n",
@@ -249,7 +249,7 @@
   if (idempotency_) lines.push_back(idempotency_->summary());
   if (peers_) lines.push_back(peers_->summary());
   if (membership_) lines.push_back(membership_->summary());
-  if (streams_) lines.push_back(streams_->account().summary());
+  if (streams_) lines.push_back(streams_->statistics().summary());
   if (trace_) lines.push_back(trace_->summary());
   if (configuration_) lines.push_back(configuration_->summary());
   if (crossZone_)
@@ -259,7 +259,7 @@
 
 std::string GatewayProgram::subsystemMetrics() const {
   std::string metrics;
-  if (crossZone_) metrics += crossZone_->account().exposition();
+  if (crossZone_) metrics += crossZone_->statistics().exposition();
   if (streams_) metrics += streams_->exposition();
   if (membership_) metrics += membership_->exposition();
   if (configuration_) metrics += configuration_->exposition();
--- a/src/stream/tcp_proxy_handler.cpp
+++ b/src/stream/tcp_proxy_handler.cpp
@@ -111,12 +111,12 @@
   pending->info.from = textOf(from);
   pending->info.since = clock_.now();
   pending->ends.ends = ProxyHeader::Ends{from, to};
-  table_.account().onAccepted(l.settings.name);
+  table_.statistics().onAccepted(l.settings.name);
   pendingStreams_.emplace(pending->request, pending);
   // Pending streams count as well: connections that never send a PROXY header must not exceed the limit
   // before the decision module sees them.
   if (pendingStreams_.size() + table_.size() > table_.most())
-    return dropPending(pending, {EndedBy::gateway, EndReason::turnedAway, false});
+    return dropPending(pending, {EndedBy::gateway, EndReason::rejected, false});
   pending->client.non_blocking(true, error);
   watchForReset(pending);
   if (pending->over) return;
@@ -129,12 +129,13 @@
   readHeader(pending);
 }
 
-// A client that resets before its stream is established has left; one that has sent its FIN still waits for a
-// response.
+// Drops the pending stream when the client resets its connection. A client that has only sent its FIN still
+// waits for a response.
 void TcpProxyHandler::watchForReset(const std::shared_ptr<PendingStream>& pending) {
   pending->client.async_wait(tcp::socket::wait_error, [this, pending](error_code error) {
     if (error || pending->over) return;
-    if (isBroken(pending->client)) dropPending(pending, {EndedBy::client, EndReason::left, false});
+    if (isBroken(pending->client))
+      dropPending(pending, {EndedBy::client, EndReason::clientDisconnected, false});
   });
 }
 
@@ -245,14 +246,14 @@
   const auto pending = find(request);
   if (!pending) return;
   pending->submitted = false;
-  dropPending(pending, {EndedBy::gateway, EndReason::turnedAway, false});
+  dropPending(pending, {EndedBy::gateway, EndReason::rejected, false});
 }
 
 void TcpProxyHandler::onRequestFailed(RequestId request) {
   const auto pending = find(request);
   if (!pending) return;
   pending->submitted = false;
-  dropPending(pending, {EndedBy::host, EndReason::unreached, false});
+  dropPending(pending, {EndedBy::host, EndReason::notEstablished, false});
 }
 
 void TcpProxyHandler::dropPending(const std::shared_ptr<PendingStream>& pending, const Ending& how) {
--- a/tests/stream/decisions_test.cpp
+++ b/tests/stream/decisions_test.cpp
@@ -5,12 +5,12 @@
 #include <algorithm>
 #include <random>
 
-#include "stream/account.hpp"
 #include "stream/buffers.hpp"
 #include "stream/deadlines.hpp"
 #include "stream/drain_plan.hpp"
 #include "stream/ending.hpp"
 #include "stream/flow.hpp"
+#include "stream/statistics.hpp"
 
 namespace finchstile::stream {
 namespace {
@@ -246,9 +246,9 @@
       {{EndedBy::host, EndReason::finished, true}, StreamResult::served, Outcome::served},
       {{EndedBy::client, EndReason::reset, false}, StreamResult::failed, Outcome::served},
       {{EndedBy::host, EndReason::reset, false}, StreamResult::failed, Outcome::reset},
-      {{EndedBy::gateway, EndReason::turnedAway, false}, StreamResult::refused, Outcome::served},
-      {{EndedBy::host, EndReason::unreached, false}, StreamResult::failed, Outcome::served},
-      {{EndedBy::client, EndReason::left, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::gateway, EndReason::rejected, false}, StreamResult::refused, Outcome::served},
+      {{EndedBy::host, EndReason::notEstablished, false}, StreamResult::failed, Outcome::served},
+      {{EndedBy::client, EndReason::clientDisconnected, false}, StreamResult::failed, Outcome::served},
       {{EndedBy::gateway, EndReason::drain, true}, StreamResult::served, Outcome::served},
       {{EndedBy::gateway, EndReason::drain, false}, StreamResult::failed, Outcome::served},
       {{EndedBy::gateway, EndReason::idle, true}, StreamResult::served, Outcome::served},
@@ -268,7 +268,7 @@
 }
 
 TEST(Account, LogsPartyAndReasonAndLimitsTheRateOfLines) {
-  StreamAccount a(LogEnds::all);
+  StreamStatistics a(LogEnds::all);
   a.onAccepted("scan");
   a.onBegun("scan");
   const EndedStream one{
@@ -291,13 +291,13 @@
 }
 
 TEST(Account, LogsOnlyFailedStreamsWhenConfiguredSo) {
-  StreamAccount a(LogEnds::failed);
+  StreamStatistics a(LogEnds::failed);
   EXPECT_EQ(a.onEnded("x", {"x", "", "c", {EndedBy::client, EndReason::finished, true}, {}, 0, 0}, false,
                       seconds(1)),
             "");
-  EXPECT_NE(
-      a.onEnded("x", {"x", "", "c", {EndedBy::client, EndReason::left, false}, {}, 0, 0}, false, seconds(1)),
-      "");
+  EXPECT_NE(a.onEnded("x", {"x", "", "c", {EndedBy::client, EndReason::clientDisconnected, false}, {}, 0, 0},
+                      false, seconds(1)),
+            "");
 }
 
 }  // namespace
