--- a/bench/allocation_count.cpp
+++ b/bench/allocation_count.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-std::atomic<std::int64_t> inUse{0};
+std::atomic<std::int64_t> bytesInUse{0};
 
 void* allocate(std::size_t size) {
   void* memory = std::malloc(size == 0 ? 1 : size);
   if (!memory) throw std::bad_alloc();
-  inUse += static_cast<std::int64_t>(malloc_usable_size(memory));
+  bytesInUse += static_cast<std::int64_t>(malloc_usable_size(memory));
   return memory;
 }
 
 void release(void* memory) noexcept {
   if (!memory) return;
-  inUse -= static_cast<std::int64_t>(malloc_usable_size(memory));
+  bytesInUse -= static_cast<std::int64_t>(malloc_usable_size(memory));
   std::free(memory);
 }
 
@@ -44,4 +44,4 @@
 void operator delete(void* memory, std::size_t) noexcept { release(memory); }
 void operator delete[](void* memory, std::size_t) noexcept { release(memory); }
 
-std::int64_t finchstile::bench::allocatedBytes() { return inUse; }
+std::int64_t finchstile::bench::allocatedBytes() { return bytesInUse; }
--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -30,87 +30,96 @@
 using load_balancing::HostListUpdate;
 using load_balancing::HostPhase;
 using load_balancing::LoadBalancer;
+using load_balancing::RequestId;
 using load_balancing::Settings;
 using nlohmann::json;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 constexpr std::uint32_t kGateways = 520;
-constexpr std::size_t kZones = 5;  // number of zones used by fake_upstream::zoneName
-constexpr std::size_t kUsualHosts = 46, kUsualClasses = 8, kUsualTenants = 0;
+constexpr std::size_t kZones = 5;  // zones that fake_upstream::zoneName assigns in turn
+constexpr std::size_t kTypicalHosts = 46, kTypicalClasses = 8, kTypicalTenants = 0;
 constexpr int kRequestsPerSample = 2000;
 constexpr int kChangesPerSample = 20;
-constexpr double kRequestsPerSecond = 230;  // peak rate of one gateway
+constexpr double kRequestsPerSecond = 230;  // of one gateway at peak
+constexpr double kNanosecondsPerSecond = 1e9;
+constexpr milliseconds kAttemptLatency(20);
+constexpr seconds kSweepAdvance(60);       // longer than the sweep period at any size
+constexpr RequestId kTenantStride = 7919;  // prime: consecutive requests are of distant tenants
+constexpr double kInitialQuota = 50;       // requests per second of a tenant
 
 struct Options {
-  std::string out, only;
-  std::size_t samples = 5;
+  std::string out;          // path of the tab-separated file; empty: none
+  std::string only;         // the variable to measure; empty: all
+  std::size_t samples = 5;  // measurements of each cost
 };
 
-std::vector<HostEntry> entries(std::size_t count) {
-  std::vector<HostEntry> all(count);
+std::vector<HostEntry> hostEntries(std::size_t count) {
+  std::vector<HostEntry> hosts(count);
   for (std::size_t i = 0; i < count; ++i) {
-    all[i].address = hostName(i);
-    all[i].zone = zoneName(i);
-    all[i].machineType = "std";
+    hosts[i].address = hostName(i);
+    hosts[i].zone = zoneName(i);
+    hosts[i].machineType = "std";
   }
-  return all;
+  return hosts;
 }
 
 Settings settingsOf(std::size_t classes, std::size_t tenants) {
-  Settings s;
-  s.gatewayCount = kGateways;
-  s.gatewayIndex = kGateways / 2;
-  s.zone = zoneName(0);
-  s.maxAttempts = 3;
-  s.retryAfterEnabled = true;
-  s.warmUpTime = seconds(9);
-  s.initialCapacityFraction = 0.32;
-  s.collapseWindow = seconds(2);
+  Settings settings;
+  settings.gatewayCount = kGateways;
+  settings.gatewayIndex = kGateways / 2;
+  settings.zone = zoneName(0);
+  settings.maxAttempts = 3;
+  settings.retryAfterEnabled = true;
+  settings.warmUpTime = seconds(9);
+  settings.initialCapacityFraction = 0.32;
+  settings.collapseWindow = seconds(2);
   for (std::size_t i = 0; i < classes; ++i) {
-    load_balancing::ClassSettings c;
-    c.name = "class-" + std::to_string(i);
-    c.latencyObjective = milliseconds(400);
-    c.clientTimeout = seconds(1);
-    c.idempotency = load_balancing::Idempotency::idempotent;
-    s.classes.push_back(c);
+    load_balancing::ClassSettings requestClass;
+    requestClass.name = "class-" + std::to_string(i);
+    requestClass.latencyObjective = milliseconds(400);
+    requestClass.clientTimeout = seconds(1);
+    requestClass.idempotency = load_balancing::Idempotency::idempotent;
+    settings.classes.push_back(requestClass);
   }
-  for (std::size_t i = 0; i < tenants; ++i) s.tenants.push_back({tenantName(i), 50});
-  return s;
+  for (std::size_t i = 0; i < tenants; ++i) settings.tenants.push_back({tenantName(i), kInitialQuota});
+  return settings;
 }
 
-// A decision module with hosts that answer requests after 20 ms.
-class Driven {
+// A decision module under load: each request has one attempt, which succeeds after kAttemptLatency.
+class LoadedBalancer {
  public:
-  Driven(std::size_t hosts, std::size_t classes, std::size_t tenants)
+  LoadedBalancer(std::size_t hosts, std::size_t classes, std::size_t tenants)
       : classes_(classes), tenants_(tenants), balancer_(settingsOf(classes, tenants), now_) {
-    balancer_.onHostListUpdate(now_, HostListUpdate::complete, entries(hosts));
+    balancer_.onHostListUpdate(now_, HostListUpdate::complete, hostEntries(hosts));
     balancer_.actions().clear();
   }
   LoadBalancer& balancer() { return balancer_; }
   load_balancing::Time now() const { return now_; }
 
+  // Simulates a request and the result of its attempt, if the module sends one.
   void request() {
-    now_ += std::chrono::nanoseconds(static_cast<std::int64_t>(1e9 / kRequestsPerSecond));
-    load_balancing::Request q;
-    q.id = ++last_;
-    q.classIndex = static_cast<std::uint32_t>(last_ % classes_);
-    if (tenants_ > 0) q.tenantIndex = static_cast<std::uint32_t>(last_ * 7919 % tenants_);
-    q.timeLeft = seconds(1);
-    balancer_.onRequest(now_, q);
-    load_balancing::AttemptResult done;
+    now_ += std::chrono::nanoseconds(static_cast<std::int64_t>(kNanosecondsPerSecond / kRequestsPerSecond));
+    load_balancing::Request incoming;
+    incoming.id = ++lastRequestId_;
+    incoming.classIndex = static_cast<std::uint32_t>(lastRequestId_ % classes_);
+    if (tenants_ > 0)
+      incoming.tenantIndex = static_cast<std::uint32_t>(lastRequestId_ * kTenantStride % tenants_);
+    incoming.timeLeft = seconds(1);
+    balancer_.onRequest(now_, incoming);
+    load_balancing::AttemptResult result;
     for (const auto& action : balancer_.actions())
       if (action.kind == load_balancing::ActionKind::sendAttempt)
-        done = {action.request,   action.attempt,
-                action.host,      load_balancing::Outcome::served,
-                milliseconds(20), true};
+        result = {action.request,  action.attempt,
+                  action.host,     load_balancing::Outcome::served,
+                  kAttemptLatency, true};
     balancer_.actions().clear();
-    if (done.request == 0) return;
-    balancer_.onAttemptResult(now_, done);
+    if (result.request == 0) return;
+    balancer_.onAttemptResult(now_, result);
     balancer_.actions().clear();
   }
   void sweep() {
-    now_ += seconds(60);  // longer than the sweep period at any size
+    now_ += kSweepAdvance;
     balancer_.onTimer(now_);
     balancer_.actions().clear();
   }
@@ -118,7 +127,7 @@
  private:
   std::size_t classes_, tenants_;
   load_balancing::Time now_ = seconds(1000);
-  load_balancing::RequestId last_ = 0;
+  RequestId lastRequestId_ = 0;
   LoadBalancer balancer_;
 };
 
@@ -126,86 +135,90 @@
  public:
   explicit Capacity(const Options& options) : options_(options), table_(options.out) {}
 
+  // Measures the selected variables, each at several sizes.
   void run() {
-    if (wanted("hosts"))
-      for (const std::size_t n : {46, 640, 6400, 12800}) hosts(n);
-    if (wanted("tenants"))
-      for (const std::size_t n : {100, 4000, 27000}) tenants(n);
-    if (wanted("configuration"))
-      for (const std::size_t n : {100, 4000, 27000, 54000}) configuration(n);
-    if (wanted("classes"))
-      for (const std::size_t n : {8, 140, 1000, 4000}) classes(n);
+    if (isSelected("hosts"))
+      for (const std::size_t n : {46, 640, 6400, 12800}) measureHosts(n);
+    if (isSelected("tenants"))
+      for (const std::size_t n : {100, 4000, 27000}) measureTenants(n);
+    if (isSelected("configuration"))
+      for (const std::size_t n : {100, 4000, 27000, 54000}) measureConfiguration(n);
+    if (isSelected("classes"))
+      for (const std::size_t n : {8, 140, 1000, 4000}) measureClasses(n);
   }
 
  private:
-  bool wanted(const char* variable) const { return options_.only.empty() || options_.only == variable; }
+  bool isSelected(const char* variable) const { return options_.only.empty() || options_.only == variable; }
 
-  // Calls `sample` once for each of options_.samples measurements.
+  // Calls `sample`, which returns one measured value in `unit`, options_.samples times.
   void add(const char* variable, std::size_t size, const char* cost, const char* unit,
            const std::function<double()>& sample) {
     Row row{variable, static_cast<double>(size), cost, unit, {}};
     for (std::size_t i = 0; i < options_.samples; ++i) row.samples.values.push_back(sample());
     table_.add(row);
   }
-  void addRequest(const char* variable, std::size_t size, Driven& driven) {
+  void addRequest(const char* variable, std::size_t size, LoadedBalancer& loaded) {
     add(variable, size, "a request", "us", [&] {
       return 1e6 / kRequestsPerSample * processorSecondsOf([&] {
-               for (int i = 0; i < kRequestsPerSample; ++i) driven.request();
+               for (int i = 0; i < kRequestsPerSample; ++i) loaded.request();
              });
     });
   }
-  void addMemory(const char* variable, std::size_t size, const std::function<Driven()>& make) {
+  void addMemory(const char* variable, std::size_t size, const std::function<LoadedBalancer()>& make) {
     add(variable, size, "memory of the module", "MB", [&] {
       const std::int64_t before = allocatedBytes();
-      const Driven driven = make();
+      const LoadedBalancer loaded = make();
       return static_cast<double>(allocatedBytes() - before) * 1e-6;
     });
   }
 
-  void hosts(std::size_t n) {
+  void measureHosts(std::size_t hostCount) {
     const Clock clock;
-    const std::string list =
-        fake_upstream::listJson(1, true, fake_upstream::hostsJson(n, "10.1.0.18:8443")).dump();
-    add("hosts", n, "bytes of the whole list", "kB", [&] { return static_cast<double>(list.size()) * 1e-3; });
-    add("hosts", n, "whole list, read", "ms",
-        [&] { return 1e3 * processorSecondsOf([&] { parseHostList(list, clock); }); });
-    add("hosts", n, "whole list, taken", "ms", [&] {
-      LoadBalancer balancer(settingsOf(kUsualClasses, kUsualTenants), seconds(1));
-      const auto all = entries(n);
+    const std::string listJson =
+        fake_upstream::listJson(1, true, fake_upstream::hostsJson(hostCount, "10.1.0.18:8443")).dump();
+    add("hosts", hostCount, "bytes of the whole list", "kB",
+        [&] { return static_cast<double>(listJson.size()) * 1e-3; });
+    add("hosts", hostCount, "whole list, read", "ms",
+        [&] { return 1e3 * processorSecondsOf([&] { parseHostList(listJson, clock); }); });
+    add("hosts", hostCount, "whole list, taken", "ms", [&] {
+      LoadBalancer balancer(settingsOf(kTypicalClasses, kTypicalTenants), seconds(1));
+      const auto hosts = hostEntries(hostCount);
       return 1e3 * processorSecondsOf(
-                       [&] { balancer.onHostListUpdate(seconds(1), HostListUpdate::complete, all); });
+                       [&] { balancer.onHostListUpdate(seconds(1), HostListUpdate::complete, hosts); });
     });
-    Driven driven(n, kUsualClasses, kUsualTenants);
-    auto all = entries(n);
-    add("hosts", n, "change of one host", "us", [&] {
+    LoadedBalancer loaded(hostCount, kTypicalClasses, kTypicalTenants);
+    auto hosts = hostEntries(hostCount);
+    add("hosts", hostCount, "change of one host", "us", [&] {
       return 1e6 / kChangesPerSample * processorSecondsOf([&] {
                for (int i = 0; i < kChangesPerSample; ++i) {
-                 HostEntry& host = all[static_cast<std::size_t>(i) * 7 % n];
+                 HostEntry& host = hosts[static_cast<std::size_t>(i) * 7 % hostCount];
                  host.phase = host.phase == HostPhase::active ? HostPhase::draining : HostPhase::active;
-                 driven.balancer().onHostListUpdate(driven.now(), HostListUpdate::incremental, {host});
-                 driven.balancer().actions().clear();
+                 loaded.balancer().onHostListUpdate(loaded.now(), HostListUpdate::incremental, {host});
+                 loaded.balancer().actions().clear();
                }
              });
     });
-    add("hosts", n, "a zone's changes at once", "ms", [&] {
-      std::vector<HostEntry> zone;
-      for (std::size_t i = 0; i < n; i += kZones) {
-        all[i].phase = all[i].phase == HostPhase::active ? HostPhase::draining : HostPhase::active;
-        zone.push_back(all[i]);
+    add("hosts", hostCount, "a zone's changes at once", "ms", [&] {
+      std::vector<HostEntry> zoneHosts;
+      for (std::size_t i = 0; i < hostCount; i += kZones) {
+        hosts[i].phase = hosts[i].phase == HostPhase::active ? HostPhase::draining : HostPhase::active;
+        zoneHosts.push_back(hosts[i]);
       }
       return 1e3 * processorSecondsOf([&] {
-               driven.balancer().onHostListUpdate(driven.now(), HostListUpdate::incremental, zone);
+               loaded.balancer().onHostListUpdate(loaded.now(), HostListUpdate::incremental, zoneHosts);
              });
     });
-    for (HostEntry& host : all) host.phase = HostPhase::active;
-    driven.balancer().onHostListUpdate(driven.now(), HostListUpdate::complete, all);
-    driven.balancer().actions().clear();
-    addRequest("hosts", n, driven);
-    add("hosts", n, "a sweep", "us", [&] { return 1e6 * processorSecondsOf([&] { driven.sweep(); }); });
-    addMemory("hosts", n, [&] { return Driven(n, kUsualClasses, kUsualTenants); });
+    for (HostEntry& host : hosts) host.phase = HostPhase::active;
+    loaded.balancer().onHostListUpdate(loaded.now(), HostListUpdate::complete, hosts);
+    loaded.balancer().actions().clear();
+    addRequest("hosts", hostCount, loaded);
+    add("hosts", hostCount, "a sweep", "us",
+        [&] { return 1e6 * processorSecondsOf([&] { loaded.sweep(); }); });
+    addMemory("hosts", hostCount,
+              [&] { return LoadedBalancer(hostCount, kTypicalClasses, kTypicalTenants); });
   }
 
-  void tenants(std::size_t n) {
+  void measureTenants(std::size_t tenantCount) {
     const Clock clock;
     json config = {{"listen", "127.0.0.1:0"},
                    {"discovery", "127.0.0.1:1"},
@@ -213,113 +226,118 @@
                    {"settings", fake_upstream::settingsJson(
                                     json::array({fake_upstream::gradeJson({"read", "retryable", "all", 1})}),
                                     true, zoneName(0))}};
-    for (std::size_t i = 0; i < n; ++i)
-      config["settings"]["tenants"].push_back({{"name", tenantName(i)}, {"quotaRps", 50.0}});
+    for (std::size_t i = 0; i < tenantCount; ++i)
+      config["settings"]["tenants"].push_back({{"name", tenantName(i)}, {"quotaRps", kInitialQuota}});
     const std::string text = config.dump();
     try {
       readConfig(text, clock);
-      add("tenants", n, "configuration, read", "ms",
+      add("tenants", tenantCount, "configuration, read", "ms",
           [&] { return 1e3 * processorSecondsOf([&] { readConfig(text, clock); }); });
-    } catch (const std::exception& refused) {
-      std::printf("tenants   %7zu  configuration, read: refused, %s\n", n, refused.what());
+    } catch (const std::exception& error) {
+      std::printf("tenants   %7zu  configuration, read: refused, %s\n", tenantCount, error.what());
     }
-    Driven driven(kUsualHosts, kUsualClasses, n);
-    addRequest("tenants", n, driven);
-    addMemory("tenants", n, [&] { return Driven(kUsualHosts, kUsualClasses, n); });
+    LoadedBalancer loaded(kTypicalHosts, kTypicalClasses, tenantCount);
+    addRequest("tenants", tenantCount, loaded);
+    addMemory("tenants", tenantCount,
+              [&] { return LoadedBalancer(kTypicalHosts, kTypicalClasses, tenantCount); });
   }
 
   // The configuration distributed by control machines: a snapshot and a single change, as the worker thread
   // parses them, and their application on the event loop.
-  void configuration(std::size_t n) {
+  void measureConfiguration(std::size_t tenantCount) {
     using namespace finchstile::configuration;
     fake_upstream::ControlLog log({1, 1'000'000, 0});
-    std::vector<DocumentChange> all;
-    for (std::size_t i = 0; i < n; ++i)
-      all.push_back({std::string(kTenantPrefix) + tenantName(i), TenantDocument{tenantName(i), 50}});
-    log.publish(all);
-    const std::string whole = log.answer({}, 0)->body;
-    add("configuration", n, "bytes of the whole", "kB",
-        [&] { return static_cast<double>(whole.size()) * 1e-3; });
-    const Settings start = settingsOf(kUsualClasses, kUsualTenants);
-    add("configuration", n, "whole, read and checked", "ms", [&] {
+    std::vector<DocumentChange> documents;
+    for (std::size_t i = 0; i < tenantCount; ++i)
+      documents.push_back(
+          {std::string(kTenantPrefix) + tenantName(i), TenantDocument{tenantName(i), kInitialQuota}});
+    log.publish(documents);
+    const std::string snapshot = log.answer({}, 0)->body;
+    add("configuration", tenantCount, "bytes of the whole", "kB",
+        [&] { return static_cast<double>(snapshot.size()) * 1e-3; });
+    const Settings start = settingsOf(kTypicalClasses, kTypicalTenants);
+    add("configuration", tenantCount, "whole, read and checked", "ms", [&] {
       ConfigurationStore store(start);
-      return 1e3 * processorSecondsOf([&] { store.apply(parseUpdate(whole)); });
+      return 1e3 * processorSecondsOf([&] { store.apply(parseUpdate(snapshot)); });
     });
-    add("configuration", n, "memory of the store", "MB", [&] {
+    add("configuration", tenantCount, "memory of the store", "MB", [&] {
       const std::int64_t before = allocatedBytes();
       ConfigurationStore store(start);
-      store.apply(parseUpdate(whole));
+      store.apply(parseUpdate(snapshot));
       return static_cast<double>(allocatedBytes() - before) * 1e-6;
     });
     ConfigurationStore store(start);
-    const SettingsChange terms = store.apply(parseUpdate(whole)).change;
-    add("configuration", n, "whole, taken by the loop", "ms", [&] {
-      Driven driven(kUsualHosts, kUsualClasses, kUsualTenants);
+    const SettingsChange initialChange = store.apply(parseUpdate(snapshot)).change;
+    add("configuration", tenantCount, "whole, taken by the loop", "ms", [&] {
+      LoadedBalancer loaded(kTypicalHosts, kTypicalClasses, kTypicalTenants);
       TenantTable table({});
-      return 1e3 * processorSecondsOf([&] { take(terms, driven.balancer(), table, driven.now()); });
+      return 1e3 *
+             processorSecondsOf([&] { applyChange(initialChange, loaded.balancer(), table, loaded.now()); });
     });
-    Driven driven(kUsualHosts, kUsualClasses, kUsualTenants);
+    LoadedBalancer loaded(kTypicalHosts, kTypicalClasses, kTypicalTenants);
     TenantTable table({});
-    take(terms, driven.balancer(), table, driven.now());
-    add("configuration", n, "one change, read and checked", "us", [&] {
-      log.publish(
-          {{std::string(kTenantPrefix) + tenantName(n / 2), TenantDocument{tenantName(n / 2), ++quota_}}});
+    applyChange(initialChange, loaded.balancer(), table, loaded.now());
+    add("configuration", tenantCount, "one change, read and checked", "us", [&] {
+      log.publish({{std::string(kTenantPrefix) + tenantName(tenantCount / 2),
+                    TenantDocument{tenantName(tenantCount / 2), ++publishedQuota_}}});
       const std::string change = log.answer({"", store.versionState(), {}}, 0)->body;
-      return 1e6 * processorSecondsOf([&] { last_ = store.apply(parseUpdate(change)).change; });
+      return 1e6 * processorSecondsOf([&] { lastChange_ = store.apply(parseUpdate(change)).change; });
     });
-    add("configuration", n, "one change, taken by the loop", "us", [&] {
-      return 1e6 * processorSecondsOf([&] { take(last_, driven.balancer(), table, driven.now()); });
+    add("configuration", tenantCount, "one change, taken by the loop", "us", [&] {
+      return 1e6 *
+             processorSecondsOf([&] { applyChange(lastChange_, loaded.balancer(), table, loaded.now()); });
     });
   }
   // Applies a change like Gateway::applyDynamicSettings.
-  static void take(const finchstile::configuration::SettingsChange& change, LoadBalancer& balancer,
-                   TenantTable& table, load_balancing::Time now) {
-    load_balancing::DynamicSettings terms;
+  static void applyChange(const finchstile::configuration::SettingsChange& change, LoadBalancer& balancer,
+                          TenantTable& table, load_balancing::Time now) {
+    load_balancing::DynamicSettings settings;
     for (const auto& tenant : change.tenants) {
-      terms.tenants.push_back({tenant.index, *tenant.quotaPerSecond});
+      settings.tenants.push_back({tenant.index, *tenant.quotaPerSecond});
       table.list(tenant.index, tenant.name);
     }
-    balancer.onDynamicSettings(now, terms);
+    balancer.onDynamicSettings(now, settings);
     balancer.actions().clear();
   }
 
-  // Routes are modelled as classes: a class is chosen by the first part of the path, and there are no other
-  // routes.
-  void classes(std::size_t n) {
-    add("classes", n, "start of the module", "us", [&] {
-      return 1e6 * processorSecondsOf([&] { LoadBalancer(settingsOf(n, kUsualTenants), seconds(1)); });
+  // Covers routes too: the first part of the path chooses the class, and a gateway has no other routes.
+  void measureClasses(std::size_t classCount) {
+    add("classes", classCount, "start of the module", "us", [&] {
+      return 1e6 *
+             processorSecondsOf([&] { LoadBalancer(settingsOf(classCount, kTypicalTenants), seconds(1)); });
     });
-    Driven driven(kUsualHosts, n, kUsualTenants);
-    addRequest("classes", n, driven);
-    addMemory("classes", n, [&] { return Driven(kUsualHosts, n, kUsualTenants); });
+    LoadedBalancer loaded(kTypicalHosts, classCount, kTypicalTenants);
+    addRequest("classes", classCount, loaded);
+    addMemory("classes", classCount,
+              [&] { return LoadedBalancer(kTypicalHosts, classCount, kTypicalTenants); });
   }
 
   const Options options_;
   Table table_;
-  double quota_ = 50;
-  finchstile::configuration::SettingsChange last_;
+  double publishedQuota_ = kInitialQuota;
+  finchstile::configuration::SettingsChange lastChange_;
 };
 
 Options readOptions(int argc, char** argv) {
-  Options o;
+  Options options;
   for (int i = 1; i < argc; i += 2) {
     const std::string name = argv[i];
     if (i + 1 >= argc) throw std::invalid_argument(name + " needs a value");
     const std::string value = argv[i + 1];
     if (name == "--out") {
-      o.out = value;
+      options.out = value;
     } else if (name == "--samples") {
       const int samples = std::atoi(value.c_str());
       if (samples < 1 || samples > 100) throw std::invalid_argument("--samples must be from 1 to 100");
-      o.samples = static_cast<std::size_t>(samples);
+      options.samples = static_cast<std::size_t>(samples);
     } else if (name == "--only" &&
                (value == "hosts" || value == "tenants" || value == "classes" || value == "configuration")) {
-      o.only = value;
+      options.only = value;
     } else {
       throw std::invalid_argument(std::string("unknown option ").append(name).append(" ").append(value));
     }
   }
-  return o;
+  return options;
 }
 
 }  // namespace
@@ -328,7 +346,7 @@
 int main(int argc, char** argv) try {
   finchstile::bench::Capacity(finchstile::bench::readOptions(argc, argv)).run();
   return 0;
-} catch (const std::exception& bad) {
-  std::fprintf(stderr, "bench_capacity: %s\n", bad.what());
+} catch (const std::exception& error) {
+  std::fprintf(stderr, "bench_capacity: %s\n", error.what());
   return 2;
 }
--- a/bench/measure.hpp
+++ b/bench/measure.hpp
@@ -18,36 +18,39 @@
 
 // Processor time of the whole process, in seconds.
 inline double processorSeconds() {
+  constexpr double kSecondsPerNanosecond = 1e-9;
   timespec t{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &t);
-  return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * 1e-9;
+  return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * kSecondsPerNanosecond;
 }
 
-// Processor time that `work` takes, in seconds.
+// Processor time of the whole process while `work` runs, in seconds.
 inline double processorSecondsOf(const std::function<void()>& work) {
-  const double begun = processorSeconds();
+  const double start = processorSeconds();
   work();
-  return processorSeconds() - begun;
+  return processorSeconds() - start;
 }
 
 // Bytes of the heap in use, as counted by bench/allocation_count.cpp.
 std::int64_t allocatedBytes();
 
-// Samples of one quantity.
+// Repeated measurements of one quantity.
 struct Samples {
   std::vector<double> values;
 
-  double quantile(double at) const {
+  // `fraction`: 0 for the minimum, 1 for the maximum.
+  double quantile(double fraction) const {
     std::vector<double> sorted = values;
     std::sort(sorted.begin(), sorted.end());
-    return sorted.at(static_cast<std::size_t>(std::lround(at * static_cast<double>(sorted.size() - 1))));
+    return sorted.at(
+        static_cast<std::size_t>(std::lround(fraction * static_cast<double>(sorted.size() - 1))));
   }
   double median() const { return quantile(0.5); }
   double least() const { return quantile(0); }
   double most() const { return quantile(1); }
 };
 
-// A row of the results: one cost at one size.
+// One measured quantity at one size.
 struct Row {
   std::string variable;  // varied quantity, e.g. "hosts"
   double size = 0;
