--- a/bench/configuration_changes.cpp
+++ b/bench/configuration_changes.cpp
@@ -29,29 +29,32 @@
 using SteadyClock = std::chrono::steady_clock;
 
 constexpr std::size_t kTenants = 27000;
-constexpr int kWarmUp = 500;
-constexpr std::chrono::milliseconds kBetweenChanges(4);
+constexpr int kWarmUpRequests = 500;   // sent before the measured ones
+constexpr double kInitialQuota = 1e6;  // requests per second of a tenant: no request exceeds it
+constexpr int kTenantStride = 7919;    // prime, so that consecutive changes are of distant tenants
+constexpr std::chrono::milliseconds kPollPeriod(10);  // for checks whether a revision is in force
+constexpr std::chrono::milliseconds kChangeInterval(4);
 
-// Sizes of a run; the small sizes are for a test of this program.
+// Sizes of a run; the small sizes are for the test that runs this program.
 struct Size {
   int rounds = 3, requests = 20000, changes = 1000;
 };
 constexpr Size kFull{}, kSmall{1, 1000, 50};
 
-enum class Mode { direct, none, quiet, changes };
-constexpr Mode kModes[] = {Mode::direct, Mode::none, Mode::quiet, Mode::changes};
+enum class Variant { direct, noClient, noChanges, changes };
+constexpr Variant kVariants[] = {Variant::direct, Variant::noClient, Variant::noChanges, Variant::changes};
 
-const char* nameOf(Mode mode) {
-  switch (mode) {
-    case Mode::direct: return "no gateway";
-    case Mode::none: return "no configuration client";
-    case Mode::quiet: return "client, no changes";
-    case Mode::changes: return "client, changes";
+const char* nameOf(Variant variant) {
+  switch (variant) {
+    case Variant::direct: return "no gateway";
+    case Variant::noClient: return "no configuration client";
+    case Variant::noChanges: return "client, no changes";
+    case Variant::changes: return "client, changes";
   }
   return "";
 }
 
-DocumentChange tenant(std::size_t i, double quota) {
+DocumentChange tenantChange(std::size_t i, double quota) {
   const std::string name = "tenant-" + std::to_string(i);
   return {"tenant/" + name, TenantDocument{name, quota}};
 }
@@ -72,32 +75,33 @@
 };
 
 struct Round {
-  Samples took;  // microseconds
-  std::size_t answered = 0, refused = 0;
-  std::uint64_t takenRevisions = 0;
+  Samples latencies;  // microseconds
+  std::size_t answered = 0, rejected = 0;
+  std::uint64_t revisionInForce = 0;  // at the end of the round
 };
 
-class Play {
+// One round of a variant, with a control machine, a host and a gateway of its own.
+class MeasuredRound {
  public:
-  Play(Mode mode, const Size& size) : mode_(mode), size_(size) {
-    std::vector<DocumentChange> all;
-    for (std::size_t i = 0; i < kTenants; ++i) all.push_back(tenant(i, 1e6));
+  MeasuredRound(Variant variant, const Size& size) : variant_(variant), size_(size) {
+    std::vector<DocumentChange> tenants;
+    for (std::size_t i = 0; i < kTenants; ++i) tenants.push_back(tenantChange(i, kInitialQuota));
     machine_ =
         std::make_unique<fake_upstream::ControlMachine>(control_.io, fake_upstream::ControlLog::Settings{});
-    machine_->log.publish(all);
+    machine_->log.publish(tenants);
   }
 
   Round run() {
-    if (mode_ == Mode::direct) return ask(host_.at());
+    if (variant_ == Variant::direct) return sendRequests(host_.endpoint());
     const nlohmann::json config = configFor(host_, fake_upstream::gradeJson({"get", "retryable", "all"}));
-    GatewayConfig read = readConfig(config.dump(), clock_);
-    const load_balancing::Settings start = read.settings;
+    GatewayConfig gatewayConfig = readConfig(config.dump(), clock_);
+    const load_balancing::Settings start = gatewayConfig.settings;
     asio::io_context io(1);
     asio::thread_pool worker(1);
-    Gateway gateway(io, clock_, std::move(read));
+    Gateway gateway(io, clock_, std::move(gatewayConfig));
     std::unique_ptr<configuration::Client> client;
     std::atomic<std::uint64_t> inForce{0};
-    if (mode_ != Mode::none) {
+    if (variant_ != Variant::noClient) {
       configuration::ConfigurationSettings settings;
       settings.addresses = {machine_->address()};
       settings.endpoints = {machine_->endpoint()};
@@ -113,15 +117,15 @@
       client->start();
     }
     gateway.start();
-    const auto at = gateway.endpoint();
+    const auto endpoint = gateway.endpoint();
     std::thread loop([&] { io.run(); });
-    while (client && inForce == 0) std::this_thread::sleep_for(std::chrono::milliseconds(10));
-    std::thread changer([&] { publishAll(); });
-    Round round = ask(at);
-    changer.join();
-    while (mode_ == Mode::changes && inForce < 1 + static_cast<std::uint64_t>(size_.changes))
-      std::this_thread::sleep_for(std::chrono::milliseconds(10));
-    round.takenRevisions = inForce;
+    while (client && inForce == 0) std::this_thread::sleep_for(kPollPeriod);
+    std::thread publisher([&] { publishAll(); });
+    Round round = sendRequests(endpoint);
+    publisher.join();
+    while (variant_ == Variant::changes && inForce < 1 + static_cast<std::uint64_t>(size_.changes))
+      std::this_thread::sleep_for(kPollPeriod);
+    round.revisionInForce = inForce;
     asio::post(io, [&] { io.stop(); });
     loop.join();
     client.reset();
@@ -130,42 +134,47 @@
   }
 
  private:
+  // Publishes the changes of the round at intervals; runs on a thread of its own.
   void publishAll() {
-    for (int i = 0; mode_ == Mode::changes && i < size_.changes; ++i) {
+    for (int i = 0; variant_ == Variant::changes && i < size_.changes; ++i) {
       asio::post(control_.io, [this, i] {
-        machine_->publish({tenant(static_cast<std::size_t>(i * 7919) % kTenants, 1e6 + i)});
+        machine_->publish(
+            {tenantChange(static_cast<std::size_t>(i * kTenantStride) % kTenants, kInitialQuota + i)});
       });
-      std::this_thread::sleep_for(kBetweenChanges);
+      std::this_thread::sleep_for(kChangeInterval);
     }
   }
-  Round ask(const asio::ip::tcp::endpoint& at) const {
+  // Sends the requests sequentially to the gateway or host at `endpoint`. Throws std::runtime_error if an
+  // answer has another status than 200 or 503.
+  Round sendRequests(const asio::ip::tcp::endpoint& endpoint) const {
     asio::io_context io;
     asio::ip::tcp::socket client(io);
-    client.connect(at);
+    client.connect(endpoint);
     client.set_option(asio::ip::tcp::no_delay(true));
     Round round;
     char bytes[4096];
-    for (int i = -kWarmUp; i < size_.requests; ++i) {
+    for (int i = -kWarmUpRequests; i < size_.requests; ++i) {
       const std::string id = std::to_string(1'000'000 + i);
       const std::string request = "GET /get/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: i" + id +
                                   "\r\nX-Time-Left-Ms: 2000\r\nX-Account: tenant-" +
-                                  std::to_string(static_cast<std::size_t>(i + kWarmUp) % kTenants) +
+                                  std::to_string(static_cast<std::size_t>(i + kWarmUpRequests) % kTenants) +
                                   "\r\n\r\n";
       const auto sent = SteadyClock::now();
       asio::write(client, asio::buffer(request));
-      const std::size_t n = client.read_some(asio::buffer(bytes));
-      const double took = std::chrono::duration<double, std::micro>(SteadyClock::now() - sent).count();
-      const auto status = std::string_view(bytes, n).substr(9, 3);
-      if (status != "200" && status != "503") throw std::runtime_error("answered " + std::string(status));
+      const std::size_t bytesRead = client.read_some(asio::buffer(bytes));
+      const double latency = std::chrono::duration<double, std::micro>(SteadyClock::now() - sent).count();
+      const auto status = std::string_view(bytes, bytesRead).substr(9, 3);
+      if (status != "200" && status != "503")
+        throw std::runtime_error("request answered with status " + std::string(status));
       if (i < 0) continue;
       ++round.answered;
-      round.refused += status == "503";
-      round.took.values.push_back(took);
+      round.rejected += status == "503";
+      round.latencies.values.push_back(latency);
     }
     return round;
   }
 
-  const Mode mode_;
+  const Variant variant_;
   const Size size_;
   const Clock clock_;
   Host host_;
@@ -175,20 +184,21 @@
 
 void run(const Size& size, const std::string& out) {
   Table table(out);
-  std::vector<std::vector<Round>> rounds(std::size(kModes));
+  std::vector<std::vector<Round>> rounds(std::size(kVariants));
   // The variants take turns, so that other load on the machine affects all of them alike.
   for (int round = 0; round < size.rounds; ++round)
-    for (const Mode mode : kModes) rounds[static_cast<std::size_t>(mode)].push_back(Play(mode, size).run());
-  for (const Mode mode : kModes) {
-    for (const double at : {0.5, 0.99, 0.999, 0.9999}) {
+    for (const Variant variant : kVariants)
+      rounds[static_cast<std::size_t>(variant)].push_back(MeasuredRound(variant, size).run());
+  for (const Variant variant : kVariants) {
+    for (const double fraction : {0.5, 0.99, 0.999, 0.9999}) {
       Samples samples;
-      for (const Round& round : rounds[static_cast<std::size_t>(mode)])
-        samples.values.push_back(round.took.quantile(at));
-      table.add({nameOf(mode), 100 * at, "percentile of a request", "us", samples});
+      for (const Round& round : rounds[static_cast<std::size_t>(variant)])
+        samples.values.push_back(round.latencies.quantile(fraction));
+      table.add({nameOf(variant), 100 * fraction, "percentile of a request", "us", samples});
     }
-    for (const Round& round : rounds[static_cast<std::size_t>(mode)])
-      std::printf("  %zu of %d answered once, %zu refused; revision %llu in force\n", round.answered,
-                  size.requests, round.refused, static_cast<unsigned long long>(round.takenRevisions));
+    for (const Round& round : rounds[static_cast<std::size_t>(variant)])
+      std::printf("  %zu of %d answered once, %zu rejected; revision %llu in force\n", round.answered,
+                  size.requests, round.rejected, static_cast<unsigned long long>(round.revisionInForce));
   }
 }
 
@@ -197,13 +207,14 @@
 
 int main(int argc, char** argv) try {
   const std::string option = argc > 1 ? argv[1] : "";
-  const bool small = argc == 2 && option == "--small";
-  const bool out = argc == 3 && option == "--out";
-  if (argc != 1 && !small && !out)
+  const bool smallSize = argc == 2 && option == "--small";
+  const bool writesFile = argc == 3 && option == "--out";
+  if (argc != 1 && !smallSize && !writesFile)
     throw std::invalid_argument("usage: bench_configuration_changes [--small | --out FILE.tsv]");
-  finchstile::bench::run(small ? finchstile::bench::kSmall : finchstile::bench::kFull, out ? argv[2] : "");
+  finchstile::bench::run(smallSize ? finchstile::bench::kSmall : finchstile::bench::kFull,
+                         writesFile ? argv[2] : "");
   return 0;
-} catch (const std::exception& bad) {
-  std::fprintf(stderr, "bench_configuration_changes: %s\n", bad.what());
+} catch (const std::exception& error) {
+  std::fprintf(stderr, "bench_configuration_changes: %s\n", error.what());
   return 2;
 }
--- a/bench/host.hpp
+++ b/bench/host.hpp
@@ -1,4 +1,4 @@
-// A fake host for benchmarks, on separate threads.
+// An HTTP host for benchmarks, which runs in the benchmark process on threads of its own.
 #pragma once
 
 #include <sys/socket.h>
@@ -12,6 +12,7 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 #include <string>
+#include <string_view>
 #include <thread>
 #include <vector>
 
@@ -21,20 +22,23 @@
 
 namespace asio = boost::asio;
 
-// Answers each request with 200; requests of one connection are answered one at a time.
+// Responds to each request with status 200; the requests of a connection are handled one at a time.
 class Host {
  public:
-  Host() : acceptor_(io_, {asio::ip::address_v4::loopback(), 0}), thread_([this] { run(); }) {}
+  Host() : acceptor_(io_, {asio::ip::address_v4::loopback(), 0}), acceptThread_([this] { run(); }) {}
   ~Host() {
     boost::system::error_code ignored;
     ::shutdown(acceptor_.native_handle(), SHUT_RDWR);
     acceptor_.close(ignored);
-    thread_.join();
-    for (auto& t : served_) t.join();
+    acceptThread_.join();
+    for (auto& thread : connectionThreads_) thread.join();
   }
-  asio::ip::tcp::endpoint at() const { return acceptor_.local_endpoint(); }
+  asio::ip::tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
 
  private:
+  static constexpr std::size_t kReadBytes = 8192;  // most bytes of one read
+  static constexpr std::string_view kHeadEnd = "\r\n\r\n", kLengthHeader = "Content-Length: ";
+
   void run() {
     for (;;) {
       boost::system::error_code error;
@@ -42,42 +46,45 @@
       acceptor_.accept(*socket, error);
       if (error) return;
       socket->set_option(asio::ip::tcp::no_delay(true), error);
-      served_.emplace_back([socket] {
-        char bytes[8192];
-        static constexpr char kAnswer[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-        boost::system::error_code bad;
-        std::string have;
-        while (!bad) {
-          have.append(bytes, socket->read_some(asio::buffer(bytes), bad));
-          const std::size_t head = have.find("\r\n\r\n");
-          if (bad || head == std::string::npos) continue;
-          const std::size_t said = have.find("Content-Length: ");
-          const std::size_t body = said < head ? std::strtoul(have.c_str() + said + 16, nullptr, 10) : 0;
-          if (have.size() < head + 4 + body) continue;
-          have.clear();
-          asio::write(*socket, asio::buffer(kAnswer, sizeof kAnswer - 1), bad);
+      connectionThreads_.emplace_back([socket] {
+        char bytes[kReadBytes];
+        static constexpr char kResponse[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+        boost::system::error_code ioError;
+        std::string received;
+        while (!ioError) {
+          received.append(bytes, socket->read_some(asio::buffer(bytes), ioError));
+          const std::size_t headEnd = received.find(kHeadEnd);
+          if (ioError || headEnd == std::string::npos) continue;
+          const std::size_t lengthAt = received.find(kLengthHeader);
+          const std::size_t bodyBytes =
+              lengthAt < headEnd
+                  ? std::strtoul(received.c_str() + lengthAt + kLengthHeader.size(), nullptr, 10)
+                  : 0;
+          if (received.size() < headEnd + kHeadEnd.size() + bodyBytes) continue;
+          received.clear();
+          asio::write(*socket, asio::buffer(kResponse, sizeof kResponse - 1), ioError);
         }
       });
     }
   }
   asio::io_context io_;
   asio::ip::tcp::acceptor acceptor_;
-  std::vector<std::thread> served_;
-  std::thread thread_;
+  std::vector<std::thread> connectionThreads_;
+  std::thread acceptThread_;
 };
 
-// A gateway configuration with `host` as its only host, and one class.
-inline nlohmann::json configFor(const Host& host, const nlohmann::json& grade) {
+// A gateway configuration with `host` as its only host and `classJson` as its only class.
+inline nlohmann::json configFor(const Host& host, const nlohmann::json& classJson) {
   using nlohmann::json;
-  const auto at = host.at().address().to_string() + ":" + std::to_string(host.at().port());
-  return {
-      {"name", "b"},
-      {"listen", "127.0.0.1:0"},
-      {"discovery", "127.0.0.1:1"},
-      {"seed", "1"},
-      {"limits", {{"sockets", 256}}},
-      {"settings", fake_upstream::settingsJson(json::array({grade}), false, "east")},
-      {"known", fake_upstream::listJson(1, true, json::array({fake_upstream::hostJson("s", at, "east")}))}};
+  const auto address = host.endpoint().address().to_string() + ":" + std::to_string(host.endpoint().port());
+  return {{"name", "b"},
+          {"listen", "127.0.0.1:0"},
+          {"discovery", "127.0.0.1:1"},
+          {"seed", "1"},
+          {"limits", {{"sockets", 256}}},
+          {"settings", fake_upstream::settingsJson(json::array({classJson}), false, "east")},
+          {"known",
+           fake_upstream::listJson(1, true, json::array({fake_upstream::hostJson("s", address, "east")}))}};
 }
 
 }  // namespace finchstile::bench
