--- a/bench/discovery_migration.cpp
+++ b/bench/discovery_migration.cpp
@@ -1,7 +1,8 @@
 // Migration of a fleet to another discovery service at SIGHUP: the time until each gateway receives its first
 // host list. The decision modules are real, including their retries; discovery is modelled as one service of
-// fixed capacity that rejects polls while the queue would take longer than its timeout. Complete lists or
-// changes, with the decision module notified of the migration or not.
+// fixed capacity that rejects a poll if it would wait in the queue for longer than a timeout. The variants:
+// the service sends complete lists or changes; the decision module is notified of the migration or has to
+// notice it.
 //   build/bench_discovery_migration [SEEDS]
 #include <algorithm>
 #include <cstdio>
@@ -19,13 +20,19 @@
 
 struct Parameters {
   int gateways = 200, hosts = 195;
+  // Work of the discovery service, in lines of a host list: its capacity, the fixed work of a poll, and the
+  // lines of an answer that contains changes only.
   double linesPerSecond = 7000, linesPerPoll = 57, linesPerChange = 25;
-  Duration spread = seconds(3);               // over which the gateways start the migration
+  Duration migrationSpread = seconds(3);      // period in which the gateways start the migration
   Duration timeout = seconds(1);              // polls that would wait longer are rejected
-  Duration rejectionTime = milliseconds(12);  // time until a rejection
-  Duration full{};                            // time from the first migrations for which other load fills it
+  Duration rejectionTime = milliseconds(12);  // from a poll to its rejection
+  Duration saturation{};  // while other load fills the new service, from the start of the migration
 };
 
+constexpr double kLateSeconds = 4;  // a first list after this time counts as late
+constexpr double kNanosecondsPerSecond = 1e9;
+constexpr std::uint64_t kMaxGateways = 1000;  // of a run; keeps the seeds of different runs apart
+
 struct Result {
   std::vector<double> firstListTimes;  // seconds after the migration, for each gateway
   double rejectedPolls = 0;
@@ -33,38 +40,40 @@
 
 class MigrationModel {
  public:
-  MigrationModel(const Parameters& t, bool whole, bool notified, std::uint64_t seed)
-      : t_(t),
-        lines_(t.linesPerPoll + (whole ? t.hosts : t.linesPerChange)),
+  MigrationModel(const Parameters& parameters, bool completeLists, bool notified, std::uint64_t seed)
+      : parameters_(parameters),
+        linesPerAnswer_(parameters.linesPerPoll +
+                        (completeLists ? parameters.hosts : parameters.linesPerChange)),
         notified_(notified),
         engine_(seed) {
-    std::vector<HostEntry> list;
-    list.reserve(static_cast<std::size_t>(t_.hosts));
-    for (int i = 0; i < t_.hosts; ++i) list.push_back(makeHost(i));
-    gateways_.resize(static_cast<std::size_t>(t_.gateways));
-    for (std::size_t g = 0; g < gateways_.size(); ++g) {
-      Settings s = makeSettings();
-      s.seed = seed * 1000 + g;
-      s.gatewayCount = static_cast<std::uint32_t>(t_.gateways);
-      s.gatewayIndex = static_cast<std::uint32_t>(g);
-      s.pollsDiscovery = true;
-      s.maxDiscoverySilence = seconds(10);
-      gateways_[g].balancer = std::make_unique<LoadBalancer>(s, now_);
-      gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::restored, list);
-      gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::incremental,
-                                              {});  // polls the old service successfully
-      gateways_[g].balancer->actions().clear();
-      const auto when = static_cast<std::int64_t>(unit() * static_cast<double>(t_.spread.count()));
-      at(now_ + Duration(when), [this, g] { move(g); });
+    std::vector<HostEntry> hosts;
+    hosts.reserve(static_cast<std::size_t>(parameters_.hosts));
+    for (int i = 0; i < parameters_.hosts; ++i) hosts.push_back(makeHost(i));
+    gateways_.resize(static_cast<std::size_t>(parameters_.gateways));
+    for (std::size_t index = 0; index < gateways_.size(); ++index) {
+      Settings settings = makeSettings();
+      settings.seed = seed * kMaxGateways + index;
+      settings.gatewayCount = static_cast<std::uint32_t>(parameters_.gateways);
+      settings.gatewayIndex = static_cast<std::uint32_t>(index);
+      settings.pollsDiscovery = true;
+      settings.maxDiscoverySilence = seconds(10);
+      gateways_[index].balancer = std::make_unique<LoadBalancer>(settings, now_);
+      gateways_[index].balancer->onHostListUpdate(now_, HostListUpdate::restored, hosts);
+      gateways_[index].balancer->onHostListUpdate(now_, HostListUpdate::incremental,
+                                                  {});  // polls the old service successfully
+      gateways_[index].balancer->actions().clear();
+      const auto when =
+          static_cast<std::int64_t>(uniform() * static_cast<double>(parameters_.migrationSpread.count()));
+      schedule(now_ + Duration(when), [this, index] { migrate(index); });
     }
   }
 
   Result run() {
     while (result_.firstListTimes.size() < gateways_.size() && !events_.empty()) {
-      const Event e = events_.top();
+      const Event event = events_.top();
       events_.pop();
-      now_ = e.when;
-      e.what();
+      now_ = event.when;
+      event.callback();
     }
     std::sort(result_.firstListTimes.begin(), result_.firstListTimes.end());
     return result_;
@@ -74,85 +83,96 @@
   struct Gateway {
     std::unique_ptr<LoadBalancer> balancer;
     Time migratedAt{};
-    bool heard = false;
+    bool listReceived = false;
   };
   struct Event {
     Time when;
-    std::uint64_t order;
-    std::function<void()> what;
-    bool operator<(const Event& o) const { return when != o.when ? when > o.when : order > o.order; }
+    std::uint64_t sequence;
+    std::function<void()> callback;
+    bool operator<(const Event& other) const {
+      return when != other.when ? when > other.when : sequence > other.sequence;
+    }
   };
 
-  double unit() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
-  void at(Time when, std::function<void()> what) { events_.push({when, ++order_, std::move(what)}); }
+  double uniform() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
+  void schedule(Time when, std::function<void()> callback) {
+    events_.push({when, ++lastSequence_, std::move(callback)});
+  }
 
-  void move(std::size_t g) {
-    gateways_[g].migratedAt = now_;
-    if (notified_) gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::discoveryMoved, {});
-    carryOut(g);
-    call(g);
+  // Switches gateway `index` to the new service and sends its first poll.
+  void migrate(std::size_t index) {
+    gateways_[index].migratedAt = now_;
+    if (notified_) gateways_[index].balancer->onHostListUpdate(now_, HostListUpdate::discoveryMoved, {});
+    performActions(index);
+    poll(index);
   }
-  void call(std::size_t g) {
+  // Sends a poll of gateway `index`: the service answers it in turn or rejects it.
+  void poll(std::size_t index) {
     const Time begin = std::max(now_, busyUntil_);
-    if (begin - now_ > t_.timeout || now_ < start_ + t_.full) {
+    if (begin - now_ > parameters_.timeout || now_ < start_ + parameters_.saturation) {
       ++result_.rejectedPolls;
-      return at(now_ + t_.rejectionTime, [this, g] {
-        gateways_[g].balancer->onHostListUpdate(now_, HostListUpdate::unavailable, {});
-        carryOut(g);
+      return schedule(now_ + parameters_.rejectionTime, [this, index] {
+        gateways_[index].balancer->onHostListUpdate(now_, HostListUpdate::unavailable, {});
+        performActions(index);
       });
     }
-    busyUntil_ = begin + Duration(static_cast<std::int64_t>(1e9 * lines_ / t_.linesPerSecond));
-    at(busyUntil_, [this, g] {
-      gateways_[g].heard = true;
-      result_.firstListTimes.push_back(toSeconds(now_ - gateways_[g].migratedAt));
+    busyUntil_ = begin + Duration(static_cast<std::int64_t>(kNanosecondsPerSecond * linesPerAnswer_ /
+                                                            parameters_.linesPerSecond));
+    schedule(busyUntil_, [this, index] {
+      gateways_[index].listReceived = true;
+      result_.firstListTimes.push_back(toSeconds(now_ - gateways_[index].migratedAt));
     });
   }
-  void carryOut(std::size_t g) {
+  // Performs the actions that the decision module of gateway `index` has requested.
+  void performActions(std::size_t index) {
     std::vector<Action> actions;
-    actions.swap(gateways_[g].balancer->actions());
-    for (const Action& a : actions) {
-      if (a.kind == ActionKind::pollDiscovery) call(g);
-      if (a.kind == ActionKind::setTimer)
-        at(a.duration, [this, g] {
-          if (gateways_[g].heard) return;
-          gateways_[g].balancer->onTimer(now_);
-          carryOut(g);
+    actions.swap(gateways_[index].balancer->actions());
+    for (const Action& action : actions) {
+      if (action.kind == ActionKind::pollDiscovery) poll(index);
+      if (action.kind == ActionKind::setTimer)
+        schedule(action.duration, [this, index] {
+          if (gateways_[index].listReceived) return;
+          gateways_[index].balancer->onTimer(now_);
+          performActions(index);
         });
     }
   }
   static double toSeconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
-  const Parameters t_;
-  const double lines_;
+  const Parameters parameters_;
+  const double linesPerAnswer_;
   const bool notified_;
   std::mt19937_64 engine_;
   std::vector<Gateway> gateways_;
   std::priority_queue<Event> events_;
-  std::uint64_t order_ = 0;
+  std::uint64_t lastSequence_ = 0;
   const Time start_ = seconds(100);
   Time now_ = start_, busyUntil_{};
   Result result_;
 };
 
-void row(const Parameters& t, bool whole, bool notified, int seeds) {
-  double median = 0, nine = 0, last = 0, late = 0, away = 0;
+void printRow(const Parameters& parameters, bool completeLists, bool notified, int seeds) {
+  double median = 0, p90 = 0, maxTime = 0, latePercent = 0, rejectedPerGateway = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
-    const Result r = MigrationModel(t, whole, notified, static_cast<std::uint64_t>(seed)).run();
-    const std::size_t n = r.firstListTimes.size();
-    median += r.firstListTimes[n / 2] / seeds;
-    nine += r.firstListTimes[n * 9 / 10] / seeds;
-    last = std::max(last, r.firstListTimes.back());
-    late += 100.0 *
-            static_cast<double>(std::count_if(r.firstListTimes.begin(), r.firstListTimes.end(),
-                                              [](double s) { return s > 4; })) /
-            static_cast<double>(n) / seeds;
-    away += r.rejectedPolls / static_cast<double>(n) / seeds;
+    const Result result =
+        MigrationModel(parameters, completeLists, notified, static_cast<std::uint64_t>(seed)).run();
+    const std::size_t n = result.firstListTimes.size();
+    median += result.firstListTimes[n / 2] / seeds;
+    p90 += result.firstListTimes[n * 9 / 10] / seeds;
+    maxTime = std::max(maxTime, result.firstListTimes.back());
+    latePercent +=
+        100.0 *
+        static_cast<double>(std::count_if(result.firstListTimes.begin(), result.firstListTimes.end(),
+                                          [](double s) { return s > kLateSeconds; })) /
+        static_cast<double>(n) / seeds;
+    rejectedPerGateway += result.rejectedPolls / static_cast<double>(n) / seeds;
   }
   std::printf(
-      "%4d gateways %4d hosts  full %.1f s  %-7s %-8s  median %5.2f s  nine in ten %5.2f  last %5.2f  "
-      "over 4 s %4.1f%%  turned away %4.1f a gateway\n",
-      t.gateways, t.hosts, std::chrono::duration<double>(t.full).count(), whole ? "whole" : "changes",
-      notified ? "soon" : "back-off", median, nine, last, late, away);
+      "%4d gateways %4d hosts  service saturated %.1f s  %-8s %-8s  median %5.2f s  p90 %5.2f s  max %5.2f s"
+      "  over %.0f s %4.1f%%  rejected polls per gateway %4.1f\n",
+      parameters.gateways, parameters.hosts, std::chrono::duration<double>(parameters.saturation).count(),
+      completeLists ? "complete" : "changes", notified ? "notified" : "back-off", median, p90, maxTime,
+      kLateSeconds, latePercent, rejectedPerGateway);
 }
 
 }  // namespace
@@ -161,14 +181,15 @@
 int main(int argc, char** argv) {
   using namespace finchstile::load_balancing::testing;
   const int seeds = std::max(1, argc > 1 ? std::atoi(argv[1]) : 3);
-  const auto rows = [&](int gateways, int hosts, double lines, finchstile::load_balancing::Duration full) {
-    Parameters t;
-    t.gateways = gateways;
-    t.hosts = hosts;
-    t.linesPerSecond = lines;
-    t.full = full;
-    for (const bool whole : {true, false})
-      for (const bool notified : {false, true}) row(t, whole, notified, seeds);
+  const auto rows = [&](int gateways, int hosts, double linesPerSecond,
+                        finchstile::load_balancing::Duration saturation) {
+    Parameters parameters;
+    parameters.gateways = gateways;
+    parameters.hosts = hosts;
+    parameters.linesPerSecond = linesPerSecond;
+    parameters.saturation = saturation;
+    for (const bool completeLists : {true, false})
+      for (const bool notified : {false, true}) printRow(parameters, completeLists, notified, seeds);
   };
   rows(200, 195, 7000, {});
   rows(200, 195, 7000, seconds(4));
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -11,59 +11,69 @@
 namespace finchstile::load_balancing::testing {
 namespace {
 
-void day(const char* name, int seeds, FleetSettings set, const std::function<void(Fleet&)>& plan,
-         Time until) {
-  double worth = 0, handshakes = 0, pairs = 0, full = 0, unconnected = 0, cold = 0;
-  int open = 0;
+constexpr Time kSettlingTime = seconds(5);
+
+// Runs one scenario with each seed from 1 to `seeds` and prints the means over the seeds, or the maxima.
+// Counting starts after kSettlingTime, at which `disruption` schedules the events of the scenario.
+void runScenario(const char* name, int seeds, FleetSettings settings,
+                 const std::function<void(Fleet&)>& disruption, Time until) {
+  double valueServed = 0, handshakes = 0, pairs = 0, capacityRejections = 0, refusedConnections = 0,
+         warmingLoad = 0;
+  int connectionsPerHost = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
-    set.seed = static_cast<std::uint64_t>(seed);
-    Fleet f(set);
-    f.run(seconds(5));
-    f.counts = {};
-    plan(f);
-    f.run(until);
-    const double asked = static_cast<double>(f.counts.requests) * seeds;
-    worth += f.counts.valueServed / f.counts.valueRequested / seeds;
-    handshakes += static_cast<double>(f.counts.handshakes) / asked;
-    full += static_cast<double>(f.counts.capacityRejections) / asked;
-    unconnected += static_cast<double>(f.counts.refusedConnections) / asked;
-    pairs += static_cast<double>(f.counts.pairs.size()) / seeds;
-    cold = std::max(cold, f.counts.maxWarmingLoad);
-    open = std::max(open, f.counts.maxConnectionsPerHost);
+    settings.seed = static_cast<std::uint64_t>(seed);
+    Fleet fleet(settings);
+    fleet.run(kSettlingTime);
+    fleet.counts = {};
+    disruption(fleet);
+    fleet.run(until);
+    const double totalRequests = static_cast<double>(fleet.counts.requests) * seeds;
+    valueServed += fleet.counts.valueServed / fleet.counts.valueRequested / seeds;
+    handshakes += static_cast<double>(fleet.counts.handshakes) / totalRequests;
+    capacityRejections += static_cast<double>(fleet.counts.capacityRejections) / totalRequests;
+    refusedConnections += static_cast<double>(fleet.counts.refusedConnections) / totalRequests;
+    pairs += static_cast<double>(fleet.counts.pairs.size()) / seeds;
+    warmingLoad = std::max(warmingLoad, fleet.counts.maxWarmingLoad);
+    connectionsPerHost = std::max(connectionsPerHost, fleet.counts.maxConnectionsPerHost);
   }
   std::printf(
-      "%-22s worth %.3f  a request: handshakes %.3f, turned away %.3f, unconnected %.3f  "
-      "open at a host %d  pairs %.0f  cold %.2f\n",
-      name, worth, handshakes, full, unconnected, open, pairs, cold);
+      "%-22s value served %.3f  per request: handshakes %.3f, capacity rejections %.3f, refused connections "
+      "%.3f  max connections per host %d  gateway-host pairs %.0f  max warming load %.2f\n",
+      name, valueServed, handshakes, capacityRejections, refusedConnections, connectionsPerHost, pairs,
+      warmingLoad);
 }
 
-FleetSettings sized(std::uint32_t gateways, int hosts, double requestsPerSecond) {
-  FleetSettings s;
-  s.gateways = gateways;
-  s.hosts = hosts;
-  s.requestsPerSecond = requestsPerSecond;
-  return s;
+FleetSettings fleetOf(std::uint32_t gateways, int hosts, double requestsPerSecond) {
+  FleetSettings settings;
+  settings.gateways = gateways;
+  settings.hosts = hosts;
+  settings.requestsPerSecond = requestsPerSecond;
+  return settings;
 }
 
-void lists(int hosts, std::uint32_t gateways) {
-  Settings s = makeSettings();
-  s.gatewayCount = gateways;
-  s.gatewayIndex = gateways / 2;
-  LoadBalancer b(s, seconds(1));
-  std::vector<HostEntry> all;
-  all.reserve(static_cast<std::size_t>(hosts));
-  for (int i = 0; i < hosts; ++i) all.push_back(makeHost(i));
-  const auto took = [](const std::function<void()>& what) {
-    const auto begun = std::chrono::steady_clock::now();
-    what();
-    return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begun).count();
+// Measures the time that one gateway takes to apply host lists.
+void measureHostLists(int hosts, std::uint32_t gateways) {
+  Settings settings = makeSettings();
+  settings.gatewayCount = gateways;
+  settings.gatewayIndex = gateways / 2;
+  LoadBalancer balancer(settings, seconds(1));
+  std::vector<HostEntry> entries;
+  entries.reserve(static_cast<std::size_t>(hosts));
+  for (int i = 0; i < hosts; ++i) entries.push_back(makeHost(i));
+  const auto millisecondsOf = [](const std::function<void()>& work) {
+    const auto start = std::chrono::steady_clock::now();
+    work();
+    return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - start).count();
   };
-  const double whole = took([&] { b.onHostListUpdate(seconds(1), HostListUpdate::complete, all); });
-  all[0].phase = HostPhase::draining;
-  const double change = took([&] { b.onHostListUpdate(seconds(1), HostListUpdate::incremental, {all[0]}); });
-  const double none = took([&] { b.onHostListUpdate(seconds(1), HostListUpdate::complete, {}); });
-  std::printf("%6d hosts, %5u gateways: whole list %.1f ms, one change %.1f ms, an empty list %.1f ms\n",
-              hosts, gateways, whole, change, none);
+  const double completeMs =
+      millisecondsOf([&] { balancer.onHostListUpdate(seconds(1), HostListUpdate::complete, entries); });
+  entries[0].phase = HostPhase::draining;
+  const double changeMs = millisecondsOf(
+      [&] { balancer.onHostListUpdate(seconds(1), HostListUpdate::incremental, {entries[0]}); });
+  const double emptyMs =
+      millisecondsOf([&] { balancer.onHostListUpdate(seconds(1), HostListUpdate::complete, {}); });
+  std::printf("%6d hosts, %5u gateways: complete list %.1f ms, one change %.1f ms, empty list %.1f ms\n",
+              hosts, gateways, completeMs, changeMs, emptyMs);
 }
 
 }  // namespace
@@ -73,18 +83,21 @@
   using namespace finchstile::load_balancing;
   using namespace finchstile::load_balancing::testing;
   const int seeds = argc > 1 ? std::max(1, std::atoi(argv[1])) : 4;
-  const auto calm = [](Fleet&) {};
-  day("calm 3x12", seeds, sized(3, 12, 460), calm, seconds(15));
-  day("calm 40x60", seeds, sized(40, 60, 2300), calm, seconds(15));
-  day("calm 100x60", seeds, sized(100, 60, 2300), calm, seconds(15));
-  day("calm 100x120", seeds, sized(100, 120, 4600), calm, seconds(15));
-  day("calm 100x600", seeds, sized(100, 600, 18000), calm, seconds(10));
-  day("calm 1000x20", seeds, sized(1000, 20, 800), calm, seconds(15));
-  const auto from = [](void (*plan)(Fleet&, Time)) { return [plan](Fleet& f) { plan(f, seconds(5)); }; };
-  day("restart 100x60", seeds, sized(100, 60, 2300), from(restartAllGateways), seconds(11));
-  day("zone 100x60", seeds, sized(100, 60, 2300), from(failOneZone), seconds(20));
-  day("replaced 100x60", seeds, sized(100, 60, 2600), from(replaceSixtyPercentOfHosts), seconds(18));
-  lists(60, 100);
-  lists(10000, 100);
-  lists(10000, 20000);
+  const auto steady = [](Fleet&) {};
+  runScenario("steady 3x12", seeds, fleetOf(3, 12, 460), steady, seconds(15));
+  runScenario("steady 40x60", seeds, fleetOf(40, 60, 2300), steady, seconds(15));
+  runScenario("steady 100x60", seeds, fleetOf(100, 60, 2300), steady, seconds(15));
+  runScenario("steady 100x120", seeds, fleetOf(100, 120, 4600), steady, seconds(15));
+  runScenario("steady 100x600", seeds, fleetOf(100, 600, 18000), steady, seconds(10));
+  runScenario("steady 1000x20", seeds, fleetOf(1000, 20, 800), steady, seconds(15));
+  const auto whenSettled = [](void (*disrupt)(Fleet&, Time)) {
+    return [disrupt](Fleet& fleet) { disrupt(fleet, kSettlingTime); };
+  };
+  runScenario("restart 100x60", seeds, fleetOf(100, 60, 2300), whenSettled(restartAllGateways), seconds(11));
+  runScenario("zone failure 100x60", seeds, fleetOf(100, 60, 2300), whenSettled(failOneZone), seconds(20));
+  runScenario("60% replaced 100x60", seeds, fleetOf(100, 60, 2600), whenSettled(replaceSixtyPercentOfHosts),
+              seconds(18));
+  measureHostLists(60, 100);
+  measureHostLists(10000, 100);
+  measureHostLists(10000, 20000);
 }
