--- a/bench/gossip.cpp
+++ b/bench/gossip.cpp
@@ -24,352 +24,410 @@
 
 struct Options {
   std::size_t gateways = 100, workers = 100, quorum = 3, fanout = 3, faultyGateways = 0;
-  double rate = 50;          // requests per second of a gateway
-  double falseRate = 0.001;  // fraction of attempts at healthy workers that get no answer
-  double loss = 0.01;        // fraction of datagrams lost
-  double holds = 3;          // seconds for which an observation is valid
-  double seconds = 40;
-  bool gossip = true, cut = false;  // cut: network partition into two halves
+  double rate = 50;               // requests per second of a gateway
+  double falseRate = 0.001;       // fraction of attempts at healthy workers that get no answer
+  double loss = 0.01;             // fraction of datagrams lost
+  double observationSeconds = 3;  // for which an observation of an unresponsive worker is valid
+  double seconds = 40;            // simulated time
+  bool gossip = true;             // false: each gateway detects failures on its own
+  bool partitioned = false;       // the gateways are in two halves without a connection between them
   std::uint64_t seed = 1;
 };
 
 struct Result {
-  std::vector<double> knownAt;  // seconds from the failure, by gateway; after the end of the run: never
-  double bytesMean = 0, bytesWorst = 0;  // per gateway and second: mean while updates were sent, maximum
-  double falseAlarms = 0;                // onsets per healthy worker, gateway and hour
-  double lost = 0;                       // attempts sent to the failed worker by all gateways
-  double at(double share) const {
-    std::vector<double> v = knownAt;
-    std::sort(v.begin(), v.end());
-    return v[std::min(v.size() - 1,
-                      static_cast<std::size_t>(std::ceil(share * static_cast<double>(v.size()))) - 1)];
+  // Seconds from the failure to its detection, by gateway; Options::seconds if it was not detected.
+  std::vector<double> detectionTimes;
+  double meanBytes = 0, maxBytes = 0;  // per gateway and second: mean while updates were sent, maximum
+  double falseAlarms = 0;              // onsets per healthy worker, gateway and hour
+  double lostAttempts = 0;             // sent to the failed worker by all gateways before kCountingEnds
+
+  // Time after which `fraction` of the gateways have detected the failure, in seconds from the failure.
+  double detectionTime(double fraction) const {
+    std::vector<double> sorted = detectionTimes;
+    std::sort(sorted.begin(), sorted.end());
+    return sorted[std::min(
+        sorted.size() - 1,
+        static_cast<std::size_t>(std::ceil(fraction * static_cast<double>(sorted.size()))) - 1)];
   }
 };
 
-constexpr double kStep = 0.01, kFailureTime = 5, kAttemptTimeout = 0.4, kNetworkDelay = 0.005, kOver = 28;
-constexpr std::size_t kTracked =
-    20;  // workers simulated individually; the others only affect the request rate
+// Times in seconds.
+constexpr double kStep = 0.01;        // of the simulation
+constexpr double kFailureTime = 5;    // at which the first worker stops responding
+constexpr double kCountingEnds = 28;  // lost attempts are counted from the failure until then
+constexpr double kAttemptTimeout = 0.4;
+constexpr double kNetworkDelay = 0.005;
+constexpr double kTickInterval = 0.2;  // of the gossip of a gateway
+
+constexpr double kNanosecondsPerSecond = 1e9;
+constexpr double kSecondsPerHour = 3600;
+constexpr double kDatagramOverheadBytes = 38;
+// Workers simulated individually; the others only affect the request rate per worker.
+constexpr std::size_t kMaxSimulatedWorkers = 20;
+// Larger fleets are simulated with one seed only, to limit the run time.
+constexpr std::size_t kMaxGatewaysForAllSeeds = 300;
+constexpr std::uint64_t kSeedStride = 1'000'003;  // between the gossip seeds of two runs
+constexpr std::chrono::seconds kStartTime(1000);  // of the simulated clock
 
+// The gateways and the workers, with the real gossip and a simulated network.
 class Model {
  public:
-  explicit Model(const Options& o) : o_(o), engine_(o.seed), hosts_(std::min(o.workers, kTracked)) {
+  explicit Model(const Options& options)
+      : options_(options),
+        engine_(options.seed),
+        simulatedWorkers_(std::min(options.workers, kMaxSimulatedWorkers)) {
     const Time start = time();
-    for (std::size_t i = 0; i < o.gateways; ++i) {
-      GossipSettings s;
-      s.ownNumber = static_cast<GatewayNumber>(i);
-      s.gatewayCount = static_cast<GatewayNumber>(o.gateways);
-      s.quorum = o.quorum;
-      s.fanout = o.fanout;
-      s.observationLifetime = std::chrono::milliseconds(static_cast<int>(o.holds * 1000));
-      auto g = std::make_unique<Gateway>();
-      g->answered.assign(hosts_, Time{});
-      g->alarm.assign(hosts_, false);
-      Gateway* const raw = g.get();
-      g->gossip = std::make_unique<Gossip>(s, o.seed * 1'000'003 + i, start,
-                                           [raw](HostKey h) { return raw->answered[h - 1]; });
-      for (HostKey h = 1; h <= hosts_; ++h)
-        g->gossip->onListed(h, 0, finchstile::load_balancing::HostPhase::active, 1, start);
-      g->nextTick = unit() * 0.2;
-      gateways_.push_back(std::move(g));
+    for (std::size_t number = 0; number < options.gateways; ++number) {
+      GossipSettings settings;
+      settings.ownNumber = static_cast<GatewayNumber>(number);
+      settings.gatewayCount = static_cast<GatewayNumber>(options.gateways);
+      settings.quorum = options.quorum;
+      settings.fanout = options.fanout;
+      settings.observationLifetime =
+          std::chrono::milliseconds(static_cast<int>(options.observationSeconds * 1000));
+      auto gateway = std::make_unique<Gateway>();
+      gateway->lastAnswers.assign(simulatedWorkers_, Time{});
+      gateway->alarms.assign(simulatedWorkers_, false);
+      Gateway* const gatewayPointer = gateway.get();
+      gateway->gossip = std::make_unique<Gossip>(
+          settings, options.seed * kSeedStride + number, start,
+          [gatewayPointer](HostKey worker) { return gatewayPointer->lastAnswers[worker - 1]; });
+      for (HostKey worker = 1; worker <= simulatedWorkers_; ++worker)
+        gateway->gossip->onListed(worker, 0, finchstile::load_balancing::HostPhase::active, 1, start);
+      gateway->nextTick = uniform() * kTickInterval;
+      gateways_.push_back(std::move(gateway));
     }
   }
 
   Result run() {
-    Result r;
-    r.knownAt.assign(o_.gateways, o_.seconds);
-    double bytes = 0;
-    for (now_ = 0; now_ < o_.seconds; now_ += kStep) {
+    Result result;
+    result.detectionTimes.assign(options_.gateways, options_.seconds);
+    double maxBytes = 0;
+    for (now_ = 0; now_ < options_.seconds; now_ += kStep) {
       deliver();
-      for (std::size_t i = 0; i < gateways_.size(); ++i) {
-        Gateway& g = *gateways_[i];
-        attempts(g, r);
-        if (o_.gossip && now_ >= g.nextTick) tick(i, g, r);
-        if (now_ >= kFailureTime && r.knownAt[i] >= o_.seconds && hasDetectedFailure(g))
-          r.knownAt[i] = now_ - kFailureTime;
-        bytes = std::max(bytes, g.inSecond);
+      for (std::size_t index = 0; index < gateways_.size(); ++index) {
+        Gateway& gateway = *gateways_[index];
+        attempts(gateway, result);
+        if (options_.gossip && now_ >= gateway.nextTick) tick(index, gateway, result);
+        if (now_ >= kFailureTime && result.detectionTimes[index] >= options_.seconds &&
+            hasDetectedFailure(gateway))
+          result.detectionTimes[index] = now_ - kFailureTime;
+        maxBytes = std::max(maxBytes, gateway.bytesInSecond);
       }
     }
-    r.bytesWorst = bytes;
+    result.maxBytes = maxBytes;
     double sum = 0, ticks = 0;
-    for (const auto& g : gateways_) sum += g->bytes, ticks += static_cast<double>(g->ticksWithNews);
-    r.bytesMean = ticks > 0 ? sum / (ticks * 0.2) : 0;
-    r.falseAlarms = alarms_ / (static_cast<double>(o_.gateways * (hosts_ - 1)) * o_.seconds / 3600);
-    return r;
+    for (const auto& gateway : gateways_)
+      sum += gateway->bytesSent, ticks += static_cast<double>(gateway->ticksWithUpdates);
+    result.meanBytes = ticks > 0 ? sum / (ticks * kTickInterval) : 0;
+    result.falseAlarms = falseAlarms_ / (static_cast<double>(options_.gateways * (simulatedWorkers_ - 1)) *
+                                         options_.seconds / kSecondsPerHour);
+    return result;
   }
 
  private:
   struct Attempt {
-    double sent, ends;
+    double sentAt, timeoutAt;
     std::size_t host;
     bool silent;
   };
   struct Gateway {
     std::unique_ptr<Gossip> gossip;
-    std::vector<Time> answered;
-    std::vector<bool> alarm;
-    std::deque<Attempt> out;  // that get no answer
-    Time silentAt{};          // when this gateway itself observed the failed worker as unresponsive
-    double nextTick = 0, bytes = 0, inSecond = 0, secondEnds = 0;
-    std::size_t ticksWithNews = 0;
+    std::vector<Time> lastAnswers;           // by worker
+    std::vector<bool> alarms;                // by worker: unresponsive by quorum at the last tick
+    std::deque<Attempt> unansweredAttempts;  // until their time-out, in the order of sending
+    Time failureObservedAt{};  // when this gateway itself last observed the failed worker as unresponsive
+    double nextTick = 0;
+    double bytesSent = 0, bytesInSecond = 0;  // in total and since the start of the current second
+    double secondEnds = 0;
+    std::size_t ticksWithUpdates = 0;
   };
   struct Datagram {
-    double at;
+    double arrivesAt;
     GatewayNumber from, to;
     std::string payload;
   };
 
   Time time() const {
-    return std::chrono::seconds(1000) + std::chrono::nanoseconds(static_cast<std::int64_t>(now_ * 1e9));
+    return kStartTime + std::chrono::nanoseconds(static_cast<std::int64_t>(now_ * kNanosecondsPerSecond));
   }
-  double unit() { return std::uniform_real_distribution<>(0, 1)(engine_); }
+  double uniform() { return std::uniform_real_distribution<>(0, 1)(engine_); }
 
-  bool hasDetectedFailure(const Gateway& g) const {
-    return (g.silentAt != Time{} && std::chrono::duration<double>(time() - g.silentAt).count() < o_.holds) ||
-           g.gossip->isUnresponsiveByQuorum(1, time());
+  bool hasDetectedFailure(const Gateway& gateway) const {
+    return (gateway.failureObservedAt != Time{} &&
+            std::chrono::duration<double>(time() - gateway.failureObservedAt).count() <
+                options_.observationSeconds) ||
+           gateway.gossip->isUnresponsiveByQuorum(1, time());
   }
 
-  void attempts(Gateway& g, Result& r) {
-    const double each = o_.rate / static_cast<double>(o_.workers) * kStep;
+  // Simulates the requests of one gateway in one step, and the time-outs of its attempts.
+  void attempts(Gateway& gateway, Result& result) {
+    const double attemptsPerWorker = options_.rate / static_cast<double>(options_.workers) * kStep;
     // The first worker fails; a gateway that considers it unresponsive sends nothing to it.
-    if (unit() < 1 - std::exp(-each)) {
+    if (uniform() < 1 - std::exp(-attemptsPerWorker)) {
       if (now_ < kFailureTime) {
-        g.answered[0] = time();
-      } else if (!hasDetectedFailure(g)) {
-        g.out.push_back({now_, now_ + kAttemptTimeout, 0, true});
-        if (now_ < kOver) r.lost += 1;
+        gateway.lastAnswers[0] = time();
+      } else if (!hasDetectedFailure(gateway)) {
+        gateway.unansweredAttempts.push_back({now_, now_ + kAttemptTimeout, 0, true});
+        if (now_ < kCountingEnds) result.lostAttempts += 1;
       }
     }
-    const double others = each * static_cast<double>(hosts_ - 1);
-    for (int n = std::poisson_distribution<>(others)(engine_); n > 0; --n) {
-      const std::size_t h = 1 + static_cast<std::size_t>(unit() * static_cast<double>(hosts_ - 1));
-      if (unit() < o_.falseRate) g.out.push_back({now_, now_ + kAttemptTimeout, h, true});
-      else g.answered[h] = time();
+    const double attemptsAtOthers = attemptsPerWorker * static_cast<double>(simulatedWorkers_ - 1);
+    for (int n = std::poisson_distribution<>(attemptsAtOthers)(engine_); n > 0; --n) {
+      const std::size_t worker =
+          1 + static_cast<std::size_t>(uniform() * static_cast<double>(simulatedWorkers_ - 1));
+      if (uniform() < options_.falseRate)
+        gateway.unansweredAttempts.push_back({now_, now_ + kAttemptTimeout, worker, true});
+      else gateway.lastAnswers[worker] = time();
     }
-    while (!g.out.empty() && g.out.front().ends <= now_) {
-      const Attempt a = g.out.front();
-      g.out.pop_front();
-      const Time sent = time() - std::chrono::nanoseconds(static_cast<std::int64_t>((now_ - a.sent) * 1e9));
-      if (g.answered[a.host] >= sent) continue;  // it has answered a later attempt
-      g.gossip->onUnresponsive(a.host + 1, 0, time());
-      if (a.host == 0) g.silentAt = time();
+    while (!gateway.unansweredAttempts.empty() && gateway.unansweredAttempts.front().timeoutAt <= now_) {
+      const Attempt attempt = gateway.unansweredAttempts.front();
+      gateway.unansweredAttempts.pop_front();
+      const Time sentAt = time() - std::chrono::nanoseconds(static_cast<std::int64_t>(
+                                       (now_ - attempt.sentAt) * kNanosecondsPerSecond));
+      if (gateway.lastAnswers[attempt.host] >= sentAt) continue;  // the worker has answered a later attempt
+      gateway.gossip->onUnresponsive(attempt.host + 1, 0, time());
+      if (attempt.host == 0) gateway.failureObservedAt = time();
     }
   }
 
-  void tick(std::size_t i, Gateway& g, Result&) {
-    g.nextTick += 0.2;
-    if (now_ >= g.secondEnds) g.secondEnds = now_ + 1, g.inSecond = 0;
-    if (i < o_.faultyGateways) {  // a faulty gateway reports every worker as unresponsive to all gateways
-      std::vector<GossipUpdate> all;
-      for (HostKey h = 1; h <= std::min<std::size_t>(hosts_, kMaxUpdatesPerMessage); ++h)
-        all.push_back({h, 0, GossipUpdate::Kind::unresponsive, 0, {}});
-      for (std::size_t to = 0; to < o_.gateways; ++to)
-        if (to != i)
-          send(static_cast<GatewayNumber>(i), static_cast<GatewayNumber>(to), *encodeGossipMessage(all));
+  // Sends the gossip messages of gateway `index` and counts its false alarms.
+  void tick(std::size_t index, Gateway& gateway, Result&) {
+    gateway.nextTick += kTickInterval;
+    if (now_ >= gateway.secondEnds) gateway.secondEnds = now_ + 1, gateway.bytesInSecond = 0;
+    // A faulty gateway reports every worker as unresponsive to all gateways.
+    if (index < options_.faultyGateways) {
+      std::vector<GossipUpdate> updates;
+      for (HostKey worker = 1; worker <= std::min<std::size_t>(simulatedWorkers_, kMaxUpdatesPerMessage);
+           ++worker)
+        updates.push_back({worker, 0, GossipUpdate::Kind::unresponsive, 0, {}});
+      for (std::size_t to = 0; to < options_.gateways; ++to)
+        if (to != index)
+          send(static_cast<GatewayNumber>(index), static_cast<GatewayNumber>(to),
+               *encodeGossipMessage(updates));
       return;
     }
-    const auto out = g.gossip->tick(time());
-    g.ticksWithNews += !out.empty();
-    for (const auto& o : out) {
-      g.bytes += static_cast<double>(o.payload.size()) + 38;  // 38 bytes of datagram overhead
-      g.inSecond += static_cast<double>(o.payload.size()) + 38;
-      send(static_cast<GatewayNumber>(i), o.recipient, o.payload);
+    const auto messages = gateway.gossip->tick(time());
+    gateway.ticksWithUpdates += !messages.empty();
+    for (const auto& message : messages) {
+      gateway.bytesSent += static_cast<double>(message.payload.size()) + kDatagramOverheadBytes;
+      gateway.bytesInSecond += static_cast<double>(message.payload.size()) + kDatagramOverheadBytes;
+      send(static_cast<GatewayNumber>(index), message.recipient, message.payload);
     }
-    for (std::size_t h = 1; h < hosts_; ++h) {
-      const bool alarm = g.gossip->isUnresponsiveByQuorum(h + 1, time());
-      alarms_ += alarm && !g.alarm[h];
-      g.alarm[h] = alarm;
+    for (std::size_t worker = 1; worker < simulatedWorkers_; ++worker) {
+      const bool alarm = gateway.gossip->isUnresponsiveByQuorum(worker + 1, time());
+      falseAlarms_ += alarm && !gateway.alarms[worker];
+      gateway.alarms[worker] = alarm;
     }
   }
 
   void send(GatewayNumber from, GatewayNumber to, const std::string& payload) {
-    const bool apart = o_.cut && (from < o_.gateways / 2) != (to < o_.gateways / 2);
-    if (!apart && unit() >= o_.loss) inTransit_.push_back({now_ + kNetworkDelay, from, to, payload});
+    const bool separated =
+        options_.partitioned && (from < options_.gateways / 2) != (to < options_.gateways / 2);
+    if (!separated && uniform() >= options_.loss)
+      datagramsInTransit_.push_back({now_ + kNetworkDelay, from, to, payload});
   }
   void deliver() {
-    while (!inTransit_.empty() && inTransit_.front().at <= now_) {
-      const Datagram d = std::move(inTransit_.front());
-      inTransit_.pop_front();
-      if (d.to >= o_.faultyGateways) gateways_[d.to]->gossip->onMessage(d.from, d.payload, time());
+    while (!datagramsInTransit_.empty() && datagramsInTransit_.front().arrivesAt <= now_) {
+      const Datagram datagram = std::move(datagramsInTransit_.front());
+      datagramsInTransit_.pop_front();
+      if (datagram.to >= options_.faultyGateways)
+        gateways_[datagram.to]->gossip->onMessage(datagram.from, datagram.payload, time());
     }
   }
 
-  const Options o_;
+  const Options options_;
   std::mt19937_64 engine_;
-  const std::size_t hosts_;
+  const std::size_t simulatedWorkers_;
   std::vector<std::unique_ptr<Gateway>> gateways_;
-  std::deque<Datagram> inTransit_;
-  double now_ = 0, alarms_ = 0;
+  std::deque<Datagram> datagramsInTransit_;
+  double now_ = 0, falseAlarms_ = 0;
 };
 
-struct Mean {
-  double half = 0, most = 0, mean = 0, worst = 0, alarms = 0, lost = 0;
+// Means of the results over several seeds.
+struct Averages {
+  double halfDetected = 0, almostAllDetected = 0;  // seconds until 50% and 99% of gateways detect the failure
+  double meanBytes = 0;
+  double maxBytes = 0;  // the maximum of all seeds, not the mean
+  double falseAlarms = 0, lostAttempts = 0;
 };
 
-Mean over(Options o, int seeds) {
-  Mean m;
-  for (int s = 1; s <= seeds; ++s) {
-    o.seed = static_cast<std::uint64_t>(s);
-    const Result r = Model(o).run();
-    m.half += r.at(0.5) / seeds;
-    m.most += r.at(0.99) / seeds;
-    m.mean += r.bytesMean / seeds;
-    m.worst = std::max(m.worst, r.bytesWorst);
-    m.alarms += r.falseAlarms / seeds;
-    m.lost += r.lost / seeds;
+Averages averageOver(Options options, int seeds) {
+  Averages averages;
+  for (int seed = 1; seed <= seeds; ++seed) {
+    options.seed = static_cast<std::uint64_t>(seed);
+    const Result result = Model(options).run();
+    averages.halfDetected += result.detectionTime(0.5) / seeds;
+    averages.almostAllDetected += result.detectionTime(0.99) / seeds;
+    averages.meanBytes += result.meanBytes / seeds;
+    averages.maxBytes = std::max(averages.maxBytes, result.maxBytes);
+    averages.falseAlarms += result.falseAlarms / seeds;
+    averages.lostAttempts += result.lostAttempts / seeds;
   }
-  return m;
+  return averages;
 }
 
-std::string secondsOf(double s, double end) {
+// `seconds` as text, or "-" if the failure was not detected before the end of the run at `end` seconds.
+std::string secondsOrDash(double seconds, double end) {
+  constexpr double kEndTolerance = 0.05;  // seconds
   char text[32];
-  if (s >= end - kFailureTime - 0.05) return "-";
-  std::snprintf(text, sizeof text, "%.2f", s);
+  if (seconds >= end - kFailureTime - kEndTolerance) return "-";
+  std::snprintf(text, sizeof text, "%.2f", seconds);
   return text;
 }
 
-void row(const char* name, const Options& o, const Mean& m) {
-  std::printf("| %s | %s | %s | %.0f | %.0f | %.2f | %.0f |\n", name, secondsOf(m.half, o.seconds).c_str(),
-              secondsOf(m.most, o.seconds).c_str(), m.mean, m.worst, m.alarms, m.lost);
+void printRow(const char* name, const Options& options, const Averages& averages) {
+  std::printf("| %s | %s | %s | %.0f | %.0f | %.2f | %.0f |\n", name,
+              secondsOrDash(averages.halfDetected, options.seconds).c_str(),
+              secondsOrDash(averages.almostAllDetected, options.seconds).c_str(), averages.meanBytes,
+              averages.maxBytes, averages.falseAlarms, averages.lostAttempts);
 }
 
-void head(const char* what) {
+void printTableHead(const char* firstColumn) {
   std::printf(
       "\n| %s | half know, s | 99%% know, s | bytes/s with news | worst second | false alarms | lost "
       "attempts |\n"
       "| --- | --- | --- | --- | --- | --- | --- |\n",
-      what);
+      firstColumn);
 }
 
-// Plots the fraction of gateways that have detected the failure over time.
-void draw(const std::string& path, const std::vector<std::pair<std::string, Options>>& curves) {
-  std::ofstream f(path);
-  constexpr double kWide = 640, kHigh = 300, kSpan = 8;
+// Writes an SVG plot of the fraction of gateways that have detected the failure, over time.
+void writePlot(const std::string& path, const std::vector<std::pair<std::string, Options>>& curves) {
+  std::ofstream file(path);
+  constexpr double kPlotWidth = 640, kPlotHeight = 300, kPlotSeconds = 8;
+  constexpr int kLeft = 40, kTop = 20;  // margins
   const char* const colours[] = {"#1b6ca8", "#c0392b", "#2e8b57", "#8e44ad", "#d68910", "#555555"};
-  f << "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"" << kWide + 190 << "\" height=\"" << kHigh + 60
-    << "\" font-family=\"sans-serif\" font-size=\"12\">\n<rect width=\"100%\" height=\"100%\" "
-       "fill=\"white\"/>\n";
-  for (int t = 0; t <= 8; ++t) {
-    const double x = 40 + kWide * t / kSpan;
-    f << "<line x1=\"" << x << "\" y1=\"20\" x2=\"" << x << "\" y2=\"" << 20 + kHigh
-      << "\" stroke=\"#ddd\"/><text x=\"" << x - 4 << "\" y=\"" << kHigh + 38 << "\">" << t << "</text>\n";
+  file << "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"" << kPlotWidth + 190 << "\" height=\""
+       << kPlotHeight + 60
+       << "\" font-family=\"sans-serif\" font-size=\"12\">\n<rect width=\"100%\" height=\"100%\" "
+          "fill=\"white\"/>\n";
+  for (int t = 0; t <= static_cast<int>(kPlotSeconds); ++t) {
+    const double x = kLeft + kPlotWidth * t / kPlotSeconds;
+    file << "<line x1=\"" << x << "\" y1=\"" << kTop << "\" x2=\"" << x << "\" y2=\"" << kTop + kPlotHeight
+         << "\" stroke=\"#ddd\"/><text x=\"" << x - 4 << "\" y=\"" << kPlotHeight + 38 << "\">" << t
+         << "</text>\n";
   }
   for (int p = 0; p <= 100; p += 25)
-    f << "<text x=\"4\" y=\"" << 24 + kHigh * (1 - p / 100.0) << "\">" << p << "%</text>\n";
-  f << "<text x=\"220\" y=\"" << kHigh + 55 << "\">seconds after a worker has gone silent</text>\n";
+    file << "<text x=\"4\" y=\"" << 24 + kPlotHeight * (1 - p / 100.0) << "\">" << p << "%</text>\n";
+  file << "<text x=\"220\" y=\"" << kPlotHeight + 55
+       << "\">seconds since a worker stopped responding (gateways/workers)</text>\n";
   std::size_t n = 0;
-  for (const auto& [name, o] : curves) {
-    std::vector<double> at = Model(o).run().knownAt;
-    std::sort(at.begin(), at.end());
-    f << "<polyline fill=\"none\" stroke-width=\"2\" stroke=\"" << colours[n % 6] << "\""
-      << (o.gossip ? "" : " stroke-dasharray=\"5,4\"") << " points=\"40," << 20 + kHigh << " ";
-    for (std::size_t i = 0; i < at.size(); ++i) {
-      if (at[i] > kSpan) break;
-      const double x = 40 + kWide * at[i] / kSpan, size = static_cast<double>(at.size());
-      f << x << "," << 20 + kHigh * (1 - static_cast<double>(i) / size) << " " << x << ","
-        << 20 + kHigh * (1 - static_cast<double>(i + 1) / size) << " ";
+  for (const auto& [name, options] : curves) {
+    std::vector<double> detectionTimes = Model(options).run().detectionTimes;
+    std::sort(detectionTimes.begin(), detectionTimes.end());
+    file << "<polyline fill=\"none\" stroke-width=\"2\" stroke=\"" << colours[n % 6] << "\""
+         << (options.gossip ? "" : " stroke-dasharray=\"5,4\"") << " points=\"" << kLeft << ","
+         << kTop + kPlotHeight << " ";
+    for (std::size_t i = 0; i < detectionTimes.size(); ++i) {
+      if (detectionTimes[i] > kPlotSeconds) break;
+      const double x = kLeft + kPlotWidth * detectionTimes[i] / kPlotSeconds,
+                   size = static_cast<double>(detectionTimes.size());
+      file << x << "," << kTop + kPlotHeight * (1 - static_cast<double>(i) / size) << " " << x << ","
+           << kTop + kPlotHeight * (1 - static_cast<double>(i + 1) / size) << " ";
     }
-    f << "\"/>\n<text x=\"" << kWide + 50 << "\" y=\"" << 40 + 18 * static_cast<double>(n) << "\" fill=\""
-      << colours[n % 6] << "\">" << name << "</text>\n";
+    file << "\"/>\n<text x=\"" << kPlotWidth + 50 << "\" y=\"" << 40 + 18 * static_cast<double>(n)
+         << "\" fill=\"" << colours[n % 6] << "\">" << name << "</text>\n";
     ++n;
   }
-  f << "</svg>\n";
+  file << "</svg>\n";
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  Options o;
+  Options options;
   std::string svg;
   int seeds = 3;
-  CLI::App app("Gossip of silent workers among gateways, in a model");
-  auto* one = app.add_option("--gateways", o.gateways)->check(CLI::Range(2, 1000));
-  app.add_option("--workers", o.workers)->check(CLI::Range(2, 10'000));
-  app.add_option("--quorum", o.quorum)->check(CLI::Range(1, 16));
-  app.add_option("--fanout", o.fanout)->check(CLI::Range(1, 32));
-  app.add_option("--rate", o.rate, "requests of a gateway a second");
-  app.add_option("--false-rate", o.falseRate,
-                 "part of the attempts at a worker that is well that meet silence");
-  app.add_option("--holds", o.holds, "seconds that what was seen counts for");
-  app.add_option("--loss", o.loss, "part of the datagrams that are lost");
-  app.add_option("--mad", o.faultyGateways, "gateways that report every worker as unresponsive");
-  app.add_flag("--cut", o.cut, "two halves of the gateways do not hear one another");
+  CLI::App app("Simulation of gossip about unresponsive workers among gateways");
+  auto* gatewaysOption = app.add_option("--gateways", options.gateways)->check(CLI::Range(2, 1000));
+  app.add_option("--workers", options.workers)->check(CLI::Range(2, 10'000));
+  app.add_option("--quorum", options.quorum)->check(CLI::Range(1, 16));
+  app.add_option("--fanout", options.fanout)->check(CLI::Range(1, 32));
+  app.add_option("--rate", options.rate, "requests per second of each gateway");
+  app.add_option("--false-rate", options.falseRate,
+                 "fraction of the attempts at healthy workers that get no answer");
+  app.add_option("--holds", options.observationSeconds, "seconds for which an observation is valid");
+  app.add_option("--loss", options.loss, "fraction of the datagrams that are lost");
+  app.add_option("--mad", options.faultyGateways, "gateways that report every worker as unresponsive");
+  app.add_flag("--cut", options.partitioned, "partition the gateways into two halves without a connection");
   app.add_option("--seeds", seeds)->check(CLI::Range(1, 100));
-  app.add_option("--svg", svg, "draw the share of gateways that know over time");
+  app.add_option("--svg", svg, "file for a plot of the fraction of gateways that have detected the failure");
   CLI11_PARSE(app, argc, argv);
   std::printf(
-      "False alarms: onsets for a worker that is well, at one gateway, in an hour. Lost attempts: sent to "
-      "the dead\n"
-      "worker by all gateways in the 23 s after its death.\n");
-  if (one->count() > 0) {
-    head("");
-    row("as asked", o, over(o, seeds));
+      "False alarms: onsets per healthy worker, gateway and hour. Lost attempts: sent to the failed worker "
+      "by all\ngateways in the %.0f s after its failure.\n",
+      kCountingEnds - kFailureTime);
+  if (gatewaysOption->count() > 0) {
+    printTableHead("");
+    printRow("as specified", options, averageOver(options, seeds));
     return 0;
   }
   for (const std::size_t workers : {10u, 100u, 1000u, 10'000u}) {
     char title[64];
     std::snprintf(title, sizeof title, "gateways, %zu workers", workers);
-    head(title);
+    printTableHead(title);
     for (const std::size_t gateways : {3u, 10u, 100u, 1000u}) {
-      Options p = o;
-      p.gateways = gateways;
-      p.workers = workers;
+      Options variant = options;
+      variant.gateways = gateways;
+      variant.workers = workers;
       for (const bool gossip : {false, true}) {
-        p.gossip = gossip;
+        variant.gossip = gossip;
         char name[64];
         std::snprintf(name, sizeof name, "%zu%s", gateways, gossip ? "" : ", no gossip");
-        row(name, p, over(p, gateways > 300 ? 1 : seeds));
+        printRow(name, variant, averageOver(variant, gateways > kMaxGatewaysForAllSeeds ? 1 : seeds));
       }
     }
   }
-  head("quorum and fanout; 100 gateways, 100 workers");
+  printTableHead("quorum and fanout; 100 gateways, 100 workers");
   for (const std::size_t quorum : {1u, 2u, 3u, 5u})
     for (const std::size_t fanout : {1u, 3u, 6u}) {
-      Options p = o;
-      p.quorum = quorum;
-      p.fanout = fanout;
+      Options variant = options;
+      variant.quorum = quorum;
+      variant.fanout = fanout;
       char name[64];
       std::snprintf(name, sizeof name, "quorum %zu, fanout %zu", quorum, fanout);
-      row(name, p, over(p, seeds));
+      printRow(name, variant, averageOver(variant, seeds));
     }
-  head("what was seen counts for longer; 1000 gateways, 10000 workers");
-  for (const double holds : {3.0, 6.0, 12.0}) {
-    Options p = o;
-    p.gateways = 1000;
-    p.workers = 10'000;
-    p.holds = holds;
+  printTableHead("observation lifetime; 1000 gateways, 10000 workers");
+  for (const double observationSeconds : {3.0, 6.0, 12.0}) {
+    Options variant = options;
+    variant.gateways = 1000;
+    variant.workers = 10'000;
+    variant.observationSeconds = observationSeconds;
     char name[64];
-    std::snprintf(name, sizeof name, "holds %.0f s", holds);
-    row(name, p, over(p, 1));
+    std::snprintf(name, sizeof name, "lifetime %.0f s", observationSeconds);
+    printRow(name, variant, averageOver(variant, 1));
   }
-  head("trouble; 100 gateways, 100 workers");
-  const auto trouble = [&](const char* name, const std::function<void(Options&)>& change) {
-    Options p = o;
-    change(p);
-    row(name, p, over(p, seeds));
+  printTableHead("faults; 100 gateways, 100 workers");
+  const auto addFaultRow = [&](const char* name, const std::function<void(Options&)>& change) {
+    Options variant = options;
+    change(variant);
+    printRow(name, variant, averageOver(variant, seeds));
   };
-  trouble("none", [](Options&) {});
-  trouble("30% of the datagrams lost", [](Options& p) { p.loss = 0.3; });
-  trouble("two halves that do not hear one another", [](Options& p) { p.cut = true; });
-  trouble("one mad gateway", [](Options& p) { p.faultyGateways = 1; });
-  trouble("two mad gateways", [](Options& p) { p.faultyGateways = 2; });
-  trouble("three mad gateways (a quorum)", [](Options& p) { p.faultyGateways = 3; });
-  trouble("1% of attempts at well workers silent", [](Options& p) { p.falseRate = 0.01; });
+  addFaultRow("none", [](Options&) {});
+  addFaultRow("30% datagram loss", [](Options& variant) { variant.loss = 0.3; });
+  addFaultRow("partition into two halves", [](Options& variant) { variant.partitioned = true; });
+  addFaultRow("one faulty gateway", [](Options& variant) { variant.faultyGateways = 1; });
+  addFaultRow("two faulty gateways", [](Options& variant) { variant.faultyGateways = 2; });
+  addFaultRow("three faulty gateways (a quorum)", [](Options& variant) { variant.faultyGateways = 3; });
+  addFaultRow("1% of attempts at healthy workers unanswered",
+              [](Options& variant) { variant.falseRate = 0.01; });
   if (!svg.empty()) {
     std::vector<std::pair<std::string, Options>> curves;
     const auto add = [&](const char* name, std::size_t gateways, std::size_t workers, bool gossip) {
-      Options p = o;
-      p.gateways = gateways;
-      p.workers = workers;
-      p.gossip = gossip;
-      curves.emplace_back(name, p);
+      Options variant = options;
+      variant.gateways = gateways;
+      variant.workers = workers;
+      variant.gossip = gossip;
+      curves.emplace_back(name, variant);
     };
-    add("10 before 10", 10, 10, true);
-    add("100 before 100", 100, 100, true);
-    add("100 before 100, none", 100, 100, false);
-    add("1000 before 1000", 1000, 1000, true);
-    add("1000 before 1000, none", 1000, 1000, false);
-    add("1000 before 10000", 1000, 10'000, true);
-    draw(svg, curves);
+    add("10/10", 10, 10, true);
+    add("100/100", 100, 100, true);
+    add("100/100, no gossip", 100, 100, false);
+    add("1000/1000", 1000, 1000, true);
+    add("1000/1000, no gossip", 1000, 1000, false);
+    add("1000/10000", 1000, 10'000, true);
+    writePlot(svg, curves);
   }
   return 0;
 }
