--- a/bench/idempotency.cpp
+++ b/bench/idempotency.cpp
@@ -1,4 +1,4 @@
-// Cost of the store of keyed requests: lookups per second and bytes per entry, by size.
+// Cost of the store of keyed requests: time of an insertion and of a lookup, and bytes per entry, by size.
 //
 //   cmake -B build-bench -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4 --target bench_idempotency
 //   build-bench/bench_idempotency
@@ -17,65 +17,74 @@
 using namespace finchstile::idempotency;
 using SteadyClock = std::chrono::steady_clock;
 
-Store::KeyedRequest arrival(const std::string& key, std::uint64_t waiter) {
-  Store::KeyedRequest a;
-  a.key = key;
-  a.fingerprint = {1, 2};
-  a.waiter = waiter;
-  return a;
+Store::KeyedRequest keyedRequest(const std::string& key, std::uint64_t waiter) {
+  Store::KeyedRequest request;
+  request.key = key;
+  request.fingerprint = {1, 2};
+  request.waiter = waiter;
+  return request;
 }
 
-double ns(SteadyClock::time_point begin, std::size_t n) {
+constexpr int kLookupRuns = 5;
+constexpr std::size_t kLookupsPerRun = 100'000;
+constexpr std::size_t kKeyStride = 7919;  // prime, so that consecutive lookups are of distant entries
+constexpr double kNsPerUs = 1e3, kNsPerMs = 1e6;
+
+// Time per operation of the `n` operations since `begin`, in nanoseconds.
+double nsPerOperation(SteadyClock::time_point begin, std::size_t n) {
   return std::chrono::duration<double, std::nano>(SteadyClock::now() - begin).count() /
          static_cast<double>(n);
 }
 
-void size(std::size_t entries) {
+void measureStore(std::size_t entries) {
   StoreLimits limits;
   limits.maxEntries = entries;
   limits.maxBytes = std::size_t{8} * 1024 * 1024 * 1024;
   limits.maxTenantFraction = 1;
   limits.retention = std::chrono::hours(1);
-  const std::size_t before = mallinfo2().uordblks + mallinfo2().hblkhd;
+  const std::size_t heapBefore = mallinfo2().uordblks + mallinfo2().hblkhd;
   Store store(limits, 1, Seed{1, 2});
   finchstile::load_balancing::Time now = std::chrono::hours(1);
   const auto key = [](std::size_t i) {
     return "5c0f6e1a2b3d4c59a8b7c6d5e4f" + std::to_string(10'000'000 + i);
   };
-  double slowest = 0;
+  double slowestInsertion = 0;
   auto begin = SteadyClock::now();
   for (std::size_t i = 0; i < entries; ++i) {
-    const auto one = SteadyClock::now();
-    const auto r = store.admit(now, arrival(key(i), i + 1));
-    store.finishRun(now, r.entry, Store::RunOutcome::responded, {200, "text/plain", std::string(100, 'x')});
-    slowest = std::max(slowest, ns(one, 1));
+    const auto insertionStart = SteadyClock::now();
+    const auto result = store.admit(now, keyedRequest(key(i), i + 1));
+    store.finishRun(now, result.entry, Store::RunOutcome::responded,
+                    {200, "text/plain", std::string(100, 'x')});
+    slowestInsertion = std::max(slowestInsertion, nsPerOperation(insertionStart, 1));
     now += std::chrono::microseconds(10);
   }
-  const double filling = ns(begin, entries);
-  const std::size_t held = mallinfo2().uordblks + mallinfo2().hblkhd - before;
-  std::vector<double> runs;
-  for (int run = 0; run < 5; ++run) {
-    std::vector<std::string> asked;
-    for (std::size_t i = 0; i < 100'000; ++i) asked.push_back(key((i * 7919 + 13) % entries));
+  const double insertionNs = nsPerOperation(begin, entries);
+  const std::size_t heapBytes = mallinfo2().uordblks + mallinfo2().hblkhd - heapBefore;
+  std::vector<double> lookupNs;
+  for (int run = 0; run < kLookupRuns; ++run) {
+    std::vector<std::string> keys;
+    for (std::size_t i = 0; i < kLookupsPerRun; ++i) keys.push_back(key((i * kKeyStride + 13) % entries));
     begin = SteadyClock::now();
     std::size_t found = 0;
-    for (const auto& k : asked)
-      found += store.admit(now, arrival(k, 1)).admission == Admission::replayResponse;
-    runs.push_back(ns(begin, asked.size()));
-    if (found != asked.size()) std::printf("only %zu of %zu found\n", found, asked.size());
+    for (const auto& wanted : keys)
+      found += store.admit(now, keyedRequest(wanted, 1)).admission == Admission::replayResponse;
+    lookupNs.push_back(nsPerOperation(begin, keys.size()));
+    if (found != keys.size()) std::printf("only %zu of %zu keys found\n", found, keys.size());
   }
-  std::sort(runs.begin(), runs.end());
+  std::sort(lookupNs.begin(), lookupNs.end());
   begin = SteadyClock::now();
-  const std::size_t n = store.entries(), counted = store.bytes() / n;
+  const std::size_t storedEntries = store.entries(), countedBytes = store.bytes() / storedEntries;
   store.expire(now + std::chrono::hours(2));
   std::printf(
-      "%zu entries: filled at %.0f ns each (slowest %.0f us), %.0f ns a look-up (%.1f million a second), "
-      "%zu bytes an entry by its own count, %zu of heap; all forgotten in %.1f ms\n",
-      entries, filling, slowest / 1e3, runs[2], 1e3 / runs[2], counted, held / n, ns(begin, 1) / 1e6);
+      "%zu entries: inserted in %.0f ns each (max %.0f us), %.0f ns per lookup (%.1f million/s), "
+      "%zu bytes per entry by the count of the store, %zu on the heap; all expired in %.1f ms\n",
+      entries, insertionNs, slowestInsertion / kNsPerUs, lookupNs[kLookupRuns / 2],
+      kNsPerUs / lookupNs[kLookupRuns / 2], countedBytes, heapBytes / storedEntries,
+      nsPerOperation(begin, 1) / kNsPerMs);
 }
 
 }  // namespace
 
 int main() {
-  for (const std::size_t n : {10'000, 1'000'000, 5'000'000}) size(n);
+  for (const std::size_t n : {10'000, 1'000'000, 5'000'000}) measureStore(n);
 }
