--- a/bench/streams.cpp
+++ b/bench/streams.cpp
@@ -2,10 +2,11 @@
 // gateway is a separate process between clients and an echo host, both in this process. A plain relay between
 // two sockets, which does not parse the stream, is measured in place of the gateway in the same run.
 //
-//   bench_streams [STREAMS ...]      (10 1000 9900; two descriptors per stream in each process)
+//   bench_streams [STREAMS ...]      (default: 10 1000 9900; two descriptors per stream in each process)
 //
-//   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DFINCHSTILE_BENCH=ON && cmake --build build-bench -j4
-//   --target bench_streams && build-bench/bench_streams
+//   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DFINCHSTILE_BENCH=ON
+//   cmake --build build-bench -j4 --target bench_streams
+//   build-bench/bench_streams
 #include <fcntl.h>
 #include <netinet/tcp.h>
 #include <sys/epoll.h>
@@ -40,66 +41,80 @@
 using std::chrono::steady_clock;
 namespace asio = boost::asio;
 
-constexpr std::size_t kPayload = 64;
+constexpr std::size_t kPayload = 64;          // bytes of a message
+constexpr std::size_t kServerFrameHead = 2;   // bytes before the payload of a frame from a host
+constexpr std::size_t kClientFrameHead = 6;   // with the mask
+constexpr unsigned char kBinaryFrame = 0x82;  // the first byte of an unfragmented binary frame
+constexpr unsigned char kMasked = 0x80;       // set in the second byte, which holds the payload size too
+constexpr std::size_t kReadBytes = 16384;     // most bytes of one read
+constexpr std::size_t kEpollEvents = 256;
+constexpr std::size_t kSpareStreams = 16;  // limit of the gateway beyond the measured streams
+constexpr std::size_t kConcurrentStreams = 64;
+constexpr std::size_t kSequentialMessages = 20'000, kConcurrentMessages = 200'000;
+constexpr int kAnswerTimeoutMs = 5000;
+constexpr double kMicrosecondsPerSecond = 1e6;
 
 enum class Mode { bare, tcp, relay, inspect };
-const char* nameOf(Mode m) {
-  return m == Mode::bare    ? "bare relay"
-         : m == Mode::tcp   ? "opaque"
-         : m == Mode::relay ? "websocket, relay"
-                            : "websocket, inspect";
+const char* nameOf(Mode mode) {
+  return mode == Mode::bare    ? "bare relay"
+         : mode == Mode::tcp   ? "opaque"
+         : mode == Mode::relay ? "websocket, relay"
+                               : "websocket, inspect";
 }
-bool webSocket(Mode m) { return m == Mode::relay || m == Mode::inspect; }
+bool usesWebSocket(Mode mode) { return mode == Mode::relay || mode == Mode::inspect; }
 
-void fail(const char* what) {
-  std::perror(what);
+// Prints `operation` with the text of errno and exits.
+void fail(const char* operation) {
+  std::perror(operation);
   std::exit(1);
 }
 
 sockaddr_in loopback(std::uint16_t port) {
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  a.sin_port = htons(port);
-  return a;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  address.sin_port = htons(port);
+  return address;
 }
 
+// Listens at a free port of the loopback address, which it stores in `port`.
 int listenAt(std::uint16_t& port) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_in a = loopback(0);
-  socklen_t size = sizeof a;
-  if (::bind(fd, reinterpret_cast<sockaddr*>(&a), size) != 0 || ::listen(fd, 4096) != 0) fail("listen");
-  ::getsockname(fd, reinterpret_cast<sockaddr*>(&a), &size);
-  port = ntohs(a.sin_port);
+  sockaddr_in address = loopback(0);
+  socklen_t size = sizeof address;
+  if (::bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 || ::listen(fd, 4096) != 0) fail("listen");
+  ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
+  port = ntohs(address.sin_port);
   return fd;
 }
 
 int connectTo(std::uint16_t port) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const sockaddr_in a = loopback(port);
-  if (fd < 0 || ::connect(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) != 0) fail("connect");
+  const sockaddr_in address = loopback(port);
+  if (fd < 0 || ::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+    fail("connect");
   const int one = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
   return fd;
 }
 
-void writeAll(int fd, const char* bytes, std::size_t n) {
-  for (std::size_t at = 0; at < n;) {
-    const ssize_t w = ::write(fd, bytes + at, n - at);
-    if (w <= 0) fail("write");
-    at += static_cast<std::size_t>(w);
+void writeAll(int fd, const char* bytes, std::size_t size) {
+  for (std::size_t done = 0; done < size;) {
+    const ssize_t written = ::write(fd, bytes + done, size - done);
+    if (written <= 0) fail("write");
+    done += static_cast<std::size_t>(written);
   }
 }
 
-void readAll(int fd, char* bytes, std::size_t n) {
-  for (std::size_t at = 0; at < n;) {
-    const ssize_t r = ::read(fd, bytes + at, n - at);
-    if (r <= 0) fail("read");
-    at += static_cast<std::size_t>(r);
+void readAll(int fd, char* bytes, std::size_t size) {
+  for (std::size_t done = 0; done < size;) {
+    const ssize_t received = ::read(fd, bytes + done, size - done);
+    if (received <= 0) fail("read");
+    done += static_cast<std::size_t>(received);
   }
 }
 
-// --- The echo host, on a thread. Messages are small and read completely.
+// --- The echo host, on a thread. Messages are small: each read is assumed to return whole messages.
 
 class EchoHost {
  public:
@@ -111,50 +126,54 @@
 
  private:
   void add(int fd) {
-    epoll_event e{};
-    e.events = EPOLLIN;
-    e.data.fd = fd;
-    ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &e);
+    epoll_event event{};
+    event.events = EPOLLIN;
+    event.data.fd = fd;
+    ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
   }
   void run() {
-    std::vector<epoll_event> events(256);
-    char bytes[16384];
+    std::vector<epoll_event> events(kEpollEvents);
+    char bytes[kReadBytes];
     for (;;) {
-      const int n = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), -1);
-      for (int i = 0; i < n; ++i) {
+      const int eventCount = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), -1);
+      for (int i = 0; i < eventCount; ++i) {
         const int fd = events[static_cast<std::size_t>(i)].data.fd;
         if (fd == listening_) {
-          const int c = ::accept4(fd, nullptr, nullptr, SOCK_CLOEXEC);
+          const int client = ::accept4(fd, nullptr, nullptr, SOCK_CLOEXEC);
           const int one = 1;
-          ::setsockopt(c, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-          add(c);
+          ::setsockopt(client, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+          add(client);
           continue;
         }
-        const ssize_t r = ::read(fd, bytes, sizeof bytes);
-        if (r <= 0) ::close(fd);
-        else answer(fd, bytes, static_cast<std::size_t>(r));
+        const ssize_t received = ::read(fd, bytes, sizeof bytes);
+        if (received <= 0) ::close(fd);
+        else answer(fd, bytes, static_cast<std::size_t>(received));
       }
     }
   }
-  static void answer(int fd, const char* bytes, std::size_t n) {
-    const std::string_view text(bytes, n);
+  // Completes a WebSocket handshake; returns the payload of WebSocket messages in unmasked frames and other
+  // bytes unchanged. The mask is not removed: the clients do not compare the payload.
+  static void answer(int fd, const char* bytes, std::size_t size) {
+    const std::string_view text(bytes, size);
     if (text.substr(0, 4) == "GET ") {
-      const std::size_t at = text.find("Sec-WebSocket-Key: ");
+      constexpr std::string_view kKeyHeader = "Sec-WebSocket-Key: ";
+      constexpr std::size_t kKeySize = 24;  // 16 bytes in base64
+      const std::size_t at = text.find(kKeyHeader);
       const std::string head =
           "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: "
           "Upgrade\r\nSec-WebSocket-Accept: " +
-          websocket::acceptOf(text.substr(at + 19, 24)) + "\r\n\r\n";
+          websocket::acceptOf(text.substr(at + kKeyHeader.size(), kKeySize)) + "\r\n\r\n";
       return writeAll(fd, head.data(), head.size());
     }
-    constexpr std::size_t kFrame = 6 + kPayload;  // frame from a client: masked
-    if (n % kFrame != 0 || static_cast<unsigned char>(bytes[0]) != 0x82 ||
-        static_cast<unsigned char>(bytes[1]) != (0x80 | kPayload))
-      return writeAll(fd, bytes, n);
+    constexpr std::size_t kFrame = kClientFrameHead + kPayload;
+    if (size % kFrame != 0 || static_cast<unsigned char>(bytes[0]) != kBinaryFrame ||
+        static_cast<unsigned char>(bytes[1]) != (kMasked | kPayload))
+      return writeAll(fd, bytes, size);
     std::string out;
-    for (std::size_t at = 0; at < n; at += kFrame) {
-      out += '\x82';
+    for (std::size_t at = 0; at < size; at += kFrame) {
+      out += static_cast<char>(kBinaryFrame);
       out += static_cast<char>(kPayload);
-      out.append(bytes + at + 6, kPayload);
+      out.append(bytes + at + kClientFrameHead, kPayload);
     }
     writeAll(fd, out.data(), out.size());
   }
@@ -166,33 +185,33 @@
 
 [[noreturn]] void bareRelay(std::uint16_t host, int out) {
   std::uint16_t port = 0;
-  const int listening = listenAt(port), epoll = ::epoll_create1(EPOLL_CLOEXEC);
-  std::unordered_map<int, int> other;
+  const int listener = listenAt(port), epoll = ::epoll_create1(EPOLL_CLOEXEC);
+  std::unordered_map<int, int> peers;  // the two sockets of a stream, each by the other
   const auto add = [&](int fd) {
-    epoll_event e{};
-    e.events = EPOLLIN;
-    e.data.fd = fd;
-    ::epoll_ctl(epoll, EPOLL_CTL_ADD, fd, &e);
+    epoll_event event{};
+    event.events = EPOLLIN;
+    event.data.fd = fd;
+    ::epoll_ctl(epoll, EPOLL_CTL_ADD, fd, &event);
   };
-  add(listening);
-  if (::write(out, &port, sizeof port) != sizeof port) fail("port");
-  std::vector<epoll_event> events(256);
-  char bytes[16384];
+  add(listener);
+  if (::write(out, &port, sizeof port) != sizeof port) fail("write of the port");
+  std::vector<epoll_event> events(kEpollEvents);
+  char bytes[kReadBytes];
   for (;;) {
-    const int n = ::epoll_wait(epoll, events.data(), static_cast<int>(events.size()), -1);
-    for (int i = 0; i < n; ++i) {
+    const int eventCount = ::epoll_wait(epoll, events.data(), static_cast<int>(events.size()), -1);
+    for (int i = 0; i < eventCount; ++i) {
       const int fd = events[static_cast<std::size_t>(i)].data.fd;
-      if (fd == listening) {
-        const int c = ::accept4(fd, nullptr, nullptr, SOCK_CLOEXEC), h = connectTo(host);
+      if (fd == listener) {
+        const int clientSocket = ::accept4(fd, nullptr, nullptr, SOCK_CLOEXEC), hostSocket = connectTo(host);
         const int one = 1;
-        ::setsockopt(c, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-        other[c] = h, other[h] = c;
-        add(c), add(h);
+        ::setsockopt(clientSocket, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+        peers[clientSocket] = hostSocket, peers[hostSocket] = clientSocket;
+        add(clientSocket), add(hostSocket);
         continue;
       }
-      const ssize_t r = ::read(fd, bytes, sizeof bytes);
-      if (r <= 0) std::exit(0);
-      writeAll(other[fd], bytes, static_cast<std::size_t>(r));
+      const ssize_t received = ::read(fd, bytes, sizeof bytes);
+      if (received <= 0) std::exit(0);
+      writeAll(peers[fd], bytes, static_cast<std::size_t>(received));
     }
   }
 }
@@ -200,12 +219,13 @@
 [[noreturn]] void gatewayProcess(Mode mode, std::uint16_t host, std::size_t streams, int out) {
   asio::io_context io(1);
   const Clock clock;
-  tcp::acceptor silent(io, {asio::ip::address_v4::loopback(), 0});  // discovery that does not answer
+  // Accepts connections and does not respond.
+  tcp::acceptor unresponsiveDiscovery(io, {asio::ip::address_v4::loopback(), 0});
   const auto text = [](std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); };
   const nlohmann::json config = {
       {"name", "bench"},
       {"listen", "127.0.0.1:0"},
-      {"discovery", text(silent.local_endpoint().port())},
+      {"discovery", text(unresponsiveDiscovery.local_endpoint().port())},
       {"seed", "1"},
       {"limits", {{"sockets", 100'000}}},
       {"known", fake_upstream::listJson(
@@ -213,40 +233,43 @@
       {"settings",
        fake_upstream::settingsJson(
            nlohmann::json::array({fake_upstream::gradeJson({"live", "retryable", "all"})}), false, "a")}};
-  GatewayConfig read = readConfig(config.dump(), clock);
-  stream::StreamSettings s;
-  s.enabled = true;
-  s.most = streams + 16;
-  s.descriptorShare = 0.9;
-  s.bufferBytes = std::max(s.bufferBytes, stream::minBufferBytes(s.most));
-  s.log = stream::LogEnds::none;
-  stream::ListenSettings l;
-  l.name = "bench";
-  l.at = {asio::ip::address_v4::loopback(), 0};
-  l.className = "live";
-  if (mode == Mode::tcp) s.listen.push_back(l);
-  read.options.reservedDescriptorFraction = 0.5;
-  Gateway gateway(io, clock, read);
-  stream::StreamTable table(io, clock, s, s.most, 1, gateway.protocolHandlerCallbacks(),
-                            [](std::string_view) {});
-  stream::TcpProxyHandler front(io, clock, s, read.settings, gateway.protocolHandlerCallbacks(), table);
-  websocket::WebSocketSettings w;
-  w.inspect = mode == Mode::inspect;
+  GatewayConfig gatewayConfig = readConfig(config.dump(), clock);
+  stream::StreamSettings streamSettings;
+  streamSettings.enabled = true;
+  streamSettings.most = streams + kSpareStreams;
+  streamSettings.descriptorShare = 0.9;
+  streamSettings.bufferBytes =
+      std::max(streamSettings.bufferBytes, stream::minBufferBytes(streamSettings.most));
+  streamSettings.log = stream::LogEnds::none;
+  stream::ListenSettings listenSettings;
+  listenSettings.name = "bench";
+  listenSettings.at = {asio::ip::address_v4::loopback(), 0};
+  listenSettings.className = "live";
+  if (mode == Mode::tcp) streamSettings.listen.push_back(listenSettings);
+  gatewayConfig.options.reservedDescriptorFraction = 0.5;
+  Gateway gateway(io, clock, gatewayConfig);
+  stream::StreamTable table(io, clock, streamSettings, streamSettings.most, 1,
+                            gateway.protocolHandlerCallbacks(), [](std::string_view) {});
+  stream::TcpProxyHandler tcpProxy(io, clock, streamSettings, gatewayConfig.settings,
+                                   gateway.protocolHandlerCallbacks(), table);
+  websocket::WebSocketSettings webSocketSettings;
+  webSocketSettings.inspect = mode == Mode::inspect;
   std::mt19937 engine(1);
-  websocket::WebSocketHandler upgrades(
-      clock, w, "bench", [&] { return static_cast<std::uint32_t>(engine()); }, table);
-  gateway.attach(front);
-  gateway.setUpgradeHandler(upgrades);
-  front.start();
+  websocket::WebSocketHandler webSocketHandler(
+      clock, webSocketSettings, "bench", [&] { return static_cast<std::uint32_t>(engine()); }, table);
+  gateway.attach(tcpProxy);
+  gateway.setUpgradeHandler(webSocketHandler);
+  tcpProxy.start();
   gateway.start();
-  const std::uint16_t port = mode == Mode::tcp ? front.endpoint(0).port() : gateway.endpoint().port();
-  if (::write(out, &port, sizeof port) != sizeof port) fail("port");
+  const std::uint16_t port = mode == Mode::tcp ? tcpProxy.endpoint(0).port() : gateway.endpoint().port();
+  if (::write(out, &port, sizeof port) != sizeof port) fail("write of the port");
   io.run();
   std::exit(0);
 }
 
-struct Between {
-  Between(Mode mode, std::uint16_t host, std::size_t streams) {
+// The child process of the gateway or relay.
+struct ProxyProcess {
+  ProxyProcess(Mode mode, std::uint16_t host, std::size_t streams) {
     int ends[2];
     if (::pipe(ends) != 0) fail("pipe");
     pid = ::fork();
@@ -257,121 +280,127 @@
       gatewayProcess(mode, host, streams, ends[1]);
     }
     ::close(ends[1]);
-    if (::read(ends[0], &port, sizeof port) != sizeof port) fail("start");
+    if (::read(ends[0], &port, sizeof port) != sizeof port) fail("read of the port");
     ::close(ends[0]);
   }
-  ~Between() {
+  ~ProxyProcess() {
     ::kill(pid, SIGKILL);
     ::waitpid(pid, nullptr, 0);
   }
-  double cpu() const {  // seconds, user and system time
+  // User and system time of the process, in seconds.
+  double cpuSeconds() const {
     std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
     std::string line;
     std::getline(file, line);
     std::istringstream rest(line.substr(line.rfind(')') + 2));
+    constexpr int kSkippedFields = 11;  // from the state, after the name, to the field before utime
     std::string skipped;
-    for (int i = 0; i < 11; ++i) rest >> skipped;
+    for (int i = 0; i < kSkippedFields; ++i) rest >> skipped;
     double user = 0, kernel = 0;
     rest >> user >> kernel;
     return (user + kernel) / static_cast<double>(::sysconf(_SC_CLK_TCK));
   }
-  double memory() const {  // KiB in use
+  // Resident memory of the process, in KiB.
+  double memoryKib() const {
     std::ifstream file("/proc/" + std::to_string(pid) + "/status");
+    constexpr std::string_view kLabel = "VmRSS:";
     for (std::string line; std::getline(file, line);)
-      if (line.rfind("VmRSS:", 0) == 0) return std::atof(line.c_str() + 6);
+      if (line.rfind(kLabel, 0) == 0) return std::atof(line.c_str() + kLabel.size());
     return 0;
   }
   pid_t pid = 0;
   std::uint16_t port = 0;
 };
 
-double percentile(std::vector<double>& v, double p) {
-  std::sort(v.begin(), v.end());
-  return v[static_cast<std::size_t>(p * static_cast<double>(v.size() - 1))];
+// Sorts `values`. `fraction`: from 0 to 1.
+double percentile(std::vector<double>& values, double fraction) {
+  std::sort(values.begin(), values.end());
+  return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
 }
 
 void measure(Mode mode, const EchoHost& host, std::size_t streams) {
-  const Between between(mode, host.port, streams);
+  const ProxyProcess proxy(mode, host.port, streams);
   std::string message(kPayload, 'm');
-  std::size_t answer = kPayload;
-  if (webSocket(mode)) {
+  std::size_t answerBytes = kPayload;
+  if (usesWebSocket(mode)) {
     message = websocket::writeFrame(2, message, std::array<unsigned char, 4>{1, 2, 3, 4});
-    answer = kPayload + 2;
+    answerBytes = kPayload + kServerFrameHead;
   }
-  char bytes[16384];
-  // A first stream, so that one-time costs of the process are not attributed to the streams.
-  std::vector<int> all;
-  const double empty = between.memory();
-  double first = empty;
+  char bytes[kReadBytes];
+  // Memory is counted from the second stream on: the first one causes one-time costs of the process.
+  std::vector<int> streamSockets;
+  const double initialMemory = proxy.memoryKib();
+  double memoryWithOneStream = initialMemory;
   for (std::size_t i = 0; i < streams; ++i) {
-    const int fd = connectTo(between.port);
-    if (webSocket(mode)) {
-      static constexpr char kAsk[] =
+    const int fd = connectTo(proxy.port);
+    if (usesWebSocket(mode)) {
+      static constexpr char kUpgradeRequest[] =
           "GET /live HTTP/1.1\r\nHost: b\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n"
           "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n";
-      writeAll(fd, kAsk, sizeof kAsk - 1);
+      writeAll(fd, kUpgradeRequest, sizeof kUpgradeRequest - 1);
       std::string head;
       while (head.find("\r\n\r\n") == std::string::npos) {
         readAll(fd, bytes, 1);
         head += bytes[0];
       }
       if (head.compare(9, 3, "101") != 0) {
-        std::fprintf(stderr, "not begun: %s\n", head.c_str());
+        std::fprintf(stderr, "WebSocket handshake failed: %s\n", head.c_str());
         std::exit(1);
       }
     }
     writeAll(fd, message.data(), message.size());
-    readAll(fd, bytes, answer);
-    all.push_back(fd);
-    if (i == 0) first = between.memory();
+    readAll(fd, bytes, answerBytes);
+    streamSockets.push_back(fd);
+    if (i == 0) memoryWithOneStream = proxy.memoryKib();
   }
-  const double memory = streams > 1 ? (between.memory() - first) / static_cast<double>(streams - 1) : 0;
+  const double memoryPerStream =
+      streams > 1 ? (proxy.memoryKib() - memoryWithOneStream) / static_cast<double>(streams - 1) : 0;
 
   std::mt19937 engine(7);
-  std::vector<double> times;
-  constexpr std::size_t kOneByOne = 20'000;
-  for (std::size_t i = 0; i < kOneByOne; ++i) {
-    const int fd = all[engine() % all.size()];
-    const auto from = steady_clock::now();
+  std::vector<double> latenciesUs;
+  for (std::size_t i = 0; i < kSequentialMessages; ++i) {
+    const int fd = streamSockets[engine() % streamSockets.size()];
+    const auto start = steady_clock::now();
     writeAll(fd, message.data(), message.size());
-    readAll(fd, bytes, answer);
-    times.push_back(std::chrono::duration<double, std::micro>(steady_clock::now() - from).count());
+    readAll(fd, bytes, answerBytes);
+    latenciesUs.push_back(std::chrono::duration<double, std::micro>(steady_clock::now() - start).count());
   }
 
-  // Concurrent messages on up to 64 streams.
+  // Concurrent messages on up to kConcurrentStreams streams.
   const int epoll = ::epoll_create1(EPOLL_CLOEXEC);
-  const std::size_t wide = std::min<std::size_t>(64, all.size());
-  constexpr std::size_t kMany = 200'000;
-  std::size_t sent = 0, done = 0, next = 0;
-  for (int fd : all) {
-    epoll_event e{};
-    e.events = EPOLLIN;
-    e.data.fd = fd;
-    ::epoll_ctl(epoll, EPOLL_CTL_ADD, fd, &e);
+  const std::size_t concurrency = std::min(kConcurrentStreams, streamSockets.size());
+  std::size_t sent = 0, answered = 0, next = 0;
+  for (int fd : streamSockets) {
+    epoll_event event{};
+    event.events = EPOLLIN;
+    event.data.fd = fd;
+    ::epoll_ctl(epoll, EPOLL_CTL_ADD, fd, &event);
   }
-  const auto send = [&] {
-    writeAll(all[next++ % all.size()], message.data(), message.size());
+  const auto sendNext = [&] {
+    writeAll(streamSockets[next++ % streamSockets.size()], message.data(), message.size());
     ++sent;
   };
-  const double cpu = between.cpu();
-  const auto from = steady_clock::now();
-  while (sent < wide) send();
-  std::vector<epoll_event> events(64);
-  while (done < kMany) {
-    const int n = ::epoll_wait(epoll, events.data(), 64, 5000);
-    if (n <= 0) fail("no answer");
-    for (int i = 0; i < n; ++i) {
-      readAll(events[static_cast<std::size_t>(i)].data.fd, bytes, answer);
-      ++done;
-      if (sent < kMany) send();
+  const double cpuBefore = proxy.cpuSeconds();
+  const auto start = steady_clock::now();
+  while (sent < concurrency) sendNext();
+  std::vector<epoll_event> events(kConcurrentStreams);
+  while (answered < kConcurrentMessages) {
+    const int eventCount = ::epoll_wait(epoll, events.data(), kConcurrentStreams, kAnswerTimeoutMs);
+    if (eventCount <= 0) fail("wait for an answer");
+    for (int i = 0; i < eventCount; ++i) {
+      readAll(events[static_cast<std::size_t>(i)].data.fd, bytes, answerBytes);
+      ++answered;
+      if (sent < kConcurrentMessages) sendNext();
     }
   }
-  const double took = std::chrono::duration<double>(steady_clock::now() - from).count();
-  const double used = between.cpu() - cpu;
+  const double elapsedSeconds = std::chrono::duration<double>(steady_clock::now() - start).count();
+  const double cpuUsed = proxy.cpuSeconds() - cpuBefore;
   std::printf("| %zu | %s | %.0f | %.0f | %.0f | %.2f | %.1f |\n", streams, nameOf(mode),
-              percentile(times, 0.5), percentile(times, 0.99), kMany / took, used / kMany * 1e6, memory);
+              percentile(latenciesUs, 0.5), percentile(latenciesUs, 0.99),
+              kConcurrentMessages / elapsedSeconds, cpuUsed / kConcurrentMessages * kMicrosecondsPerSecond,
+              memoryPerStream);
   std::fflush(stdout);
-  for (int fd : all) ::close(fd);
+  for (int fd : streamSockets) ::close(fd);
   ::close(epoll);
 }
 
