--- a/bench/cross_zone.cpp
+++ b/bench/cross_zone.cpp
@@ -40,8 +40,9 @@
     {"stock-out", Idempotency::nonIdempotent, 0.53, 1, 25, milliseconds(400), milliseconds(2000), 400, 300},
     {"log-in", Idempotency::idempotentWithKey, 0.31, 1, 25, milliseconds(400), milliseconds(1000), 2000, 300},
 };
-constexpr int kHosts = 12, kCores = 4;   // cores per host
-constexpr int kLocalHosts = kHosts / 2;  // the hosts with the lowest numbers
+constexpr double kMaxPriorityWeight = 12;  // the highest value weight of kClasses
+constexpr int kHosts = 12, kCores = 4;     // cores per host
+constexpr int kLocalHosts = kHosts / 2;    // the hosts with the lowest numbers
 constexpr int kLocalHostsWhileLost = kHosts / 8;
 constexpr int kFirstHostNumber = 100;  // in host addresses, which are "h" and this number plus the host index
 constexpr double kNanosecondsPerMillisecond = 1e6, kNanosecondsPerSecond = 1e9;
@@ -239,7 +240,7 @@
     model.length = seconds(lengthSeconds);
     cross_zone::CrossZoneSettings budgetSettings;
     budgetSettings.bytesPerSecond = bytesPerSecond;
-    cross_zone::CrossZoneBudget budget(budgetSettings, 12, model.now);
+    cross_zone::CrossZoneBudget budget(budgetSettings, kMaxPriorityWeight, model.now);
     model.run(requestsPerSecond, bytesPerSecond < 0 ? nullptr : &budget);
     for (int i = 0; i < 3; ++i) {
       const PhaseResults& results = model.phases[i];
--- a/bench/gossip.cpp
+++ b/bench/gossip.cpp
@@ -2,7 +2,7 @@
 // gossip of src/membership with 3 to 1,000 gateways and 10 to 10,000 workers. Deterministic for a seed.
 //
 //   bench_gossip                       the tables of docs/design/gossip.md
-//   bench_gossip --svg gossip.svg      the curves too
+//   bench_gossip --svg gossip.svg      and the plot
 //   bench_gossip --gateways 100 --workers 100 --quorum 2 --fanout 3 --loss 0.1
 #include "membership/gossip.hpp"
 
@@ -64,7 +64,7 @@
 constexpr double kDatagramOverheadBytes = 38;
 // Workers simulated individually; the others only affect the request rate per worker.
 constexpr std::size_t kMaxSimulatedWorkers = 20;
-// Larger fleets are simulated with one seed only, to limit the run time.
+// Larger fleets are simulated with one seed only.
 constexpr std::size_t kMaxGatewaysForAllSeeds = 300;
 constexpr std::uint64_t kSeedStride = 1'000'003;  // between the gossip seeds of two runs
 constexpr std::chrono::seconds kStartTime(1000);  // of the simulated clock
@@ -129,7 +129,7 @@
   struct Attempt {
     double sentAt, timeoutAt;
     std::size_t host;
-    bool silent;
+    bool unanswered;
   };
   struct Gateway {
     std::unique_ptr<Gossip> gossip;
--- a/bench/idempotency_log.cpp
+++ b/bench/idempotency_log.cpp
@@ -27,7 +27,7 @@
 using namespace finchstile::idempotency;
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr std::size_t kMaxStoreAndLogBytes = std::size_t{8} << 30;  // large enough that no limit is reached
+constexpr std::size_t kMaxStoreAndLogBytes = std::size_t{8} << 30;  // limit of the store and of the log
 constexpr std::chrono::milliseconds kTickInterval(100);
 constexpr double kMicrosecondsPerSecond = 1e6, kMillisecondsPerSecond = 1e3, kBytesPerMb = 1e6;
 
--- a/bench/trace.cpp
+++ b/bench/trace.cpp
@@ -13,7 +13,7 @@
 #include "trace/trace_line_codec.hpp"
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-constexpr double kUnlimitedLinesPerSecond = 1e9;  // far more than one thread can log
+constexpr double kUnlimitedLinesPerSecond = 1e9;  // in effect no limit
 
 int main(int argc, char** argv) {
   using namespace finchstile;
