--- a/tests/websocket/web_socket_handler_test.cpp
+++ b/tests/websocket/web_socket_handler_test.cpp
@@ -507,11 +507,17 @@
   startGateway();
   const auto c = open();
   const std::string ping = bytesOf(false, {9, ""});
-  // The client answers pings; the host does not.
+  // The client answers pings; the host does not. If the event loop is late, a ping can be received together
+  // with the close frame, and the stream can end before the close frame is received.
   ASSERT_TRUE(until([&] {
-    if (c->receivedBytes == ping) c->receivedBytes.clear(), c->write(bytesOf(true, {10, ""}));
-    return table->statistics().ended(EndedBy::host, EndReason::silent) == 1 || c->over();
+    while (c->receivedBytes.compare(0, ping.size(), ping) == 0) {
+      c->receivedBytes.erase(0, ping.size());
+      if (!c->over()) c->write(bytesOf(true, {10, ""}));
+    }
+    const bool silent = table->statistics().ended(EndedBy::host, EndReason::silent) == 1;
+    return (silent && c->receivedBytes.size() >= 2) || c->over();
   }));
+  EXPECT_EQ(table->statistics().ended(EndedBy::host, EndReason::silent), 1u);
   EXPECT_EQ(c->receivedBytes.substr(0, 2), closeFrame(false, 1014, "silent").substr(0, 2));
   EXPECT_NE(last()->receivedBytes.find(bytesOf(true, {9, ""})), std::string::npos);
   EXPECT_TRUE(hasLine("failed by=host why=silent"));
