--- a/bench/hooks.cpp
+++ b/bench/hooks.cpp
@@ -61,8 +61,8 @@
   }
 }
 
-constexpr int kRuns = 20000;         // executions per measurement
-constexpr int kNoPathLength = 1000;  // the compared lengths start here: no path is that long
+constexpr int kRuns = 20000;                 // executions per measurement
+constexpr std::size_t kNoPathLength = 1000;  // the compared lengths start here: no path is that long
 constexpr int kWarmUpRuns = 100;
 constexpr int kWarmUpRequests = 500;  // sent before the measured ones
 constexpr int kLookupKeys = 1000;
@@ -84,7 +84,8 @@
 void measureChecks(int checks) {
   std::string body;
   for (int i = 0; i < checks; ++i)
-    body += "if length(path) == " + std::to_string(kNoPathLength + i) + " { reject(403, \"no\"); }\n";
+    body += "if length(path) == " + std::to_string(kNoPathLength + static_cast<std::size_t>(i)) +
+            " { reject(403, \"no\"); }\n";
   const auto code = compileOrExit("hook \"h\";\non request {\n" + body + "}\n");
   Interpreter interpreter;
   RunInput input;
@@ -107,7 +108,7 @@
       const volatile std::size_t size = input.path.size();  // read for each check, as in the hook
       std::int64_t rejected = 0;
       for (int k = 0; k < checks && rejected == 0; ++k)
-        if (size == static_cast<std::size_t>(kNoPathLength + k)) rejected = 403;
+        if (size == kNoPathLength + static_cast<std::size_t>(k)) rejected = 403;
       sink = rejected;
     }
     return nsSince(begin) / kRuns;
