--- a/tests/app/configuration_test.cpp
+++ b/tests/app/configuration_test.cpp
@@ -4,6 +4,7 @@
 
 #include "control_machine.hpp"
 #include "support/process.hpp"
+#include "support/reserved_endpoint.hpp"
 #include "support/sockets.hpp"
 
 namespace finchstile::testing {
@@ -24,7 +25,7 @@
   std::uint64_t pollsBefore = 0;
 
   void configure() {
-    at = tcp::acceptor(io, loopback()).local_endpoint();
+    at = reserveEndpoint(io);
     json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", host.endpoint())}));
     config["listen"] = text(at);
     folder.write("config.json", config.dump());
--- a/tests/app/program_test.cpp
+++ b/tests/app/program_test.cpp
@@ -4,6 +4,7 @@
 #include <csignal>
 
 #include "support/process.hpp"
+#include "support/reserved_endpoint.hpp"
 #include "support/sockets.hpp"
 #include "support/wires.hpp"
 
@@ -92,7 +93,7 @@
 // configured one.
 TEST_F(ProgramTest, ReconnectsToDiscoveryWhileClientsHoldAllTheirDescriptors) {
   Server host(io, [](const auto&, const Received&) {});
-  const tcp::endpoint at = tcp::acceptor(io, loopback()).local_endpoint();
+  const tcp::endpoint at = reserveEndpoint(io);
   tcp::acceptor first(io, loopback());
   ::fcntl(first.native_handle(), F_SETFD, FD_CLOEXEC);  // otherwise the launched process would inherit it
   const tcp::endpoint down = first.local_endpoint();
@@ -183,8 +184,8 @@
 TEST_F(ProgramTest, RelaysStreamsAndEndsThemBeforeExit) {
   TcpServer worker(io, echo);
   json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", worker.endpoint())}));
-  const tcp::endpoint at = tcp::acceptor(io, loopback()).local_endpoint(),
-                      scans = tcp::acceptor(io, loopback()).local_endpoint();
+  const std::vector<tcp::endpoint> endpoints = reserveEndpoints(io, 2);
+  const tcp::endpoint at = endpoints[0], scans = endpoints[1];
   config["listen"] = text(at);
   config["limits"]["sockets"] = 1024;
   folder.write("config.json", config.dump());
@@ -233,7 +234,7 @@
   Server host(io, [](const auto& peer, const Received&) { peer->reply(200, "ok"); });
   json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", host.endpoint())}));
   // The program does not report an assigned port, so the test chooses one that was free just before.
-  const tcp::endpoint at = tcp::acceptor(io, loopback()).local_endpoint();
+  const tcp::endpoint at = reserveEndpoint(io);
   config["listen"] = text(at);
   folder.write("config.json", config.dump());
   const auto hook = [&](const std::string& body) {
@@ -281,7 +282,7 @@
     Server host(
         io, [&](const auto& peer, const Received&) { peer->reply(200, "answer " + std::to_string(++ran)); });
     json config = configJson(discovery.endpoint(), json::array({hostJson("s-0", host.endpoint())}));
-    const tcp::endpoint at = tcp::acceptor(io, loopback()).local_endpoint();
+    const tcp::endpoint at = reserveEndpoint(io);
     config["listen"] = text(at);
     folder.write("config.json", config.dump());
     folder.write("o.toml", std::string("[idempotency]\nenabled = true\n[idempotency.log]\nfolder = 'keys-") +
@@ -336,7 +337,7 @@
   std::vector<tcp::endpoint> at;
   std::vector<std::unique_ptr<Process>> gateways;
   for (int i = 0; i < 2; ++i) {
-    at.push_back(tcp::acceptor(io, loopback()).local_endpoint());
+    at.push_back(reserveEndpoint(io));
     config["listen"] = text(at.back());
     setenv("LB_CONFIG", folder.write("c" + std::to_string(i), config.dump()).c_str(), 1);
     // An owner counts as new until it has run for `keep` plus the longest request duration, and a new owner
@@ -395,7 +396,6 @@
     return std::make_unique<Process>(FINCHSTILE_PROGRAM, arguments, folder / (name + ".log"),
                                      listener.native_handle());
   }
-  tcp::endpoint freePort() { return tcp::acceptor(io, loopback()).local_endpoint(); }
   // Returns status and body of the response; status 0 if there is none.
   std::pair<unsigned, std::string> call(const tcp::endpoint& at, const std::string& what) {
     try {
@@ -422,7 +422,7 @@
 };
 
 TEST_F(ProcessReplacementTest, SuccessorKeepsClientConnectionsAndCordonedHosts) {
-  const tcp::endpoint ops = freePort(), successorOps = freePort();
+  const tcp::endpoint ops = reserveEndpoint(io), successorOps = reserveEndpoint(io);
   program = launch(ops, "first");
   ASSERT_TRUE(becomesReady(ops)) << program->logged();
   const auto c = Client::connect(io, listener.local_endpoint()),
@@ -461,7 +461,7 @@
 
 // The state of hosts, from /api/hosts and from `finchstile hosts`; without [membership] both are unavailable.
 TEST_F(ProcessReplacementTest, DescribesHostsByAdminApiAndCommand) {
-  const tcp::endpoint ops = freePort(), off = freePort();
+  const tcp::endpoint ops = reserveEndpoint(io), off = reserveEndpoint(io);
   const std::string file = folder.write("o.toml", "[membership]\nenabled = true\n");
   program = launch(ops, "first", {"--operator", file});
   ASSERT_TRUE(becomesReady(ops)) << program->logged();
@@ -494,12 +494,12 @@
 
 // A successor that is killed does not affect the running process, and a later successor connects to it.
 TEST_F(ProcessReplacementTest, ServesOnAfterASuccessorIsKilled) {
-  const tcp::endpoint ops = freePort();
+  const tcp::endpoint ops = reserveEndpoint(io);
   program = launch(ops, "first");
   ASSERT_TRUE(becomesReady(ops));
   const auto c = Client::connect(io, listener.local_endpoint());
   sendRequest(c, 2);
-  const tcp::endpoint successorOps = freePort(), thirdOps = freePort();
+  const tcp::endpoint successorOps = reserveEndpoint(io), thirdOps = reserveEndpoint(io);
   successor = launch(successorOps, "second");
   ASSERT_TRUE(becomesReady(successorOps));
   successor.reset();  // killed
@@ -514,12 +514,12 @@
 
 TEST_F(ProcessReplacementTest, InvalidInheritedDescriptorFailsStartupWithItsReason) {
   setenv("LB_INHERITED_FD", "0", 1);
-  program = launch(freePort(), "first");
+  program = launch(reserveEndpoint(io), "first");
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_EQ(program->wait(), 1);
   EXPECT_NE(program->logged().find("the inherited descriptor 0 is no listening socket"), std::string::npos);
   setenv("LB_INHERITED_FD", "three", 1);
-  program = launch(freePort(), "first");
+  program = launch(reserveEndpoint(io), "first");
   ASSERT_TRUE(until([&] { return program->ended(); }));
   EXPECT_NE(program->logged().find("LB_INHERITED_FD is 'three'"), std::string::npos);
 }
--- a/tests/app/release_test.cpp
+++ b/tests/app/release_test.cpp
@@ -2,14 +2,13 @@
 // and restarted, while hosts are replaced and SIGHUP moves discovery. Clients count the outcome of each
 // request. A process that has not exited when the platform's grace period ends gets SIGKILL. With
 // AddressSanitizer, it must have drained by then.
-#include <unistd.h>
-
 #include <csignal>
 #include <map>
 #include <random>
 
 #include "support/process.hpp"
 #include "support/registry.hpp"
+#include "support/reserved_endpoint.hpp"
 
 namespace finchstile::testing {
 namespace {
@@ -31,15 +30,6 @@
 constexpr milliseconds kFrontRoutingDelay{250};  // fronts still connect to a node for this long after SIGTERM
 constexpr milliseconds kResponseSlack{550};      // tolerance beyond a client's time limit
 
-// Returns a loopback address that no other running process of this test uses. A gateway's port is free
-// until the gateway starts and between its restarts; on 127.0.0.1 a process of another test could take it
-// then and receive this test's requests.
-asio::ip::address_v4 ownLoopbackAddress() {
-  const auto pid = static_cast<unsigned>(getpid());  // at most 2^22, so the second part is at most 66
-  return asio::ip::address_v4{(127u << 24) | ((1 + pid / (254 * 254)) << 16) | ((1 + pid / 254 % 254) << 8) |
-                              (1 + pid % 254)};
-}
-
 struct Stall {
   Duration length{};
   Duration before{};  // lead over the SIGKILL time; 0: the stall begins at SIGTERM
@@ -311,13 +301,11 @@
   void runRelease(const std::vector<Stall>& stalls) {
     for (int i = 0; i < 6; ++i) addHost();
     nodes.resize(12);
-    std::vector<tcp::acceptor> reserved;  // all open until the last port is drawn, so that the ports differ
+    const std::vector<tcp::endpoint> endpoints = reserveEndpoints(io, nodes.size());
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       nodes[i].name = "n" + std::to_string(i);
-      reserved.emplace_back(io, tcp::endpoint(ownLoopbackAddress(), 0));
-      nodes[i].at = reserved.back().local_endpoint();
+      nodes[i].at = endpoints[i];
     }
-    reserved.clear();
     for (Node& n : nodes) startNode(n);
     ASSERT_TRUE(runUntil(io, [&] {
       return std::all_of(nodes.begin(), nodes.end(),
