--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -19,6 +19,7 @@
 #include "measure.hpp"
 #include "net/config.hpp"
 #include "net/tenant_table.hpp"
+#include "units.hpp"
 
 namespace finchstile::bench {
 namespace {
@@ -42,7 +43,6 @@
 constexpr int kRequestsPerSample = 2000;
 constexpr int kChangesPerSample = 20;
 constexpr double kRequestsPerSecond = 230;  // of one gateway at peak
-constexpr double kNanosecondsPerSecond = 1e9;
 constexpr milliseconds kAttemptLatency(20);
 constexpr seconds kSweepAdvance(60);       // longer than the sweep period at any size
 constexpr RequestId kTenantStride = 7919;  // prime: consecutive requests are of distant tenants
--- a/bench/cross_zone.cpp
+++ b/bench/cross_zone.cpp
@@ -20,6 +20,7 @@
 #include "cross_zone/cross_zone_budget.hpp"
 #include "cross_zone/cross_zone_statistics.hpp"
 #include "finchstile/load_balancer.hpp"
+#include "units.hpp"
 
 using namespace finchstile::load_balancing;
 namespace cross_zone = finchstile::cross_zone;
@@ -45,7 +46,6 @@
 constexpr int kLocalHosts = kHosts / 2;    // the hosts with the lowest numbers
 constexpr int kLocalHostsWhileLost = kHosts / 8;
 constexpr int kFirstHostNumber = 100;  // in host addresses, which are "h" and this number plus the host index
-constexpr double kNanosecondsPerMillisecond = 1e6, kNanosecondsPerSecond = 1e9;
 constexpr Time kStartTime = seconds(1000);
 constexpr Duration kTimerInterval = milliseconds(20);
 constexpr double kMinWorkFactor = 0.7, kWorkFactorRange = 0.6;  // work of an attempt / mean work of its class
@@ -139,8 +139,9 @@
           if (budget) budget->charge(now, requestClass.requestBytes + requestClass.responseBytes);
         }
         const double workMs = requestClass.workMs * (kMinWorkFactor + kWorkFactorRange * uniform());
-        const AttemptWork work{action.request, action.attempt,
-                               Duration(static_cast<std::int64_t>(workMs * kNanosecondsPerMillisecond))};
+        const AttemptWork work{
+            action.request, action.attempt,
+            Duration(static_cast<std::int64_t>(workMs * finchstile::bench::kNanosecondsPerMillisecond))};
         Host& target = hosts[static_cast<std::size_t>(host)];
         if (target.busyCores < kCores) start(host, work);
         else target.queue.push_back(work);
@@ -199,7 +200,7 @@
         phase(now).offeredValue += kClasses[classIndex].valueWeight;
         balancer.onRequest(now, request);
         events.push({now + Duration(static_cast<std::int64_t>(-std::log(1 - uniform()) / requestsPerSecond *
-                                                              kNanosecondsPerSecond)),
+                                                              finchstile::bench::kNanosecondsPerSecond)),
                      EventKind::arrival});
       } else {
         Host& target = hosts[static_cast<std::size_t>(event.host)];
--- a/bench/discovery_migration.cpp
+++ b/bench/discovery_migration.cpp
@@ -14,6 +14,7 @@
 #include <vector>
 
 #include "support/driver.hpp"
+#include "units.hpp"
 
 namespace finchstile::load_balancing::testing {
 namespace {
@@ -29,8 +30,7 @@
   Duration saturation{};  // while other load fills the new service, from the start of the migration
 };
 
-constexpr double kLateSeconds = 4;  // a first list after this time counts as late
-constexpr double kNanosecondsPerSecond = 1e9;
+constexpr double kLateSeconds = 4;            // a first list after this time counts as late
 constexpr std::uint64_t kMaxGateways = 1000;  // of a run; keeps the seeds of different runs apart
 
 struct Result {
@@ -116,7 +116,7 @@
         performActions(index);
       });
     }
-    busyUntil_ = begin + Duration(static_cast<std::int64_t>(kNanosecondsPerSecond * linesPerAnswer_ /
+    busyUntil_ = begin + Duration(static_cast<std::int64_t>(bench::kNanosecondsPerSecond * linesPerAnswer_ /
                                                             parameters_.linesPerSecond));
     schedule(busyUntil_, [this, index] {
       gateways_[index].listReceived = true;
--- a/bench/gossip.cpp
+++ b/bench/gossip.cpp
@@ -17,6 +17,8 @@
 #include <string>
 #include <vector>
 
+#include "units.hpp"
+
 using namespace finchstile::membership;
 using std::chrono::milliseconds;
 
@@ -59,7 +61,6 @@
 constexpr double kNetworkDelay = 0.005;
 constexpr double kTickInterval = 0.2;  // of the gossip of a gateway
 
-constexpr double kNanosecondsPerSecond = 1e9;
 constexpr double kSecondsPerHour = 3600;
 constexpr double kDatagramOverheadBytes = 38;
 // Workers simulated individually; the others only affect the request rate per worker.
@@ -149,7 +150,8 @@
   };
 
   Time time() const {
-    return kStartTime + std::chrono::nanoseconds(static_cast<std::int64_t>(now_ * kNanosecondsPerSecond));
+    return kStartTime + std::chrono::nanoseconds(
+                            static_cast<std::int64_t>(now_ * finchstile::bench::kNanosecondsPerSecond));
   }
   double uniform() { return std::uniform_real_distribution<>(0, 1)(engine_); }
 
@@ -184,7 +186,7 @@
       const Attempt attempt = gateway.unansweredAttempts.front();
       gateway.unansweredAttempts.pop_front();
       const Time sentAt = time() - std::chrono::nanoseconds(static_cast<std::int64_t>(
-                                       (now_ - attempt.sentAt) * kNanosecondsPerSecond));
+                                       (now_ - attempt.sentAt) * finchstile::bench::kNanosecondsPerSecond));
       if (gateway.lastAnswers[attempt.host] >= sentAt) continue;  // the worker has answered a later attempt
       gateway.gossip->onUnresponsive(attempt.host + 1, 0, time());
       if (attempt.host == 0) gateway.failureObservedAt = time();
--- a/bench/hooks.cpp
+++ b/bench/hooks.cpp
@@ -23,6 +23,7 @@
 #include "hook/verifier.hpp"
 #include "host.hpp"
 #include "net/gateway.hpp"
+#include "units.hpp"
 
 namespace {
 std::atomic<std::uint64_t> allocations{0};
@@ -66,7 +67,6 @@
 constexpr int kWarmUpRuns = 100;
 constexpr int kWarmUpRequests = 500;  // sent before the measured ones
 constexpr int kLookupKeys = 1000;
-constexpr double kNsPerUs = 1e3, kNsPerMs = 1e6, kNsPerSecond = 1e9, kBytesPerMb = 1e6;
 
 // Returns the median of the results of several calls of `run`.
 template <class F>
@@ -168,7 +168,8 @@
     return nsSince(begin);
   });
   std::printf("hook of 1,000 lines, %zu instructions: compiled in %.2f ms, verified in %.2f ms\n",
-              compiled->program.code.size(), compileNs / kNsPerMs, verifyNs / kNsPerMs);
+              compiled->program.code.size(), compileNs / bench::kNanosecondsPerMillisecond,
+              verifyNs / bench::kNanosecondsPerMillisecond);
 }
 
 void measureTable() {
@@ -194,7 +195,8 @@
     return nsSince(begin) / kLookupKeys;
   });
   std::printf("table of %d entries: parsed in %.1f ms, %.1f MB, %.0f ns per lookup\n", kTableEntries,
-              parseNs / kNsPerMs, static_cast<double>(table->bytes()) / kBytesPerMb, lookupNs);
+              parseNs / bench::kNanosecondsPerMillisecond,
+              static_cast<double>(table->bytes()) / bench::kBytesPerMegabyte, lookupNs);
 }
 
 // --- Requests through a gateway, with a host and a client on separate threads
@@ -251,16 +253,16 @@
     const auto sent = SteadyClock::now();
     asio::write(client, asio::buffer(request));
     client.read_some(asio::buffer(bytes));
-    if (i >= 0) latenciesUs.push_back(nsSince(sent) / kNsPerUs);
+    if (i >= 0) latenciesUs.push_back(nsSince(sent) / bench::kNanosecondsPerMicrosecond);
   }
   clock_gettime(loopClock, &end);
   client.close();
   asio::post(io, [&] { io.stop(); });
   loop.join();
   std::sort(latenciesUs.begin(), latenciesUs.end());
-  const double cpuNs = static_cast<double>(end.tv_sec - begin.tv_sec) * kNsPerSecond +
+  const double cpuNs = static_cast<double>(end.tv_sec - begin.tv_sec) * bench::kNanosecondsPerSecond +
                        static_cast<double>(end.tv_nsec - begin.tv_nsec);
-  return {cpuNs / kNsPerUs / requests, latenciesUs[latenciesUs.size() / 2],
+  return {cpuNs / bench::kNanosecondsPerMicrosecond / requests, latenciesUs[latenciesUs.size() / 2],
           latenciesUs[latenciesUs.size() * 999 / 1000], latenciesUs.back()};
 }
 
--- a/bench/idempotency.cpp
+++ b/bench/idempotency.cpp
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "idempotency/store.hpp"
+#include "units.hpp"
 
 namespace {
 
@@ -28,7 +29,6 @@
 constexpr int kLookupRuns = 5;
 constexpr std::size_t kLookupsPerRun = 100'000;
 constexpr std::size_t kKeyStride = 7919;  // prime, so that consecutive lookups are of distant entries
-constexpr double kNsPerUs = 1e3, kNsPerMs = 1e6;
 
 // Time per operation of the `n` operations since `begin`, in nanoseconds.
 double nsPerOperation(SteadyClock::time_point begin, std::size_t n) {
@@ -78,9 +78,10 @@
   std::printf(
       "%zu entries: inserted in %.0f ns each (max %.0f us), %.0f ns per lookup (%.1f million/s), "
       "%zu bytes per entry by the count of the store, %zu on the heap; all expired in %.1f ms\n",
-      entries, insertionNs, slowestInsertion / kNsPerUs, lookupNs[kLookupRuns / 2],
-      kNsPerUs / lookupNs[kLookupRuns / 2], countedBytes, heapBytes / storedEntries,
-      nsPerOperation(begin, 1) / kNsPerMs);
+      entries, insertionNs, slowestInsertion / finchstile::bench::kNanosecondsPerMicrosecond,
+      lookupNs[kLookupRuns / 2], finchstile::bench::kNanosecondsPerMicrosecond / lookupNs[kLookupRuns / 2],
+      countedBytes, heapBytes / storedEntries,
+      nsPerOperation(begin, 1) / finchstile::bench::kNanosecondsPerMillisecond);
 }
 
 }  // namespace
--- a/bench/idempotency_log.cpp
+++ b/bench/idempotency_log.cpp
@@ -19,6 +19,7 @@
 #include <vector>
 
 #include "idempotency/journal.hpp"
+#include "units.hpp"
 #include "wal/sync_thread.hpp"
 
 namespace {
@@ -29,7 +30,6 @@
 
 constexpr std::size_t kMaxStoreAndLogBytes = std::size_t{8} << 30;  // limit of the store and of the log
 constexpr std::chrono::milliseconds kTickInterval(100);
-constexpr double kMicrosecondsPerSecond = 1e6, kMillisecondsPerSecond = 1e3, kBytesPerMb = 1e6;
 
 // Replaces the event loop of a gateway: functions are posted from any thread and run in order by runPosted().
 class CallQueue {
@@ -132,7 +132,7 @@
                       journal->syncedRecords() < openRequests.front().recordPosition);
       while (!openRequests.empty() && (!journal->requiresSyncBeforeSend() ||
                                        journal->syncedRecords() >= openRequests.front().recordPosition)) {
-        waitsUs.push_back(secondsSince(openRequests.front().startedAt) * kMicrosecondsPerSecond);
+        waitsUs.push_back(secondsSince(openRequests.front().startedAt) * bench::kMicrosecondsPerSecond);
         const auto id = openRequests.front().entry;
         openRequests.pop_front();
         store->onAttemptSent(id, {"east", 1, now()});
@@ -171,8 +171,8 @@
   { LoggedStore(path, SyncPolicy::never).runRequests(requests, 1); }
   const LoggedStore loggedStore(path, SyncPolicy::never);
   std::printf("recovery of %7.1f MB: %8.1f ms for %zu records, %zu keys\n",
-              static_cast<double>(loggedStore.journal->bytes()) / kBytesPerMb,
-              loggedStore.recoverySeconds * kMillisecondsPerSecond, loggedStore.recovery.log.records,
+              static_cast<double>(loggedStore.journal->bytes()) / bench::kBytesPerMegabyte,
+              loggedStore.recoverySeconds * bench::kMillisecondsPerSecond, loggedStore.recovery.log.records,
               loggedStore.recovery.replay.completed);
 }
 
--- a/bench/measure.hpp
+++ b/bench/measure.hpp
@@ -14,14 +14,15 @@
 #include <string>
 #include <vector>
 
+#include "units.hpp"
+
 namespace finchstile::bench {
 
 // Processor time of the whole process, in seconds.
 inline double processorSeconds() {
-  constexpr double kSecondsPerNanosecond = 1e-9;
   timespec t{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &t);
-  return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * kSecondsPerNanosecond;
+  return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) / kNanosecondsPerSecond;
 }
 
 // Processor time of the whole process while `work` runs, in seconds.
--- a/bench/streams.cpp
+++ b/bench/streams.cpp
@@ -33,6 +33,7 @@
 #include "net/gateway.hpp"
 #include "stream/table.hpp"
 #include "stream/tcp_proxy_handler.hpp"
+#include "units.hpp"
 #include "websocket/web_socket_handler.hpp"
 
 namespace {
@@ -52,7 +53,6 @@
 constexpr std::size_t kConcurrentStreams = 64;
 constexpr std::size_t kSequentialMessages = 20'000, kConcurrentMessages = 200'000;
 constexpr int kAnswerTimeoutMs = 5000;
-constexpr double kMicrosecondsPerSecond = 1e6;
 
 enum class Mode { bare, tcp, relay, inspect };
 const char* nameOf(Mode mode) {
@@ -397,8 +397,8 @@
   const double cpuUsed = proxy.cpuSeconds() - cpuBefore;
   std::printf("| %zu | %s | %.0f | %.0f | %.0f | %.2f | %.1f |\n", streams, nameOf(mode),
               percentile(latenciesUs, 0.5), percentile(latenciesUs, 0.99),
-              kConcurrentMessages / elapsedSeconds, cpuUsed / kConcurrentMessages * kMicrosecondsPerSecond,
-              memoryPerStream);
+              kConcurrentMessages / elapsedSeconds,
+              cpuUsed / kConcurrentMessages * bench::kMicrosecondsPerSecond, memoryPerStream);
   std::fflush(stdout);
   for (int fd : streamSockets) ::close(fd);
   ::close(epoll);
--- a/bench/trace.cpp
+++ b/bench/trace.cpp
@@ -11,8 +11,8 @@
 #include "trace/log_auditor.hpp"
 #include "trace/log_merger.hpp"
 #include "trace/trace_line_codec.hpp"
+#include "units.hpp"
 
-constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr double kUnlimitedLinesPerSecond = 1e9;  // in effect no limit
 
 int main(int argc, char** argv) {
@@ -48,7 +48,7 @@
                    {id, requestClass, now, std::chrono::milliseconds(480), RequestResult::served, 200, 1, 0});
              }
            }) /
-           requests * kMicrosecondsPerSecond;
+           requests * finchstile::bench::kMicrosecondsPerSecond;
   };
   std::printf(
       "per request of two lines: %.2f us written, %.2f us over the rate limit, %.2f us not sampled (fraction "
@@ -75,5 +75,6 @@
   std::size_t findings = 0;
   const double auditSeconds = secondsOf([&] { findings = trace::audit(merger, {}).size(); });
   std::printf("formatted, parsed and merged: %.2f us per line, audit of %d requests %.2f s, %zu findings\n",
-              mergeSeconds / requests * kMicrosecondsPerSecond, requests, auditSeconds, findings);
+              mergeSeconds / requests * finchstile::bench::kMicrosecondsPerSecond, requests, auditSeconds,
+              findings);
 }
--- a/tests/stream/decisions_test.cpp
+++ b/tests/stream/decisions_test.cpp
@@ -267,6 +267,31 @@
   }
 }
 
+// Log lines and metrics carry these names, whatever the enumerators are called.
+TEST(Ending, NamesOnTheWireAreFixed) {
+  const std::pair<EndReason, std::string_view> reasons[] = {{EndReason::finished, "finished"},
+                                                            {EndReason::reset, "reset"},
+                                                            {EndReason::rejected, "turned_away"},
+                                                            {EndReason::notEstablished, "unreached"},
+                                                            {EndReason::clientDisconnected, "left"},
+                                                            {EndReason::drain, "drain"},
+                                                            {EndReason::idle, "idle"},
+                                                            {EndReason::halfIdle, "half_idle"},
+                                                            {EndReason::stalled, "stalled"},
+                                                            {EndReason::silent, "silent"},
+                                                            {EndReason::protocol, "protocol"},
+                                                            {EndReason::tooBig, "too_big"},
+                                                            {EndReason::header, "header"}};
+  EXPECT_EQ(std::size(reasons), kEndReasonCount);
+  for (const auto& [reason, name] : reasons) EXPECT_EQ(nameOf(reason), name);
+  EXPECT_EQ(nameOf(EndedBy::client), "client");
+  EXPECT_EQ(nameOf(EndedBy::host), "host");
+  EXPECT_EQ(nameOf(EndedBy::gateway), "gateway");
+  EXPECT_EQ(nameOf(StreamResult::served), "served");
+  EXPECT_EQ(nameOf(StreamResult::refused), "refused");
+  EXPECT_EQ(nameOf(StreamResult::failed), "failed");
+}
+
 TEST(Account, LogsPartyAndReasonAndLimitsTheRateOfLines) {
   StreamStatistics a(LogEnds::all);
   a.onAccepted("scan");
